--- a/src/ebonydeal/_internal/benchmarks/rollouts/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/suite.py
@@ -14,7 +14,7 @@
     draw,
 )
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.routing.duties.pace import Pace
+from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.routing.rollout.course import (
     Complete,
     Continue,
@@ -76,7 +76,7 @@
     order = RolloutOrder("s", "v2", case.duration, 1)
     terms = Terms(plan=ways.build_plan())
     course = Course(order, case.duration, terms, ways.build_test())
-    period = Pace.of(case.relays, 0.5, 1.0).period
+    period = ReportPacing.of(case.relays, 0.5, 1.0).period
     lag = period + _WAY_S
     told = _Told(course, max(1, round(lag / STEP_S)))
     shares: dict[str, float] = {}
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -40,7 +40,7 @@
 from ebonydeal._internal.relay.view.news import news_since
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.crashes.crash_messages import EvidenceMessage
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease
+from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.duties.usage_ledger import Due, UsageLedger
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import QuotaTerms
@@ -156,7 +156,7 @@
     def __init__(
         self,
         parts: CoordinatorParts,
-        lease: DutyLease,
+        lease: CoordinatorLease,
         ledger: UsageLedger,
         bounds: QuotaBounds,
         checks_fence: bool,
@@ -287,7 +287,7 @@
         """
         # The very first holder has nobody to hear of what was ordered before.
         ready = self.warm or self.lease.fence == 1
-        if not ready or not self.lease.mine:
+        if not ready or not self.lease.is_mine:
             return False
         if self.holds:
             return True
@@ -314,7 +314,7 @@
         self._roster.hear(message)
         # Silent relays' counts are waited for no longer.
         self._roster.drop_silent(lambda word: self._ledger.forget(_counter(word)))
-        self.lease.relays = self._roster.count
+        self.lease.relay_count = self._roster.count
         # Counts are running totals of one incarnation.
         self._ledger.heard(
             _counter(message),
@@ -372,7 +372,7 @@
 
     def _news_of(self, node: str) -> NewsMessage | None:
         """Return what a relay's list of endpoints lacks."""
-        if not self.lease.mine or not self.fresh or self.is_self(node):
+        if not self.lease.is_mine or not self.fresh or self.is_self(node):
             return None
         mark = self._roster.mark_of(node)
         now = self._parts.clock.now()
@@ -407,10 +407,10 @@
         node = message["node"]
         # A relay of the release before knows nothing of shares.
         word = message.get("limits")
-        if word is None or not self.lease.mine:
+        if word is None or not self.lease.is_mine:
             return None
         granter = self.granter
-        seconds = self._roster.pace.patience
+        seconds = self._roster.pace.isolation_timeout
         reply = granter.hear(node, message["incarnation"], word, seconds)
         now = self._parts.clock.now()
         for name, amount in (grants := granter.advances(message["demand"])).items():
@@ -476,7 +476,7 @@
             if index is None or not self.warm or not self.holds:
                 continue
             accounts = [account.name for account in index.table.accounts]
-            wait = self._roster.pace.silent_after
+            wait = self._roster.pace.relay_timeout
             due = self._ledger.due(self._parts.clock.wall(), accounts, wait)
             if due is None:
                 continue
@@ -502,6 +502,6 @@
             detail="" if answer.accepted else answer.detail,
         )
         if answer.conflict:
-            self.lease.in_doubt()
+            self.lease.on_write_in_doubt()
             return
         self._ledger.reported = due.window
--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -107,7 +107,7 @@
             if index is None or not self._view.members_known:
                 continue
             if not self._coordinator.may_order:
-                if not self._coordinator.lease.mine:
+                if not self._coordinator.lease.is_mine:
                     self._ordered.clear()
                 continue
             for service in index.table.services.values():
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -12,11 +12,11 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.usage_store import UsageStore
 from ebonydeal._internal.relay.ports import SharedStore
-from ebonydeal._internal.routing.duties.duty_lease import (
-    DutyLease,
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
     LeaseRow,
-    Look,
-    Rest,
+    Read,
+    Sleep,
     Write,
 )
 from ebonydeal._internal.utils.clock import Clock
@@ -83,7 +83,7 @@
         self,
         store: SharedStore,
         usage: UsageStore,
-        lease: DutyLease,
+        lease: CoordinatorLease,
         clock: Clock,
         rng: Random,
         first: Callable[[], None],
@@ -140,16 +140,16 @@
             await self._clock.sleep(_LOOK_S * self._rng.uniform(0.6, 1.4))
             return
         match lease.next_step(self._clock.now()):
-            case Rest(seconds=seconds):
+            case Sleep(seconds=seconds):
                 # Another holds it: the next time that it is free is another time.
                 self._stood_back = False
                 await self._clock.sleep(min(_REST_S, seconds))
-            case Look():
+            case Read():
                 await self._look()
-                if not lease.mine and not self._was_holder:
+                if not lease.is_mine and not self._was_holder:
                     await self._clock.sleep(self._look_pause())
             case Write() as write:
-                if not lease.mine and not self._stood_back:
+                if not lease.is_mine and not self._stood_back:
                     await self._stand_back()
                     return
                 self._stood_back = False
@@ -183,16 +183,16 @@
         self._stood_back = True
         if back:
             # Another may have it by now.
-            self.lease.in_doubt()
+            self.lease.on_write_in_doubt()
 
     async def _look(self) -> None:
         rows, _version = await self._store.rows(LEASE_TABLE)
         now = self._clock.now()
         for row in rows:
             if row.key == _LEASE_KEY and row.value is not None:
-                self.lease.saw(_decoded(row.value), row.version, now)
+                self.lease.on_read(_decoded(row.value), row.version, now)
                 return
-        self.lease.saw(None, NO_ROW, now)
+        self.lease.on_read(None, NO_ROW, now)
 
     async def _read_kept(self) -> None:
         """Read what the holder before kept, once this relay holds the lease."""
@@ -206,7 +206,7 @@
     async def _write(self, write: Write) -> None:
         changes = [self._change(write)]
         renews = False
-        if self.lease.mine and write.row.fence == self.lease.fence:
+        if self.lease.is_mine and write.row.fence == self.lease.fence:
             # With the renewal, what was told of usage outlives all processes.
             changes.append(self._usage.open_change())
             changes.extend(c for kept in self.kept for c in kept.changes())
@@ -215,10 +215,10 @@
             result = await self._store.transact(changes)
         except EbonydealError as exc:
             if exc.kind is ErrorKind.STORE_IN_DOUBT:
-                self.lease.in_doubt()
+                self.lease.on_write_in_doubt()
             raise
         if result.applied:
-            self.lease.wrote(write.row, result.version)
+            self.lease.on_written(write.row, result.version)
             if renews:
                 for kept in self.kept:
                     kept.wrote()
@@ -226,11 +226,11 @@
         now = self._clock.now()
         row = result.rows[0] if result.rows else None
         value = None if row is None or row.value is None else _decoded(row.value)
-        self.lease.saw(value, NO_ROW if row is None else row.version, now)
+        self.lease.on_read(value, NO_ROW if row is None else row.version, now)
 
     def _lease_failed(self, exc: EbonydealError) -> None:
         logger.warning("Lease: store call failed.", reason=str(exc))
-        self.lease.failed(self._clock.now())
+        self.lease.on_renewal_failed(self._clock.now())
 
     def _note_change(self, held: bool) -> None:
         """Log the lease gained or lost, and start afresh."""
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -153,7 +153,7 @@
         while not self.should_stop:
             await self._parts.clock.sleep(_STEP_S)
             if not coordinator.holds:
-                if self.kept.known and not coordinator.lease.mine:
+                if self.kept.known and not coordinator.lease.is_mine:
                     self.kept.lost()
             elif self.kept.known and self.step():
                 await self._push()
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -17,8 +17,8 @@
     LimitsWord,
     PermitReply,
 )
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease
-from ebonydeal._internal.routing.duties.pace import Pace
+from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
+from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.routing.limits.endpoint_limits import (
     ENDPOINT_BOUNDS,
     limit_account,
@@ -86,7 +86,7 @@
 
     def __init__(
         self,
-        lease: DutyLease,
+        lease: CoordinatorLease,
         holds: Callable[[], bool],
         clock: Clock,
         bounds: QuotaBounds,
@@ -128,7 +128,7 @@
     def decides(self) -> bool:
         """Whether this relay decides which relays have shares."""
         fence = self._lease.fence
-        return self._lease.mine and self.registry_fence == fence and self._holds()
+        return self._lease.is_mine and self.registry_fence == fence and self._holds()
 
     def begin(self) -> None:
         """Note that the registry was read under a new fencing number."""
@@ -245,12 +245,13 @@
 
     def _promise_before_s(self) -> float:
         """Return for how long the process before may have promised a relay's share."""
-        before = self._lease.before
+        before = self._lease.previous_row
         if before is None or before.holder in ("", self._lease.node):
             # The holder before is gone for sure: only stand-ins had shares.
             return STAND_IN_SECONDS
         shares = max(self.registry.row.shares, 1)
-        return Pace.of(shares, self.least_period, _LEAST_CORES).patience
+        pacing = ReportPacing.of(shares, self.least_period, _LEAST_CORES)
+        return pacing.isolation_timeout
 
     def _is_lent_elsewhere(self, now: float) -> bool:
         """Return whether a stand-in may have what another holder gave it."""
@@ -258,7 +259,7 @@
 
     def _has_all(self, delegated: set[str]) -> bool:
         names = self.registry.row.names
-        return bool(names) and self._lease.mine and names <= delegated
+        return bool(names) and self._lease.is_mine and names <= delegated
 
     def advances(self, demand: dict[str, list[float]]) -> dict[str, float]:
         """Return what a relay gets in advance, by its demand and balance by account."""
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -12,7 +12,7 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.limits.granter import Granter
 from ebonydeal._internal.relay.ports import SharedStore
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease
+from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.limits.share_registry import (
     NO_NAMES,
     RegistryRow,
@@ -49,7 +49,7 @@
         self,
         store: SharedStore,
         granter: Granter,
-        lease: DutyLease,
+        lease: CoordinatorLease,
         clock: Clock,
         alive: Callable[[], set[str]],
     ) -> None:
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -26,8 +26,15 @@
     HolderMessage,
 )
 from ebonydeal._internal.relay.shares import FIRST_RELAYS
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease, LeaseRow
-from ebonydeal._internal.routing.duties.pace import JITTER_LEAST, JITTER_MOST, Pace
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
+    LeaseRow,
+)
+from ebonydeal._internal.routing.duties.report_pacing import (
+    MAX_JITTER,
+    MIN_JITTER,
+    ReportPacing,
+)
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
@@ -75,7 +82,7 @@
         self._count = max(FIRST_RELAYS, len(seeds))
         # Whether a coordinator told how many relays there are.
         self.counted = False
-        self._pace = Pace(parts.period)
+        self._pace = ReportPacing(parts.period)
         self._tells_config = False
         # Set once other relays can reach this one.
         self.reachable = asyncio.Event()
@@ -108,12 +115,12 @@
     def in_touch(self) -> bool:
         """Whether the coordinator answered lately."""
         silent = self._parts.clock.now() - self._last_ok
-        return silent <= self._pace.patience
+        return silent <= self._pace.isolation_timeout
 
     @property
     def patience(self) -> float:
         """Seconds of silence after which the coordinator's word is too old."""
-        return self._pace.patience
+        return self._pace.isolation_timeout
 
     @property
     def fed(self) -> bool:
@@ -129,7 +136,7 @@
         return self.fed and self._tells_config
 
     @property
-    def lease(self) -> DutyLease:
+    def lease(self) -> CoordinatorLease:
         """The lease as this relay sees it."""
         return self._parts.coordinator.lease
 
@@ -146,7 +153,7 @@
         while not self.should_stop:
             answered = await self._once()
             pause = self._pace.period if answered else self._again()
-            jitter = parts.rng.uniform(JITTER_LEAST, JITTER_MOST)
+            jitter = parts.rng.uniform(MIN_JITTER, MAX_JITTER)
             await self._pause(pause * jitter)
 
     def _again(self) -> float:
@@ -156,9 +163,9 @@
         them don't all ask a small instance that often.
         """
         if self.counted:
-            return self._pace.again
+            return self._pace.retry_interval
         crowd = self.relay_count / _FIRST_PER_S
-        return min(self._pace.again, max(_FIRST_AGAIN_S, crowd))
+        return min(self._pace.retry_interval, max(_FIRST_AGAIN_S, crowd))
 
     async def _pause(self, seconds: float) -> None:
         """Wait so long, or until something is to be told now."""
@@ -194,7 +201,7 @@
         except EbonydealError as exc:
             self._fed = False
             silent = parts.clock.now() - self._last_ok
-            if not lease.wanted and silent > self._pace.lost_after:
+            if not lease.wanted and silent > self._pace.coordinator_timeout:
                 logger.warning("Coordinator lost.", reason=str(exc))
                 lease.wanted = True
             return False
@@ -204,14 +211,14 @@
             return False
         # Our own list is told by nobody, and that of a coordinator which doesn't
         # hear the store may be old.
-        self._fed = reply["holds"] and reply["fresh"] and not lease.mine
+        self._fed = reply["holds"] and reply["fresh"] and not lease.is_mine
         self._last_ok = parts.clock.now()
         if reply["relays"] is not None:
             self.relays = list(reply["relays"])
         self._count = max(1, len(self.relays))
         self.counted = True
         # A coordinator of the release before doesn't tell these.
-        self._pace = Pace(max(parts.period, reply.get("period", 0.0)))
+        self._pace = ReportPacing(max(parts.period, reply.get("period", 0.0)))
         self._tells_config = reply.get("tells_config", False)
         lease.wanted = not reply["holds"]
         parts.heard(reply, asked_at)
@@ -223,7 +230,7 @@
         Else each would find it by reading the lease: hundreds of calls of the store.
         """
         lease = self.lease
-        if not lease.mine or lease.row is None:
+        if not lease.is_mine or lease.row is None:
             return
         message = HolderMessage(row=list(lease.row), version=lease.version)
         own = lease.row.address
@@ -242,14 +249,14 @@
 
     def take_holder(self, message: HolderMessage) -> dict[str, Any]:
         """Take another relay's word that it holds the lease."""
-        self.lease.hear(LeaseRow(*message["row"]), int(message["version"]))
+        self.lease.learn_holder(LeaseRow(*message["row"]), int(message["version"]))
         if not self.in_touch or not self.counted:
             self.hasten()
         return {}
 
     async def _ask(self) -> ExchangeReply | None:
         parts = self._parts
-        if parts.coordinator.lease.mine:
+        if parts.coordinator.lease.is_mine:
             return parts.coordinator.exchange(parts.word(self.relays))
         address = self.coordinator_address
         if address is None:
@@ -279,7 +286,7 @@
         self, path: str, message: _Asked, own: Callable[[_Asked], _Told]
     ) -> _Told:
         """Make a call of the coordinator, which may be this relay."""
-        if self._parts.coordinator.lease.mine:
+        if self._parts.coordinator.lease.is_mine:
             return own(message)
         address = self.coordinator_address
         if address is None:
--- a/src/ebonydeal/_internal/relay/peers/roster.py
+++ b/src/ebonydeal/_internal/relay/peers/roster.py
@@ -12,7 +12,7 @@
 from xxhash import xxh3_64_hexdigest
 
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage
-from ebonydeal._internal.routing.duties.pace import Pace
+from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.utils.clock import Clock
 
 # How long a silent one may be cut off and still serving, unless it comes back.
@@ -127,9 +127,9 @@
         self._expected_until = self._clock.now() + _MAY_SERVE_S
 
     @property
-    def pace(self) -> Pace:
+    def pace(self) -> ReportPacing:
         """How often relays are to speak, with as many as there may be."""
-        return Pace.of(len(self._relays), self._least, self._cores)
+        return ReportPacing.of(len(self._relays), self._least, self._cores)
 
     def hear(self, message: ExchangeMessage) -> None:
         """Take a relay's word."""
@@ -143,7 +143,7 @@
 
     def alive(self) -> list[HeardRelay]:
         """Return the relays that were heard lately."""
-        since = self._clock.now() - self.pace.silent_after
+        since = self._clock.now() - self.pace.relay_timeout
         return [r for r in self._relays.values() if r.at >= since]
 
     def addresses_unless(self, known: str) -> list[str] | None:
@@ -154,7 +154,7 @@
     def drop_silent(self, silent: Callable[[ExchangeMessage], None]) -> None:
         """Call ``silent`` for each silent relay, and drop those that can't serve."""
         now = self._clock.now()
-        longest = self.pace.silent_after
+        longest = self.pace.relay_timeout
         for node, relay in list(self._relays.items()):
             if now - relay.at > longest:
                 silent(relay.message)
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -58,8 +58,8 @@
     CrashEvidence,
     EvidenceTerms,
 )
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease
-from ebonydeal._internal.routing.duties.pace import Pace
+from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
+from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
 from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
@@ -159,7 +159,8 @@
             )
         )
         self._crashes.on_crash = self._suspects.crashed
-        self._split = Split(self._node.id, Pace(self._policy.exchange_s).patience)
+        pacing = ReportPacing(self._policy.exchange_s)
+        self._split = Split(self._node.id, pacing.isolation_timeout)
         self.view.on_orders = self._split.ordered
         self._rollout_hearer = RolloutHearer(self._split, self.view, clock)
         bounds = QuotaBounds(
@@ -314,7 +315,7 @@
             CoordinatorParts(
                 ports.store, ports.duties, self.view, self._clock, self._rng
             ),
-            DutyLease(
+            CoordinatorLease(
                 self._node.id, incarnation, cfg.peer_address, cfg.lease_ms / 1000.0
             ),
             UsageLedger(cfg.usage_window_s, cfg.usage_late_s),
@@ -372,7 +373,7 @@
         address = f"{host}:{self.peers.port}"
         self._cfg = self._cfg._replace(peer_address=address)
         self._word.address = address
-        self.coordinator.lease.reachable_at(address)
+        self.coordinator.lease.set_address(address)
         self.coordinator.start_duties()
         self._exchange.reachable.set()
 
@@ -406,7 +407,7 @@
             self._sync.behind = True
         self._split.patience = self._exchange.patience
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
-        mine = self.coordinator.lease.mine
+        mine = self.coordinator.lease.is_mine
         config = self._followers[0]
         for follower in self._followers:
             follower.alone = mine
--- a/src/ebonydeal/_internal/relay/view/leaving.py
+++ b/src/ebonydeal/_internal/relay/view/leaving.py
@@ -46,7 +46,7 @@
     async def _run(self) -> None:
         while not self.should_stop:
             await self._clock.sleep(_STEP_S)
-            if not self._coordinator.lease.mine:
+            if not self._coordinator.lease.is_mine:
                 continue
             due = self._due()
             for member in due:
--- a/src/ebonydeal/_internal/relay/view/view_sync.py
+++ b/src/ebonydeal/_internal/relay/view/view_sync.py
@@ -19,7 +19,7 @@
 from ebonydeal._internal.relay.ports import Wire
 from ebonydeal._internal.relay.view.follower import TableFollower
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.duties.duty_lease import LeaseRow
+from ebonydeal._internal.routing.duties.coordinator_lease import LeaseRow
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
@@ -118,6 +118,6 @@
                 self._rollouts.learn(reply["rollouts"])
             if "lease" in reply:
                 row, version = reply["lease"]
-                self._exchange.lease.hear(LeaseRow(*row), int(version))
+                self._exchange.lease.learn_holder(LeaseRow(*row), int(version))
         except _UNREADABLE as exc:
             logger.error("News can't be read.", peer=address, reason=repr(exc))
--- a/src/ebonydeal/_internal/routing/duties/duty_lease.py
+++ b/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
@@ -46,25 +46,25 @@
 
 @dataclass(frozen=True)
 class Write:
-    """Write ``row`` if the stored one still has ``expected``; then tell `wrote`."""
+    """Write ``row`` if the stored version is ``expected``; then call `on_written`."""
 
     row: LeaseRow
     expected: int
 
 
 @dataclass(frozen=True)
-class Look:
-    """Read the row, then tell `saw`."""
+class Read:
+    """Read the row, then call `on_read`."""
 
 
 @dataclass(frozen=True)
-class Rest:
+class Sleep:
     """There is nothing to do for so many seconds."""
 
     seconds: float
 
 
-Step = Write | Look | Rest
+Step = Write | Read | Sleep
 
 # Renewals in one time to live: one may be lost and one late.
 _RENEWALS = 3.0
@@ -73,7 +73,7 @@
 _MARGIN = 0.1
 
 
-class DutyLease:
+class CoordinatorLease:
     """One relay's view of the lease.
 
     Parameters
@@ -98,9 +98,9 @@
         self._renew_at = 0.0
         self.wanted = False
         # The row that this incarnation took the lease from; None if there was none.
-        self.before: LeaseRow | None = None
+        self.previous_row: LeaseRow | None = None
         # How many relays this one knows of, to be written with the row.
-        self.relays = 0
+        self.relay_count = 0
 
     @property
     def row(self) -> LeaseRow | None:
@@ -112,7 +112,7 @@
         """The row's version as last seen."""
         return self._version
 
-    def hear(self, row: LeaseRow, version: int) -> None:
+    def learn_holder(self, row: LeaseRow, version: int) -> None:
         """Take a newer holder's row from another relay.
 
         Only for finding the holder: it gives no right, and whoever wants the lease
@@ -138,12 +138,12 @@
         """Name of this process."""
         return self._me.incarnation
 
-    def reachable_at(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Take the address that others are told with the next write."""
         self._me = self._me._replace(address=address)
 
     @property
-    def mine(self) -> bool:
+    def is_mine(self) -> bool:
         """Whether the row, as last seen, names this incarnation."""
         row = self._row
         return (
@@ -154,24 +154,24 @@
 
     def holds(self, now: float) -> bool:
         """Return whether this relay may act on the duties now."""
-        return self.mine and now < self._until - self._ttl * _MARGIN
+        return self.is_mine and now < self._until - self._ttl * _MARGIN
 
     def next_step(self, now: float) -> Step:
         """Return what to do next."""
         if not self._known:
             if self._told and not self.wanted:
                 # Hundreds of relays are told of a new holder: none has to read.
-                return Rest(self._ttl / _RENEWALS)
-            return Look()
-        if self.mine:
+                return Sleep(self._ttl / _RENEWALS)
+            return Read()
+        if self.is_mine:
             if now < self._renew_at:
-                return Rest(self._renew_at - now)
+                return Sleep(self._renew_at - now)
             # Also when the right is over: while the row stands as it was,
             # nobody else had it, and after an outage of the store its last
             # holder is the one who knows most.
             return self._write(now, self.fence)
         if not self.wanted:
-            return Rest(self._ttl / _RENEWALS)
+            return Sleep(self._ttl / _RENEWALS)
         if self._row is None:
             return self._write(now, 1)
         free = self._row.holder == ""
@@ -179,41 +179,42 @@
         own = self._row.holder == self._me.holder
         if free or own or now - self._seen_at >= self._ttl:
             return self._write(now, self.fence + 1)
-        return Look()
+        return Read()
 
     def _write(self, now: float, fence: int) -> Write:
         self._sent_at = now
-        return Write(self._me._replace(fence=fence, relays=self.relays), self._version)
+        row = self._me._replace(fence=fence, relays=self.relay_count)
+        return Write(row, self._version)
 
-    def saw(self, row: LeaseRow | None, version: int, now: float) -> None:
+    def on_read(self, row: LeaseRow | None, version: int, now: float) -> None:
         """Take the row as it was read; version 0 where there is none."""
         changed = not self._known or version != self._version
-        was_mine = self.mine
-        before = self._row
+        was_holder = self.is_mine
+        previous_row = self._row
         self._row, self._version = row, version
         self._known = True
         self._told = False
         if changed:
             self._seen_at = now
-        if self.mine and not was_mine:
+        if self.is_mine and not was_holder:
             # A write whose answer was lost took effect: the right counts from
             # before it was sent.
-            self.before = before
+            self.previous_row = previous_row
             self._until = self._sent_at + self._ttl
             self._renew_at = self._sent_at + self._ttl / _RENEWALS
 
-    def wrote(self, row: LeaseRow, version: int) -> None:
+    def on_written(self, row: LeaseRow, version: int) -> None:
         """Take a write that took effect."""
-        if not self.mine:
-            self.before = self._row
+        if not self.is_mine:
+            self.previous_row = self._row
         self._row, self._version = row, version
         self._seen_at = self._sent_at
         self._until = self._sent_at + self._ttl
         self._renew_at = self._sent_at + self._ttl / _RENEWALS
-        if not self.mine:
+        if not self.is_mine:
             self._until = 0.0
 
-    def in_doubt(self) -> None:
+    def on_write_in_doubt(self) -> None:
         """Note that a write may or may not have taken effect."""
         self._known = False
         self._told = False
@@ -222,7 +223,7 @@
         """Renew now, for what is written with a renewal and can't wait."""
         self._renew_at = min(self._renew_at, now)
 
-    def failed(self, now: float) -> None:
+    def on_renewal_failed(self, now: float) -> None:
         """Note that a renewal did nothing; it is tried again soon."""
         self._renew_at = now + self._ttl / _RENEWALS / 4.0
 
@@ -231,8 +232,8 @@
 
         It acts no more from now on: the write may take effect at any time.
         """
-        if not self.mine:
+        if not self.is_mine:
             return None
         self._until = 0.0
-        free = LeaseRow("", "", "", self.fence, self.relays)
+        free = LeaseRow("", "", "", self.fence, self.relay_count)
         return Write(free, self._version)
--- a/src/ebonydeal/_internal/routing/duties/pace.py
+++ b/src/ebonydeal/_internal/routing/duties/report_pacing.py
@@ -15,8 +15,8 @@
 # More of them fill the links, and nobody gains from a fresher word.
 _MOST_PER_S = 130.0
 # A period is drawn from this part of it to that, so that relays don't beat together.
-JITTER_LEAST = 0.8
-JITTER_MOST = 1.2
+MIN_JITTER = 0.8
+MAX_JITTER = 1.2
 # Silence beyond a period after which a relay wants another coordinator, and after
 # which it is on its own.
 _LOST_S = 0.2
@@ -31,13 +31,13 @@
 _SILENT_BEYOND_S = 2.0
 
 
-class Pace(NamedTuple):
+class ReportPacing(NamedTuple):
     """The time between two reports of a relay, seconds."""
 
     period: float
 
     @classmethod
-    def of(cls, relays: int, least: float, cores: float) -> "Pace":
+    def of(cls, relays: int, least: float, cores: float) -> "ReportPacing":
         """Return the pace for so many relays.
 
         Parameters
@@ -53,31 +53,31 @@
         return cls(max(least, relays / per_s))
 
     @property
-    def longest(self) -> float:
+    def max_interval(self) -> float:
         """Longest time between two reports, seconds."""
-        return self.period * JITTER_MOST
+        return self.period * MAX_JITTER
 
     @property
-    def again(self) -> float:
+    def retry_interval(self) -> float:
         """Time until a report without an answer is made again, seconds."""
         return min(self.period, _AGAIN_S)
 
     @property
-    def lost_after(self) -> float:
+    def coordinator_timeout(self) -> float:
         """Silence of the coordinator after which another is wanted, seconds."""
-        return self.longest + _LOST_S
+        return self.max_interval + _LOST_S
 
     @property
-    def patience(self) -> float:
+    def isolation_timeout(self) -> float:
         """Silence of the coordinator after which a relay is on its own, seconds."""
-        return self.longest + _PATIENCE_S
+        return self.max_interval + _PATIENCE_S
 
     @property
-    def alone_after(self) -> float:
+    def relay_isolation_timeout(self) -> float:
         """Silence after which a relay may be on its own, seconds."""
-        return max(_ALONE_S, self.patience)
+        return max(_ALONE_S, self.isolation_timeout)
 
     @property
-    def silent_after(self) -> float:
+    def relay_timeout(self) -> float:
         """Silence after which a relay is held to be gone, seconds."""
-        return max(_SILENT_S, self.longest + _SILENT_BEYOND_S)
+        return max(_SILENT_S, self.max_interval + _SILENT_BEYOND_S)
--- a/tests/functional/relay/test_crashing_request.py
+++ b/tests/functional/relay/test_crashing_request.py
@@ -128,7 +128,7 @@
     async def test_also_when_the_coordinator_is_lost_at_the_third(self):
         async with cluster() as (relays, fleet):
             await bring_down_three(relays, fleet)
-            holder = next(r for r in relays if r.coordinator.lease.mine)
+            holder = next(r for r in relays if r.coordinator.lease.is_mine)
             others = [r for r in relays if r is not holder]
             await holder.peers.stop()
             await all_hold(others)
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -23,7 +23,7 @@
 from ebonydeal._internal.relay.peers.roster import addresses_hash
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease
+from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.placement.route_index import RouteIndex
@@ -103,7 +103,7 @@
         incarnation = f"i{seed}"
         self.coordinator = Coordinator(
             CoordinatorParts(store, MemoryDuties(), view, clock, rng),
-            DutyLease(name, incarnation, self.address, LEASE_S),
+            CoordinatorLease(name, incarnation, self.address, LEASE_S),
             UsageLedger(5.0, 10.0),
             cluster.bounds,
             True,
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -9,12 +9,17 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.relay.limits.granter import Granter, Peer
 from ebonydeal._internal.relay.limits.link import LimitsLink, Place
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease, Look, Rest, Write
-from ebonydeal._internal.routing.duties.pace import Pace
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
+    Read,
+    Sleep,
+    Write,
+)
+from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.routing.limits.share_registry import NO_NAMES
 
 LEASE_S = 3.0
-PACE = Pace(0.5)
+PACE = ReportPacing(0.5)
 
 
 class ModelClock:
@@ -34,7 +39,7 @@
     @property
     def coordinator_address(self):
         relay = self._relay
-        if relay.lease.mine:
+        if relay.lease.is_mine:
             return relay.name
         return relay.lease.row.address if relay.lease.row else None
 
@@ -48,7 +53,7 @@
     def __init__(self, model, name, number):
         self.model, self.name = model, name
         self.incarnation = f"{name}-{number}"
-        self.lease = DutyLease(name, self.incarnation, name, LEASE_S)
+        self.lease = CoordinatorLease(name, self.incarnation, name, LEASE_S)
         clock = model.clock
         self.granter = Granter(
             self.lease, lambda: self.lease.holds(clock.now()), clock, model.bounds
@@ -69,26 +74,26 @@
         for _ in range(3):
             step = self.lease.next_step(now)
             match step:
-                case Rest():
+                case Sleep():
                     return
-                case Look():
+                case Read():
                     if not model.reaches_store(self.name):
                         return
-                    self.lease.saw(*model.row, now)
-                    if not self.lease.mine:
+                    self.lease.on_read(*model.row, now)
+                    if not self.lease.is_mine:
                         return
                 case Write():
                     if not model.reaches_store(self.name):
-                        self.lease.failed(now)
+                        self.lease.on_renewal_failed(now)
                         return
                     self._write(step, now)
 
     def _write(self, step, now):
         model = self.model
         if step.expected != model.row[1]:
-            self.lease.saw(*model.row, now)
+            self.lease.on_read(*model.row, now)
             return
-        renews = self.lease.mine and step.row.fence == self.lease.fence
+        renews = self.lease.is_mine and step.row.fence == self.lease.fence
         wanted, startup = None, self.granter.startup.wanted
         if renews and self.granter.registry_fence == self.lease.fence:
             alive = {n for n, at in self.heard.items() if now - at <= 3.0}
@@ -99,9 +104,9 @@
                 model.startups = self.granter.startup.writes(now, 0.0)
         model.row = (step.row, model.row[1] + 1)
         if model.lose_answers:
-            self.lease.in_doubt()
+            self.lease.on_write_in_doubt()
             return
-        self.lease.wrote(step.row, model.row[1])
+        self.lease.on_written(step.row, model.row[1])
         if wanted is not None and startup:
             self.granter.startup.wrote()
         if wanted is not None and wanted != self.granter.registry.row:
@@ -132,10 +137,10 @@
     def tell(self):
         """Tell the coordinator, or a stand-in while there is none."""
         model, now = self.model, self.model.clock.now()
-        if self.lease.mine and self.granter.registry_fence != self.lease.fence:
+        if self.lease.is_mine and self.granter.registry_fence != self.lease.fence:
             if model.reaches_store(self.name):
                 self._begin(now)
-        target = self.name if self.lease.mine else None
+        target = self.name if self.lease.is_mine else None
         row = self.lease.row
         if target is None and row is not None:
             target = row.address
@@ -149,7 +154,7 @@
                 self.notices.take_limits(holder.notices_of(), now)
                 self._take_back()
                 return
-        if now - self.last_ok > PACE.lost_after:
+        if now - self.last_ok > PACE.coordinator_timeout:
             self.lease.wanted = True
         if not self.link.in_touch:
             self._tell_stand_in()
@@ -185,12 +190,14 @@
                 return
 
     def hear(self, relay):
-        if not self.lease.mine:
+        if not self.lease.is_mine:
             return None
         now = self.model.clock.now()
         self.heard[relay.name] = now
         word = relay.link.word()
-        reply = self.granter.hear(relay.name, relay.incarnation, word, PACE.patience)
+        reply = self.granter.hear(
+            relay.name, relay.incarnation, word, PACE.isolation_timeout
+        )
         account = self.model.account
         self.notices.take_limits(relay.notices_of(own=True), now)
         left = relay.link.balances.left(account.name, now)
--- a/tests/unit/relay/duties/test_coordinator.py
+++ b/tests/unit/relay/duties/test_coordinator.py
@@ -8,7 +8,10 @@
 from ebonydeal._internal.relay.duties.coordinator import Coordinator, CoordinatorParts
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease, LeaseRow
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
+    LeaseRow,
+)
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.share_registry import (
@@ -31,7 +34,7 @@
     )
     coordinator = Coordinator(
         parts,
-        DutyLease("n0", "i", "n0:1", 3.0),
+        CoordinatorLease("n0", "i", "n0:1", 3.0),
         UsageLedger(5.0, 10.0),
         QuotaBounds(8.0, 0.1, 110_000.0),
         True,
@@ -56,7 +59,7 @@
         for node in range(6):
             taken_over.exchange(word(f"n{node}"))
         # Three more were told of by the one before, and may still serve.
-        assert taken_over.lease.relays == 9
+        assert taken_over.lease.relay_count == 9
 
     def starting(self, row):
         """Return the exchange of a relay that has read the lease and heard nobody."""
@@ -76,8 +79,8 @@
     @pytest.fixture
     def holder(self, taken_over):
         lease, granter = taken_over.lease, taken_over.granter
-        lease.saw(LeaseRow("n8", "i", "n8:1", 4, 9), 1, 100.0)
-        lease.wrote(LeaseRow("n0", "i", "n0:1", 5), 2)
+        lease.on_read(LeaseRow("n8", "i", "n8:1", 4, 9), 1, 100.0)
+        lease.on_written(LeaseRow("n0", "i", "n0:1", 5), 2)
         taken_over._keeper.lease._until = 1e9
         granter.registry.load(RegistryRow(9, NAMES), 100.0)
         granter.begin()
--- a/tests/unit/relay/duties/test_fleet.py
+++ b/tests/unit/relay/duties/test_fleet.py
@@ -37,7 +37,7 @@
         self._revision = 0
         coordinator = SimpleNamespace(
             may_order=True,
-            lease=SimpleNamespace(mine=True, fence=3),
+            lease=SimpleNamespace(is_mine=True, fence=3),
             heard_lately=lambda: [{"work": {"s": self.work}, "loads": {}}],
             order_refused=lambda: None,
         )
--- a/tests/unit/relay/duties/test_lease_keeper.py
+++ b/tests/unit/relay/duties/test_lease_keeper.py
@@ -6,7 +6,10 @@
 
 from ebonydeal._internal.models.shared import RowChange
 from ebonydeal._internal.relay.duties.lease_keeper import LEASE_TABLE, LeaseKeeper
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease, LeaseRow
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
+    LeaseRow,
+)
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryStore
 
@@ -26,7 +29,7 @@
             pass
 
         usage = SimpleNamespace(open_change=lambda: OPEN, read_open=read_open)
-        lease = DutyLease(name, "i", f"{name}:1", 3.0)
+        lease = CoordinatorLease(name, "i", f"{name}:1", 3.0)
         lease.wanted = True
         keeper = LeaseKeeper(
             self.store,
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -50,7 +50,7 @@
     """What a holder is as the coordinator."""
 
     period = 0.5
-    lease = SimpleNamespace(mine=True)
+    lease = SimpleNamespace(is_mine=True)
 
     def __init__(self, holder, relays, clock):
         self._holder = holder
--- a/tests/unit/relay/test_limits_link.py
+++ b/tests/unit/relay/test_limits_link.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.relay.limits.link import LimitsLink, Place
 from ebonydeal._internal.relay.limits.messages import RELEASE
 from ebonydeal._internal.relay.peers.messages import GRANT
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease
+from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from tests.lib.clock import ManualClock
 from tests.lib.limits_cluster import limited
@@ -73,7 +73,7 @@
 class Relay:
     def __init__(self):
         self.clock = ManualClock(100.0)
-        lease = DutyLease("n1", "i1", "n1:1", 3.0)
+        lease = CoordinatorLease("n1", "i1", "n1:1", 3.0)
         self.granter = Granter(
             lease, lambda: False, self.clock, QuotaBounds(4.0, 0.1, 0.0)
         )
--- a/tests/unit/relay/test_registry_store.py
+++ b/tests/unit/relay/test_registry_store.py
@@ -8,7 +8,10 @@
     SHARES_TABLE,
     RegistryStore,
 )
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease, LeaseRow
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
+    LeaseRow,
+)
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.share_registry import (
     NO_NAMES,
@@ -25,8 +28,8 @@
 class Holder:
     def __init__(self, fence=4):
         self.clock, self.store = ManualClock(100.0), MemoryStore()
-        self.lease = DutyLease("a", "i", "a:1", 3.0)
-        self.lease.wrote(LeaseRow("a", "i", "a:1", fence), 1)
+        self.lease = CoordinatorLease("a", "i", "a:1", 3.0)
+        self.lease.on_written(LeaseRow("a", "i", "a:1", fence), 1)
         self.granter = Granter(
             self.lease, lambda: True, self.clock, QuotaBounds(4.0, 0.1, 0.0)
         )
@@ -63,7 +66,7 @@
 
     async def test_it_is_read_again_under_another_fencing_number(self, holder):
         await holder.rows.read()
-        holder.lease.wrote(LeaseRow("a", "i", "a:1", 9), 2)
+        holder.lease.on_written(LeaseRow("a", "i", "a:1", 9), 2)
         assert not holder.rows.known
         assert holder.rows.changes() == []
 
--- a/tests/unit/relay/test_retry_share.py
+++ b/tests/unit/relay/test_retry_share.py
@@ -9,7 +9,7 @@
 
 from ebonydeal._internal.errors import ErrorKind
 from ebonydeal._internal.relay.shares import retry_share
-from ebonydeal._internal.routing.duties.duty_lease import LeaseRow
+from ebonydeal._internal.routing.duties.coordinator_lease import LeaseRow
 from ebonydeal._internal.routing.retries.retries import Failure, Retry
 from ebonydeal._internal.settings.relay import RelaySettings
 from tests.lib.relay_fakes import MemoryStore, relay
@@ -20,7 +20,7 @@
 def started(relays):
     """Return a relay that has just started and read the lease."""
     program = relay(MemoryStore())
-    program.coordinator.lease.saw(LeaseRow("n9", "i", "n9:1", 4, relays), 1, 100.0)
+    program.coordinator.lease.on_read(LeaseRow("n9", "i", "n9:1", 4, relays), 1, 100.0)
     return program
 
 
--- a/tests/unit/relay/test_suspension.py
+++ b/tests/unit/relay/test_suspension.py
@@ -13,7 +13,11 @@
 from ebonydeal._internal.relay.duties.lease_keeper import LeaseKeeper
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.requests.sends import JobSends
-from ebonydeal._internal.routing.duties.duty_lease import DutyLease, LeaseRow, Write
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
+    LeaseRow,
+    Write,
+)
 from ebonydeal._internal.routing.limits.quota_broker import Balances
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryStore
@@ -24,14 +28,14 @@
 
 def holder(clock):
     """Return the keeper of a lease that was renewed just now."""
-    lease = DutyLease("n0", "i", "n0:1", 3.0)
+    lease = CoordinatorLease("n0", "i", "n0:1", 3.0)
     lease.wanted = True
-    lease.saw(None, 0, clock.now())
+    lease.on_read(None, 0, clock.now())
     assert isinstance(lease.next_step(clock.now()), Write)
     keeper = LeaseKeeper(
         MemoryStore(), SimpleNamespace(), lease, clock, Random(1), lambda: None
     )
-    lease.wrote(LeaseRow("n0", "i", "n0:1", 1), 1)
+    lease.on_written(LeaseRow("n0", "i", "n0:1", 1), 1)
     return keeper
 
 
@@ -49,7 +53,7 @@
     async def test_is_taken_for_old_until_the_coordinator_is_heard(self):
         clock = ManualClock(100.0)
         coordinator = SimpleNamespace(
-            lease=SimpleNamespace(mine=False, wanted=False, row=None)
+            lease=SimpleNamespace(is_mine=False, wanted=False, row=None)
         )
         exchange = Exchange(
             ExchangeParts(coordinator, None, clock, Random(1), dict, print), ()
--- a/tests/unit/relay/view/test_leaving.py
+++ b/tests/unit/relay/view/test_leaving.py
@@ -18,7 +18,7 @@
         self.clock = ManualClock(100.0)
         self.view = RelayView(2.0)
         self.engines = MemoryEngines()
-        lease = SimpleNamespace(mine=mine)
+        lease = SimpleNamespace(is_mine=mine)
         self.times = LeavingTimes(
             SimpleNamespace(lease=lease), self.engines, self.view, self.clock
         )
--- a/tests/unit/routing/duties/test_duty_lease.py
+++ b/tests/unit/routing/duties/test_coordinator_lease.py
@@ -4,11 +4,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from ebonydeal._internal.routing.duties.duty_lease import (
-    DutyLease,
+from ebonydeal._internal.routing.duties.coordinator_lease import (
+    CoordinatorLease,
     LeaseRow,
-    Look,
-    Rest,
+    Read,
+    Sleep,
     Write,
 )
 
@@ -33,7 +33,7 @@
 
 
 def lease(node="a", incarnation="1", wanted=True):
-    made = DutyLease(node, incarnation, f"{node}:1", TTL)
+    made = CoordinatorLease(node, incarnation, f"{node}:1", TTL)
     made.wanted = wanted
     return made
 
@@ -42,12 +42,12 @@
     """Take one step; return it."""
     step = one.next_step(now)
     match step:
-        case Look():
-            one.saw(store.row, store.version, now)
+        case Read():
+            one.on_read(store.row, store.version, now)
         case Write(row=row) if store.write(step):
-            one.wrote(row, store.version)
+            one.on_written(row, store.version)
         case Write():
-            one.saw(store.row, store.version, now)
+            one.on_read(store.row, store.version, now)
     return step
 
 
@@ -67,7 +67,7 @@
         take(lease("a"), store, 10.0)
         other = lease("b")
         run(other, store, 10.1)
-        assert isinstance(run(other, store, 10.1 + TTL - 0.01), Look)
+        assert isinstance(run(other, store, 10.1 + TTL - 0.01), Read)
         run(other, store, 10.1 + TTL)
         assert other.holds(10.1 + TTL) and other.fence == 2
 
@@ -101,7 +101,7 @@
         store = Store()
         one = lease(wanted=False)
         run(one, store, 1.0)
-        assert isinstance(run(one, store, 1.0), Rest)
+        assert isinstance(run(one, store, 1.0), Sleep)
         assert store.row is None
 
 
@@ -112,15 +112,15 @@
         take(first, store, 10.0)
         run(other, store, 10.0)
         later = LeaseRow("c", "9", "c:1", 5)
-        first.hear(later, 40)
+        first.learn_holder(later, 40)
         assert first.row == later and not first.holds(10.1)
-        first.hear(LeaseRow("b", "1", "b:1", 4), 41)
+        first.learn_holder(LeaseRow("b", "1", "b:1", 4), 41)
         assert first.row == later
         # What was heard gives no right: whoever wants the lease asks the store first.
         assert first.wanted
-        assert isinstance(first.next_step(99.0), Look)
+        assert isinstance(first.next_step(99.0), Read)
         first.wanted = False
-        assert isinstance(first.next_step(99.0), Rest)
+        assert isinstance(first.next_step(99.0), Sleep)
 
 
 class TestHolding:
@@ -149,9 +149,9 @@
         step = one.next_step(10.0)
         assert isinstance(step, Write)
         store.write(step)
-        one.in_doubt()
+        one.on_write_in_doubt()
         assert not one.holds(10.0)
-        assert isinstance(run(one, store, 10.2), Look)
+        assert isinstance(run(one, store, 10.2), Read)
         # The write took effect; the right counts from before it was sent.
         assert one.holds(10.2) and not one.holds(10.0 + TTL)
 
@@ -188,7 +188,7 @@
         if isinstance(step, Write):
             if took_effect:
                 self.store.write(step)
-            one.in_doubt()
+            one.on_write_in_doubt()
 
     @rule(node=st.sampled_from(NODES))
     def dies_and_restarts(self, node):
@@ -200,7 +200,7 @@
         step = one.release()
         if step is not None:
             self.store.write(step)
-            one.in_doubt()
+            one.on_write_in_doubt()
 
     @invariant()
     def one_holder_at_a_time(self):
