--- a/src/ebonydeal/_internal/benchmarks/routing/limits_run.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/limits_run.py
@@ -6,7 +6,7 @@
 
 from ebonydeal._internal.models.document import Account
 from ebonydeal._internal.models.requests import Priority
-from ebonydeal._internal.routing.limits.limits import AccountLimits
+from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.settings.routing import AdmissionSettings
 
 _START = 1_000_000.0
@@ -119,7 +119,7 @@
                 self._report(name, at)
             case "hear", (str(name), report):
                 if name in self._live:
-                    self._limits[name].heard(report, _START + at)
+                    self._limits[name].merge_report(report, _START + at)
             case "sample", (int(second),):
                 if self._story.limit == "concurrency":
                     self._used[second] = float(self._in_flight)
@@ -139,7 +139,7 @@
 
     def _list_members(self) -> None:
         for name in self._live:
-            self._limits[name].listed(frozenset(self._live))
+            self._limits[name].set_listed_gateways(frozenset(self._live))
 
     def _arrive(self, at: float) -> None:
         rng = self._rng
--- a/src/ebonydeal/_internal/gateway/desk.py
+++ b/src/ebonydeal/_internal/gateway/desk.py
@@ -19,7 +19,7 @@
     Refuse,
     Wait,
 )
-from ebonydeal._internal.routing.limits.limits import AccountLimits
+from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.ids import new_token
 
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -28,7 +28,7 @@
 from ebonydeal._internal.peers.journal_client import JournalClient
 from ebonydeal._internal.peers.service import PeerService
 from ebonydeal._internal.routing.admission.admission import Admission
-from ebonydeal._internal.routing.limits.limits import AccountLimits
+from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.routing.placement.subset import Member
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
@@ -226,7 +226,7 @@
     """Return the topic that carries the accounts' demand between gateways."""
     return DemandTopic(
         lambda: limits.report(clock.wall()),
-        lambda report: limits.heard(report, clock.wall()),
+        lambda report: limits.merge_report(report, clock.wall()),
     )
 
 
--- a/src/ebonydeal/_internal/relay/shares.py
+++ b/src/ebonydeal/_internal/relay/derived_settings.py
@@ -10,7 +10,7 @@
 _MOST_TRIES = 4
 # Relays assumed before a coordinator told how many there are: the seeds are only some
 # of them.
-FIRST_RELAYS = 12
+INITIAL_RELAY_COUNT = 12
 
 
 def seed_addresses(text: str) -> tuple[str, ...]:
@@ -28,7 +28,7 @@
     )
 
 
-def first_retry(cfg: RelaySettings, relays: int) -> float:
+def initial_retries(cfg: RelaySettings, relays: int) -> float:
     """Return what a relay may spend when it starts, before it has earned anything.
 
     All relays may start at the same moment.
@@ -37,7 +37,7 @@
     return 1.0 if relays <= spare else 0.0
 
 
-def outlier_terms(cfg: RoutingSettings, policy: PolicySettings) -> RoutingSettings:
+def outlier_settings(cfg: RoutingSettings, policy: PolicySettings) -> RoutingSettings:
     """Return when a relay's endpoints are ejected, and for how long."""
     never = 10**9
     failures = policy.eject_failures or never
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -17,14 +17,14 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.lease_keeper import KeptRow, LeaseKeeper
 from ebonydeal._internal.relay.duties.usage_store import UsageStore
-from ebonydeal._internal.relay.limits.granter import Granter, Peer
+from ebonydeal._internal.relay.limits.granter import Granter, StandbyCandidate
 from ebonydeal._internal.relay.limits.messages import (
     DelegateMessage,
-    LimitsReply,
     PermitMessage,
     PermitReply,
     ReleaseMessage,
     ReleaseReply,
+    ShareReply,
 )
 from ebonydeal._internal.relay.limits.registry_store import RegistryStore
 from ebonydeal._internal.relay.peers.messages import (
@@ -41,10 +41,10 @@
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.crashes.crash_messages import EvidenceMessage
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
-from ebonydeal._internal.routing.duties.usage_ledger import Due, UsageLedger
+from ebonydeal._internal.routing.duties.usage_ledger import DueWindow, UsageLedger
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
-from ebonydeal._internal.routing.limits.quota_broker import QuotaTerms
-from ebonydeal._internal.routing.notices.notices import LimitReport
+from ebonydeal._internal.routing.limits.quota_broker import QuotaPolicy
+from ebonydeal._internal.routing.notices.endpoint_notices import LimitReport
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.settings.relay import RelaySettings
 from ebonydeal._internal.utils.clock import Clock
@@ -139,7 +139,7 @@
     ----------
     parts : CoordinatorParts
         The outside and the view.
-    lease : DutyLease
+    lease : CoordinatorLease
         The protocol of the lease.
     ledger : UsageLedger
         Usage windows.
@@ -147,7 +147,7 @@
         What limits tolerate.
     checks_fence : bool
         Whether the platform refuses calls with an old fencing number.
-    terms : QuotaTerms, optional
+    terms : QuotaPolicy, optional
         Which requests go first near an account's limit.
     size : CoordinatorSize, optional
         What this instance can do as coordinator.
@@ -160,7 +160,7 @@
         ledger: UsageLedger,
         bounds: QuotaBounds,
         checks_fence: bool,
-        terms: QuotaTerms | None = None,
+        terms: QuotaPolicy | None = None,
         size: CoordinatorSize | None = None,
     ) -> None:
         super().__init__()
@@ -185,7 +185,7 @@
             lease, lambda: self._keeper.holds, parts.clock, bounds, terms
         )
         self.granter.accounts = self._accounts
-        self.granter.least_period = size.exchange_s
+        self.granter.min_report_interval = size.exchange_s
         self.stands_back_s = size.stands_back_s
         self._keeper.kept.append(
             RegistryStore(
@@ -316,7 +316,7 @@
         self._roster.drop_silent(lambda word: self._ledger.forget(_counter(word)))
         self.lease.relay_count = self._roster.count
         # Counts are running totals of one incarnation.
-        self._ledger.heard(
+        self._ledger.add_report(
             _counter(message),
             {int(number): counts for number, counts in message["windows"].items()},
             message["wall"],
@@ -348,7 +348,7 @@
         """Take the limits of endpoints that a relay heard of; return all known."""
         notices, now = self.granter.notices, self._parts.clock.now()
         # A relay of the release before tells of none.
-        for report in notices.take_limits(message.get("notices", []), now):
+        for report in notices.merge_limits(message.get("notices", []), now):
             logger.info(
                 "Endpoint's limit.",
                 endpoint=report.process.endpoint_id,
@@ -361,7 +361,7 @@
     def _hear_leaving(self, message: ExchangeMessage) -> list[list]:
         """Take which endpoints told a relay that they leave; return all known."""
         notices, now = self.granter.notices, self._parts.clock.now()
-        for process in notices.take_leaving(message.get("said_leaving", []), now):
+        for process in notices.merge_leaving(message.get("said_leaving", []), now):
             logger.info(
                 "Endpoint says that it leaves.",
                 endpoint=process.endpoint_id,
@@ -399,7 +399,7 @@
     def _granted_by(self) -> tuple[int, float]:
         return self.lease.fence, round(self.granter.share(self._parts.clock.now()), 3)
 
-    def _hear_limits(self, message: ExchangeMessage) -> LimitsReply | None:
+    def _hear_limits(self, message: ExchangeMessage) -> ShareReply | None:
         """Take what a relay tells of its share, and grant it some in advance.
 
         One that isn't the holder, like a holder that was started anew, takes none.
@@ -411,27 +411,27 @@
             return None
         granter = self.granter
         seconds = self._roster.pace.isolation_timeout
-        reply = granter.hear(node, message["incarnation"], word, seconds)
+        reply = granter.handle_report(node, message["incarnation"], word, seconds)
         now = self._parts.clock.now()
         for name, amount in (grants := granter.advances(message["demand"])).items():
             self._tally.add(name, amount, now)
         reply["grants"] = grants
-        if granter.decides:
+        if granter.manages_shares:
             reply["stand_ins"] = self._named_stand_ins(now)
-            reply["stand_in"] = granter.stand_in_grants(node, word["stand_in"])
+            reply["stand_in"] = granter.standby_grants(node, word["stand_in"])
         return reply
 
     def _named_stand_ins(self, now: float) -> list[str]:
         """Return the addresses of the stand-ins: hundreds of words have the same."""
         if now >= self._named_until:
-            stand_ins = self.granter.stand_ins(self._peers())
+            stand_ins = self.granter.standbys(self._peers())
             self._named = [peer.address for peer in stand_ins]
             self._named_until = now + _NAMED_S
         return self._named
 
-    def _peers(self) -> list[Peer]:
+    def _peers(self) -> list[StandbyCandidate]:
         return [
-            Peer(
+            StandbyCandidate(
                 relay.message["node"],
                 relay.address,
                 relay.message["limits"]["zone"],
@@ -441,9 +441,9 @@
             if not relay.message["leaving"] and "limits" in relay.message
         ]
 
-    def delegate(self, message: DelegateMessage) -> LimitsReply:
+    def delegate(self, message: DelegateMessage) -> ShareReply:
         """Take the share of a relay that has lost the coordinator."""
-        return self.granter.hear(
+        return self.granter.handle_report(
             message["node"], message["incarnation"], message["limits"]
         )
 
@@ -459,7 +459,7 @@
                 got = self.granter.grant(account, message["amount"], message["spare"])
                 now = self._parts.clock.now()
                 self._tally.add(account.name, got.amount, now)
-                return GrantReply(amount=got.amount, wait=got.wait, short=got.short)
+                return GrantReply(amount=got.amount, wait=got.wait, short=got.shortfall)
         # It lacks the configuration that the asking relay has.
         raise EbonydealError(ErrorKind.WRONG_OWNER, "the account isn't known here")
 
@@ -485,7 +485,7 @@
             except EbonydealError as exc:
                 logger.warning("Usage waits.", window=due.window, reason=str(exc))
 
-    async def _report(self, due: Due) -> None:
+    async def _report(self, due: DueWindow) -> None:
         """Store a window once, then send what is stored."""
         fence = self.lease.fence
         counts = await self._usage.store_once(due)
@@ -498,7 +498,7 @@
             accepted=answer.accepted,
             counts=counts,
             relays=len(self._roster.alive()),
-            told_by=self._ledger.told_by(due.window),
+            told_by=self._ledger.totals_by_relay(due.window),
             detail="" if answer.accepted else answer.detail,
         )
         if answer.conflict:
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -69,7 +69,7 @@
         The platform's store.
     usage : UsageStore
         Rows of usage that are written with a renewal.
-    lease : DutyLease
+    lease : CoordinatorLease
         The protocol of the lease.
     clock, rng
         Time; jitter.
--- a/src/ebonydeal/_internal/relay/duties/usage_store.py
+++ b/src/ebonydeal/_internal/relay/duties/usage_store.py
@@ -12,7 +12,7 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
 from ebonydeal._internal.relay.ports import SharedStore
-from ebonydeal._internal.routing.duties.usage_ledger import Due, UsageLedger
+from ebonydeal._internal.routing.duties.usage_ledger import DueWindow, UsageLedger
 
 logger = get_logger("relay.usage")
 
@@ -58,11 +58,11 @@
             try:
                 for relay, windows in unpack(row.value).items():
                     counts = {int(n): dict(c) for n, c in windows.items()}
-                    self._ledger.stored(relay, counts)
+                    self._ledger.add_totals(relay, counts)
             except UNREADABLE as exc:
                 logger.error("Stored usage can't be read.", reason=repr(exc))
 
-    async def store_once(self, due: Due) -> dict[str, int] | None:
+    async def store_once(self, due: DueWindow) -> dict[str, int] | None:
         """Return what lies in the store for a window, ours where none was there.
 
         None where it can't be known now.
--- a/src/ebonydeal/_internal/relay/limits/link.py
+++ b/src/ebonydeal/_internal/relay/limits/client.py
@@ -14,22 +14,22 @@
 from ebonydeal._internal.models.forwarding import ForwardAccount
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.limits.granter import STAND_IN_SECONDS, Granter
+from ebonydeal._internal.relay.limits.granter import STANDBY_DELEGATION_S, Granter
 from ebonydeal._internal.relay.limits.messages import (
     DELEGATE,
     PERMIT,
     RELEASE,
     DelegateMessage,
-    LimitsReply,
-    LimitsWord,
     PermitMessage,
     PermitReply,
     ReleaseMessage,
+    ShareReply,
+    ShareReport,
 )
 from ebonydeal._internal.relay.peers.messages import GRANT, GrantMessage, GrantReply
 from ebonydeal._internal.routing.limits.quota_broker import Balances, Grant
-from ebonydeal._internal.routing.limits.shares import Word
-from ebonydeal._internal.routing.notices.notices import LimitReport
+from ebonydeal._internal.routing.limits.share_delegation import DelegationOffer
+from ebonydeal._internal.routing.notices.endpoint_notices import LimitReport
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
@@ -68,14 +68,14 @@
         """Tell the coordinator now."""
 
 
-class Place(NamedTuple):
+class RelayPlacement(NamedTuple):
     """A relay's availability zone, and how far it stands back for larger instances."""
 
     zone: str = ""
-    stands_back_s: float = 0.0
+    takeover_delay_s: float = 0.0
 
 
-class LimitsLink(Service):
+class LimitsClient(Service):
     """Delegates this relay's share, and asks for amounts.
 
     Parameters
@@ -90,7 +90,7 @@
         Who asks.
     metrics : Metrics
         Counts who granted.
-    place : Place
+    placement : RelayPlacement
         What others ask of a relay that is to stand in.
     """
 
@@ -102,7 +102,7 @@
         node: str,
         incarnation: str,
         metrics: Metrics,
-        place: Place,
+        placement: RelayPlacement,
     ) -> None:
         super().__init__()
         self._granter = granter
@@ -111,20 +111,20 @@
         self._node = node
         self._incarnation = incarnation
         self._metrics = metrics
-        self._place = place
+        self._placement = placement
         self._up_since = clock.now()
-        self._stand_ins: list[str] = []
+        self._standbys: list[str] = []
         self._avoided: dict[str, float] = {}
-        self._stand_in_granter = ""
+        self._standby_granter = ""
         # Who has this relay's share, and what came along when it was given back.
         self._granter_address = ""
         self._along: dict[str, float] = {}
         self._along_number = 0
         self._along_for = ""
         # Until when the coordinator's last word holds.
-        self._in_touch_until = 0.0
+        self._coordinator_until = 0.0
         # Until when a stand-in has this relay's share.
-        self._stand_in_until = 0.0
+        self._standby_until = 0.0
         # By account, until when the stand-in isn't asked for what it can spare.
         self._dry: dict[str, float] = {}
         # Amounts that were granted in advance.
@@ -134,34 +134,34 @@
         self.coordinator: CoordinatorPort | None = None
 
     @property
-    def is_stand_in(self) -> bool:
+    def is_standby(self) -> bool:
         """Whether this relay is the first to stand in for the coordinator."""
-        return self._stand_ins[:1] == [self.address()]
+        return self._standbys[:1] == [self.address()]
 
     @property
-    def in_touch(self) -> bool:
+    def has_coordinator(self) -> bool:
         """Whether a holder of the lease answered lately."""
-        return self._clock.now() < self._in_touch_until
+        return self._clock.now() < self._coordinator_until
 
     @property
-    def has_stand_in(self) -> bool:
+    def is_delegated_to_standby(self) -> bool:
         """Whether another relay has this one's share while the coordinator is lost."""
         now = self._clock.now()
         promised = self._granter.own.promised(now)
-        return promised is not None and promised.granter == self._stand_in_granter
+        return promised is not None and promised.granter == self._standby_granter
 
     # --- words ---------------------------------------------------------------
-    def word(self) -> LimitsWord:
+    def share_report(self) -> ShareReport:
         """Return what a granter is told of this relay's share."""
         now = self._clock.now()
-        own, stand_in = self._granter.own, self._granter.stand_in
-        promised = own.promised(now) or Word("", 0.0, 0.0)
+        own, stand_in = self._granter.own, self._granter.standby_balances
+        promised = own.promised(now) or DelegationOffer("", 0.0, 0.0)
         if self._along and promised.granter:
             # One granter gets it: the next can't know whether the one before did.
             self._along_for = self._along_for or promised.granter
             if self._along_for != promised.granter:
                 self._along = {}
-        return LimitsWord(
+        return ShareReport(
             # Who grants from it must not do so for longer than it is had.
             weight=own.weight(now + promised.seconds),
             granter=promised.granter,
@@ -172,17 +172,17 @@
             stand_in={
                 name: round(stand_in.left(name, now), 1) for name in stand_in.accounts()
             },
-            stands_back_s=self._place.stands_back_s,
-            zone=self._place.zone,
+            stands_back_s=self._placement.takeover_delay_s,
+            zone=self._placement.zone,
             along=self._along if promised.granter else {},
             along_number=self._along_number,
         )
 
-    def heard(self, reply: LimitsReply | None, asked_at: float) -> None:
+    def on_reply(self, reply: ShareReply | None, asked_at: float) -> None:
         """Take the coordinator's answer to what was told at ``asked_at``."""
         if reply is None:
             return
-        self._in_touch_until = asked_at + reply["seconds"]
+        self._coordinator_until = asked_at + reply["seconds"]
         coordinator = self.coordinator
         address = "" if coordinator is None else coordinator.coordinator_address or ""
         promised = self._granter.own.promised(asked_at)
@@ -195,33 +195,33 @@
         for name, amount in reply["grants"].items():
             self.balances.add(name, amount, asked_at)
         if reply["stand_ins"]:
-            self._stand_ins = list(reply["stand_ins"])
+            self._standbys = list(reply["stand_ins"])
         if reply["stand_in"] is not None:
-            self._granter.stand_in.extend(asked_at)
+            self._granter.standby_balances.extend(asked_at)
             for name, amount in reply["stand_in"].items():
-                self._granter.stand_in.add(name, amount, asked_at)
+                self._granter.standby_balances.add(name, amount, asked_at)
 
-    def heard_before_shares(self, grants: dict[str, float], asked_at: float) -> None:
+    def on_legacy_reply(self, grants: dict[str, float], asked_at: float) -> None:
         """Take the answer of a coordinator of the release before.
 
         It grants, but knows nothing of shares.
         """
-        self._in_touch_until = asked_at + _BEFORE_SHARES_S
+        self._coordinator_until = asked_at + _BEFORE_SHARES_S
         for name, amount in grants.items():
             self.balances.add(name, amount, asked_at)
 
-    def _delegate(self, reply: LimitsReply, address: str) -> bool:
+    def _delegate(self, reply: ShareReply, address: str) -> bool:
         """Promise the share to who answered; return whether it must be told."""
         now = self._clock.now()
         self._granter.refresh()
         own = self._granter.own
         before = own.promised(now)
-        word = Word(reply["granter"], reply["until"], reply["seconds"])
+        word = DelegationOffer(reply["granter"], reply["until"], reply["seconds"])
         taken = own.delegate(word, now)
         if taken:
             self._granter_address = address
         new = taken and (before is None or before.granter != word.granter)
-        if new and self.coordinator is not None and self.in_touch:
+        if new and self.coordinator is not None and self.has_coordinator:
             self.coordinator.hasten()
         return new
 
@@ -234,14 +234,14 @@
             coordinator = self.coordinator
             if coordinator is None:
                 continue
-            if self.in_touch:
+            if self.has_coordinator:
                 await self._take_back()
                 if self._waits_for_share():
                     coordinator.hasten()
                 continue
-            address = self._stand_in()
+            address = self._standby_address()
             if address is not None:
-                await self._tell_stand_in(address)
+                await self._delegate_to_standby(address)
 
     def _step(self) -> float:
         """Return the seconds until shares are looked after again.
@@ -249,7 +249,7 @@
         The coordinator counts the share of one that has just started from when what
         the process before promised to a stand-in is over.
         """
-        until = STAND_IN_SECONDS - (self._clock.now() - self._up_since)
+        until = STANDBY_DELEGATION_S - (self._clock.now() - self._up_since)
         return min(_STEP_S, until + _LEAST_STEP_S) if until > 0.0 else _STEP_S
 
     async def _take_back(self) -> None:
@@ -273,7 +273,7 @@
         self._along = reply["along"]
         self._along_number += 1
         self._along_for = ""
-        self._stand_in_until = 0.0
+        self._standby_until = 0.0
 
     def _waits_for_share(self) -> bool:
         """Return whether the coordinator is to count this relay's share soon.
@@ -284,26 +284,28 @@
         now = self._clock.now()
         if self._granter.own.is_free(now):
             return True
-        is_new = STAND_IN_SECONDS <= now - self._up_since < _NEW_S
+        is_new = STANDBY_DELEGATION_S <= now - self._up_since < _NEW_S
         return is_new and self._granter.own.weight(now) <= 0.0
 
-    def _stand_in(self) -> str | None:
+    def _standby_address(self) -> str | None:
         """Return the stand-in to turn to, if one can be reached."""
         now = self._clock.now()
-        for address in self._stand_ins:
+        for address in self._standbys:
             if address == self.address():
                 return None
             if self._is_due(address, now):
                 return address
         return None
 
-    async def _tell_stand_in(self, address: str) -> None:
+    async def _delegate_to_standby(self, address: str) -> None:
         """Delegate the share, or keep it delegated."""
         own = self._granter.own
         promised = own.promised(self._clock.now())
         for _ in range(2):
             message = DelegateMessage(
-                node=self._node, incarnation=self._incarnation, limits=self.word()
+                node=self._node,
+                incarnation=self._incarnation,
+                limits=self.share_report(),
             )
             try:
                 reply: Any = await self._client.call(
@@ -312,10 +314,10 @@
             except EbonydealError:
                 self._avoid(address)
                 return
-            self._stand_in_granter = reply["granter"]
+            self._standby_granter = reply["granter"]
             is_new = self._delegate(reply, address)
-            if self.has_stand_in:
-                self._stand_in_until = self._clock.now() + reply["seconds"]
+            if self.is_delegated_to_standby:
+                self._standby_until = self._clock.now() + reply["seconds"]
             if not is_new:
                 return
             # It counts the share once it was told its own word.
@@ -330,10 +332,10 @@
         """Ask for an amount; raises LIMIT_UNAVAILABLE where nobody is reached."""
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.in_touch and self._is_due("", now):
+        if coordinator is not None and self.has_coordinator and self._is_due("", now):
             # Until its time is over, a stand-in has the shares of this side.
-            if self._stand_in_until > now:
-                got = await self._ask_stand_in(account, amount, False)
+            if self._standby_until > now:
+                got = await self._ask_standby(account, amount, False)
                 if got is not None and got.amount >= amount:
                     return got
             try:
@@ -347,7 +349,7 @@
                 if got.amount >= amount:
                     return self._counted(got, Event.ADMITTED_BY_GRANT)
                 return await self._ask_to_spare(coordinator, account, amount, got)
-        got = await self._ask_stand_in(account, amount, False)
+        got = await self._ask_standby(account, amount, False)
         if got is not None:
             return got
         try:
@@ -370,10 +372,10 @@
     ) -> Grant:
         """Ask the stand-in for what the coordinator lacks and it has of the burst."""
         now = self._clock.now()
-        short = min(refused.short, amount)
+        short = min(refused.shortfall, amount)
         if short <= 0.0 or now < self._dry.get(account.name, now):
             return refused
-        got = await self._ask_stand_in(account, short, True)
+        got = await self._ask_standby(account, short, True)
         if got is None or got.amount < short:
             self._dry[account.name] = now + _DRY_S
             return refused
@@ -391,11 +393,11 @@
         self.balances.take(account.name, short, self._clock.now())
         return self._counted(Grant(amount, 0.0), Event.ADMITTED_BY_GRANT)
 
-    async def _ask_stand_in(
+    async def _ask_standby(
         self, account: ForwardAccount, amount: float, spare: bool
     ) -> Grant | None:
         """Return the stand-in's grant; None where there is none, or it has no share."""
-        address = self._stand_in()
+        address = self._standby_address()
         if address is None:
             return None
         message = GrantMessage(account=account.name, amount=amount, spare=spare)
@@ -416,12 +418,12 @@
         message = PermitMessage(report=report.encode())
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.in_touch and self._is_due("", now):
+        if coordinator is not None and self.has_coordinator and self._is_due("", now):
             try:
                 return await coordinator.permit(message)
             except EbonydealError as exc:
                 self._no_permit("", exc)
-        address = self._stand_in()
+        address = self._standby_address()
         if address is not None:
             try:
                 reply: Any = await self._client.call(address, PERMIT, message, _CALL_S)
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -13,9 +13,9 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import ForwardAccount, Process
 from ebonydeal._internal.relay.limits.messages import (
-    LimitsReply,
-    LimitsWord,
     PermitReply,
+    ShareReply,
+    ShareReport,
 )
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
@@ -25,28 +25,35 @@
 )
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import (
-    STAND_IN_KEPT_S,
+    STANDBY_GRANT_TTL_S,
     Balances,
     Grant,
     QuotaBroker,
-    QuotaTerms,
+    QuotaPolicy,
+)
+from ebonydeal._internal.routing.limits.share_delegation import (
+    DelegationOffer,
+    Delegations,
+    ShareLease,
 )
 from ebonydeal._internal.routing.limits.share_registry import (
-    SHARE_KEPT_S,
+    SHARE_TTL_S,
     ShareRegistry,
 )
-from ebonydeal._internal.routing.limits.shares import Delegations, ShareLease, Word
-from ebonydeal._internal.routing.limits.startup import StartupGrant
-from ebonydeal._internal.routing.notices.notices import EndpointNotices, LimitReport
+from ebonydeal._internal.routing.limits.startup_grant import StartupGrant
+from ebonydeal._internal.routing.notices.endpoint_notices import (
+    EndpointNotices,
+    LimitReport,
+)
 from ebonydeal._internal.utils.clock import Clock
 
 # For so long shares are delegated to a stand-in: they are soon back with a coordinator,
 # and with a relay that starts anew.
-STAND_IN_SECONDS = 0.6
+STANDBY_DELEGATION_S = 0.6
 # A stand-in that has nothing to spare isn't asked again for so long.
 _SPARE_WAIT_S = 1.0
 # Relays that stand in, one after the other: some may be lost with the holder.
-_STAND_INS = 4
+_MAX_STANDBYS = 4
 # A holder with less than this of all shares needs what is kept for its start.
 _FEW_SHARES = 0.5
 # The longest time for which a relay is told to ask for no permit, seconds.
@@ -60,13 +67,13 @@
     return xxh3_64_hexdigest(node.encode())
 
 
-class Peer(NamedTuple):
+class StandbyCandidate(NamedTuple):
     """A relay that the holder has heard lately."""
 
     node: str
     address: str
     zone: str
-    stands_back_s: float
+    takeover_delay_s: float
 
 
 class Granter:
@@ -90,7 +97,7 @@
         holds: Callable[[], bool],
         clock: Clock,
         bounds: QuotaBounds,
-        terms: QuotaTerms | None = None,
+        terms: QuotaPolicy | None = None,
     ) -> None:
         self._lease = lease
         self._holds = holds
@@ -112,37 +119,37 @@
         # What it has to grant as a new holder, before it has shares.
         self.startup = StartupGrant(bounds)
         # What this relay has to grant as stand-in.
-        self.stand_in = Balances(STAND_IN_KEPT_S)
+        self.standby_balances = Balances(STANDBY_GRANT_TTL_S)
         # Under which fencing number the registry was read, as only its holder decides.
         self.registry_fence = 0
         self._began = 0.0
-        self._stand_in_node = ""
-        self._stand_in_until = 0.0
+        self._standby_node = ""
+        self._standby_until = 0.0
         # By relay and process, the last amounts that came along with its share.
         self._along: dict[str, tuple[str, int]] = {}
         # Limits in force, and the shortest time between words: set by who knows them.
         self.accounts: Callable[[], Iterable[ForwardAccount]] = tuple
-        self.least_period = 0.5
+        self.min_report_interval = 0.5
 
     @property
-    def decides(self) -> bool:
+    def manages_shares(self) -> bool:
         """Whether this relay decides which relays have shares."""
         fence = self._lease.fence
         return self._lease.is_mine and self.registry_fence == fence and self._holds()
 
-    def begin(self) -> None:
+    def on_registry_loaded(self) -> None:
         """Note that the registry was read under a new fencing number."""
-        self._stand_in_node = ""
+        self._standby_node = ""
         self.registry_fence = self._lease.fence
         # Nobody can have granted anything before the very first holder.
         self.broker.first = self.registry_fence == 1 and not self.registry.row.names
         self._began = self._clock.now()
         if self.broker.first:
-            self._began -= STAND_IN_KEPT_S
+            self._began -= STANDBY_GRANT_TTL_S
 
     def share(self, now: float) -> float:
         """Return the part of all shares that are granted from here."""
-        if self.decides:
+        if self.manages_shares:
             return self.registry.granted_here(self.delegations.nodes(now), now)
         return min(1.0, self.delegations.share(now) + self.own.own(now))
 
@@ -157,17 +164,17 @@
         self._worked_out = None
         now = self._clock.now() if now is None else now
         self.broker.refresh(self.accounts(), now)
-        limited = self.notices.limited(now)
+        limited = self.notices.active_limits(now)
         self.permits.refresh([limit_account(p, r) for p, r in limited.items()], now)
 
     # --- words of relays -----------------------------------------------------
-    def hear(
+    def handle_report(
         self,
         node: str,
         incarnation: str,
-        word: LimitsWord,
-        seconds: float = STAND_IN_SECONDS,
-    ) -> LimitsReply:
+        word: ShareReport,
+        seconds: float = STANDBY_DELEGATION_S,
+    ) -> ShareReply:
         """Take a relay's word; return on what it may delegate its share.
 
         ``seconds`` is for how long it may.
@@ -181,39 +188,39 @@
         if node in delegated:
             self.registry.heard(node, now)
             # Who has every relay's share knows that nobody else decides.
-            if self.decides or self._has_all(delegated):
+            if self.manages_shares or self._has_all(delegated):
                 weight = self.registry.weight(node)
         if self.share(now) != before:
             self.refresh(now)
         self._put_along(node, incarnation, word, delegated)
         given = self.delegations.word(seconds, now)
-        return LimitsReply(
+        return ShareReply(
             granter=given.granter,
             until=given.until,
             seconds=given.seconds,
             weight=weight,
-            kept_s=SHARE_KEPT_S if weight else 0.0,
+            kept_s=SHARE_TTL_S if weight else 0.0,
             grants={},
             stand_ins=[],
             stand_in=None,
         )
 
     def _take_share(
-        self, node: str, incarnation: str, word: LimitsWord, until: float
+        self, node: str, incarnation: str, word: ShareReport, until: float
     ) -> None:
         """Count a relay's share, if it is delegated here or promised to nobody."""
         now = self._clock.now()
         if word["weight"] > 0.0:
-            promised = Word(word["granter"], word["until"], word["seconds"])
+            promised = DelegationOffer(word["granter"], word["until"], word["seconds"])
             self.delegations.heard(node, incarnation, word["weight"], promised, now)
             return
         self.delegations.forget_before(node, incarnation)
         here = word["free"] or word["granter"] == self.delegations.granter
-        if self.decides and here and word["up_s"] >= self._promise_before_s():
+        if self.manages_shares and here and word["up_s"] >= self._promise_before_s():
             self.delegations.take(node, incarnation, until)
 
     def _put_along(
-        self, node: str, incarnation: str, word: LimitsWord, delegated: set[str]
+        self, node: str, incarnation: str, word: ShareReport, delegated: set[str]
     ) -> None:
         """Take what came along with a share, once."""
         mark = (incarnation, word["along_number"])
@@ -248,14 +255,14 @@
         before = self._lease.previous_row
         if before is None or before.holder in ("", self._lease.node):
             # The holder before is gone for sure: only stand-ins had shares.
-            return STAND_IN_SECONDS
+            return STANDBY_DELEGATION_S
         shares = max(self.registry.row.shares, 1)
-        pacing = ReportPacing.of(shares, self.least_period, _LEAST_CORES)
+        pacing = ReportPacing.of(shares, self.min_report_interval, _LEAST_CORES)
         return pacing.isolation_timeout
 
     def _is_lent_elsewhere(self, now: float) -> bool:
         """Return whether a stand-in may have what another holder gave it."""
-        return not self.decides or now - self._began < STAND_IN_KEPT_S
+        return not self.manages_shares or now - self._began < STANDBY_GRANT_TTL_S
 
     def _has_all(self, delegated: set[str]) -> bool:
         names = self.registry.row.names
@@ -275,7 +282,7 @@
         return grants
 
     # --- stand-ins -----------------------------------------------------------
-    def stand_ins(self, peers: Iterable[Peer]) -> list[Peer]:
+    def standbys(self, peers: Iterable[StandbyCandidate]) -> list[StandbyCandidate]:
         """Return who is to grant while there is no coordinator, best first."""
         peers = list(peers)
         me = self._lease.node
@@ -283,25 +290,29 @@
         others = [peer for peer in peers if peer.node != me]
         # Small instances last, and those that are lost with this one's zone.
         others.sort(
-            key=lambda peer: (peer.stands_back_s, peer.zone == zone, _rank(peer.node))
+            key=lambda peer: (
+                peer.takeover_delay_s,
+                peer.zone == zone,
+                _rank(peer.node),
+            )
         )
         now = self._clock.now()
         known = {peer.node for peer in others}
-        if self._stand_in_node not in known and now >= self._stand_in_until:
-            self._stand_in_node = others[0].node if others else ""
-        others.sort(key=lambda peer: peer.node != self._stand_in_node)
-        return others[:_STAND_INS]
+        if self._standby_node not in known and now >= self._standby_until:
+            self._standby_node = others[0].node if others else ""
+        others.sort(key=lambda peer: peer.node != self._standby_node)
+        return others[:_MAX_STANDBYS]
 
-    def stand_in_grants(
+    def standby_grants(
         self, node: str, has: dict[str, float]
     ) -> dict[str, float] | None:
         """Return what the stand-in gets beside what it has; None for all others."""
         now = self._clock.now()
-        if not self.decides or node != self._stand_in_node:
+        if not self.manages_shares or node != self._standby_node:
             return None
-        if now - self._began < STAND_IN_KEPT_S:
+        if now - self._began < STANDBY_GRANT_TTL_S:
             return None
-        self._stand_in_until = now + STAND_IN_KEPT_S
+        self._standby_until = now + STANDBY_GRANT_TTL_S
         amounts = {
             account.name: self.broker.stand_by(account, has.get(account.name, 0.0), now)
             for account in self.accounts()
@@ -321,7 +332,7 @@
         self._worked_out = None
         if spare:
             kept = self.bounds.standby(account)
-            if self.stand_in.left(account.name, now) - need < kept:
+            if self.standby_balances.left(account.name, now) - need < kept:
                 return Grant(0.0, _SPARE_WAIT_S)
         else:
             got = self.broker.grant(account, need, now)
@@ -329,7 +340,7 @@
                 return got
         if not spare and self._holds() and self._take_startup(account, need, now):
             return Grant(need, 0.0)
-        if self.stand_in.take(account.name, need, now):
+        if self.standby_balances.take(account.name, need, now):
             return Grant(need, 0.0)
         if spare:
             return Grant(0.0, _SPARE_WAIT_S)
@@ -341,10 +352,10 @@
         """Grant of what is kept for a new holder."""
         if self.startup.take(account, need, now):
             return True
-        self.want_startup()
+        self.request_startup_grant()
         return False
 
-    def want_startup(self) -> None:
+    def request_startup_grant(self) -> None:
         """Begin what is kept for a new holder, where it lacks shares."""
         now = self._clock.now()
         if self._known_share(now) < _FEW_SHARES and self.startup.want():
@@ -356,7 +367,7 @@
         Raises WRONG_OWNER where this relay has nothing to grant from.
         """
         now = self._clock.now()
-        self.notices.take_limit(report, now)
+        self.notices.merge_limit(report, now)
         process = report.process
         known = self.notices.limit_report(process, now)
         told = None if known is None else known.encode()
--- a/src/ebonydeal/_internal/relay/limits/messages.py
+++ b/src/ebonydeal/_internal/relay/limits/messages.py
@@ -10,7 +10,7 @@
 PERMIT = "/relay/v1/permit"
 
 
-class LimitsWord(TypedDict):
+class ShareReport(TypedDict):
     """What a relay tells of its share of all limits.
 
     ``weight`` is the share, 0 without one. ``granter``, ``until`` and ``seconds`` are
@@ -35,7 +35,7 @@
     along_number: int
 
 
-class LimitsReply(TypedDict):
+class ShareReply(TypedDict):
     """A granter's answer: the word on which the relay may delegate its share.
 
     ``weight`` is the relay's share and ``kept_s`` for how long, 0 where this granter
@@ -59,7 +59,7 @@
 
     node: str
     incarnation: str
-    limits: LimitsWord
+    limits: ShareReport
 
 
 class ReleaseMessage(TypedDict):
--- a/src/ebonydeal/_internal/relay/limits/permits.py
+++ b/src/ebonydeal/_internal/relay/limits/permits.py
@@ -13,7 +13,10 @@
     ENDPOINT_BOUNDS,
     limit_account,
 )
-from ebonydeal._internal.routing.notices.notices import EndpointNotices, LimitReport
+from ebonydeal._internal.routing.notices.endpoint_notices import (
+    EndpointNotices,
+    LimitReport,
+)
 from ebonydeal._internal.utils.clock import Clock
 
 # A granter that knows of the limit's end, which this relay can't be sure of yet, is
@@ -62,11 +65,11 @@
     @property
     def needed(self) -> bool:
         """Whether any endpoint may need them."""
-        return self._notices.any
+        return self._notices.has_any
 
     def wait(self, member: Member, now: float) -> float:
         """Return the seconds until an endpoint may be asked again; 0.0 for now."""
-        rest = self._notices.rest(member.process, now)
+        rest = self._notices.backoff_remaining(member.process, now)
         return max(rest, self._until_permit(member, now))
 
     def _until_permit(self, member: Member, now: float) -> float:
@@ -83,7 +86,7 @@
         """Return whether one request may go to an endpoint now."""
         asked_at = self._clock.now()
         process = member.process
-        if self._notices.rest(process, asked_at):
+        if self._notices.backoff_remaining(process, asked_at):
             return False
         limit = self._notices.limit(process, asked_at)
         report = self._notices.limit_report(process, asked_at)
@@ -97,12 +100,12 @@
         else:
             granted, wait = reply["granted"], reply["wait"]
             if reply["report"] is not None:
-                self._notices.take_limits([reply["report"]], asked_at)
+                self._notices.merge_limits([reply["report"]], asked_at)
         now = self._clock.now()
         if self._notices.limit(process, now) is None:
             return True
         # What was granted longer ago may count in another window.
-        kept = ENDPOINT_BOUNDS.late_s(limit_account(process, limit))
+        kept = ENDPOINT_BOUNDS.max_send_delay_s(limit_account(process, limit))
         if granted and now - asked_at <= kept:
             self._metrics.count(Event.ENDPOINT_PERMITS_GRANTED)
             return True
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -14,11 +14,11 @@
 from ebonydeal._internal.relay.ports import SharedStore
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.limits.share_registry import (
-    NO_NAMES,
+    EMPTY_ROW,
     RegistryRow,
     ShareRegistry,
 )
-from ebonydeal._internal.routing.limits.startup import STARTUPS
+from ebonydeal._internal.routing.limits.startup_grant import MAX_STARTUP_GRANTS
 from ebonydeal._internal.utils.clock import Clock
 
 logger = get_logger("relay.limits")
@@ -109,7 +109,7 @@
     async def read(self) -> None:
         """Take what the holder before kept."""
         rows, _version = await self._store.rows(SHARES_TABLE)
-        found: RegistryRow = NO_NAMES
+        found: RegistryRow = EMPTY_ROW
         begun: list[float] = []
         now = self._clock.now()
         for row in rows:
@@ -121,10 +121,10 @@
                 begun = _decoded_startup(row.value, now + self._store.ahead)
         self._granter.refresh()
         self._registry.load(found, self._clock.now())
-        self._granter.begin()
+        self._granter.on_registry_loaded()
         self._granter.refresh()
         self._granter.startup.load(begun, now + self._store.ahead)
-        self._granter.want_startup()
+        self._granter.request_startup_grant()
 
 
 def _decoded(value: bytes) -> RegistryRow:
@@ -133,7 +133,7 @@
         return RegistryRow.decode(value)
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as exc:
         logger.error("The names of shares can't be read.", reason=repr(exc))
-        return NO_NAMES
+        return EMPTY_ROW
 
 
 def _decoded_startup(value: bytes, now: float) -> list[float]:
@@ -142,4 +142,4 @@
         return [float(at) for at in json.loads(value)]
     except (ValueError, TypeError, OverflowError, RecursionError) as exc:
         logger.error("The times of the last starts can't be read.", reason=repr(exc))
-        return [now] * STARTUPS
+        return [now] * MAX_STARTUP_GRANTS
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -9,6 +9,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.logs import get_logger
+from ebonydeal._internal.relay.derived_settings import INITIAL_RELAY_COUNT
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
 from ebonydeal._internal.relay.limits.messages import (
     PERMIT,
@@ -25,7 +26,6 @@
     GrantReply,
     HolderMessage,
 )
-from ebonydeal._internal.relay.shares import FIRST_RELAYS
 from ebonydeal._internal.routing.duties.coordinator_lease import (
     CoordinatorLease,
     LeaseRow,
@@ -79,7 +79,7 @@
         self._last_ok = parts.clock.now()
         self._fed = False
         self.relays: list[str] = list(seeds)
-        self._count = max(FIRST_RELAYS, len(seeds))
+        self._count = max(INITIAL_RELAY_COUNT, len(seeds))
         # Whether a coordinator told how many relays there are.
         self.counted = False
         self._pace = ReportPacing(parts.period)
--- a/src/ebonydeal/_internal/relay/peers/messages.py
+++ b/src/ebonydeal/_internal/relay/peers/messages.py
@@ -2,7 +2,7 @@
 
 from typing import TypedDict
 
-from ebonydeal._internal.relay.limits.messages import LimitsReply, LimitsWord
+from ebonydeal._internal.relay.limits.messages import ShareReply, ShareReport
 from ebonydeal._internal.routing.crashes.crash_messages import EvidenceMessage
 from ebonydeal._internal.routing.rollout.split import TallyMessage
 
@@ -54,7 +54,7 @@
     crashes_mark: str
     crashes: EvidenceMessage | None
     rollouts: dict[str, TallyMessage]
-    limits: LimitsWord
+    limits: ShareReport
     notices: list[list]
     said_leaving: list[list]
 
@@ -103,7 +103,7 @@
     loads: dict[str, list[float]]
     answers: dict[str, list[float]]
     grants: dict[str, float]
-    limits: LimitsReply | None
+    limits: ShareReply | None
     period: float
     tells_config: bool
     fresh: bool
--- a/src/ebonydeal/_internal/relay/peers/word.py
+++ b/src/ebonydeal/_internal/relay/peers/word.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from ebonydeal._internal.relay.crashes.suspects import Suspects
-from ebonydeal._internal.relay.limits.link import LimitsLink
+from ebonydeal._internal.relay.limits.client import LimitsClient
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage, ExchangeReply
 from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
 from ebonydeal._internal.relay.peers.roster import addresses_hash
@@ -11,7 +11,7 @@
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.view.news import NewsTaker
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.endpoint_load import Told
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
@@ -30,7 +30,7 @@
     usage: UsageMeter
     choice: MemberChoice
     quota: QuotaGate
-    limits: LimitsLink
+    limits: LimitsClient
     failing: FailureShares
     suspects: Suspects
     split: Split
@@ -86,7 +86,7 @@
             crashes_mark=parts.suspects.mark,
             crashes=parts.suspects.word(),
             rollouts=parts.split.tallies(now),
-            limits=parts.limits.word(),
+            limits=parts.limits.share_report(),
             notices=[w.encode() for w in parts.notices.limit_reports(now, own=True)],
             said_leaving=parts.notices.leaving_reports(now),
         )
@@ -110,13 +110,13 @@
         parts.failing.told(reply.get("answers", {}), now)
         # A coordinator of the release before doesn't tell of shares and crashes.
         if "limits" in reply:
-            parts.limits.heard(reply["limits"], asked_at)
+            parts.limits.on_reply(reply["limits"], asked_at)
         else:
-            parts.limits.heard_before_shares(reply["grants"], asked_at)
+            parts.limits.on_legacy_reply(reply["grants"], asked_at)
         mark, crashes = reply.get("crashes_mark", ""), reply.get("crashes")
         parts.suspects.heard_from(mark, crashes, "coordinator")
-        parts.notices.take_limits(reply.get("notices", []), asked_at)
-        parts.notices.take_leaving(reply.get("said_leaving", []), asked_at)
+        parts.notices.merge_limits(reply.get("notices", []), asked_at)
+        parts.notices.merge_leaving(reply.get("said_leaving", []), asked_at)
         behind = reply["members"] > parts.view.last_change
         rollouts = reply.get("rollouts")
         if rollouts is not None:
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -12,6 +12,13 @@
 from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
 from ebonydeal._internal.relay.crashes.crash_store import CrashStore
 from ebonydeal._internal.relay.crashes.suspects import SuspectParts, Suspects
+from ebonydeal._internal.relay.derived_settings import (
+    INITIAL_RELAY_COUNT,
+    initial_retries,
+    outlier_settings,
+    retry_share,
+    seed_addresses,
+)
 from ebonydeal._internal.relay.duties.coordinator import (
     Coordinator,
     CoordinatorParts,
@@ -19,7 +26,7 @@
 )
 from ebonydeal._internal.relay.duties.fleet import Fleet
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
-from ebonydeal._internal.relay.limits.link import LimitsLink, Place
+from ebonydeal._internal.relay.limits.client import LimitsClient, RelayPlacement
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
 from ebonydeal._internal.relay.listener import RawListener
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
@@ -41,13 +48,6 @@
 from ebonydeal._internal.relay.requests.notices import NoticeReader
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.requests.usage import UsageMeter
-from ebonydeal._internal.relay.shares import (
-    FIRST_RELAYS,
-    first_retry,
-    outlier_terms,
-    retry_share,
-    seed_addresses,
-)
 from ebonydeal._internal.relay.view.follower import ConfigTableFollower, MembersFollower
 from ebonydeal._internal.relay.view.leaving import LeavingTimes
 from ebonydeal._internal.relay.view.news import NewsFeed, NewsTaker
@@ -63,8 +63,8 @@
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
 from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
-from ebonydeal._internal.routing.limits.quota_broker import QuotaTerms
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.limits.quota_broker import QuotaPolicy
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import (
     ChoiceTerms,
@@ -116,12 +116,12 @@
         )
         self.usage = UsageMeter(self._cfg.usage_window_s)
         self._retries = RetryPolicy(
-            retry_share(self._cfg, FIRST_RELAYS),
+            retry_share(self._cfg, INITIAL_RELAY_COUNT),
             rng,
-            lambda: first_retry(self._cfg, self._exchange.relay_count),
+            lambda: initial_retries(self._cfg, self._exchange.relay_count),
         )
         self._failing = FailureShares(self._policy.avoid_failing)
-        outliers = Outliers(outlier_terms(settings["routing"], self._policy), rng)
+        outliers = Outliers(outlier_settings(settings["routing"], self._policy), rng)
         self._outliers = outliers
         self.view.on_restart = self._forget_endpoint
         self._notices = EndpointNotices()
@@ -171,14 +171,14 @@
         incarnation = new_token("i", rng)
         self.coordinator = self._build_coordinator(ports, bounds, incarnation)
         self.coordinator.granter.notices = self._notices
-        self._limits = LimitsLink(
+        self._limits = LimitsClient(
             self.coordinator.granter,
             self._client,
             clock,
             self._node.id,
             incarnation,
             metrics,
-            Place(self._node.zone, self.coordinator.stands_back_s),
+            RelayPlacement(self._node.zone, self.coordinator.stands_back_s),
         )
         parts = SendParts(
             wire=ports.wire,
@@ -266,8 +266,8 @@
         self.coordinator.on_begin = self._announce
         self._limits.coordinator = self._exchange
         self._limits.address = lambda: self._word.address
-        self.coordinator.is_stand_in = lambda: self._limits.is_stand_in
-        self.coordinator.has_stand_in = lambda: self._limits.has_stand_in
+        self.coordinator.is_stand_in = lambda: self._limits.is_standby
+        self.coordinator.has_stand_in = lambda: self._limits.is_delegated_to_standby
         self.coordinator.relays_before = lambda: self._exchange.relays_before
         config, members = self._followers
         members.fed = lambda: self._exchange.fed
@@ -321,7 +321,7 @@
             UsageLedger(cfg.usage_window_s, cfg.usage_late_s),
             bounds,
             cfg.checks_fence,
-            QuotaTerms.from_config(self._policy),
+            QuotaPolicy.from_config(self._policy),
             CoordinatorSize.from_config(cfg, self._policy),
         )
 
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/moves.py
@@ -18,7 +18,7 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.ports import Engines
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.reclaim.reclaim_streams import (
@@ -215,7 +215,7 @@
             member
             for member in parts.view.of_service(run.service)
             if member.version == run.member.version
-            and parts.notices.takes_runs(member.process, now)
+            and parts.notices.accepts_moved_streams(member.process, now)
         ]
         allowed = parts.outliers.allowed(listed, now)
         score = parts.choice.engine(Ask((), 0, parts.zone), allowed, now)
--- a/src/ebonydeal/_internal/relay/requests/notices.py
+++ b/src/ebonydeal/_internal/relay/requests/notices.py
@@ -3,7 +3,7 @@
 from ebonydeal._internal.models.forwarding import AnswerHead, Member
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.utils.clock import Clock
 
 logger = get_logger("relay.notices")
@@ -39,7 +39,7 @@
         if notice.limit is None and (notice.unreadable or not answers):
             return
         now = self._clock.now()
-        if self.notices.heard_limit(member.process, notice.limit, sent_at, now):
+        if self.notices.note_limit(member.process, notice.limit, sent_at, now):
             self._metrics.count(Event.ENDPOINT_LIMITS_CHANGED)
             logger.info(
                 "Endpoint's limit.",
@@ -51,7 +51,7 @@
 
     def _leaves(self, member: Member) -> None:
         """Note that an endpoint says that it leaves."""
-        if self.notices.heard_leaving(member.process, self._clock.now()):
+        if self.notices.note_leaving(member.process, self._clock.now()):
             self._metrics.count(Event.ENDPOINTS_SAID_LEAVING)
             logger.info(
                 "Endpoint says that it leaves.",
@@ -63,7 +63,7 @@
 
     def _rests(self, member: Member, seconds: float) -> None:
         """Take for how long an endpoint wants nothing from this relay."""
-        if self.notices.heard_rest(member.process, seconds, self._clock.now()):
+        if self.notices.note_backoff(member.process, seconds, self._clock.now()):
             self._metrics.count(Event.ENDPOINTS_RESTED)
             logger.info(
                 "Endpoint asks for rest.",
--- a/src/ebonydeal/_internal/relay/requests/quota.py
+++ b/src/ebonydeal/_internal/relay/requests/quota.py
@@ -91,7 +91,7 @@
         """
         if account.rate > 0.0:
             await self._take(account, amount, patience)
-        until = self._clock.now() + self._bounds.late_s(account)
+        until = self._clock.now() + self._bounds.max_send_delay_s(account)
         return Admission(self, account, amount, until)
 
     async def _take(
--- a/src/ebonydeal/_internal/routing/admission/admission.py
+++ b/src/ebonydeal/_internal/routing/admission/admission.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.models.document import Account
 from ebonydeal._internal.models.requests import Priority
 from ebonydeal._internal.routing.admission.queues import FairQueue, Waiting
-from ebonydeal._internal.routing.limits.limits import AccountLimits
+from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.settings.routing import AdmissionSettings
 
 _FIRST_RUN_S = 2.0
--- a/src/ebonydeal/_internal/routing/duties/usage_ledger.py
+++ b/src/ebonydeal/_internal/routing/duties/usage_ledger.py
@@ -10,7 +10,7 @@
 _WINDOWS_KEPT = 10
 
 
-class Due(NamedTuple):
+class DueWindow(NamedTuple):
     """A window to be reported, and its counts by account."""
 
     window: int
@@ -34,51 +34,51 @@
     def __init__(self, length: float, late: float) -> None:
         self._length = length
         self._late = late
-        self._told: dict[int, dict[str, dict[str, int]]] = {}
-        self._heard: dict[str, float] = {}
+        self._totals: dict[int, dict[str, dict[str, int]]] = {}
+        self._last_report_at: dict[str, float] = {}
         self.reported = -1
 
-    def heard(
+    def add_report(
         self, relay: str, windows: dict[int, dict[str, int]], wall: float
     ) -> None:
         """Take one relay's totals; ``wall`` is its clock when it sent them."""
-        self._heard[relay] = max(wall, self._heard.get(relay, 0.0))
-        self.stored(relay, windows)
+        self._last_report_at[relay] = max(wall, self._last_report_at.get(relay, 0.0))
+        self.add_totals(relay, windows)
 
-    def stored(self, relay: str, windows: dict[int, dict[str, int]]) -> None:
+    def add_totals(self, relay: str, windows: dict[int, dict[str, int]]) -> None:
         """Take totals of a relay that may be gone."""
         for window, counts in windows.items():
-            told = self._told.setdefault(window, {})
+            told = self._totals.setdefault(window, {})
             known = told.get(relay, {})
             told[relay] = {
                 account: max(count, known.get(account, 0))
                 for account, count in {**known, **counts}.items()
             }
-        while len(self._told) > _WINDOWS_KEPT:
-            del self._told[min(self._told)]
+        while len(self._totals) > _WINDOWS_KEPT:
+            del self._totals[min(self._totals)]
 
     def open_windows(self) -> dict[str, dict[int, dict[str, int]]]:
         """Return the totals of windows not reported yet, by relay."""
         totals: dict[str, dict[int, dict[str, int]]] = {}
-        for window, told in self._told.items():
+        for window, told in self._totals.items():
             if window <= self.reported:
                 continue
             for relay, counts in told.items():
                 totals.setdefault(relay, {})[window] = counts
         return totals
 
-    def told_by(self, window: int) -> dict[str, int]:
+    def totals_by_relay(self, window: int) -> dict[str, int]:
         """Return each relay's total of a window, for the log."""
-        told = self._told.get(window, {})
+        told = self._totals.get(window, {})
         return {relay: sum(counts.values()) for relay, counts in told.items()}
 
     def forget(self, relay: str) -> None:
         """Wait no longer for a relay; what it told stays."""
-        self._heard.pop(relay, None)
+        self._last_report_at.pop(relay, None)
 
     def due(
         self, wall: float, accounts: list[str], wait: float = _WAIT_S
-    ) -> Due | None:
+    ) -> DueWindow | None:
         """Return the oldest window that can be reported now.
 
         ``wait`` is how long after its end relays may take to tell, seconds: among
@@ -92,15 +92,17 @@
         end = (window + 1) * self._length
         if wall < end + _SETTLE_S:
             return None
-        waiting = [r for r, at in self._heard.items() if at < end + _SETTLE_S / 2]
+        waiting = [
+            r for r, at in self._last_report_at.items() if at < end + _SETTLE_S / 2
+        ]
         if waiting and wall < end + wait:
             return None
-        return Due(window, self.counts(window, accounts))
+        return DueWindow(window, self.counts(window, accounts))
 
     def counts(self, window: int, accounts: list[str]) -> dict[str, int]:
         """Return a window's counts, with a zero for each idle account."""
         total = dict.fromkeys(accounts, 0)
-        for counts in self._told.get(window, {}).values():
+        for counts in self._totals.get(window, {}).values():
             for account, count in counts.items():
                 total[account] = total.get(account, 0) + count
         return total
--- a/src/ebonydeal/_internal/routing/limits/limits.py
+++ b/src/ebonydeal/_internal/routing/limits/account_limits.py
@@ -69,7 +69,7 @@
         self.in_flight = 0
 
 
-class _Heard(NamedTuple):
+class _PeerReport(NamedTuple):
     """A peer's last report, when it came, and its parts of limits then."""
 
     report: DemandReport
@@ -93,7 +93,7 @@
         self._gateway = gateway
         self._accounts: dict[str, Account] = {}
         self._usage: dict[str, _Usage] = {}
-        self._heard: dict[str, _Heard] = {}
+        self._peer_reports: dict[str, _PeerReport] = {}
         self._listed: frozenset[str] = frozenset()
         self._seq = 0
 
@@ -116,28 +116,28 @@
         demands = {name: self._demand(name, now) for name in self._usage}
         return DemandReport(self._gateway, self._seq, demands)
 
-    def heard(self, report: DemandReport, now: float) -> None:
+    def merge_report(self, report: DemandReport, now: float) -> None:
         """Take a peer's report; an older one than known is ignored."""
         if report.gateway == self._gateway:
             return
-        known = self._heard.get(report.gateway)
+        known = self._peer_reports.get(report.gateway)
         if known is None or report.seq > known.report.seq:
-            self._heard[report.gateway] = _Heard(report, now, {})
+            self._peer_reports[report.gateway] = _PeerReport(report, now, {})
             parts = {name: self._part(name, report, now) for name in report.demands}
-            self._heard[report.gateway] = _Heard(report, now, parts)
+            self._peer_reports[report.gateway] = _PeerReport(report, now, parts)
             self._forget_long_silent(now)
 
     def _forget_long_silent(self, now: float) -> None:
         """Drop gateways that no longer count; instances come and go for ever."""
-        for name, heard in list(self._heard.items()):
-            if now - heard.at > _LISTED_HOLD:
-                del self._heard[name]
+        for name, peer in list(self._peer_reports.items()):
+            if now - peer.at > _LISTED_HOLD:
+                del self._peer_reports[name]
 
-    def gone(self, gateway: str) -> None:
+    def forget_gateway(self, gateway: str) -> None:
         """Forget a gateway that is known to have stopped."""
-        self._heard.pop(gateway, None)
+        self._peer_reports.pop(gateway, None)
 
-    def listed(self, gateways: frozenset[str]) -> None:
+    def set_listed_gateways(self, gateways: frozenset[str]) -> None:
         """Take the gateways that the node list names now."""
         self._listed = gateways
 
@@ -202,9 +202,9 @@
     def _others(self, account: str, now: float) -> dict[str, Demand]:
         """Return the demand at gateways that were heard lately."""
         return {
-            name: heard.report.demands.get(account, _NONE)
-            for name, heard in self._heard.items()
-            if now - heard.at <= self._cfg.peer_hold
+            name: peer.report.demands.get(account, _NONE)
+            for name, peer in self._peer_reports.items()
+            if now - peer.at <= self._cfg.peer_hold
         }
 
     def _part(self, account: str, report: DemandReport, now: float) -> Demand:
@@ -221,12 +221,12 @@
     def _left(self, account: str, now: float) -> Demand:
         """Return what silent gateways that may be serving leave of the limits."""
         left = [1.0] * len(Demand._fields)
-        for name, heard in self._heard.items():
-            silent = now - heard.at
+        for name, peer in self._peer_reports.items():
+            silent = now - peer.at
             if silent <= self._cfg.peer_hold or silent > _LISTED_HOLD:
                 continue
             if name in self._listed:
-                parts = heard.parts.get(account, _NONE)
+                parts = peer.parts.get(account, _NONE)
                 left = [max(0.0, a - b) for a, b in zip(left, parts, strict=True)]
         return Demand(*left)
 
--- a/src/ebonydeal/_internal/routing/limits/quota_bounds.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_bounds.py
@@ -41,22 +41,22 @@
         """Return what a window holds of an account that has its limit."""
         return account.rate * self.window + account.burst
 
-    def tolerated(self, account: ForwardAccount) -> float:
+    def tolerance(self, account: ForwardAccount) -> float:
         """Return by how much a window may exceed that."""
         slack = self.slack if account.in_tokens else 0.0
         return self.overshoot * self.limit(account) + slack
 
     def debt(self, account: ForwardAccount) -> float:
         """Return the most that may be granted on account of what will be earned."""
-        return min(_DEBT_PART * self.tolerated(account), _DEBT_MOST_S * account.rate)
+        return min(_DEBT_PART * self.tolerance(account), _DEBT_MOST_S * account.rate)
 
     def in_advance(self, account: ForwardAccount) -> float:
         """Return the most that may lie granted at relays, unused."""
-        return _IN_ADVANCE_PART * self.tolerated(account)
+        return _IN_ADVANCE_PART * self.tolerance(account)
 
     def standby(self, account: ForwardAccount) -> float:
         """Return the most that the stand-in has beside what the burst holds."""
-        return _STANDBY_PART * self.tolerated(account)
+        return _STANDBY_PART * self.tolerance(account)
 
     def standby_of_burst(self, account: ForwardAccount) -> float:
         """Return the part of the burst that the stand-in may have."""
@@ -64,13 +64,13 @@
 
     def startup(self, account: ForwardAccount) -> float:
         """Return the most that new holders grant before they have shares."""
-        return _STARTUP_PART * self.tolerated(account)
+        return _STARTUP_PART * self.tolerance(account)
 
-    def late_s(self, account: ForwardAccount) -> float:
+    def max_send_delay_s(self, account: ForwardAccount) -> float:
         """Return how long after its admission a request may be sent, seconds."""
         if account.rate <= 0.0:
             return float("inf")
-        return _LATE_PART * self.tolerated(account) / account.rate
+        return _LATE_PART * self.tolerance(account) / account.rate
 
     def terms(self, account: ForwardAccount) -> list[Term]:
         """Return the most that a window holds, term by term."""
@@ -81,10 +81,10 @@
             Term("in_advance", self.in_advance(account)),
             Term("standby", self.standby(account)),
             Term("startup", self.startup(account)),
-            Term("late", _LATE_PART * self.tolerated(account)),
+            Term("late", _LATE_PART * self.tolerance(account)),
         ]
 
     def fits(self, account: ForwardAccount) -> bool:
         """Return whether the terms stay within the limit and what is tolerated."""
-        allowed = self.limit(account) + self.tolerated(account)
+        allowed = self.limit(account) + self.tolerance(account)
         return sum(term.amount for term in self.terms(account)) <= allowed
--- a/src/ebonydeal/_internal/routing/limits/quota_broker.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_broker.py
@@ -27,20 +27,20 @@
 _MOST_WAIT_S = 10.0
 # An amount granted in advance lapses, as seen by who has it. The granter counts the
 # same time from later on.
-ADVANCE_KEPT_S = 2.0
+ADVANCE_TTL_S = 2.0
 # The same of what a stand-in has. A new holder, and one whose stand-in is lost, gives
 # none out before.
-STAND_IN_KEPT_S = 4.0
+STANDBY_GRANT_TTL_S = 4.0
 
 
-class QuotaTerms(NamedTuple):
+class QuotaPolicy(NamedTuple):
     """Terms of the grants; `PolicySettings` says what each does."""
 
     overdraft: float = 1.0
     small: float = 0.1
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "QuotaTerms":
+    def from_config(cls, cfg: PolicySettings) -> "QuotaPolicy":
         """Build from settings."""
         return cls(cfg.quota_overdraft, cfg.quota_small)
 
@@ -49,12 +49,12 @@
     """An amount that a relay may admit, or when to ask again, seconds.
 
     ``wait`` is None where no wait helps: the amount is larger than the limit ever
-    holds at once. ``short`` is by how much too little was there.
+    holds at once. ``shortfall`` is the amount that was missing.
     """
 
     amount: float
     wait: float | None
-    short: float = 0.0
+    shortfall: float = 0.0
 
 
 class _Bucket:
@@ -99,11 +99,11 @@
     def __init__(
         self,
         bounds: QuotaBounds,
-        terms: QuotaTerms | None = None,
+        terms: QuotaPolicy | None = None,
         share: Callable[[float], float] = lambda _now: 1.0,
     ) -> None:
         self.bounds = bounds
-        self._terms = terms or QuotaTerms()
+        self._terms = terms or QuotaPolicy()
         self._share = share
         self._buckets: dict[str, _Bucket] = {}
         # Whether nobody can have granted anything before.
@@ -176,7 +176,7 @@
             return 0.0
         bucket.level -= want
         bucket.out += want
-        bucket.advanced.append((now + ADVANCE_KEPT_S, want))
+        bucket.advanced.append((now + ADVANCE_TTL_S, want))
         return want
 
     def stand_by(self, account: ForwardAccount, balance: float, now: float) -> float:
@@ -187,7 +187,7 @@
         amount = max(0.0, min(room, self._spare(account, bucket)))
         bucket.level -= amount
         bucket.lent = balance + amount
-        bucket.lent_until = now + STAND_IN_KEPT_S
+        bucket.lent_until = now + STANDBY_GRANT_TTL_S
         return amount
 
     def part(self, account: ForwardAccount, weight: float, now: float) -> float:
@@ -251,7 +251,7 @@
         Seconds from before an amount was asked for until it lapses.
     """
 
-    def __init__(self, kept: float = ADVANCE_KEPT_S) -> None:
+    def __init__(self, kept: float = ADVANCE_TTL_S) -> None:
         self._kept = kept
         self._amounts: dict[str, deque[tuple[float, float]]] = {}
 
--- a/src/ebonydeal/_internal/routing/limits/shares.py
+++ b/src/ebonydeal/_internal/routing/limits/share_delegation.py
@@ -16,7 +16,7 @@
 _NEVER = float("-inf")
 
 
-class Word(NamedTuple):
+class DelegationOffer(NamedTuple):
     """A granter's word: who, until when by its clock, and how long that is, seconds."""
 
     granter: str
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self._weight = 0.0
         self._weight_until = _NEVER
-        self._word = Word("", _NEVER, 0.0)
+        self._word = DelegationOffer("", _NEVER, 0.0)
         self._promised_until = _NEVER
 
     def told(self, weight: float, until: float) -> None:
@@ -54,7 +54,7 @@
         """Return the seconds until it isn't."""
         return max(0.0, self._promised_until - now)
 
-    def delegate(self, word: Word, now: float) -> bool:
+    def delegate(self, word: DelegationOffer, now: float) -> bool:
         """Promise the share to who gave this word; not while it is another's."""
         if not self.is_free(now) and word.granter != self._word.granter:
             return False
@@ -62,11 +62,11 @@
         self._promised_until = max(self._promised_until, now + word.seconds)
         return True
 
-    def promised(self, now: float) -> Word | None:
+    def promised(self, now: float) -> DelegationOffer | None:
         """Return the word that the share is promised on."""
         return None if self.is_free(now) else self._word
 
-    def released(self, word: Word) -> None:
+    def released(self, word: DelegationOffer) -> None:
         """Note that who gave this word counts the share no more."""
         if word.granter == self._word.granter:
             self._promised_until = _NEVER
@@ -95,9 +95,9 @@
         self.granter = granter
         self._shares: dict[str, _Delegated] = {}
 
-    def word(self, seconds: float, now: float) -> Word:
+    def word(self, seconds: float, now: float) -> DelegationOffer:
         """Return the word on which a relay may delegate its share."""
-        return Word(self.granter, now + seconds * (1.0 - _DRIFT), seconds)
+        return DelegationOffer(self.granter, now + seconds * (1.0 - _DRIFT), seconds)
 
     def forget_before(self, node: str, incarnation: str) -> None:
         """Forget the share of a relay's process before, whose promise is gone too."""
@@ -106,7 +106,12 @@
             del self._shares[node]
 
     def heard(
-        self, node: str, incarnation: str, weight: float, word: Word, now: float
+        self,
+        node: str,
+        incarnation: str,
+        weight: float,
+        word: DelegationOffer,
+        now: float,
     ) -> None:
         """Take a relay's share, if it promised it on a word that was given here."""
         self.forget_before(node, incarnation)
--- a/src/ebonydeal/_internal/routing/limits/share_registry.py
+++ b/src/ebonydeal/_internal/routing/limits/share_registry.py
@@ -14,7 +14,7 @@
 
 # A relay without a word of a coordinator has its share for so long. As long no share
 # of a lost relay is granted: new names, which are alike, wait for the same time.
-SHARE_KEPT_S = 30.0
+SHARE_TTL_S = 30.0
 # The first names are written when no other has come for this long.
 _SETTLED_S = 3.0
 _NEVER = float("-inf")
@@ -38,15 +38,15 @@
         return cls(max(int(message["shares"]), len(names)), names)
 
 
-NO_NAMES = RegistryRow(0, frozenset())
+EMPTY_ROW = RegistryRow(0, frozenset())
 
 
 class ShareRegistry:
     """The names, as one holder of the lease keeps them."""
 
     def __init__(self) -> None:
-        self.row = NO_NAMES
-        self._pending = NO_NAMES
+        self.row = EMPTY_ROW
+        self._pending = EMPTY_ROW
         self._counted_at = _NEVER
         self._heard: dict[str, float] = {}
         self._first_heard = _NEVER
@@ -71,7 +71,7 @@
         if self._first_heard == _NEVER:
             return False
         last = max(self._heard.get(name, _NEVER), self._first_heard)
-        return now - last >= SHARE_KEPT_S
+        return now - last >= SHARE_TTL_S
 
     def wanted(self, alive: Set[str], now: float) -> RegistryRow:
         """Return what should lie in the store, with these relays alive."""
@@ -87,7 +87,7 @@
                 return row
             return RegistryRow(len(alive), frozenset(alive))
         count = len(kept) + len(new)
-        ready = row.shares >= count and now - self._counted_at >= SHARE_KEPT_S
+        ready = row.shares >= count and now - self._counted_at >= SHARE_TTL_S
         if new and not ready:
             return RegistryRow(max(count, row.shares), frozenset(kept))
         return RegistryRow(count, frozenset(kept | new))
--- a/src/ebonydeal/_internal/routing/limits/startup.py
+++ b/src/ebonydeal/_internal/routing/limits/startup_grant.py
@@ -12,9 +12,9 @@
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 
 # What isn't granted by then lapses: shares are there.
-STARTUP_KEPT_S = 2.0
+STARTUP_GRANT_TTL_S = 2.0
 # So many are begun in a window, each with its part.
-STARTUPS = 2
+MAX_STARTUP_GRANTS = 2
 # By so much relays' readings of the store's clock may differ.
 _CLOCK_MARGIN_S = 1.0
 _NEVER = float("-inf")
@@ -49,9 +49,9 @@
         now : float
             The store's time.
         """
-        spacing = self._bounds.window + STARTUP_KEPT_S + _CLOCK_MARGIN_S
+        spacing = self._bounds.window + STARTUP_GRANT_TTL_S + _CLOCK_MARGIN_S
         self._begun = [at for at in begun if now - at < spacing]
-        self._is_due = len(self._begun) < STARTUPS
+        self._is_due = len(self._begun) < MAX_STARTUP_GRANTS
         self.wanted = False
         self._until = _NEVER
         self._used = {}
@@ -66,8 +66,8 @@
 
         ``now`` is by this process's clock, which the store's is ``ahead`` of.
         """
-        self._pending = now + STARTUP_KEPT_S
-        return [*self._begun, now + ahead][-STARTUPS:]
+        self._pending = now + STARTUP_GRANT_TTL_S
+        return [*self._begun, now + ahead][-MAX_STARTUP_GRANTS:]
 
     def wrote(self) -> None:
         """Note that it lies there."""
@@ -77,7 +77,10 @@
     def take(self, account: ForwardAccount, need: float, now: float) -> bool:
         """Use ``need`` of an account, if so much is left."""
         used = self._used.get(account.name, 0.0) + need
-        if now >= self._until or used > self._bounds.startup(account) / STARTUPS:
+        if (
+            now >= self._until
+            or used > self._bounds.startup(account) / MAX_STARTUP_GRANTS
+        ):
             return False
         self._used[account.name] = used
         return True
--- a/src/ebonydeal/_internal/routing/notices/notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -78,7 +78,7 @@
         self.on_leaving: Callable[[Process], None] = lambda _process: None
 
     # --- rest ----------------------------------------------------------------
-    def heard_rest(self, process: Process, seconds: float, now: float) -> bool:
+    def note_backoff(self, process: Process, seconds: float, now: float) -> bool:
         """Take for how long a process wants nothing; return if that is longer."""
         until = now + min(seconds, _MOST_REST_S)
         if until <= self._rest.get(process, now):
@@ -87,12 +87,12 @@
         self._rest[process] = until
         return True
 
-    def rest(self, process: Process, now: float) -> float:
+    def backoff_remaining(self, process: Process, now: float) -> float:
         """Return the seconds for which a process still wants nothing."""
         return max(0.0, self._rest.get(process, now) - now)
 
     # --- leaving -------------------------------------------------------------
-    def heard_leaving(self, process: Process, at: float) -> bool:
+    def note_leaving(self, process: Process, at: float) -> bool:
         """Note that a process says that it leaves; return if that is news.
 
         It doesn't come back: a process that stays after all starts anew.
@@ -117,17 +117,17 @@
             if now - at <= _LEAVING_TOLD_S
         ]
 
-    def take_leaving(self, messages: Iterable[list], now: float) -> list[Process]:
+    def merge_leaving(self, messages: Iterable[list], now: float) -> list[Process]:
         """Take what another relay heard; return what is news."""
         news = []
         for endpoint_id, born, age in messages:
             process = Process(str(endpoint_id), int(born))
-            if self.heard_leaving(process, now - max(0.0, float(age))):
+            if self.note_leaving(process, now - max(0.0, float(age))):
                 news.append(process)
         return news
 
     # --- limits --------------------------------------------------------------
-    def heard_limit(
+    def note_limit(
         self, process: Process, limit: float | None, sent_at: float, now: float
     ) -> bool:
         """Take an answer to what was sent at ``sent_at``; return if that is news.
@@ -140,7 +140,7 @@
         at = sent_at if limit is None else now
         return self._take(process, limit, at, True, now)
 
-    def take_limit(self, report: LimitReport, now: float) -> bool:
+    def merge_limit(self, report: LimitReport, now: float) -> bool:
         """Take what another relay heard; return if that is news."""
         at = now - report.age
         if report.limit is None:
@@ -174,13 +174,15 @@
             del self._limits[min(self._limits, key=lambda p: self._limits[p].at)]
 
     @property
-    def any(self) -> bool:
+    def has_any(self) -> bool:
         """Whether any process may have a limit, or rest."""
         return bool(self._limits or self._rest)
 
-    def takes_runs(self, process: Process, now: float) -> bool:
+    def accepts_moved_streams(self, process: Process, now: float) -> bool:
         """Return whether runs may be moved to a process without asking."""
-        return self.limit(process, now) is None and not self.rest(process, now)
+        return self.limit(process, now) is None and not self.backoff_remaining(
+            process, now
+        )
 
     def limit(self, process: Process, now: float) -> float | None:
         """Return the limit of a process, requests a second; None for none."""
@@ -191,7 +193,7 @@
             return min(known.limit, known.before)
         return known.limit
 
-    def limited(self, now: float) -> dict[Process, float]:
+    def active_limits(self, now: float) -> dict[Process, float]:
         """Return all processes that have a limit."""
         limits = {process: self.limit(process, now) for process in self._limits}
         return {p: limit for p, limit in limits.items() if limit is not None}
@@ -216,7 +218,7 @@
             and (known.limit is not None or now - known.at <= _WINDOW_S)
         ]
 
-    def take_limits(self, messages: Iterable[list], now: float) -> list[LimitReport]:
+    def merge_limits(self, messages: Iterable[list], now: float) -> list[LimitReport]:
         """Take what another relay reports; return what is news."""
         reports = [LimitReport.decode(message) for message in messages]
-        return [report for report in reports if self.take_limit(report, now)]
+        return [report for report in reports if self.merge_limit(report, now)]
--- a/tests/functional/relay/test_limit_under_loss.py
+++ b/tests/functional/relay/test_limit_under_loss.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.lib.limits_cluster import Cluster, limited, tolerated
+from tests.lib.limits_cluster import Cluster, limited_account, quota_bounds
 
 RATE = 60.0
 ASKED = 240.0
@@ -23,7 +23,7 @@
 @pytest.fixture
 async def cluster():
     """Sixteen relays whose account has been pressed for a while."""
-    cluster = Cluster(16, limited(RATE), tolerated())
+    cluster = Cluster(16, limited_account(RATE), quota_bounds())
     await cluster.start()
     await cluster.clock.advance(6.0)
     await cluster.press(6.0, ASKED)
@@ -99,7 +99,7 @@
         return sum(cluster.refused.values())
 
     async def calm(self, relays):
-        cluster = Cluster(relays, limited(RATE), tolerated())
+        cluster = Cluster(relays, limited_account(RATE), quota_bounds())
         await cluster.start()
         await cluster.press(30.0, 0.5 * RATE)
         return cluster
--- a/tests/lib/endpoint_limit_model.py
+++ b/tests/lib/endpoint_limit_model.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.forwarding import Process
 from ebonydeal._internal.routing.limits.endpoint_limits import WINDOW_S, bears
-from tests.lib.limits_cluster import limited, tolerated
+from tests.lib.limits_cluster import limited_account, quota_bounds
 from tests.lib.shares_model import Model
 
 ENDPOINT = Process("i1", 7)
@@ -26,7 +26,7 @@
 
     def __init__(self, names, step=0.4):
         self.named, self.sent, self.told = [(0.0, None)], [], {}
-        super().__init__(names, limited(6.0), tolerated(), 1.0, step)
+        super().__init__(names, limited_account(6.0), quota_bounds(), 1.0, step)
 
     def name(self, limit):
         """Let the endpoint name another limit, None for none."""
@@ -67,7 +67,7 @@
             self.told.pop(name, None)
         else:
             self.told.setdefault(name, now)
-        relay.notices.heard_limit(ENDPOINT, self.limit, now, now)
+        relay.notices.note_limit(ENDPOINT, self.limit, now, now)
 
     def check_limit(self):
         """Check each window in which a limit was named throughout."""
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -16,7 +16,7 @@
 )
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.relay.duties.coordinator import Coordinator, CoordinatorParts
-from ebonydeal._internal.relay.limits.link import LimitsLink, Place
+from ebonydeal._internal.relay.limits.client import LimitsClient, RelayPlacement
 from ebonydeal._internal.relay.limits.messages import DELEGATE, RELEASE
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.peers.messages import EXCHANGE, GRANT, HOLDER
@@ -110,14 +110,14 @@
         )
         client = _Client(cluster.net, name)
         self.metrics = Metrics()
-        self.limits = LimitsLink(
+        self.limits = LimitsClient(
             self.coordinator.granter,
             client,
             clock,
             name,
             incarnation,
             self.metrics,
-            Place(),
+            RelayPlacement(),
         )
         self.limits.address = lambda: self.address
         self.gate = QuotaGate(self.limits, clock, cluster.bounds, self.metrics)
@@ -128,15 +128,15 @@
                 clock,
                 rng,
                 self._word,
-                lambda reply, at: self.limits.heard(reply["limits"], at),
+                lambda reply, at: self.limits.on_reply(reply["limits"], at),
             ),
             (),
         )
         self._incarnation = incarnation
         self._clock = clock
         self.limits.coordinator = self.exchange
-        self.coordinator.is_stand_in = lambda: self.limits.is_stand_in
-        self.coordinator.has_stand_in = lambda: self.limits.has_stand_in
+        self.coordinator.is_stand_in = lambda: self.limits.is_standby
+        self.coordinator.has_stand_in = lambda: self.limits.is_delegated_to_standby
         self.coordinator.relays_before = lambda: self.exchange.relays_before
         self.coordinator.on_begin = self._announce
         self.calls = {
@@ -154,7 +154,7 @@
             address=self.address,
             known=addresses_hash(relays),
             demand=self.gate.demand(self._clock.now()),
-            limits=self.limits.word(),
+            limits=self.limits.share_report(),
         )
 
     def _announce(self):
@@ -275,10 +275,10 @@
         return most
 
 
-def limited(rate, burst=None, in_tokens=False):
+def limited_account(rate, burst=None, in_tokens=False):
     """Return an account with a limit."""
     return ForwardAccount("acme", (), None, rate, burst or rate, in_tokens, 200.0)
 
 
-def tolerated(window=4.0, overshoot=0.1, slack=0.0):
+def quota_bounds(window=4.0, overshoot=0.1, slack=0.0):
     return QuotaBounds(window, overshoot, slack)
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -7,8 +7,8 @@
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.relay.limits.granter import Granter, Peer
-from ebonydeal._internal.relay.limits.link import LimitsLink, Place
+from ebonydeal._internal.relay.limits.client import LimitsClient, RelayPlacement
+from ebonydeal._internal.relay.limits.granter import Granter, StandbyCandidate
 from ebonydeal._internal.routing.duties.coordinator_lease import (
     CoordinatorLease,
     Read,
@@ -16,7 +16,7 @@
     Write,
 )
 from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
-from ebonydeal._internal.routing.limits.share_registry import NO_NAMES
+from ebonydeal._internal.routing.limits.share_registry import EMPTY_ROW
 
 LEASE_S = 3.0
 PACE = ReportPacing(0.5)
@@ -59,8 +59,14 @@
             self.lease, lambda: self.lease.holds(clock.now()), clock, model.bounds
         )
         self.granter.accounts = lambda: (model.account,)
-        self.link = LimitsLink(
-            self.granter, None, clock, name, self.incarnation, Metrics(), Place()
+        self.link = LimitsClient(
+            self.granter,
+            None,
+            clock,
+            name,
+            self.incarnation,
+            Metrics(),
+            RelayPlacement(),
         )
         self.link.address = lambda: name
         self.link.coordinator = _Coordinator(self)
@@ -120,10 +126,10 @@
     def _begin(self, now):
         self.granter.refresh()
         self.granter.registry.load(self.model.names, now)
-        self.granter.begin()
+        self.granter.on_registry_loaded()
         self.granter.refresh()
         self.granter.startup.load(self.model.startups, now)
-        self.granter.want_startup()
+        self.granter.request_startup_grant()
 
     @property
     def notices(self):
@@ -150,17 +156,17 @@
             if reply is not None and not model.lose_replies:
                 self.last_ok = now
                 self.lease.wanted = not holder.lease.holds(now)
-                self.link.heard(reply, now)
-                self.notices.take_limits(holder.notices_of(), now)
+                self.link.on_reply(reply, now)
+                self.notices.merge_limits(holder.notices_of(), now)
                 self._take_back()
                 return
         if now - self.last_ok > PACE.coordinator_timeout:
             self.lease.wanted = True
-        if not self.link.in_touch:
+        if not self.link.has_coordinator:
             self._tell_stand_in()
 
     def _take_back(self):
-        """Take the share back from who had it before, as `LimitsLink` does."""
+        """Take the share back from who had it before, as `LimitsClient` does."""
         link, model = self.link, self.model
         promised = self.granter.own.promised(model.clock.now())
         address = link._granter_address
@@ -179,13 +185,13 @@
 
     def _tell_stand_in(self):
         model = self.model
-        address = self.link._stand_in()
+        address = self.link._standby_address()
         if address is None or not model.reaches(self.name, address):
             return
         for _ in range(2):
             other = model.running[address]
-            word = self.link.word()
-            reply = other.granter.hear(self.name, self.incarnation, word)
+            word = self.link.share_report()
+            reply = other.granter.handle_report(self.name, self.incarnation, word)
             if model.lose_replies or not self.link._delegate(reply, address):
                 return
 
@@ -194,18 +200,18 @@
             return None
         now = self.model.clock.now()
         self.heard[relay.name] = now
-        word = relay.link.word()
-        reply = self.granter.hear(
+        word = relay.link.share_report()
+        reply = self.granter.handle_report(
             relay.name, relay.incarnation, word, PACE.isolation_timeout
         )
         account = self.model.account
-        self.notices.take_limits(relay.notices_of(own=True), now)
+        self.notices.merge_limits(relay.notices_of(own=True), now)
         left = relay.link.balances.left(account.name, now)
         reply["grants"] = self.granter.advances({account.name: [account.rate, left]})
-        if self.granter.decides:
-            peers = [Peer(n, n, "", 0.0) for n in self.heard]
-            reply["stand_ins"] = [p.address for p in self.granter.stand_ins(peers)]
-            reply["stand_in"] = self.granter.stand_in_grants(
+        if self.granter.manages_shares:
+            peers = [StandbyCandidate(n, n, "", 0.0) for n in self.heard]
+            reply["stand_ins"] = [p.address for p in self.granter.standbys(peers)]
+            reply["stand_in"] = self.granter.standby_grants(
                 relay.name, word["stand_in"]
             )
         return reply
@@ -231,7 +237,7 @@
     def __init__(self, names, account, bounds, size, step=0.4):
         self.clock = ModelClock()
         self.account, self.bounds, self.size, self.step = account, bounds, size, step
-        self.names, self.row = NO_NAMES, (None, 0)
+        self.names, self.row = EMPTY_ROW, (None, 0)
         # When new holders granted before they had shares, as the store has it.
         self.startups = []
         self.running, self.paused, self.cut = {}, set(), set()
@@ -292,7 +298,7 @@
                     self.passed.append((self.clock.now(), amount))
 
     def check_limit(self):
-        allowed = self.bounds.limit(self.account) + self.bounds.tolerated(self.account)
+        allowed = self.bounds.limit(self.account) + self.bounds.tolerance(self.account)
         assert self.fullest() <= allowed + 1e-6, (self.fullest(), allowed)
 
     def fullest(self):
--- a/tests/unit/gateway/test_parts.py
+++ b/tests/unit/gateway/test_parts.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.gateway.wiring import new_demand_topic
 from ebonydeal._internal.models.endpoints import LoadReport
 from ebonydeal._internal.models.places import Place
-from ebonydeal._internal.routing.limits.limits import AccountLimits
+from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.routing.placement.subset import Member
 from ebonydeal._internal.settings.routing import AdmissionSettings, RoutingSettings
 from tests.lib.clock import ManualClock
--- a/tests/unit/relay/duties/test_coordinator.py
+++ b/tests/unit/relay/duties/test_coordinator.py
@@ -15,7 +15,7 @@
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.share_registry import (
-    SHARE_KEPT_S,
+    SHARE_TTL_S,
     RegistryRow,
 )
 from tests.lib.clock import ManualClock
@@ -83,7 +83,7 @@
         lease.on_written(LeaseRow("n0", "i", "n0:1", 5), 2)
         taken_over._keeper.lease._until = 1e9
         granter.registry.load(RegistryRow(9, NAMES), 100.0)
-        granter.begin()
+        granter.on_registry_loaded()
         return taken_over
 
     def tell(self, holder, count):
@@ -110,7 +110,7 @@
 
     async def test_until_their_shares_are_over(self, holder):
         self.tell(holder, 6)
-        await holder._parts.clock.advance(SHARE_KEPT_S - 0.1)
+        await holder._parts.clock.advance(SHARE_TTL_S - 0.1)
         self.tell(holder, 6)
         assert self.share(holder) == pytest.approx(6 / 9)
         await holder._parts.clock.advance(0.2)
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -25,7 +25,7 @@
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.crashes.crash_evidence import Standing
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
--- a/tests/unit/relay/requests/test_late_admission.py
+++ b/tests/unit/relay/requests/test_late_admission.py
@@ -14,10 +14,10 @@
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import Balances, Grant
-from tests.lib.limits_cluster import limited
+from tests.lib.limits_cluster import limited_account
 from tests.unit.relay.requests.test_job_sends import job, parts
 
-ACCOUNT = limited(60.0)
+ACCOUNT = limited_account(60.0)
 BOUNDS = QuotaBounds(4.0, 0.1, 0.0)
 
 
@@ -51,13 +51,13 @@
 class TestFirstSend:
     async def test_at_once_counts_once(self, waited):
         granted, clock, sends = waited
-        clock._now += BOUNDS.late_s(ACCOUNT) * 0.9
+        clock._now += BOUNDS.max_send_delay_s(ACCOUNT) * 0.9
         await sends.choose()
         assert granted.amounts == [1.0]
 
     async def test_later_is_admitted_anew(self, waited):
         granted, clock, sends = waited
-        clock._now += BOUNDS.late_s(ACCOUNT) * 1.1
+        clock._now += BOUNDS.max_send_delay_s(ACCOUNT) * 1.1
         await sends.choose()
         assert granted.amounts == [1.0, 1.0]
 
--- a/tests/unit/relay/requests/test_moves.py
+++ b/tests/unit/relay/requests/test_moves.py
@@ -4,7 +4,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.relay.requests.moves import LiveRun, MovesParts, StreamMoves
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
--- a/tests/unit/relay/test_endpoint_limit_model.py
+++ b/tests/unit/relay/test_endpoint_limit_model.py
@@ -19,7 +19,7 @@
     @pytest.mark.parametrize("limit", [0.0, 0.3, 1.0, 1.4, 8.0, 60.0, 5000.0])
     def test_fits_what_the_endpoint_bears(self, limit):
         account = limit_account(Process("i1", 0), limit)
-        allowed = ENDPOINT_BOUNDS.limit(account) + ENDPOINT_BOUNDS.tolerated(account)
+        allowed = ENDPOINT_BOUNDS.limit(account) + ENDPOINT_BOUNDS.tolerance(account)
         assert ENDPOINT_BOUNDS.fits(account)
         assert allowed <= bears(max(limit, account.rate)) + 1e-9
 
@@ -118,5 +118,5 @@
         model.name(None)
         model.play(4.0)
         now = model.clock.now()
-        known = [r.notices.limited(now) for r in model.running.values()]
+        known = [r.notices.active_limits(now) for r in model.running.values()]
         assert not any(known)
--- a/tests/unit/relay/test_endpoint_permits.py
+++ b/tests/unit/relay/test_endpoint_permits.py
@@ -6,7 +6,7 @@
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
-from ebonydeal._internal.routing.notices.notices import EndpointNotices
+from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from tests.lib.clock import ManualClock
 
 MEMBER = Member("i1", "s", "h:1", "z", 8, False, None, True, 0.0, 1)
@@ -42,7 +42,7 @@
 @pytest.fixture
 def notices():
     notices = EndpointNotices()
-    notices.heard_limit(MEMBER.process, 1.0, 99.0, 99.5)
+    notices.note_limit(MEMBER.process, 1.0, 99.0, 99.5)
     return notices
 
 
@@ -74,7 +74,7 @@
     async def test_another_limit_opens_it_at_once(self, permits, port, notices):
         port.reply = {"granted": False, "wait": 9.0, "report": None}
         await permits.take(MEMBER)
-        notices.heard_limit(MEMBER.process, 0.5, 100.0, 100.1)
+        notices.note_limit(MEMBER.process, 0.5, 100.0, 100.1)
         assert permits.wait(MEMBER, 100.2) == 0.0
 
     async def test_where_nobody_grants_nothing_is_sent(self, permits, port):
@@ -96,7 +96,7 @@
 
 class TestRest:
     async def test_closes_it_without_asking(self, permits, port, notices):
-        notices.heard_rest(OTHER.process, 3.0, 100.0)
+        notices.note_backoff(OTHER.process, 3.0, 100.0)
         assert permits.wait(OTHER, 101.0) == 2.0
         assert not await permits.take(OTHER)
         assert port.asked == 0
--- a/tests/unit/relay/test_limits_link.py
+++ b/tests/unit/relay/test_limits_client.py
@@ -4,16 +4,16 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.counters import Metrics
+from ebonydeal._internal.relay.limits.client import LimitsClient, RelayPlacement
 from ebonydeal._internal.relay.limits.granter import Granter
-from ebonydeal._internal.relay.limits.link import LimitsLink, Place
 from ebonydeal._internal.relay.limits.messages import RELEASE
 from ebonydeal._internal.relay.peers.messages import GRANT
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from tests.lib.clock import ManualClock
-from tests.lib.limits_cluster import limited
+from tests.lib.limits_cluster import limited_account
 
-ACCOUNT = limited(60.0)
+ACCOUNT = limited_account(60.0)
 NO_ANSWER = EbonydealError(ErrorKind.CONNECT_FAILED, "gone")
 
 
@@ -79,8 +79,14 @@
         )
         self.granter.accounts = lambda: (ACCOUNT,)
         self.peers, self.metrics = Peers(), Metrics()
-        self.link = LimitsLink(
-            self.granter, self.peers, self.clock, "n1", "i1", self.metrics, Place()
+        self.link = LimitsClient(
+            self.granter,
+            self.peers,
+            self.clock,
+            "n1",
+            "i1",
+            self.metrics,
+            RelayPlacement(),
         )
         self.link.address = lambda: "n1:1"
         self.link.coordinator = self.coordinator = Coordinator()
@@ -93,7 +99,7 @@
 def relay():
     """A relay that has just heard the coordinator."""
     relay = Relay()
-    relay.link.heard(reply(), 100.0)
+    relay.link.on_reply(reply(), 100.0)
     return relay
 
 
@@ -156,11 +162,11 @@
 class TestReleaseBefore:
     async def test_its_coordinator_grants_without_shares(self):
         relay = Relay()
-        relay.link.heard_before_shares({"acme": 2.0}, 100.0)
+        relay.link.on_legacy_reply({"acme": 2.0}, 100.0)
         assert relay.link.balances.left("acme", 100.0) == 2.0
         relay.coordinator.replies = [{"amount": 1.0, "wait": 0.0}]
         assert (await relay.link.grant(ACCOUNT, 1.0)).amount == 1.0
-        assert relay.link.word()["granter"] == ""
+        assert relay.link.share_report()["granter"] == ""
 
 
 class TestOwnShare:
@@ -182,36 +188,36 @@
     async def test_when_another_holder_is_found(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
         relay.peers.replies[RELEASE] = {"along": {"acme": 3.0}}
-        relay.link.heard(reply("i5"), 100.2)
+        relay.link.on_reply(reply("i5"), 100.2)
         assert relay.granter.own.promised(100.2).granter == "i0"
         await relay.link._take_back()
         assert relay.paths() == [("n0:1", RELEASE)]
-        relay.link.heard(reply("i5"), 100.3)
-        word = relay.link.word()
+        relay.link.on_reply(reply("i5"), 100.3)
+        word = relay.link.share_report()
         assert (word["granter"], word["along"]) == ("i5", {"acme": 3.0})
         # The new one was told its own word, and what came along.
-        relay.link.heard(reply("i5"), 100.4)
-        assert relay.link.word()["along"] == {}
+        relay.link.on_reply(reply("i5"), 100.4)
+        assert relay.link.share_report()["along"] == {}
 
     async def test_what_came_along_goes_to_one_granter(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
         relay.peers.replies[RELEASE] = {"along": {"acme": 3.0}}
-        relay.link.heard(reply("i5"), 100.2)
+        relay.link.on_reply(reply("i5"), 100.2)
         await relay.link._take_back()
-        assert relay.link.word()["along"] == {}
-        relay.link.heard(reply("i5"), 100.3)
-        assert relay.link.word()["along"] == {"acme": 3.0}
+        assert relay.link.share_report()["along"] == {}
+        relay.link.on_reply(reply("i5"), 100.3)
+        assert relay.link.share_report()["along"] == {"acme": 3.0}
         # Its answer is lost, and another one is found.
         await relay.clock.advance(2.0)
-        relay.link.heard(reply("i6"), 102.0)
-        assert relay.link.word()["along"] == {}
+        relay.link.on_reply(reply("i6"), 102.0)
+        assert relay.link.share_report()["along"] == {}
 
     async def test_not_before_its_time_where_who_has_it_gives_no_answer(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
-        relay.link.heard(reply("i5"), 100.2)
+        relay.link.on_reply(reply("i5"), 100.2)
         await relay.link._take_back()
-        relay.link.heard(reply("i5"), 100.4)
-        assert relay.link.word()["granter"] == "i0"
+        relay.link.on_reply(reply("i5"), 100.4)
+        assert relay.link.share_report()["granter"] == "i0"
         await relay.clock.advance(1.5)
-        relay.link.heard(reply("i5"), 101.4)
-        assert relay.link.word()["granter"] == "i5"
+        relay.link.on_reply(reply("i5"), 101.4)
+        assert relay.link.share_report()["granter"] == "i5"
--- a/tests/unit/relay/test_registry_store.py
+++ b/tests/unit/relay/test_registry_store.py
@@ -14,12 +14,12 @@
 )
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.share_registry import (
-    NO_NAMES,
-    SHARE_KEPT_S,
+    EMPTY_ROW,
+    SHARE_TTL_S,
     RegistryRow,
 )
 from tests.lib.clock import ManualClock
-from tests.lib.limits_cluster import limited
+from tests.lib.limits_cluster import limited_account
 from tests.lib.relay_fakes import MemoryStore
 
 AB = RegistryRow(2, frozenset("ab"))
@@ -77,7 +77,7 @@
     async def test_what_can_t_be_read_names_nobody(self, holder, value):
         await holder.store.put(SHARES_TABLE, "names", value)
         await holder.rows.read()
-        assert holder.granter.registry.row == NO_NAMES
+        assert holder.granter.registry.row == EMPTY_ROW
 
     async def test_what_one_wrote_the_next_reads(self, holder):
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
@@ -88,10 +88,10 @@
 class TestNames:
     async def test_the_first_are_written_when_no_other_came_for_a_while(self, holder):
         await holder.rows.read()
-        assert await holder.write() == NO_NAMES
+        assert await holder.write() == EMPTY_ROW
         await holder.clock.advance(2.0)
         holder.alive = {"a", "b", "c"}
-        assert await holder.write() == NO_NAMES
+        assert await holder.write() == EMPTY_ROW
         await holder.clock.advance(3.1)
         assert await holder.write() == RegistryRow(3, frozenset("abc"))
         assert holder.granter.registry.weight("a") == pytest.approx(1 / 3)
@@ -102,7 +102,7 @@
         holder.alive = {"a", "b", "c"}
         assert await holder.write() == RegistryRow(3, AB.names)
         assert holder.granter.registry.weight("c") == 0.0
-        await holder.pass_time(SHARE_KEPT_S - 1.0)
+        await holder.pass_time(SHARE_TTL_S - 1.0)
         assert (await holder.write()).names == AB.names
         await holder.pass_time(1.1)
         assert await holder.write() == RegistryRow(3, frozenset("abc"))
@@ -112,7 +112,7 @@
         await holder.rows.read()
         holder.alive = {"a"}
         await holder.pass_time(1.0)
-        await holder.pass_time(SHARE_KEPT_S - 1.0)
+        await holder.pass_time(SHARE_TTL_S - 1.0)
         assert (await holder.write()).names == AB.names
         await holder.pass_time(1.1)
         assert await holder.write() == RegistryRow(1, frozenset("a"))
@@ -121,7 +121,7 @@
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
         await holder.rows.read()
         holder.alive = {"new"}
-        await holder.pass_time(SHARE_KEPT_S * 3)
+        await holder.pass_time(SHARE_TTL_S * 3)
         assert (await holder.write()).names >= AB.names
         assert holder.granter.share(holder.clock.now()) == 0.0
 
@@ -136,7 +136,7 @@
 
     def grants(self, holder):
         try:
-            return holder.granter.grant(limited(60.0), 1.0).amount >= 1.0
+            return holder.granter.grant(limited_account(60.0), 1.0).amount >= 1.0
         except EbonydealError:
             return False
 
--- a/tests/unit/relay/test_retry_share.py
+++ b/tests/unit/relay/test_retry_share.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ebonydeal._internal.errors import ErrorKind
-from ebonydeal._internal.relay.shares import retry_share
+from ebonydeal._internal.relay.derived_settings import retry_share
 from ebonydeal._internal.routing.duties.coordinator_lease import LeaseRow
 from ebonydeal._internal.routing.retries.retries import Failure, Retry
 from ebonydeal._internal.settings.relay import RelaySettings
--- a/tests/unit/relay/test_shares_model.py
+++ b/tests/unit/relay/test_shares_model.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
-from tests.lib.limits_cluster import limited
+from tests.lib.limits_cluster import limited_account
 from tests.lib.shares_model import Model
 
 BOUNDS = QuotaBounds(4.0, 0.1, 0.0)
@@ -57,7 +57,7 @@
 
 def play_series(names, series, faults, pause):
     """Play one series of faults; what fails names it."""
-    model = warmed(names, limited(6.0), BOUNDS, 1.0)
+    model = warmed(names, limited_account(6.0), BOUNDS, 1.0)
     try:
         for fault in series:
             faults[fault](model)
@@ -109,14 +109,14 @@
 
     @pytest.mark.parametrize("seed", range(12))
     def test_requests_at_nine(self, seed):
-        self.play(9, limited(60.0), BOUNDS, 1.0, seed)
+        self.play(9, limited_account(60.0), BOUNDS, 1.0, seed)
 
     @pytest.mark.parametrize("seed", range(6))
     def test_tokens_at_nine(self, seed):
-        account = limited(120_000.0, in_tokens=True)
+        account = limited_account(120_000.0, in_tokens=True)
         self.play(9, account, TOKENS, 22_000.0, seed)
 
     @pytest.mark.parametrize(("relays", "seed"), [(68, 1), (87, 2), (87, 3), (195, 4)])
     def test_tokens_at_hundreds(self, relays, seed):
-        account = limited(512_150.0, in_tokens=True)
+        account = limited_account(512_150.0, in_tokens=True)
         self.play(relays, account, TOKENS, 9_000.0, seed, steps=15)
--- a/tests/unit/routing/limits/test_limits.py
+++ b/tests/unit/routing/limits/test_account_limits.py
@@ -3,6 +3,7 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.benchmarks.routing.limits_run import LimitRun, Story
+from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.routing.limits.demand import (
     Demand,
     DemandReport,
@@ -10,7 +11,6 @@
     fair_share,
     whole_shares,
 )
-from ebonydeal._internal.routing.limits.limits import AccountLimits
 from ebonydeal._internal.settings.routing import AdmissionSettings
 from tests.unit.routing.helpers import NOW, make_account
 
@@ -90,8 +90,8 @@
         limits = make_limits(concurrency=10)
         new = DemandReport("gw-2", 5, {"desk": Demand(0, 0, 90.0, 5.0)})
         old = DemandReport("gw-2", 4, {"desk": Demand(0, 0, 0.0, 0.0)})
-        limits.heard(new, NOW)
-        limits.heard(old, NOW)
+        limits.merge_report(new, NOW)
+        limits.merge_report(old, NOW)
         taken = [limits.take("desk", 1.0, NOW) for _ in range(6)]
         assert taken.count(None) < 5
 
@@ -100,8 +100,8 @@
             limits = make_limits(concurrency=10)
             limits.take("desk", 1.0, NOW)
             report = DemandReport("gw-2", 5, {"desk": Demand(0, 0, 1.0, 1.0)})
-            limits.heard(report, NOW)
-            limits.listed(listed)
+            limits.merge_report(report, NOW)
+            limits.set_listed_gateways(listed)
             taken = [limits.take("desk", 1.0, NOW + 6.0) for _ in range(10)]
             assert taken.count(None) == most - 1
 
@@ -126,5 +126,5 @@
         limits = make_limits(concurrency=10)
         for number in range(50):
             report = DemandReport(f"gw-{number + 2}", 1, {"desk": Demand(0, 0, 1, 1)})
-            limits.heard(report, NOW + 60.0 * number)
-        assert len(limits._heard) == 3
+            limits.merge_report(report, NOW + 60.0 * number)
+        assert len(limits._peer_reports) == 3
--- a/tests/unit/routing/limits/test_quota_bounds.py
+++ b/tests/unit/routing/limits/test_quota_bounds.py
@@ -4,7 +4,7 @@
 
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.settings.relay import RelaySettings
-from tests.lib.limits_cluster import limited
+from tests.lib.limits_cluster import limited_account
 
 
 class TestSum:
@@ -14,11 +14,11 @@
     @pytest.mark.parametrize(
         "account",
         [
-            limited(0.5),
-            limited(8.0),
-            limited(60.0, burst=6.0),
-            limited(512_150.0, in_tokens=True),
-            limited(36_000.0, burst=1e6, in_tokens=True),
+            limited_account(0.5),
+            limited_account(8.0),
+            limited_account(60.0, burst=6.0),
+            limited_account(512_150.0, in_tokens=True),
+            limited_account(36_000.0, burst=1e6, in_tokens=True),
         ],
     )
     def test_stays_within_what_is_tolerated(self, window, overshoot, slack, account):
@@ -27,11 +27,11 @@
     def test_with_the_settings_of_a_relay(self):
         cfg = RelaySettings()
         bounds = QuotaBounds(cfg.quota_window_s, cfg.quota_overshoot, cfg.quota_slack)
-        assert bounds.fits(limited(512_150.0, in_tokens=True))
+        assert bounds.fits(limited_account(512_150.0, in_tokens=True))
 
     def test_each_term_counts(self):
         bounds = QuotaBounds(8.0, 0.1, 140_000.0)
-        account = limited(512_150.0, in_tokens=True)
+        account = limited_account(512_150.0, in_tokens=True)
         names = [term.name for term in bounds.terms(account)]
         assert names == [
             "rate",
@@ -46,9 +46,9 @@
 
     def test_requests_have_no_slack_in_tokens(self):
         bounds = QuotaBounds(8.0, 0.1, 140_000.0)
-        assert bounds.tolerated(limited(60.0)) == pytest.approx(54.0)
+        assert bounds.tolerance(limited_account(60.0)) == pytest.approx(54.0)
 
     def test_without_tolerance_nothing_but_the_limit_remains(self):
-        bounds, account = QuotaBounds(8.0, 0.0, 0.0), limited(60.0)
+        bounds, account = QuotaBounds(8.0, 0.0, 0.0), limited_account(60.0)
         assert sum(term.amount for term in bounds.terms(account)) == 540.0
-        assert bounds.late_s(account) == 0.0
+        assert bounds.max_send_delay_s(account) == 0.0
--- a/tests/unit/routing/limits/test_quota_broker.py
+++ b/tests/unit/routing/limits/test_quota_broker.py
@@ -7,10 +7,10 @@
 from ebonydeal._internal.models.forwarding import ForwardAccount
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import (
-    ADVANCE_KEPT_S,
+    ADVANCE_TTL_S,
     Balances,
     QuotaBroker,
-    QuotaTerms,
+    QuotaPolicy,
 )
 from ebonydeal._internal.settings.policy import PolicySettings
 
@@ -19,12 +19,12 @@
 DEBT = BOUNDS.debt(ACCOUNT)
 
 # Each request must be saved up whole.
-SAVED = QuotaTerms(overdraft=0.0, small=0.0)
+SAVED = QuotaPolicy(overdraft=0.0, small=0.0)
 
 
 def allowed(account=ACCOUNT):
     """The most that may be admitted in any window, as the operator says."""
-    return BOUNDS.limit(account) + BOUNDS.tolerated(account)
+    return BOUNDS.limit(account) + BOUNDS.tolerance(account)
 
 
 def most_in_a_window(admitted):
@@ -59,7 +59,7 @@
         refused = broker.grant(ACCOUNT, 20_000.0, 1.0)
         assert refused.amount == 0.0
         assert refused.wait == pytest.approx(0.5)
-        assert refused.short == pytest.approx(20_000.0)
+        assert refused.shortfall == pytest.approx(20_000.0)
         assert broker.grant(ACCOUNT, 20_000.0, 1.001 + refused.wait).amount == 20_000.0
 
     def test_begins_with_the_debt_that_another_may_have_left(self):
@@ -85,7 +85,7 @@
         broker = full(SAVED)
         given = sum(broker.advance(ACCOUNT, 40_000.0, 0.0, 1.0) for _ in range(50))
         assert given == pytest.approx(BOUNDS.in_advance(ACCOUNT))
-        later = 1.0 + ADVANCE_KEPT_S * 0.99
+        later = 1.0 + ADVANCE_TTL_S * 0.99
         assert broker.grant(ACCOUNT, 40_000.0 - given + 1.0, later).amount == 0.0
         assert broker.grant(ACCOUNT, 40_000.0 - given - 1.0, later).amount > 0.0
 
@@ -137,7 +137,7 @@
         share.now = 1.0
         broker.refresh((ACCOUNT,), 1.0)
         got = broker.grant(ACCOUNT, 20_000.0, 1.0)
-        assert got.short == pytest.approx(DEBT / 2)
+        assert got.shortfall == pytest.approx(DEBT / 2)
 
     def test_a_part_that_may_lie_with_a_stand_in_is_left_out(self):
         broker = full(SAVED)
@@ -169,7 +169,7 @@
 
 class TestNearTheLimit:
     def broker(self, **terms):
-        broker = full(QuotaTerms(**terms))
+        broker = full(QuotaPolicy(**terms))
         broker.grant(ACCOUNT, ACCOUNT.burst - 1000.0, 1.0)
         return broker
 
@@ -203,8 +203,8 @@
 
     def test_terms_come_from_settings(self):
         cfg = PolicySettings(quota_overdraft=0.25, quota_small=0.0)
-        assert QuotaTerms.from_config(cfg).overdraft == 0.25
-        assert QuotaTerms.from_config(cfg).small == 0.0
+        assert QuotaPolicy.from_config(cfg).overdraft == 0.25
+        assert QuotaPolicy.from_config(cfg).small == 0.0
 
 
 class TestAllRelays:
--- a/tests/unit/routing/limits/test_startup.py
+++ b/tests/unit/routing/limits/test_startup_grant.py
@@ -1,16 +1,16 @@
 import pytest
 
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
-from ebonydeal._internal.routing.limits.startup import (
-    STARTUP_KEPT_S,
-    STARTUPS,
+from ebonydeal._internal.routing.limits.startup_grant import (
+    MAX_STARTUP_GRANTS,
+    STARTUP_GRANT_TTL_S,
     StartupGrant,
 )
-from tests.lib.limits_cluster import limited
+from tests.lib.limits_cluster import limited_account
 
 BOUNDS = QuotaBounds(8.0, 0.1, 0.0)
-ACCOUNT = limited(100.0)
-MOST = BOUNDS.startup(ACCOUNT) / STARTUPS
+ACCOUNT = limited_account(100.0)
+MOST = BOUNDS.startup(ACCOUNT) / MAX_STARTUP_GRANTS
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
         assert startup.take(ACCOUNT._replace(name="other"), 0.4 * MOST, 50.2)
 
     def test_lapses(self, startup):
-        assert not startup.take(ACCOUNT, 1.0, 50.0 + STARTUP_KEPT_S)
+        assert not startup.take(ACCOUNT, 1.0, 50.0 + STARTUP_GRANT_TTL_S)
 
     def test_is_there_once_it_lies_in_the_store(self):
         startup = StartupGrant(BOUNDS)
