--- a/src/ebonydeal/_internal/relay/limits/__init__.py
+++ b/src/ebonydeal/_internal/relay/limits/__init__.py
@@ -1,4 +1,4 @@
 """Limits of client accounts at relays: who grants from which share, and who asks whom.
 
-Load: accounts that ask for more than their limits at all relays, while relays are lost.
+Load: accounts that exceed their limits at all relays, while relays are lost.
 """
--- a/src/ebonydeal/_internal/relay/limits/client.py
+++ b/src/ebonydeal/_internal/relay/limits/client.py
@@ -1,8 +1,9 @@
-"""One relay's share of all limits, and whom it asks for amounts.
+"""One relay's share of all limits, and which granters it asks for amounts.
 
-It delegates its share to the coordinator, with its words. When that is lost, a stand-in
-that the coordinator named has something to grant at once, and gets the shares of relays
-as the coordinator's time for them ends; without one a relay grants from its own share.
+The relay delegates its share to the coordinator, with its reports. When the coordinator
+is lost, a standby that it named has amounts to grant at once, and gets the shares of
+relays as their delegations to the coordinator expire. Without a standby, a relay grants
+from its own share.
 """
 
 from collections.abc import Callable
@@ -36,19 +37,19 @@
 logger = get_logger("relay.limits")
 
 _STEP_S = 0.25
-_LEAST_STEP_S = 0.01
-_CALL_S = 0.25
-# Who gave no answer isn't asked again for so long: each request would wait for it.
-_AVOIDED_S = 0.6
-# When a relay that reaches nobody may reach somebody.
-_NOBODY_WAIT_S = 0.5
-# So long after its start a relay tells its words sooner, until it has a share.
-_NEW_S = 4.0
-# A stand-in that has nothing to spare isn't asked for it again for so long.
-_DRY_S = 1.0
-_LEAST_WAIT_S = 0.1
-# For so long a word of a coordinator holds that doesn't tell for how long.
-_BEFORE_SHARES_S = 2.0
+_MIN_STEP_S = 0.01
+_CALL_TIMEOUT_S = 0.25
+# A relay that didn't answer isn't asked again for this long: each request would wait.
+_AVOID_TIMEOUT_S = 0.6
+# Time to retry for a client whose relay reaches no granter.
+_UNREACHABLE_WAIT_S = 0.5
+# For this long after its start a relay without a share reports without waiting.
+_STARTUP_PERIOD_S = 4.0
+# A standby without spare amounts isn't asked for them again for this long.
+_NO_SPARE_WAIT_S = 1.0
+_MIN_RETRY_AFTER_S = 0.1
+# TTL of a reply from a coordinator of the previous release, which states none.
+_LEGACY_REPLY_TTL_S = 2.0
 
 
 class CoordinatorPort(Protocol):
@@ -56,42 +57,42 @@
 
     @property
     def coordinator_address(self) -> str | None:
-        """Where the coordinator is, as far as known."""
+        """The coordinator's address, None if unknown."""
 
     async def grant(self, account: str, amount: float) -> GrantReply:
-        """Ask for a part of a limit."""
+        """Request an amount of a limit."""
 
     async def permit(self, message: PermitMessage) -> PermitReply:
-        """Ask to send to an endpoint that named a limit."""
+        """Request to send to an endpoint with a limit."""
 
     def hasten(self) -> None:
-        """Tell the coordinator now."""
+        """Report to the coordinator now."""
 
 
 class RelayPlacement(NamedTuple):
-    """A relay's availability zone, and how far it stands back for larger instances."""
+    """A relay's availability zone, and how long it leaves a free lease to others."""
 
     zone: str = ""
     takeover_delay_s: float = 0.0
 
 
 class LimitsClient(Service):
-    """Delegates this relay's share, and asks for amounts.
+    """Delegates this relay's share, and requests amounts and permits.
 
     Parameters
     ----------
     granter : Granter
-        This relay's own grants.
+        This relay's own granter.
     client : PeerClient
         Calls to other relays.
     clock : Clock
         Time.
     node, incarnation : str
-        Who asks.
+        This relay.
     metrics : Metrics
-        Counts who granted.
+        Counts grants by who granted.
     placement : RelayPlacement
-        What others ask of a relay that is to stand in.
+        What the coordinator needs to know to choose standbys.
     """
 
     def __init__(
@@ -112,86 +113,89 @@
         self._incarnation = incarnation
         self._metrics = metrics
         self._placement = placement
-        self._up_since = clock.now()
+        self._started_at = clock.now()
         self._standbys: list[str] = []
-        self._avoided: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
         self._standby_granter = ""
-        # Who has this relay's share, and what came along when it was given back.
+        # The granter of this relay's share.
         self._granter_address = ""
-        self._along: dict[str, float] = {}
-        self._along_number = 0
-        self._along_for = ""
-        # Until when the coordinator's last word holds.
+        # Amounts that the last granter returned with the share, for the next one.
+        self._transfer: dict[str, float] = {}
+        self._transfer_number = 0
+        self._transfer_granter = ""
+        # Until when the coordinator's last reply is valid.
         self._coordinator_until = 0.0
-        # Until when a stand-in has this relay's share.
+        # Until when a standby has this relay's share.
         self._standby_until = 0.0
-        # By account, until when the stand-in isn't asked for what it can spare.
-        self._dry: dict[str, float] = {}
+        # By account, until when the standby isn't asked for spare amounts.
+        self._no_spare_until: dict[str, float] = {}
         # Amounts that were granted in advance.
         self.balances = Balances()
-        # Where others reach this relay.
+        # Returns the address at which others reach this relay.
         self.address: Callable[[], str] = str
         self.coordinator: CoordinatorPort | None = None
 
     @property
     def is_standby(self) -> bool:
-        """Whether this relay is the first to stand in for the coordinator."""
+        """Whether this relay is the coordinator's first standby."""
         return self._standbys[:1] == [self.address()]
 
     @property
     def has_coordinator(self) -> bool:
-        """Whether a holder of the lease answered lately."""
+        """Whether a lease holder answered recently."""
         return self._clock.now() < self._coordinator_until
 
     @property
     def is_delegated_to_standby(self) -> bool:
-        """Whether another relay has this one's share while the coordinator is lost."""
+        """Whether this relay's share is delegated to a standby."""
         now = self._clock.now()
-        promised = self._granter.own.promised(now)
-        return promised is not None and promised.granter == self._standby_granter
+        offer = self._granter.own_share.accepted_offer(now)
+        return offer is not None and offer.granter == self._standby_granter
 
-    # --- words ---------------------------------------------------------------
+    # --- reports -------------------------------------------------------------
     def share_report(self) -> ShareReport:
-        """Return what a granter is told of this relay's share."""
+        """Return the report of this relay's share, for a granter."""
         now = self._clock.now()
-        own, stand_in = self._granter.own, self._granter.standby_balances
-        promised = own.promised(now) or DelegationOffer("", 0.0, 0.0)
-        if self._along and promised.granter:
-            # One granter gets it: the next can't know whether the one before did.
-            self._along_for = self._along_for or promised.granter
-            if self._along_for != promised.granter:
-                self._along = {}
+        own, balances = self._granter.own_share, self._granter.standby_balances
+        offer = own.accepted_offer(now) or DelegationOffer("", 0.0, 0.0)
+        if self._transfer and offer.granter:
+            # Only one granter gets them: the next can't know whether this one did.
+            self._transfer_granter = self._transfer_granter or offer.granter
+            if self._transfer_granter != offer.granter:
+                self._transfer = {}
         return ShareReport(
-            # Who grants from it must not do so for longer than it is had.
-            weight=own.weight(now + promised.seconds),
-            granter=promised.granter,
-            until=promised.until,
-            seconds=promised.seconds,
+            # A granter must not use the share for longer than this relay has it.
+            weight=own.weight(now + offer.seconds),
+            granter=offer.granter,
+            until=offer.until,
+            seconds=offer.seconds,
             free=own.is_free(now),
-            up_s=round(now - self._up_since, 3),
+            up_s=round(now - self._started_at, 3),
             stand_in={
-                name: round(stand_in.left(name, now), 1) for name in stand_in.accounts()
+                name: round(balances.left(name, now), 1) for name in balances.accounts()
             },
             stands_back_s=self._placement.takeover_delay_s,
             zone=self._placement.zone,
-            along=self._along if promised.granter else {},
-            along_number=self._along_number,
+            along=self._transfer if offer.granter else {},
+            along_number=self._transfer_number,
         )
 
     def on_reply(self, reply: ShareReply | None, asked_at: float) -> None:
-        """Take the coordinator's answer to what was told at ``asked_at``."""
+        """Process the coordinator's reply to the report made at ``asked_at``."""
         if reply is None:
             return
         self._coordinator_until = asked_at + reply["seconds"]
         coordinator = self.coordinator
         address = "" if coordinator is None else coordinator.coordinator_address or ""
-        promised = self._granter.own.promised(asked_at)
-        if promised is not None and promised.granter == reply["granter"]:
-            # It has what came along, as it was told its own word.
-            self._along = {}
+        offer = self._granter.own_share.accepted_offer(asked_at)
+        if offer is not None and offer.granter == reply["granter"]:
+            # It has the transferred amounts, as the report contained its own offer.
+            self._transfer = {}
         self._delegate(reply, address)
         if reply["kept_s"] > 0.0:
-            self._granter.own.told(reply["weight"], asked_at + reply["kept_s"])
+            self._granter.own_share.set_weight(
+                reply["weight"], asked_at + reply["kept_s"]
+            )
         for name, amount in reply["grants"].items():
             self.balances.add(name, amount, asked_at)
         if reply["stand_ins"]:
@@ -202,32 +206,32 @@
                 self._granter.standby_balances.add(name, amount, asked_at)
 
     def on_legacy_reply(self, grants: dict[str, float], asked_at: float) -> None:
-        """Take the answer of a coordinator of the release before.
+        """Process the reply of a coordinator of the previous release.
 
-        It grants, but knows nothing of shares.
+        That one grants amounts, but doesn't know about shares.
         """
-        self._coordinator_until = asked_at + _BEFORE_SHARES_S
+        self._coordinator_until = asked_at + _LEGACY_REPLY_TTL_S
         for name, amount in grants.items():
             self.balances.add(name, amount, asked_at)
 
     def _delegate(self, reply: ShareReply, address: str) -> bool:
-        """Promise the share to who answered; return whether it must be told."""
+        """Accept the offer in a reply; return whether its granter must be notified."""
         now = self._clock.now()
         self._granter.refresh()
-        own = self._granter.own
-        before = own.promised(now)
-        word = DelegationOffer(reply["granter"], reply["until"], reply["seconds"])
-        taken = own.delegate(word, now)
-        if taken:
+        own = self._granter.own_share
+        previous = own.accepted_offer(now)
+        offer = DelegationOffer(reply["granter"], reply["until"], reply["seconds"])
+        accepted = own.delegate(offer, now)
+        if accepted:
             self._granter_address = address
-        new = taken and (before is None or before.granter != word.granter)
-        if new and self.coordinator is not None and self.has_coordinator:
+        is_new = accepted and (previous is None or previous.granter != offer.granter)
+        if is_new and self.coordinator is not None and self.has_coordinator:
             self.coordinator.hasten()
-        return new
+        return is_new
 
     @Service.task
     async def _keep_delegated(self) -> None:
-        """Delegate to a stand-in while the coordinator is lost."""
+        """Delegate to a standby while the coordinator is lost."""
         while not self.should_stop:
             await self._clock.sleep(self._step())
             self._granter.refresh()
@@ -235,7 +239,7 @@
             if coordinator is None:
                 continue
             if self.has_coordinator:
-                await self._take_back()
+                await self._reclaim_share()
                 if self._waits_for_share():
                     coordinator.hasten()
                 continue
@@ -244,63 +248,67 @@
                 await self._delegate_to_standby(address)
 
     def _step(self) -> float:
-        """Return the seconds until shares are looked after again.
+        """Return the seconds until the delegation is checked again.
 
-        The coordinator counts the share of one that has just started from when what
-        the process before promised to a stand-in is over.
+        The coordinator counts the share of a restarted relay only after the previous
+        process's delegation to a standby has expired.
         """
-        until = STANDBY_DELEGATION_S - (self._clock.now() - self._up_since)
-        return min(_STEP_S, until + _LEAST_STEP_S) if until > 0.0 else _STEP_S
+        until = STANDBY_DELEGATION_S - (self._clock.now() - self._started_at)
+        return min(_STEP_S, until + _MIN_STEP_S) if until > 0.0 else _STEP_S
 
-    async def _take_back(self) -> None:
-        """Take the share back from who had it before the coordinator was found."""
-        own, coordinator = self._granter.own, self.coordinator
-        promised = own.promised(self._clock.now())
+    async def _reclaim_share(self) -> None:
+        """Get the share back from its granter, now that the coordinator is found."""
+        own, coordinator = self._granter.own_share, self.coordinator
+        offer = own.accepted_offer(self._clock.now())
         address = self._granter_address
-        if promised is None or coordinator is None or not address:
+        if offer is None or coordinator is None or not address:
             return
         if address in (coordinator.coordinator_address, self.address()):
             return
         message = ReleaseMessage(node=self._node, incarnation=self._incarnation)
         try:
-            reply: Any = await self._client.call(address, RELEASE, message, _CALL_S)
+            reply: Any = await self._client.call(
+                address, RELEASE, message, _CALL_TIMEOUT_S
+            )
         except EbonydealError as exc:
-            # Its time ends by itself.
-            logger.info("Share not given back.", address=address, reason=str(exc))
+            # The delegation expires by itself.
+            logger.info(
+                "Granter didn't return share.", address=address, reason=str(exc)
+            )
             self._granter_address = ""
             return
-        own.released(promised)
-        self._along = reply["along"]
-        self._along_number += 1
-        self._along_for = ""
+        own.end_delegation(offer)
+        self._transfer = reply["along"]
+        self._transfer_number += 1
+        self._transfer_granter = ""
         self._standby_until = 0.0
 
     def _waits_for_share(self) -> bool:
-        """Return whether the coordinator is to count this relay's share soon.
+        """Return whether the coordinator should soon count this relay's share.
 
-        It was another's when the coordinator was heard first, or a process before this
-        one may have promised it.
+        The share was delegated to another granter at the coordinator's first reply, or
+        a previous process may have delegated it.
         """
         now = self._clock.now()
-        if self._granter.own.is_free(now):
+        if self._granter.own_share.is_free(now):
             return True
-        is_new = STANDBY_DELEGATION_S <= now - self._up_since < _NEW_S
-        return is_new and self._granter.own.weight(now) <= 0.0
+        is_new = STANDBY_DELEGATION_S <= now - self._started_at < _STARTUP_PERIOD_S
+        return is_new and self._granter.own_share.weight(now) <= 0.0
 
     def _standby_address(self) -> str | None:
-        """Return the stand-in to turn to, if one can be reached."""
+        """Return the address of the first standby that may be asked, if any."""
         now = self._clock.now()
         for address in self._standbys:
             if address == self.address():
                 return None
-            if self._is_due(address, now):
+            if self._may_ask(address, now):
                 return address
         return None
 
     async def _delegate_to_standby(self, address: str) -> None:
         """Delegate the share, or keep it delegated."""
-        own = self._granter.own
-        promised = own.promised(self._clock.now())
+        own = self._granter.own_share
+        offer = own.accepted_offer(self._clock.now())
         for _ in range(2):
             message = DelegateMessage(
                 node=self._node,
@@ -309,7 +317,7 @@
             )
             try:
                 reply: Any = await self._client.call(
-                    address, DELEGATE, message, _CALL_S
+                    address, DELEGATE, message, _CALL_TIMEOUT_S
                 )
             except EbonydealError:
                 self._avoid(address)
@@ -320,20 +328,20 @@
                 self._standby_until = self._clock.now() + reply["seconds"]
             if not is_new:
                 return
-            # It counts the share once it was told its own word.
-            if promised is None:
+            # The standby counts the share once it is reported with its own offer.
+            if offer is None:
                 logger.info("Share delegated to the stand-in.", address=address)
 
     def _avoid(self, address: str) -> None:
-        self._avoided[address] = self._clock.now() + _AVOIDED_S
+        self._avoided_until[address] = self._clock.now() + _AVOID_TIMEOUT_S
 
     # --- amounts -------------------------------------------------------------
     async def grant(self, account: ForwardAccount, amount: float) -> Grant:
-        """Ask for an amount; raises LIMIT_UNAVAILABLE where nobody is reached."""
+        """Request an amount; raises LIMIT_UNAVAILABLE if no granter is reached."""
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.has_coordinator and self._is_due("", now):
-            # Until its time is over, a stand-in has the shares of this side.
+        if coordinator is not None and self.has_coordinator and self._may_ask("", now):
+            # Until its delegations expire, a standby has the shares of this partition.
             if self._standby_until > now:
                 got = await self._ask_standby(account, amount, False)
                 if got is not None and got.amount >= amount:
@@ -341,14 +349,18 @@
             try:
                 got = _grant(await coordinator.grant(account.name, amount))
             except EbonydealError as exc:
-                logger.info("No grant.", account=account.name, reason=str(exc))
-                # One that answers may have shares with the next request.
+                logger.info(
+                    "Grant request failed.", account=account.name, reason=str(exc)
+                )
+                # A coordinator that answers may have shares at the next request.
                 if exc.kind is not ErrorKind.WRONG_OWNER:
                     self._avoid("")
             else:
                 if got.amount >= amount:
                     return self._counted(got, Event.ADMITTED_BY_GRANT)
-                return await self._ask_to_spare(coordinator, account, amount, got)
+                return await self._ask_standby_to_spare(
+                    coordinator, account, amount, got
+                )
         got = await self._ask_standby(account, amount, False)
         if got is not None:
             return got
@@ -356,28 +368,31 @@
             got = self._granter.grant(account, amount)
             return self._counted(got, Event.ADMITTED_ALONE)
         except EbonydealError:
-            wait = self._granter.own.free_in(self._clock.now()) or _NOBODY_WAIT_S
+            wait = (
+                self._granter.own_share.free_in(self._clock.now())
+                or _UNREACHABLE_WAIT_S
+            )
             raise EbonydealError(
                 ErrorKind.LIMIT_UNAVAILABLE,
-                f"nobody grants from the limit of {account.name}",
-                retry_after=max(_LEAST_WAIT_S, wait),
+                f"no granter of the limit of {account.name} is reachable",
+                retry_after=max(_MIN_RETRY_AFTER_S, wait),
             ) from None
 
-    async def _ask_to_spare(
+    async def _ask_standby_to_spare(
         self,
         coordinator: CoordinatorPort,
         account: ForwardAccount,
         amount: float,
         refused: Grant,
     ) -> Grant:
-        """Ask the stand-in for what the coordinator lacks and it has of the burst."""
+        """Request what the coordinator lacks from the standby's part of the burst."""
         now = self._clock.now()
         short = min(refused.shortfall, amount)
-        if short <= 0.0 or now < self._dry.get(account.name, now):
+        if short <= 0.0 or now < self._no_spare_until.get(account.name, now):
             return refused
         got = await self._ask_standby(account, short, True)
         if got is None or got.amount < short:
-            self._dry[account.name] = now + _DRY_S
+            self._no_spare_until[account.name] = now + _NO_SPARE_WAIT_S
             return refused
         if short >= amount:
             return got
@@ -386,7 +401,7 @@
         try:
             rest = _grant(await coordinator.grant(account.name, amount - short))
         except EbonydealError as exc:
-            logger.info("No grant.", account=account.name, reason=str(exc))
+            logger.info("Grant request failed.", account=account.name, reason=str(exc))
             return refused
         if rest.amount < amount - short:
             return refused
@@ -396,51 +411,55 @@
     async def _ask_standby(
         self, account: ForwardAccount, amount: float, spare: bool
     ) -> Grant | None:
-        """Return the stand-in's grant; None where there is none, or it has no share."""
+        """Return the standby's grant; None without a standby or if it has no share."""
         address = self._standby_address()
         if address is None:
             return None
         message = GrantMessage(account=account.name, amount=amount, spare=spare)
         try:
-            reply: Any = await self._client.call(address, GRANT, message, _CALL_S)
+            reply: Any = await self._client.call(
+                address, GRANT, message, _CALL_TIMEOUT_S
+            )
         except EbonydealError as exc:
-            logger.info("No grant.", account=account.name, reason=str(exc))
+            logger.info("Grant request failed.", account=account.name, reason=str(exc))
             if exc.kind is not ErrorKind.WRONG_OWNER:
                 self._avoid(address)
             return None
         return self._counted(_grant(reply), Event.ADMITTED_BY_STAND_IN)
 
     async def permit(self, report: LimitReport) -> PermitReply:
-        """Ask to send to an endpoint that named a limit.
+        """Request to send to an endpoint with a limit.
 
-        Raises WRONG_OWNER where nobody has a share to grant from.
+        Raises WRONG_OWNER if no relay that is reached has a share to grant from.
         """
         message = PermitMessage(report=report.encode())
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.has_coordinator and self._is_due("", now):
+        if coordinator is not None and self.has_coordinator and self._may_ask("", now):
             try:
                 return await coordinator.permit(message)
             except EbonydealError as exc:
-                self._no_permit("", exc)
+                self._note_permit_failure("", exc)
         address = self._standby_address()
         if address is not None:
             try:
-                reply: Any = await self._client.call(address, PERMIT, message, _CALL_S)
+                reply: Any = await self._client.call(
+                    address, PERMIT, message, _CALL_TIMEOUT_S
+                )
                 return reply
             except EbonydealError as exc:
-                self._no_permit(address, exc)
+                self._note_permit_failure(address, exc)
         return self._granter.permit(report)
 
-    def _no_permit(self, address: str, error: EbonydealError) -> None:
-        """Note who doesn't grant permits; empty for the coordinator."""
-        logger.info("No permit.", address=address, reason=str(error))
-        # Relays of the release before answer, and know none.
+    def _note_permit_failure(self, address: str, error: EbonydealError) -> None:
+        """Note a relay that doesn't grant permits; empty for the coordinator."""
+        logger.info("Permit request failed.", address=address, reason=str(error))
+        # Relays of the previous release answer, but don't know permits.
         if error.kind not in (ErrorKind.WRONG_OWNER, ErrorKind.NOT_FOUND):
             self._avoid(address)
 
-    def _is_due(self, address: str, now: float) -> bool:
-        return now >= self._avoided.get(address, now)
+    def _may_ask(self, address: str, now: float) -> bool:
+        return now >= self._avoided_until.get(address, now)
 
     def _counted(self, got: Grant, how: Event) -> Grant:
         if got.amount > 0.0:
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -1,8 +1,8 @@
-"""Grants from the shares that one relay has: its own, or others' as well.
+"""Grants from the shares that one relay holds: its own, or others' as well.
 
-Each relay is a granter. The holder of the lease has the shares of all that delegate
-theirs, and those that are over; a stand-in those of relays that have lost the holder;
-any other only its own, while it is delegated to nobody.
+Each relay is a granter. The lease holder has the shares that relays delegate to it, and
+those that have expired. A standby has the shares of relays that don't reach the lease
+holder. Any other relay has only its own share, unless that is delegated.
 """
 
 from collections.abc import Callable, Iterable
@@ -47,28 +47,28 @@
 )
 from ebonydeal._internal.utils.clock import Clock
 
-# For so long shares are delegated to a stand-in: they are soon back with a coordinator,
-# and with a relay that starts anew.
+# Shares are delegated to a standby for this long, so that a new coordinator, or a
+# restarted relay, gets them back soon.
 STANDBY_DELEGATION_S = 0.6
-# A stand-in that has nothing to spare isn't asked again for so long.
-_SPARE_WAIT_S = 1.0
-# Relays that stand in, one after the other: some may be lost with the holder.
+# A standby without spare amounts isn't asked for them again for this long.
+_NO_SPARE_WAIT_S = 1.0
+# Standbys, in order of preference: some may be lost together with the lease holder.
 _MAX_STANDBYS = 4
-# A holder with less than this of all shares needs what is kept for its start.
-_FEW_SHARES = 0.5
+# A lease holder with less than this fraction of all shares needs a startup grant.
+_MIN_HOLDER_SHARE = 0.5
 # The longest time for which a relay is told to ask for no permit, seconds.
-_MOST_TURN_S = 10.0
-# Cores of the smallest coordinator that is expected, whose relays speak seldomest.
-_LEAST_CORES = 0.5
+_MAX_PERMIT_WAIT_S = 10.0
+# Cores of the smallest expected coordinator, to which relays report least often.
+_MIN_COORDINATOR_CORES = 0.5
 
 
 def _rank(node: str) -> str:
-    """Return where a relay stands among its like: names in a row are often lost."""
+    """Return a pseudorandom rank: relays with consecutive names often fail together."""
     return xxh3_64_hexdigest(node.encode())
 
 
 class StandbyCandidate(NamedTuple):
-    """A relay that the holder has heard lately."""
+    """A relay that reported to the lease holder recently."""
 
     node: str
     address: str
@@ -81,14 +81,14 @@
 
     Parameters
     ----------
-    lease : DutyLease
-        The lease of the duties, which says who this relay is.
+    lease : CoordinatorLease
+        The coordinator's lease, which also identifies this relay.
     holds : callable
-        Returns whether this relay may act as holder now.
+        Returns whether this relay may act as lease holder now.
     clock : Clock
         Time.
-    bounds, terms : QuotaBounds, QuotaTerms
-        What limits tolerate; which requests go first near a limit.
+    bounds, policy : QuotaBounds, QuotaPolicy
+        How far limits may be exceeded; which requests are preferred near a limit.
     """
 
     def __init__(
@@ -97,37 +97,37 @@
         holds: Callable[[], bool],
         clock: Clock,
         bounds: QuotaBounds,
-        terms: QuotaPolicy | None = None,
+        policy: QuotaPolicy | None = None,
     ) -> None:
         self._lease = lease
         self._holds = holds
         self._clock = clock
         self.bounds = bounds
-        self.own = ShareLease()
+        self.own_share = ShareLease()
         self.delegations = Delegations(lease.incarnation)
         self.registry = ShareRegistry()
-        self.broker = QuotaBroker(bounds, terms, self._known_share)
-        # The share as it was worked out last, and for which moment: hundreds of
-        # relays' shares aren't added up anew for each account.
-        self._worked_out: tuple[float, float] | None = None
-        self.broker.lent_elsewhere = self._is_lent_elsewhere
-        # Limits that endpoints named, granted from the same shares.
+        self.broker = QuotaBroker(bounds, policy, self._current_share)
+        # The last computed share and its time, so that hundreds of relays' shares
+        # aren't summed again for each account.
+        self._cached_share: tuple[float, float] | None = None
+        self.broker.has_unknown_standby = self._has_unknown_standby
+        # Limits that endpoints announced, granted from the same shares.
         self.notices = EndpointNotices()
-        self.permits = QuotaBroker(ENDPOINT_BOUNDS, None, self._known_share)
+        self.permits = QuotaBroker(ENDPOINT_BOUNDS, None, self._current_share)
         # By process, when the relay that was told to wait longest may ask again.
-        self._turns: dict[Process, float] = {}
-        # What it has to grant as a new holder, before it has shares.
+        self._next_permit_at: dict[Process, float] = {}
+        # What this relay may grant as a new lease holder, before it has shares.
         self.startup = StartupGrant(bounds)
-        # What this relay has to grant as stand-in.
+        # What this relay may grant as standby.
         self.standby_balances = Balances(STANDBY_GRANT_TTL_S)
-        # Under which fencing number the registry was read, as only its holder decides.
+        # Fencing token under which the registry was read: only its holder may use it.
         self.registry_fence = 0
-        self._began = 0.0
+        self._began_at = 0.0
         self._standby_node = ""
         self._standby_until = 0.0
-        # By relay and process, the last amounts that came along with its share.
-        self._along: dict[str, tuple[str, int]] = {}
-        # Limits in force, and the shortest time between words: set by who knows them.
+        # By relay, its process and the number of the last transfer with its share.
+        self._last_transfer: dict[str, tuple[str, int]] = {}
+        # Limits in force, and the shortest time between reports: set by the owner.
         self.accounts: Callable[[], Iterable[ForwardAccount]] = tuple
         self.min_report_interval = 0.5
 
@@ -138,66 +138,68 @@
         return self._lease.is_mine and self.registry_fence == fence and self._holds()
 
     def on_registry_loaded(self) -> None:
-        """Note that the registry was read under a new fencing number."""
+        """Note that the registry was read under a new fencing token."""
         self._standby_node = ""
         self.registry_fence = self._lease.fence
-        # Nobody can have granted anything before the very first holder.
-        self.broker.first = self.registry_fence == 1 and not self.registry.row.names
-        self._began = self._clock.now()
-        if self.broker.first:
-            self._began -= STANDBY_GRANT_TTL_S
+        # No relay can have granted anything before the very first lease holder.
+        self.broker.starts_full = (
+            self.registry_fence == 1 and not self.registry.row.names
+        )
+        self._began_at = self._clock.now()
+        if self.broker.starts_full:
+            self._began_at -= STANDBY_GRANT_TTL_S
 
     def share(self, now: float) -> float:
-        """Return the part of all shares that are granted from here."""
+        """Return the fraction of all shares that this relay grants from."""
         if self.manages_shares:
-            return self.registry.granted_here(self.delegations.nodes(now), now)
-        return min(1.0, self.delegations.share(now) + self.own.own(now))
+            return self.registry.grantable_fraction(self.delegations.nodes(now), now)
+        return min(1.0, self.delegations.share(now) + self.own_share.own_weight(now))
 
-    def _known_share(self, now: float) -> float:
-        """Return the share as it was worked out for this moment."""
-        if self._worked_out is None or self._worked_out[0] != now:
-            self._worked_out = (now, self.share(now))
-        return self._worked_out[1]
+    def _current_share(self, now: float) -> float:
+        """Return the share, computed at most once for the same time."""
+        if self._cached_share is None or self._cached_share[0] != now:
+            self._cached_share = (now, self.share(now))
+        return self._cached_share[1]
 
     def refresh(self, now: float | None = None) -> None:
-        """Fill all accounts' buckets; before and after each change of shares."""
-        self._worked_out = None
+        """Fill all buckets; must be called before and after each change of shares."""
+        self._cached_share = None
         now = self._clock.now() if now is None else now
         self.broker.refresh(self.accounts(), now)
         limited = self.notices.active_limits(now)
         self.permits.refresh([limit_account(p, r) for p, r in limited.items()], now)
 
-    # --- words of relays -----------------------------------------------------
+    # --- reports of relays ---------------------------------------------------
     def handle_report(
         self,
         node: str,
         incarnation: str,
-        word: ShareReport,
+        report: ShareReport,
         seconds: float = STANDBY_DELEGATION_S,
     ) -> ShareReply:
-        """Take a relay's word; return on what it may delegate its share.
+        """Process a relay's report; return an offer to delegate its share here.
 
-        ``seconds`` is for how long it may.
+        ``seconds`` is the duration of the delegation.
         """
         now = self._clock.now()
         self.refresh(now)
-        before = self._known_share(now)
-        self._take_share(node, incarnation, word, now + seconds)
+        before = self._current_share(now)
+        self._count_share(node, incarnation, report, now + seconds)
         delegated = self.delegations.nodes(now)
         weight = 0.0
         if node in delegated:
-            self.registry.heard(node, now)
-            # Who has every relay's share knows that nobody else decides.
+            self.registry.record_delegation(node, now)
+            # A relay to which all shares are delegated knows that no other assigns any.
             if self.manages_shares or self._has_all(delegated):
                 weight = self.registry.weight(node)
         if self.share(now) != before:
             self.refresh(now)
-        self._put_along(node, incarnation, word, delegated)
-        given = self.delegations.word(seconds, now)
+        self._deposit_transfer(node, incarnation, report, delegated)
+        offer = self.delegations.offer(seconds, now)
         return ShareReply(
-            granter=given.granter,
-            until=given.until,
-            seconds=given.seconds,
+            granter=offer.granter,
+            until=offer.until,
+            seconds=offer.seconds,
             weight=weight,
             kept_s=SHARE_TTL_S if weight else 0.0,
             grants={},
@@ -205,44 +207,52 @@
             stand_in=None,
         )
 
-    def _take_share(
-        self, node: str, incarnation: str, word: ShareReport, until: float
+    def _count_share(
+        self, node: str, incarnation: str, report: ShareReport, until: float
     ) -> None:
-        """Count a relay's share, if it is delegated here or promised to nobody."""
+        """Count a relay's share if it is delegated to this relay or to none."""
         now = self._clock.now()
-        if word["weight"] > 0.0:
-            promised = DelegationOffer(word["granter"], word["until"], word["seconds"])
-            self.delegations.heard(node, incarnation, word["weight"], promised, now)
+        if report["weight"] > 0.0:
+            offer = DelegationOffer(
+                report["granter"], report["until"], report["seconds"]
+            )
+            self.delegations.add(node, incarnation, report["weight"], offer, now)
             return
-        self.delegations.forget_before(node, incarnation)
-        here = word["free"] or word["granter"] == self.delegations.granter
-        if self.manages_shares and here and word["up_s"] >= self._promise_before_s():
-            self.delegations.take(node, incarnation, until)
-
-    def _put_along(
-        self, node: str, incarnation: str, word: ShareReport, delegated: set[str]
+        self.delegations.drop_previous_process(node, incarnation)
+        here = report["free"] or report["granter"] == self.delegations.granter
+        if (
+            self.manages_shares
+            and here
+            and report["up_s"] >= self._previous_delegation_s()
+        ):
+            self.delegations.add_unassigned(node, incarnation, until)
+
+    def _deposit_transfer(
+        self, node: str, incarnation: str, report: ShareReport, delegated: set[str]
     ) -> None:
-        """Take what came along with a share, once."""
-        mark = (incarnation, word["along_number"])
-        if not word["along"] or node not in delegated:
+        """Deposit the amounts transferred with a share, once."""
+        transfer = (incarnation, report["along_number"])
+        if not report["along"] or node not in delegated:
             return
-        if self._along.get(node) == mark:
+        if self._last_transfer.get(node) == transfer:
             return
-        self._along = {n: m for n, m in self._along.items() if n in delegated}
-        self._along[node] = mark
+        self._last_transfer = {
+            n: t for n, t in self._last_transfer.items() if n in delegated
+        }
+        self._last_transfer[node] = transfer
         now = self._clock.now()
         for account in self.accounts():
-            amount = word["along"].get(account.name, 0.0)
+            amount = report["along"].get(account.name, 0.0)
             if amount > 0.0:
-                self.broker.put(account, amount, now)
+                self.broker.deposit(account, amount, now)
 
     def release(self, node: str, incarnation: str) -> dict[str, float]:
-        """Give a relay's share back, with its part of what is left to grant."""
+        """Release a relay's share; return its part of what is left, by account."""
         now = self._clock.now()
         self.refresh(now)
         weight = self.delegations.share_of(node, incarnation, now)
         along = {
-            account.name: self.broker.part(account, weight, now)
+            account.name: self.broker.withdraw_share(account, weight, now)
             for account in self.accounts()
             if account.rate > 0.0 and weight > 0.0
         }
@@ -250,71 +260,72 @@
         self.refresh(now)
         return along
 
-    def _promise_before_s(self) -> float:
-        """Return for how long the process before may have promised a relay's share."""
-        before = self._lease.previous_row
-        if before is None or before.holder in ("", self._lease.node):
-            # The holder before is gone for sure: only stand-ins had shares.
+    def _previous_delegation_s(self) -> float:
+        """Return how long a relay's previous process may have delegated its share."""
+        previous = self._lease.previous_row
+        if previous is None or previous.holder in ("", self._lease.node):
+            # The previous lease holder is certainly gone: only standbys had shares.
             return STANDBY_DELEGATION_S
         shares = max(self.registry.row.shares, 1)
-        pacing = ReportPacing.of(shares, self.min_report_interval, _LEAST_CORES)
+        pacing = ReportPacing.of(
+            shares, self.min_report_interval, _MIN_COORDINATOR_CORES
+        )
         return pacing.isolation_timeout
 
-    def _is_lent_elsewhere(self, now: float) -> bool:
-        """Return whether a stand-in may have what another holder gave it."""
-        return not self.manages_shares or now - self._began < STANDBY_GRANT_TTL_S
+    def _has_unknown_standby(self, now: float) -> bool:
+        """Return whether a standby may hold amounts from another lease holder."""
+        return not self.manages_shares or now - self._began_at < STANDBY_GRANT_TTL_S
 
     def _has_all(self, delegated: set[str]) -> bool:
         names = self.registry.row.names
         return bool(names) and self._lease.is_mine and names <= delegated
 
     def advances(self, demand: dict[str, list[float]]) -> dict[str, float]:
-        """Return what a relay gets in advance, by its demand and balance by account."""
+        """Return what a relay gets in advance, given demand and balance by account."""
         now = self._clock.now()
         grants = {}
         for account in self.accounts():
-            told = demand.get(account.name)
-            if told is None or account.rate <= 0.0:
+            reported = demand.get(account.name)
+            if reported is None or account.rate <= 0.0:
                 continue
-            amount = self.broker.advance(account, told[0], told[1], now)
+            amount = self.broker.advance(account, reported[0], reported[1], now)
             if amount > 0.0:
                 grants[account.name] = round(amount, 1)
         return grants
 
-    # --- stand-ins -----------------------------------------------------------
-    def standbys(self, peers: Iterable[StandbyCandidate]) -> list[StandbyCandidate]:
-        """Return who is to grant while there is no coordinator, best first."""
-        peers = list(peers)
+    # --- standbys ------------------------------------------------------------
+    def standbys(
+        self, candidates: Iterable[StandbyCandidate]
+    ) -> list[StandbyCandidate]:
+        """Return the relays that grant while there is no coordinator, best first."""
+        candidates = list(candidates)
         me = self._lease.node
-        zone = next((peer.zone for peer in peers if peer.node == me), "")
-        others = [peer for peer in peers if peer.node != me]
-        # Small instances last, and those that are lost with this one's zone.
-        others.sort(
-            key=lambda peer: (
-                peer.takeover_delay_s,
-                peer.zone == zone,
-                _rank(peer.node),
-            )
-        )
+        zone = next((c.zone for c in candidates if c.node == me), "")
+        others = [c for c in candidates if c.node != me]
+        # Small instances, and those in this relay's zone, which may be lost with it,
+        # come last.
+        others.sort(key=lambda c: (c.takeover_delay_s, c.zone == zone, _rank(c.node)))
         now = self._clock.now()
-        known = {peer.node for peer in others}
+        known = {c.node for c in others}
         if self._standby_node not in known and now >= self._standby_until:
             self._standby_node = others[0].node if others else ""
-        others.sort(key=lambda peer: peer.node != self._standby_node)
+        others.sort(key=lambda c: c.node != self._standby_node)
         return others[:_MAX_STANDBYS]
 
     def standby_grants(
-        self, node: str, has: dict[str, float]
+        self, node: str, balances: dict[str, float]
     ) -> dict[str, float] | None:
-        """Return what the stand-in gets beside what it has; None for all others."""
+        """Return what the standby gets beside its balances; None for other relays."""
         now = self._clock.now()
         if not self.manages_shares or node != self._standby_node:
             return None
-        if now - self._began < STANDBY_GRANT_TTL_S:
+        if now - self._began_at < STANDBY_GRANT_TTL_S:
             return None
         self._standby_until = now + STANDBY_GRANT_TTL_S
         amounts = {
-            account.name: self.broker.stand_by(account, has.get(account.name, 0.0), now)
+            account.name: self.broker.grant_standby(
+                account, balances.get(account.name, 0.0), now
+            )
             for account in self.accounts()
             if account.rate > 0.0
         }
@@ -322,78 +333,82 @@
 
     # --- grants --------------------------------------------------------------
     def grant(self, account: ForwardAccount, need: float, spare: bool = False) -> Grant:
-        """Grant an amount, or say when it may be there.
+        """Grant an amount, or say when to ask again.
 
-        With ``spare``, as stand-in while the coordinator has none left, only of what
-        is a part of the burst. Raises WRONG_OWNER where this relay has nothing to
-        grant from.
+        With ``spare``, this relay is the standby of a coordinator that has nothing
+        left, and grants only from its part of the burst. Raises WRONG_OWNER if this
+        relay has nothing to grant from.
         """
         now = self._clock.now()
-        self._worked_out = None
+        self._cached_share = None
         if spare:
-            kept = self.bounds.standby(account)
-            if self.standby_balances.left(account.name, now) - need < kept:
-                return Grant(0.0, _SPARE_WAIT_S)
+            reserved = self.bounds.standby(account)
+            if self.standby_balances.left(account.name, now) - need < reserved:
+                return Grant(0.0, _NO_SPARE_WAIT_S)
         else:
             got = self.broker.grant(account, need, now)
             if got.amount >= need:
                 return got
-        if not spare and self._holds() and self._take_startup(account, need, now):
+        if not spare and self._holds() and self._grant_at_startup(account, need, now):
             return Grant(need, 0.0)
         if self.standby_balances.take(account.name, need, now):
             return Grant(need, 0.0)
         if spare:
-            return Grant(0.0, _SPARE_WAIT_S)
-        if self._known_share(now) <= 0.0:
+            return Grant(0.0, _NO_SPARE_WAIT_S)
+        if self._current_share(now) <= 0.0:
             raise EbonydealError(ErrorKind.WRONG_OWNER, "no share to grant from")
         return got
 
-    def _take_startup(self, account: ForwardAccount, need: float, now: float) -> bool:
-        """Grant of what is kept for a new holder."""
+    def _grant_at_startup(
+        self, account: ForwardAccount, need: float, now: float
+    ) -> bool:
+        """Grant from what is reserved for a new lease holder; return whether it did."""
         if self.startup.take(account, need, now):
             return True
         self.request_startup_grant()
         return False
 
     def request_startup_grant(self) -> None:
-        """Begin what is kept for a new holder, where it lacks shares."""
+        """Request a startup grant if this relay has few shares."""
         now = self._clock.now()
-        if self._known_share(now) < _FEW_SHARES and self.startup.want():
+        if self._current_share(now) < _MIN_HOLDER_SHARE and self.startup.request():
             self._lease.renew_soon(now)
 
     def permit(self, report: LimitReport) -> PermitReply:
-        """Grant one request to an endpoint that named a limit, or say when to ask.
+        """Grant one request to an endpoint with a limit, or say when to ask again.
 
-        Raises WRONG_OWNER where this relay has nothing to grant from.
+        Raises WRONG_OWNER if this relay has nothing to grant from.
         """
         now = self._clock.now()
         self.notices.merge_limit(report, now)
         process = report.process
         known = self.notices.limit_report(process, now)
-        told = None if known is None else known.encode()
+        encoded = None if known is None else known.encode()
         limit = self.notices.limit(process, now)
         if limit is None:
-            return PermitReply(granted=False, wait=0.0, report=told)
-        self._worked_out = None
+            return PermitReply(granted=False, wait=0.0, report=encoded)
+        self._cached_share = None
         account = limit_account(process, limit)
         got = self.permits.grant(account, 1.0, now)
         if got.amount >= 1.0:
-            return PermitReply(granted=True, wait=0.0, report=told)
-        if self._known_share(now) <= 0.0:
+            return PermitReply(granted=True, wait=0.0, report=encoded)
+        if self._current_share(now) <= 0.0:
             raise EbonydealError(ErrorKind.WRONG_OWNER, "no share to grant from")
-        turn = self._turn(account, process, now, got.wait or _MOST_TURN_S)
-        return PermitReply(granted=False, wait=turn, report=told)
+        wait = self._permit_wait(account, process, now, got.wait or _MAX_PERMIT_WAIT_S)
+        return PermitReply(granted=False, wait=wait, report=encoded)
 
-    def _turn(
+    def _permit_wait(
         self, account: ForwardAccount, process: Process, now: float, wait: float
     ) -> float:
-        """Return when a relay may ask again, seconds: one after the other.
+        """Return the seconds until a relay may ask again, spaced between relays.
 
-        Hundreds of relays would ask for each request of a small limit.
+        Otherwise hundreds of relays would ask for each request of a small limit.
         """
-        rate = account.rate * self._known_share(now)
-        last = self._turns.get(process, now)
-        turn = min(max(now + wait, last + 1.0 / rate), now + _MOST_TURN_S)
-        self._turns = {p: at for p, at in self._turns.items() if at > now}
-        self._turns[process] = turn
-        return turn - now
+        rate = account.rate * self._current_share(now)
+        last = self._next_permit_at.get(process, now)
+        next_at = min(max(now + wait, last + 1.0 / rate), now + _MAX_PERMIT_WAIT_S)
+        self._next_permit_at = {
+            p: at for p, at in self._next_permit_at.items() if at > now
+        }
+        self._next_permit_at[process] = next_at
+        return next_at - now
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -78,31 +78,31 @@
 
     def _startup_changes(self) -> list[RowChange]:
         startup = self._granter.startup
-        if not startup.wanted:
+        if not startup.is_requested:
             return []
         self._writing_startup = True
-        begun = startup.writes(self._clock.now(), self._store.ahead)
+        begun = startup.begin_write(self._clock.now(), self._store.ahead)
         return [RowChange(SHARES_TABLE, _STARTUP_KEY, json.dumps(begun).encode())]
 
     def _names_changes(self) -> list[RowChange]:
-        wanted = self._registry.wanted(self._alive(), self._clock.now())
+        wanted = self._registry.next_row(self._alive(), self._clock.now())
         if wanted == self._registry.row:
             return []
-        self._registry.writes(wanted)
+        self._registry.begin_write(wanted)
         self._writing = True
         return [RowChange(SHARES_TABLE, _KEY, wanted.encode())]
 
     def wrote(self) -> None:
         """Note that the last changes lie in the store."""
         if self._writing_startup:
-            self._granter.startup.wrote()
+            self._granter.startup.confirm_write()
             logger.info("Granting before shares are there.", fence=self._lease.fence)
         if self._writing:
             self._granter.refresh()
-            self._registry.wrote(self._clock.now())
+            self._registry.confirm_write(self._clock.now())
             self._granter.refresh()
             # From now on relays may have granted before an account is known here.
-            self._granter.broker.first = False
+            self._granter.broker.starts_full = False
             row = self._registry.row
             logger.info("Shares written.", shares=row.shares, names=len(row.names))
 
--- a/src/ebonydeal/_internal/routing/admission/__init__.py
+++ b/src/ebonydeal/_internal/routing/admission/__init__.py
@@ -1,5 +1,5 @@
-"""Whether a request starts now, waits, or is refused with the time to repeat.
+"""Whether a request starts now, waits, or is refused with a time to retry.
 
-Load: more requests than endpoints can serve in time. Called for each request before
-its first send, by the gateway and by the relay; touches its own queues only.
+Load: more requests than endpoints can serve in time. Called for each request before it
+is first sent, by the gateway and by the relay; works on its own queues only.
 """
--- a/src/ebonydeal/_internal/routing/admission/admission.py
+++ b/src/ebonydeal/_internal/routing/admission/admission.py
@@ -1,8 +1,8 @@
-"""Whether a request starts now, waits, or is refused with the time to repeat.
+"""Whether a request starts now, waits, or is refused with a time to retry.
 
 A request is refused as soon as it is known that it can't start in time: when it
 is offered, when capacity falls, or when its latest start passes. Each refusal
-says when a repeat is worth while; none is held back.
+says when a retry makes sense, and none is delayed.
 """
 
 from collections.abc import Mapping
@@ -13,23 +13,23 @@
 from ebonydeal._internal.errors import ErrorKind
 from ebonydeal._internal.models.document import Account
 from ebonydeal._internal.models.requests import Priority
-from ebonydeal._internal.routing.admission.queues import FairQueue, Waiting
+from ebonydeal._internal.routing.admission.queues import FairQueue, QueuedRequest
 from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.settings.routing import AdmissionSettings
 
-_FIRST_RUN_S = 2.0
-_LEARN = 0.05
-_RETRY_MIN = 0.5
-_RETRY_MAX = 120.0
-_JITTER = 1.3
-_NO_CAPACITY_WAIT = 2.0
+_INITIAL_RUN_S = 2.0
+_RUN_TIME_WEIGHT = 0.05
+_MIN_RETRY_AFTER_S = 0.5
+_MAX_RETRY_AFTER_S = 120.0
+_MAX_JITTER = 1.3
+_NO_CAPACITY_WAIT_S = 2.0
 
 
 class AdmissionRequest(NamedTuple):
-    """What admission needs to know of a request.
+    """What admission needs to know about a request.
 
-    ``tokens`` is prompt and expected output; ``deadline`` wall clock seconds,
-    0.0 for none; ``least_s`` the least time from start to a useful answer.
+    ``tokens`` is prompt and expected output; ``deadline`` is in wall clock seconds,
+    0.0 for none; ``min_run_s`` is the least time from start to a useful answer.
     """
 
     request_id: str
@@ -38,7 +38,7 @@
     priority: Priority
     tokens: float
     deadline: float = 0.0
-    least_s: float = 0.0
+    min_run_s: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """Queued; `Admission.next_ready` will name it. ``expected_s`` from now."""
+    """Queued until `Admission.next_ready` returns it; ``expected_s`` from now."""
 
     request_id: str
     expected_s: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Not run; answer at once. ``retry_after`` in seconds is meant."""
+    """Not run; answer at once. ``retry_after`` is in seconds."""
 
     request_id: str
     kind: ErrorKind
@@ -66,31 +66,31 @@
     why: str
 
 
-class _Running(NamedTuple):
+class _Offered(NamedTuple):
     """An offered request that is waiting or running."""
 
-    ask: AdmissionRequest
+    request: AdmissionRequest
     started_at: float | None
 
 
-class _Lane:
-    """One deployment: its capacity, what runs and what waits."""
+class _DeploymentState:
+    """One deployment: its capacity, and its running and waiting requests."""
 
     def __init__(self) -> None:
         self.capacity = 0
         self.running = 0
-        self.run_s = _FIRST_RUN_S
+        self.mean_run_s = _INITIAL_RUN_S
         self.queue = FairQueue()
 
     def wait_for(self, ahead: int) -> float:
         """Return the expected wait behind ``ahead`` queued requests, seconds."""
         if self.capacity <= 0:
-            return _NO_CAPACITY_WAIT + (ahead + 1) * self.run_s
-        return (ahead + 1) * self.run_s / self.capacity
+            return _NO_CAPACITY_WAIT_S + (ahead + 1) * self.mean_run_s
+        return (ahead + 1) * self.mean_run_s / self.capacity
 
-    def ran(self, seconds: float) -> None:
-        """Learn the run time from one that ended."""
-        self.run_s += _LEARN * (max(0.001, seconds) - self.run_s)
+    def record_run(self, seconds: float) -> None:
+        """Update the mean run time with a request that ended."""
+        self.mean_run_s += _RUN_TIME_WEIGHT * (max(0.001, seconds) - self.mean_run_s)
 
 
 class Admission:
@@ -102,11 +102,11 @@
     Parameters
     ----------
     cfg : AdmissionSettings
-        Queue bounds.
+        Bounds of the queues.
     limits : AccountLimits
         Limits of client accounts.
     rng : random.Random
-        Spreads the times to repeat.
+        Adds jitter to retry times.
     """
 
     def __init__(
@@ -115,164 +115,183 @@
         self._cfg = cfg
         self.limits = limits
         self._rng = rng
-        self._lanes: dict[str, _Lane] = {}
-        self._offered: dict[str, _Running] = {}
+        self._states: dict[str, _DeploymentState] = {}
+        self._offered: dict[str, _Offered] = {}
         self._pending: list[Refuse] = []
 
     @classmethod
     def from_config(
         cls, cfg: AdmissionSettings, gateway: str, rng: Random
     ) -> "Admission":
-        """Build with limits of its own."""
+        """Build with its own limits."""
         return cls(cfg, AccountLimits.from_config(cfg, gateway), rng)
 
     def configure(self, accounts: Mapping[str, Account]) -> None:
-        """Take the client accounts of a newly accepted document."""
+        """Apply the client accounts of a newly accepted document."""
         self.limits.configure(accounts)
 
     def set_capacity(self, deployment: str, slots: int, now: float) -> None:
         """Set how many requests of a deployment this gateway may run at once."""
-        lane = self._lane(deployment)
-        fell = slots < lane.capacity
-        lane.capacity = max(0, slots)
+        state = self._state_of(deployment)
+        fell = slots < state.capacity
+        state.capacity = max(0, slots)
         if fell:
-            self._refuse_late(lane, now)
+            self._refuse_late(state, now)
 
-    def offer(self, ask: AdmissionRequest, now: float) -> Admit | Wait | Refuse:
+    def offer(self, request: AdmissionRequest, now: float) -> Admit | Wait | Refuse:
         """Decide about a new request."""
-        if ask.request_id in self._offered:
-            raise ValueError(f"request {ask.request_id} was offered already")
-        over = self.limits.take(ask.account, ask.tokens, now)
+        if request.request_id in self._offered:
+            raise ValueError(f"request {request.request_id} was already offered")
+        over = self.limits.take(request.account, request.tokens, now)
         if over is not None:
             why = f"client account limit {over.limit}"
-            wait = self._spread(over.retry_after)
-            return Refuse(ask.request_id, ErrorKind.RATE_LIMITED, wait, why)
-        lane = self._lane(ask.deployment)
-        if lane.running < lane.capacity and not len(lane.queue):
-            return self._start(ask, lane, now)
-        return self._enqueue(ask, lane, now)
+            wait = self._jittered(over.retry_after)
+            return Refuse(request.request_id, ErrorKind.RATE_LIMITED, wait, why)
+        state = self._state_of(request.deployment)
+        if state.running < state.capacity and not len(state.queue):
+            return self._start(request, state, now)
+        return self._enqueue(request, state, now)
 
     def release(self, request_id: str, used_tokens: float, now: float) -> None:
-        """End an admitted request; ``used_tokens`` is what it really took."""
+        """End an admitted request that used ``used_tokens``."""
         entry = self._offered.pop(request_id, None)
         if entry is None:
             return
-        lane = self._lane(entry.ask.deployment)
+        state = self._state_of(entry.request.deployment)
         if entry.started_at is None:
-            lane.queue.remove(request_id)
-            self.limits.undo(entry.ask.account, entry.ask.tokens, now)
+            state.queue.remove(request_id)
+            self.limits.undo(entry.request.account, entry.request.tokens, now)
             return
-        lane.running -= 1
-        lane.ran(now - entry.started_at)
-        self.limits.settle(entry.ask.account, entry.ask.tokens, used_tokens, now)
+        state.running -= 1
+        state.record_run(now - entry.started_at)
+        self.limits.settle(
+            entry.request.account, entry.request.tokens, used_tokens, now
+        )
 
     def cancel(self, request_id: str, now: float) -> None:
-        """Take out a request whose caller left; same as a release of nothing."""
+        """Remove a request whose caller left; same as a release with no tokens."""
         self.release(request_id, 0.0, now)
 
     def next_ready(self, now: float) -> list[Admit | Refuse]:
-        """Return all that start now, and all waiting ones now given up on."""
-        for lane in self._lanes.values():
-            self._expire(lane, now)
+        """Return the requests that start now and the waiting ones now refused."""
+        for state in self._states.values():
+            self._refuse_expired(state, now)
         ready: list[Admit | Refuse] = list(self._pending)
         self._pending.clear()
-        for lane in self._lanes.values():
-            while lane.running < lane.capacity and len(lane.queue):
-                item = lane.queue.pop()
+        for state in self._states.values():
+            while state.running < state.capacity and len(state.queue):
+                item = state.queue.pop()
                 assert item is not None
-                ready.append(self._start(self._offered[item.request_id].ask, lane, now))
+                ready.append(
+                    self._start(self._offered[item.request_id].request, state, now)
+                )
         return ready
 
     def wake_at(self) -> float | None:
-        """Return when `next_ready` must be called next without other cause."""
-        times = [lane.queue.next_expiry() for lane in self._lanes.values()]
+        """Return when `next_ready` must be called even if nothing else happens."""
+        times = [state.queue.next_expiry() for state in self._states.values()]
         return min((time for time in times if time is not None), default=None)
 
     def waiting(self, deployment: str) -> int:
         """Return how many requests of a deployment wait."""
-        return len(self._lane(deployment).queue)
+        return len(self._state_of(deployment).queue)
 
     def running(self, deployment: str) -> int:
         """Return how many requests of a deployment run."""
-        return self._lane(deployment).running
-
-    # --- parts -------------------------------------------------------------------
-    def _lane(self, deployment: str) -> _Lane:
-        if deployment not in self._lanes:
-            self._lanes[deployment] = _Lane()
-        return self._lanes[deployment]
-
-    def _start(self, ask: AdmissionRequest, lane: _Lane, now: float) -> Admit:
-        lane.running += 1
-        self._offered[ask.request_id] = _Running(ask, now)
-        return Admit(ask.request_id)
-
-    def _longest_wait(self, ask: AdmissionRequest, now: float) -> float:
+        return self._state_of(deployment).running
+
+    # --- internals ---------------------------------------------------------------
+    def _state_of(self, deployment: str) -> _DeploymentState:
+        if deployment not in self._states:
+            self._states[deployment] = _DeploymentState()
+        return self._states[deployment]
+
+    def _start(
+        self, request: AdmissionRequest, state: _DeploymentState, now: float
+    ) -> Admit:
+        state.running += 1
+        self._offered[request.request_id] = _Offered(request, now)
+        return Admit(request.request_id)
+
+    def _max_wait(self, request: AdmissionRequest, now: float) -> float:
         """Return how long a request may wait, seconds."""
-        if not ask.deadline:
+        if not request.deadline:
             return self._cfg.longest_wait
-        return min(self._cfg.longest_wait, ask.deadline - now - ask.least_s)
+        return min(self._cfg.longest_wait, request.deadline - now - request.min_run_s)
 
-    def _enqueue(self, ask: AdmissionRequest, lane: _Lane, now: float) -> Wait | Refuse:
+    def _enqueue(
+        self, request: AdmissionRequest, state: _DeploymentState, now: float
+    ) -> Wait | Refuse:
         """Queue a request, unless it can't start in time."""
-        allowed = self._longest_wait(ask, now)
-        expected = lane.wait_for(lane.queue.ahead(ask.account, ask.priority))
+        allowed = self._max_wait(request, now)
+        expected = state.wait_for(state.queue.ahead(request.account, request.priority))
         if expected > allowed:
             why = f"would start in {expected:.1f} s, but has {max(0.0, allowed):.1f} s"
-            return self._turn_away(ask, expected - max(0.0, allowed), why, now)
-        if len(lane.queue) >= self._cfg.queue:
-            victim = lane.queue.victim(ask.account, ask.priority)
+            return self._reject(request, expected - max(0.0, allowed), why, now)
+        if len(state.queue) >= self._cfg.queue:
+            victim = state.queue.victim(request.account, request.priority)
             if victim is None:
-                return self._turn_away(ask, expected, "the queue is full", now)
-            self._shed(lane, victim, now)
-        lane.queue.push(
-            ask.request_id, ask.account, ask.priority, ask.tokens, now + allowed
+                return self._reject(request, expected, "the queue is full", now)
+            self._shed(state, victim, now)
+        state.queue.push(
+            request.request_id,
+            request.account,
+            request.priority,
+            request.tokens,
+            now + allowed,
         )
-        self._offered[ask.request_id] = _Running(ask, None)
-        return Wait(ask.request_id, expected)
+        self._offered[request.request_id] = _Offered(request, None)
+        return Wait(request.request_id, expected)
 
-    def _turn_away(
-        self, ask: AdmissionRequest, wait: float, why: str, now: float
+    def _reject(
+        self, request: AdmissionRequest, wait: float, why: str, now: float
     ) -> Refuse:
-        """Refuse an offered request; it gets its share of limits back."""
-        self.limits.undo(ask.account, ask.tokens, now)
-        return Refuse(ask.request_id, ErrorKind.QUEUE_FULL, self._spread(wait), why)
+        """Refuse an offered request and release its reserved limits."""
+        self.limits.undo(request.account, request.tokens, now)
+        return Refuse(
+            request.request_id, ErrorKind.QUEUE_FULL, self._jittered(wait), why
+        )
 
-    def _drop(
-        self, lane: _Lane, item: Waiting, kind: ErrorKind, why: str, now: float
+    def _refuse_waiting(
+        self,
+        state: _DeploymentState,
+        item: QueuedRequest,
+        kind: ErrorKind,
+        why: str,
+        now: float,
     ) -> None:
         """Refuse a waiting request with the next `next_ready`."""
-        lane.queue.remove(item.request_id)
-        ask = self._offered.pop(item.request_id).ask
-        self.limits.undo(ask.account, ask.tokens, now)
-        wait = self._spread(lane.wait_for(len(lane.queue)))
+        state.queue.remove(item.request_id)
+        request = self._offered.pop(item.request_id).request
+        self.limits.undo(request.account, request.tokens, now)
+        wait = self._jittered(state.wait_for(len(state.queue)))
         self._pending.append(Refuse(item.request_id, kind, wait, why))
 
-    def _shed(self, lane: _Lane, victim: Waiting, now: float) -> None:
-        why = "gave way to a request that goes first"
-        self._drop(lane, victim, ErrorKind.SHED, why, now)
+    def _shed(self, state: _DeploymentState, victim: QueuedRequest, now: float) -> None:
+        why = "evicted from the queue by a request that has precedence"
+        self._refuse_waiting(state, victim, ErrorKind.SHED, why, now)
 
-    def _expire(self, lane: _Lane, now: float) -> None:
-        """Refuse all whose latest start has passed."""
-        first = lane.queue.next_expiry()
+    def _refuse_expired(self, state: _DeploymentState, now: float) -> None:
+        """Refuse the requests whose latest start has passed."""
+        first = state.queue.next_expiry()
         if first is None or first > now:
             return
-        for item in lane.queue.in_order():
+        for item in state.queue.in_order():
             if item.latest_start <= now:
                 why = "could not start before its deadline"
-                self._drop(lane, item, ErrorKind.QUEUE_FULL, why, now)
+                self._refuse_waiting(state, item, ErrorKind.QUEUE_FULL, why, now)
 
-    def _refuse_late(self, lane: _Lane, now: float) -> None:
-        """Refuse all that can't start in time with what capacity is left."""
+    def _refuse_late(self, state: _DeploymentState, now: float) -> None:
+        """Refuse the requests that can't start in time with the remaining capacity."""
         ahead = 0
-        for item in lane.queue.in_order():
-            if now + lane.wait_for(ahead) > item.latest_start:
+        for item in state.queue.in_order():
+            if now + state.wait_for(ahead) > item.latest_start:
                 why = "capacity fell; it could not start before its deadline"
-                self._drop(lane, item, ErrorKind.QUEUE_FULL, why, now)
+                self._refuse_waiting(state, item, ErrorKind.QUEUE_FULL, why, now)
             else:
                 ahead += 1
 
-    def _spread(self, wait: float) -> float:
-        """Bound a time to repeat, and spread the callers that get it."""
-        bounded = min(_RETRY_MAX, max(_RETRY_MIN, wait))
-        return bounded * self._rng.uniform(1.0, _JITTER)
+    def _jittered(self, wait: float) -> float:
+        """Bound a retry time and add jitter, so that callers don't retry together."""
+        bounded = min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, wait))
+        return bounded * self._rng.uniform(1.0, _MAX_JITTER)
--- a/src/ebonydeal/_internal/routing/admission/queues.py
+++ b/src/ebonydeal/_internal/routing/admission/queues.py
@@ -1,9 +1,9 @@
 """The waiting requests of one deployment: by class, fair between accounts.
 
 Within a class, start-time fair queueing: an account's next request is tagged
-where its last one ended in virtual time, so accounts that wait get equal
-shares of tokens whatever they pile up. Higher classes go first, but every
-``_LOWER_TURN``-th start goes to the lowest class that waits.
+with the virtual time at which its last one ended, so waiting accounts get equal
+shares of tokens however many requests they queue. Higher classes go first, but every
+``_LOWEST_CLASS_INTERVAL``-th start goes to the lowest class that waits.
 """
 
 from bisect import bisect_left, insort
@@ -12,14 +12,15 @@
 
 from ebonydeal._internal.models.requests import Priority
 
-_LOWER_TURN = 16
-_MOST_STALE = 8
+_LOWEST_CLASS_INTERVAL = 16
+# Entries of ended requests in the expiry heap, per waiting request.
+_MAX_STALE_RATIO = 8
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request in the queue; ordered by ``tag``, then by arrival.
 
-    ``latest_start`` is the wall clock second after which a start is too late.
+    ``latest_start`` is the wall clock time after which a start is too late, seconds.
     """
 
     tag: float
@@ -34,20 +35,20 @@
     """One priority class."""
 
     def __init__(self) -> None:
-        self.items: list[Waiting] = []
-        self.virtual = 0.0
-        self.ends: dict[str, float] = {}
+        self.items: list[QueuedRequest] = []
+        self.virtual_time = 0.0
+        self.end_tags: dict[str, float] = {}
 
     def tag(self, account: str) -> float:
         """Return the tag of an account's next request."""
-        return max(self.virtual, self.ends.get(account, 0.0))
+        return max(self.virtual_time, self.end_tags.get(account, 0.0))
 
-    def passed(self, item: Waiting) -> None:
-        """Move virtual time on as ``item`` starts."""
-        self.virtual = max(self.virtual, item.tag)
+    def on_start(self, item: QueuedRequest) -> None:
+        """Advance virtual time as ``item`` starts."""
+        self.virtual_time = max(self.virtual_time, item.tag)
         if not self.items:
-            # Nobody waits: no account owes anything.
-            self.ends.clear()
+            # No request waits, so no account is ahead of its share.
+            self.end_tags.clear()
 
 
 class FairQueue:
@@ -55,7 +56,7 @@
 
     def __init__(self) -> None:
         self._classes = {priority: _Class() for priority in Priority}
-        self._by_id: dict[str, Waiting] = {}
+        self._by_id: dict[str, QueuedRequest] = {}
         self._expiries: list[tuple[float, str]] = []
         self._seq = 0
         self._starts = 0
@@ -69,10 +70,10 @@
         return request_id in self._by_id
 
     def ahead(self, account: str, priority: Priority) -> int:
-        """Return how many would start before a new request."""
+        """Return how many requests would start before a new one."""
         count = sum(len(self._classes[p].items) for p in Priority if p < priority)
         group = self._classes[priority]
-        probe = Waiting(group.tag(account), self._seq + 1, "", "", priority, 0.0)
+        probe = QueuedRequest(group.tag(account), self._seq + 1, "", "", priority, 0.0)
         return count + bisect_left(group.items, probe)
 
     def push(
@@ -87,31 +88,33 @@
         group = self._classes[priority]
         self._seq += 1
         tag = group.tag(account)
-        group.ends[account] = tag + max(1.0, cost)
-        item = Waiting(tag, self._seq, request_id, account, priority, latest_start)
+        group.end_tags[account] = tag + max(1.0, cost)
+        item = QueuedRequest(
+            tag, self._seq, request_id, account, priority, latest_start
+        )
         insort(group.items, item)
         self._by_id[request_id] = item
         heappush(self._expiries, (latest_start, request_id))
-        if len(self._expiries) > _MOST_STALE * (len(self._by_id) + 1):
-            # Requests that started long before their time leave entries behind.
+        if len(self._expiries) > _MAX_STALE_RATIO * (len(self._by_id) + 1):
+            # Requests that started before their latest start leave entries behind.
             live = ((item.latest_start, name) for name, item in self._by_id.items())
             self._expiries = sorted(live)
 
-    def pop(self) -> Waiting | None:
-        """Remove and return the next to start."""
+    def pop(self) -> QueuedRequest | None:
+        """Remove and return the next request to start."""
         waiting = [group for group in self._classes.values() if group.items]
         if not waiting:
             return None
         self._starts += 1
-        lower_turn = self._starts % _LOWER_TURN == 0
-        group = waiting[-1] if lower_turn else waiting[0]
+        lowest_first = self._starts % _LOWEST_CLASS_INTERVAL == 0
+        group = waiting[-1] if lowest_first else waiting[0]
         item = group.items.pop(0)
         del self._by_id[item.request_id]
-        group.passed(item)
+        group.on_start(item)
         return item
 
-    def remove(self, request_id: str) -> Waiting | None:
-        """Remove one request, wherever it stands."""
+    def remove(self, request_id: str) -> QueuedRequest | None:
+        """Remove one request, whatever its position."""
         item = self._by_id.pop(request_id, None)
         if item is None:
             return None
@@ -119,11 +122,12 @@
         del items[bisect_left(items, item)]
         return item
 
-    def victim(self, account: str, priority: Priority) -> Waiting | None:
-        """Return who should leave a full queue so that a request can enter.
+    def victim(self, account: str, priority: Priority) -> QueuedRequest | None:
+        """Return the request to evict from a full queue for a new one, if any.
 
-        The one that would start last, of the lowest class below ``priority``;
-        else the last of the same class where that stands behind the new one.
+        It is the last one of the lowest class below ``priority``. If there is none, it
+        is the last one of the same class, provided that it would start after the new
+        one.
         """
         for lower in reversed(Priority):
             items = self._classes[lower].items
@@ -135,8 +139,8 @@
             return items[-1] if items[-1].tag > tag else None
         return None
 
-    def in_order(self) -> list[Waiting]:
-        """Return all in the order of their start (lower turns left aside)."""
+    def in_order(self) -> list[QueuedRequest]:
+        """Return all in their order of start, ignoring turns of the lowest class."""
         return [item for group in self._classes.values() for item in group.items]
 
     def next_expiry(self) -> float | None:
--- a/src/ebonydeal/_internal/routing/duties/__init__.py
+++ b/src/ebonydeal/_internal/routing/duties/__init__.py
@@ -1,5 +1,5 @@
-"""What one relay does for all: its lease, its pace, the usage that it adds up.
+"""What one relay does for all: its lease, the pace of reports, the sums of usage.
 
-Event: a holder that dies, pauses or is cut off; windows of usage that end. Called by
-the coordinator; touches its own state only.
+Event: a lease holder that dies, is suspended or is partitioned; usage windows that end.
+Called by the coordinator; works on its own state only.
 """
--- a/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
+++ b/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
@@ -1,12 +1,12 @@
-"""The lease of the duties that one relay at a time has: the pure protocol.
-
-The lease is one row of the platform's store, changed only under the condition
-that it still has the version that was read. Nothing expires in the store: a
-relay that wants the lease must have seen the row unchanged for the whole time
-to live by its own steady clock. The holder counts the same time from before it
-sent a renewal, so its right ends before another's begins. Safety doesn't rest
-on these clocks but on the fencing number, which the same condition makes new
-for each holder and each incarnation.
+"""The lease of the coordinator role, which one relay at a time holds: pure protocol.
+
+The lease is one row of the platform's store, written only on condition that its
+version is still the one that was read. Nothing expires in the store: a relay
+that wants the lease must have seen the row unchanged for the whole TTL, measured
+by its own monotonic clock. The holder measures the TTL from before it sent a
+renewal, so its lease ends before another relay can take it. Safety doesn't
+depend on these clocks but on the fencing token: the same condition makes it
+different for each holder and each incarnation.
 """
 
 import json
@@ -15,10 +15,10 @@
 
 
 class LeaseRow(NamedTuple):
-    """What the row says; ``holder`` is empty after a release.
+    """The stored row; ``holder`` is empty after a release.
 
-    ``relays`` is how many relays the holder knows of: all that start at once must
-    take their parts of so many, before any of them has told how many there are.
+    ``relays`` is the number of relays that the holder knows. Relays that start at the
+    same time compute their shares from it, as none of them can report a number yet.
     """
 
     holder: str
@@ -54,23 +54,23 @@
 
 @dataclass(frozen=True)
 class Read:
-    """Read the row, then call `on_read`."""
+    """Read the row, then call `CoordinatorLease.on_read`."""
 
 
 @dataclass(frozen=True)
 class Sleep:
-    """There is nothing to do for so many seconds."""
+    """Nothing to do for ``seconds``."""
 
     seconds: float
 
 
 Step = Write | Read | Sleep
 
-# Renewals in one time to live: one may be lost and one late.
-_RENEWALS = 3.0
-# The holder's right ends this share of the time to live earlier, for the time
-# between its last look at the clock and the arrival of what it sent.
-_MARGIN = 0.1
+# One renewal in a TTL may be lost and another one late.
+_RENEWALS_PER_TTL = 3.0
+# The holder stops acting this fraction of the TTL early, to cover the time between
+# its last reading of the clock and the arrival of what it sent.
+_EXPIRY_MARGIN = 0.1
 
 
 class CoordinatorLease:
@@ -79,9 +79,9 @@
     Parameters
     ----------
     node, incarnation, address : str
-        Who asks; a relay that starts anew has another incarnation.
+        This relay; a restarted relay has a new incarnation.
     ttl : float
-        Time to live, seconds.
+        Time to live of the lease, seconds.
     """
 
     def __init__(self, node: str, incarnation: str, address: str, ttl: float) -> None:
@@ -89,43 +89,44 @@
         self._ttl = ttl
         self._row: LeaseRow | None = None
         self._version = 0
-        self._seen_at = 0.0
+        self._changed_at = 0.0
+        # Whether the row was read from the store since the last write in doubt.
         self._known = False
-        # Whether the row as known comes from another relay.
-        self._told = False
+        # Whether the row comes from another relay.
+        self._is_learned = False
         self._sent_at = 0.0
         self._until = 0.0
         self._renew_at = 0.0
         self.wanted = False
         # The row that this incarnation took the lease from; None if there was none.
         self.previous_row: LeaseRow | None = None
-        # How many relays this one knows of, to be written with the row.
+        # The number of relays that this one knows, to be written with the row.
         self.relay_count = 0
 
     @property
     def row(self) -> LeaseRow | None:
-        """The row as last seen."""
+        """The last known row."""
         return self._row
 
     @property
     def version(self) -> int:
-        """The row's version as last seen."""
+        """The last known version of the row."""
         return self._version
 
     def learn_holder(self, row: LeaseRow, version: int) -> None:
         """Take a newer holder's row from another relay.
 
-        Only for finding the holder: it gives no right, and whoever wants the lease
-        reads the row before it writes.
+        It serves only to find the holder: it doesn't entitle to act, and a relay that
+        wants the lease reads the row before it writes.
         """
         if row.fence > self.fence and version > self._version:
             self._row, self._version = row, version
             self._known = False
-            self._told = True
+            self._is_learned = True
 
     @property
     def fence(self) -> int:
-        """The fencing number of the row as last seen; 0 without one."""
+        """The fencing token of the last known row; 0 if there is none."""
         return 0 if self._row is None else self._row.fence
 
     @property
@@ -135,16 +136,16 @@
 
     @property
     def incarnation(self) -> str:
-        """Name of this process."""
+        """Identifier of this process."""
         return self._me.incarnation
 
     def set_address(self, address: str) -> None:
-        """Take the address that others are told with the next write."""
+        """Set the address that the next write publishes."""
         self._me = self._me._replace(address=address)
 
     @property
     def is_mine(self) -> bool:
-        """Whether the row, as last seen, names this incarnation."""
+        """Whether the last known row names this incarnation."""
         row = self._row
         return (
             row is not None
@@ -153,31 +154,31 @@
         )
 
     def holds(self, now: float) -> bool:
-        """Return whether this relay may act on the duties now."""
-        return self.is_mine and now < self._until - self._ttl * _MARGIN
+        """Return whether this relay may act as coordinator now."""
+        return self.is_mine and now < self._until - self._ttl * _EXPIRY_MARGIN
 
     def next_step(self, now: float) -> Step:
         """Return what to do next."""
         if not self._known:
-            if self._told and not self.wanted:
-                # Hundreds of relays are told of a new holder: none has to read.
-                return Sleep(self._ttl / _RENEWALS)
+            if self._is_learned and not self.wanted:
+                # Hundreds of relays are notified of a new holder: none has to read.
+                return Sleep(self._ttl / _RENEWALS_PER_TTL)
             return Read()
         if self.is_mine:
             if now < self._renew_at:
                 return Sleep(self._renew_at - now)
-            # Also when the right is over: while the row stands as it was,
-            # nobody else had it, and after an outage of the store its last
-            # holder is the one who knows most.
+            # Renew an expired lease, too: while the row is unchanged no other
+            # relay has held it, and after an outage of the store the last
+            # holder has the most complete state.
             return self._write(now, self.fence)
         if not self.wanted:
-            return Sleep(self._ttl / _RENEWALS)
+            return Sleep(self._ttl / _RENEWALS_PER_TTL)
         if self._row is None:
             return self._write(now, 1)
         free = self._row.holder == ""
-        # An earlier incarnation on this node is surely gone.
+        # The previous incarnation on this node has certainly ended.
         own = self._row.holder == self._me.holder
-        if free or own or now - self._seen_at >= self._ttl:
+        if free or own or now - self._changed_at >= self._ttl:
             return self._write(now, self.fence + 1)
         return Read()
 
@@ -187,50 +188,50 @@
         return Write(row, self._version)
 
     def on_read(self, row: LeaseRow | None, version: int, now: float) -> None:
-        """Take the row as it was read; version 0 where there is none."""
+        """Take the row that was read; version 0 if there is none."""
         changed = not self._known or version != self._version
         was_holder = self.is_mine
         previous_row = self._row
         self._row, self._version = row, version
         self._known = True
-        self._told = False
+        self._is_learned = False
         if changed:
-            self._seen_at = now
+            self._changed_at = now
         if self.is_mine and not was_holder:
-            # A write whose answer was lost took effect: the right counts from
+            # A write whose answer was lost took effect: the lease counts from
             # before it was sent.
             self.previous_row = previous_row
             self._until = self._sent_at + self._ttl
-            self._renew_at = self._sent_at + self._ttl / _RENEWALS
+            self._renew_at = self._sent_at + self._ttl / _RENEWALS_PER_TTL
 
     def on_written(self, row: LeaseRow, version: int) -> None:
-        """Take a write that took effect."""
+        """Take the row of a write that took effect."""
         if not self.is_mine:
             self.previous_row = self._row
         self._row, self._version = row, version
-        self._seen_at = self._sent_at
+        self._changed_at = self._sent_at
         self._until = self._sent_at + self._ttl
-        self._renew_at = self._sent_at + self._ttl / _RENEWALS
+        self._renew_at = self._sent_at + self._ttl / _RENEWALS_PER_TTL
         if not self.is_mine:
             self._until = 0.0
 
     def on_write_in_doubt(self) -> None:
         """Note that a write may or may not have taken effect."""
         self._known = False
-        self._told = False
+        self._is_learned = False
 
     def renew_soon(self, now: float) -> None:
-        """Renew now, for what is written with a renewal and can't wait."""
+        """Renew now, because something written with a renewal can't wait."""
         self._renew_at = min(self._renew_at, now)
 
     def on_renewal_failed(self, now: float) -> None:
-        """Note that a renewal did nothing; it is tried again soon."""
-        self._renew_at = now + self._ttl / _RENEWALS / 4.0
+        """Note that a renewal failed; it is retried soon."""
+        self._renew_at = now + self._ttl / _RENEWALS_PER_TTL / 4.0
 
     def release(self) -> Write | None:
-        """Return the write by which a holder that stops frees the lease.
+        """Return the write by which a stopping holder frees the lease.
 
-        It acts no more from now on: the write may take effect at any time.
+        It no longer acts from now on: the write may take effect at any time.
         """
         if not self.is_mine:
             return None
--- a/src/ebonydeal/_internal/routing/duties/usage_ledger.py
+++ b/src/ebonydeal/_internal/routing/duties/usage_ledger.py
@@ -1,17 +1,17 @@
-"""Usage windows at the coordinator: what relays told, and what is due."""
+"""Usage windows at the coordinator: relays' totals, and which window is due."""
 
 from typing import NamedTuple
 
-# A window is closed when every relay has told it after its end, or this long
-# after the end: a relay that is gone must not keep the report from going out.
-_WAIT_S = 3.0
-# Let counts of the last moments be told.
-_SETTLE_S = 0.3
-_WINDOWS_KEPT = 10
+# A window is closed when every relay has reported after its end, or this long after the
+# end: a relay that is gone must not hold back the usage report.
+_MAX_WAIT_S = 3.0
+# Time for counts of the window's last moments to be reported.
+_SETTLE_TIME_S = 0.3
+_MAX_WINDOWS = 10
 
 
 class DueWindow(NamedTuple):
-    """A window to be reported, and its counts by account."""
+    """A usage window to be reported, and its counts by account."""
 
     window: int
     counts: dict[str, int]
@@ -20,15 +20,15 @@
 class UsageLedger:
     """Counts of all relays by window.
 
-    A relay tells running totals of each of its incarnations, so a message that
-    comes twice or late changes nothing.
+    Each incarnation of a relay reports running totals, so a message that arrives
+    twice or late changes nothing.
 
     Parameters
     ----------
     length : float
         Length of a window, wall clock seconds.
     late : float
-        Time after its end until which a report counts, seconds.
+        Time after a window's end until which its report is accepted, seconds.
     """
 
     def __init__(self, length: float, late: float) -> None:
@@ -41,48 +41,48 @@
     def add_report(
         self, relay: str, windows: dict[int, dict[str, int]], wall: float
     ) -> None:
-        """Take one relay's totals; ``wall`` is its clock when it sent them."""
+        """Add one relay's totals; ``wall`` is its wall clock when it sent them."""
         self._last_report_at[relay] = max(wall, self._last_report_at.get(relay, 0.0))
         self.add_totals(relay, windows)
 
     def add_totals(self, relay: str, windows: dict[int, dict[str, int]]) -> None:
-        """Take totals of a relay that may be gone."""
+        """Add totals of a relay that may be gone."""
         for window, counts in windows.items():
-            told = self._totals.setdefault(window, {})
-            known = told.get(relay, {})
-            told[relay] = {
+            totals = self._totals.setdefault(window, {})
+            known = totals.get(relay, {})
+            totals[relay] = {
                 account: max(count, known.get(account, 0))
                 for account, count in {**known, **counts}.items()
             }
-        while len(self._totals) > _WINDOWS_KEPT:
+        while len(self._totals) > _MAX_WINDOWS:
             del self._totals[min(self._totals)]
 
     def open_windows(self) -> dict[str, dict[int, dict[str, int]]]:
-        """Return the totals of windows not reported yet, by relay."""
-        totals: dict[str, dict[int, dict[str, int]]] = {}
-        for window, told in self._totals.items():
+        """Return the totals of windows that aren't reported yet, by relay."""
+        by_relay: dict[str, dict[int, dict[str, int]]] = {}
+        for window, totals in self._totals.items():
             if window <= self.reported:
                 continue
-            for relay, counts in told.items():
-                totals.setdefault(relay, {})[window] = counts
-        return totals
+            for relay, counts in totals.items():
+                by_relay.setdefault(relay, {})[window] = counts
+        return by_relay
 
     def totals_by_relay(self, window: int) -> dict[str, int]:
         """Return each relay's total of a window, for the log."""
-        told = self._totals.get(window, {})
-        return {relay: sum(counts.values()) for relay, counts in told.items()}
+        totals = self._totals.get(window, {})
+        return {relay: sum(counts.values()) for relay, counts in totals.items()}
 
     def forget(self, relay: str) -> None:
-        """Wait no longer for a relay; what it told stays."""
+        """Stop waiting for a relay; its totals stay."""
         self._last_report_at.pop(relay, None)
 
     def due(
-        self, wall: float, accounts: list[str], wait: float = _WAIT_S
+        self, wall: float, accounts: list[str], wait: float = _MAX_WAIT_S
     ) -> DueWindow | None:
         """Return the oldest window that can be reported now.
 
-        ``wait`` is how long after its end relays may take to tell, seconds: among
-        hundreds each tells every few seconds only.
+        ``wait`` is how long after its end relays may take to report, seconds: among
+        hundreds each reports only every few seconds.
         """
         last = int(wall // self._length) - 1
         oldest = int((wall - self._late) // self._length)
@@ -90,10 +90,10 @@
         if window > last:
             return None
         end = (window + 1) * self._length
-        if wall < end + _SETTLE_S:
+        if wall < end + _SETTLE_TIME_S:
             return None
         waiting = [
-            r for r, at in self._last_report_at.items() if at < end + _SETTLE_S / 2
+            r for r, at in self._last_report_at.items() if at < end + _SETTLE_TIME_S / 2
         ]
         if waiting and wall < end + wait:
             return None
--- a/src/ebonydeal/_internal/routing/limits/__init__.py
+++ b/src/ebonydeal/_internal/routing/limits/__init__.py
@@ -1,5 +1,5 @@
-"""Limits of client accounts, held in total over all processes.
+"""Limits of client accounts, enforced as totals over all processes.
 
-Load: an account that asks for more than its limit, spread unevenly. Called at each
-request, and by the coordinator for grants; touches its own balances only.
+Load: an account that exceeds its limit, unevenly over processes. Called for each
+request, and by the coordinator for grants; works on its own state only.
 """
--- a/src/ebonydeal/_internal/routing/limits/demand.py
+++ b/src/ebonydeal/_internal/routing/limits/demand.py
@@ -1,11 +1,11 @@
-"""Demand of client accounts as gateways tell it to each other."""
+"""Demand of client accounts, as gateways report it to each other."""
 
 from math import exp, floor
 from typing import NamedTuple, TypedDict
 
 
 class DemandMessage(TypedDict):
-    """Wire shape of a report; each value is `Demand` as a list."""
+    """Wire format of a report; each value is a `Demand` as a list."""
 
     gateway: str
     seq: int
@@ -13,14 +13,14 @@
 
 
 class Demand(NamedTuple):
-    """What one gateway is asked for by one client account, refused or not.
+    """One client account's demand at one gateway, refused requests included.
 
     Attributes
     ----------
     requests_per_s, tokens_per_s : float
         Averaged over the demand window.
     concurrency : float
-        Requests in flight and those refused for concurrency.
+        Requests in flight plus those refused by the concurrency limit.
     in_flight : float
         Requests in flight.
     """
@@ -34,8 +34,8 @@
 class DemandReport(NamedTuple):
     """One gateway's demand; a higher ``seq`` replaces a lower one.
 
-    ``seq`` starts at the wall clock's milliseconds, so that a restarted gateway
-    of the same id is heard again.
+    ``seq`` starts at the wall clock's milliseconds, so that reports of a restarted
+    gateway with the same id are accepted.
     """
 
     gateway: str
@@ -54,13 +54,13 @@
         return cls(str(message["gateway"]), int(message["seq"]), demands)
 
     def to_message(self) -> DemandMessage:
-        """Return the wire shape."""
+        """Return the wire format."""
         demands = {name: list(value) for name, value in self.demands.items()}
         return DemandMessage(gateway=self.gateway, seq=self.seq, demands=demands)
 
 
 class RateMeter:
-    """An exponentially averaged rate of amounts.
+    """An exponentially weighted average rate.
 
     Parameters
     ----------
@@ -71,20 +71,20 @@
     def __init__(self, window: float) -> None:
         self._window = window
         self._rate = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, amount: float, now: float) -> None:
         """Count ``amount`` at ``now``."""
         self._rate = self.rate(now) + amount / self._window
-        self._at = max(self._at, now)
+        self._updated_at = max(self._updated_at, now)
 
     def rate(self, now: float) -> float:
-        """Return the rate a second."""
-        return self._rate * exp(-max(0.0, now - self._at) / self._window)
+        """Return the rate per second."""
+        return self._rate * exp(-max(0.0, now - self._updated_at) / self._window)
 
 
 def fair_share(own: float, others: list[float], floor_share: float) -> float:
-    """Return this gateway's share of a limit; shares of all add up to one."""
+    """Return this gateway's share of a limit; all gateways' shares add up to one."""
     count = len(others) + 1
     total = own + sum(others)
     by_demand = own / total if total > 0.0 else 1.0 / count
@@ -92,18 +92,18 @@
 
 
 def whole_shares(total: int, demands: dict[str, float]) -> dict[str, int]:
-    """Split ``total`` whole units by demand; largest remainders get the rest.
+    """Split ``total`` into integers by demand, with the largest remainder method.
 
     Every gateway that knows the same demands computes the same split.
     """
-    asked = sum(demands.values())
-    if asked <= 0.0:
+    total_demand = sum(demands.values())
+    if total_demand <= 0.0:
         demands = dict.fromkeys(demands, 1.0)
-        asked = float(len(demands))
-    exact = {name: total * demand / asked for name, demand in demands.items()}
-    split = {name: floor(part) for name, part in exact.items()}
-    rest = total - sum(split.values())
+        total_demand = float(len(demands))
+    exact = {name: total * demand / total_demand for name, demand in demands.items()}
+    split = {name: floor(share) for name, share in exact.items()}
+    remainder = total - sum(split.values())
     order = sorted(exact, key=lambda name: (split[name] - exact[name], name))
-    for name in order[:rest]:
+    for name in order[:remainder]:
         split[name] += 1
     return split
--- a/src/ebonydeal/_internal/routing/limits/quota_broker.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_broker.py
@@ -1,9 +1,9 @@
-"""Grants of client accounts' limits by whoever admits from relays' shares.
+"""Grants of client accounts' limits, from the shares that one relay holds.
 
-A granter keeps one token bucket an account, of the shares that it has: capacity and
-rate follow them. Relays ask for what they need and get some in advance while there is
-plenty, so that a request far from its limit seldom waits. Near the limit each request
-is asked for by itself.
+A granter keeps one token bucket per account; its capacity and rate are in proportion to
+the shares that the granter holds. Relays ask for what they need, and get amounts in
+advance while the bucket is well filled, so that a request far from its limit rarely
+waits. Near the limit each request needs a grant of its own.
 """
 
 from collections import deque
@@ -14,27 +14,27 @@
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.settings.policy import PolicySettings
 
-# Above this level of the bucket relays get some in advance.
-_PLENTY = 0.5
+# Relays get amounts in advance only from what the bucket holds above this fraction.
+_MIN_ADVANCE_LEVEL = 0.5
 # Seconds of a relay's own demand that it gets in advance.
 _ADVANCE_S = 0.5
-# Weight of a request in its account's mean size. Small requests that pass while
-# others wait have a part of the rate, and of the debt, to themselves.
+# Weight of a request in its account's mean size. A fraction of the rate and of the debt
+# is reserved for small requests, which are admitted while others wait.
 _MEAN_WEIGHT = 0.05
-_SMALL_SHARE = 0.05
-_SMALL_DEBT = 0.2
-_LEAST_WAIT_S = 0.05
-_MOST_WAIT_S = 10.0
-# An amount granted in advance lapses, as seen by who has it. The granter counts the
-# same time from later on.
+_SMALL_RATE_FRACTION = 0.05
+_SMALL_DEBT_FRACTION = 0.2
+_MIN_WAIT_S = 0.05
+_MAX_WAIT_S = 10.0
+# TTL of an amount granted in advance. The relay counts it from its request, the granter
+# from its later answer.
 ADVANCE_TTL_S = 2.0
-# The same of what a stand-in has. A new holder, and one whose stand-in is lost, gives
-# none out before.
+# TTL of what a standby holds. A new lease holder, or one that has lost its standby,
+# grants nothing to a standby until this time is over.
 STANDBY_GRANT_TTL_S = 4.0
 
 
 class QuotaPolicy(NamedTuple):
-    """Terms of the grants; `PolicySettings` says what each does."""
+    """Parameters of grants; `PolicySettings` says what each does."""
 
     overdraft: float = 1.0
     small: float = 0.1
@@ -46,10 +46,10 @@
 
 
 class Grant(NamedTuple):
-    """An amount that a relay may admit, or when to ask again, seconds.
+    """An amount that a relay may admit, or the seconds after which to ask again.
 
-    ``wait`` is None where no wait helps: the amount is larger than the limit ever
-    holds at once. ``shortfall`` is the amount that was missing.
+    ``wait`` is None where waiting does not help, because the amount is larger than the
+    bucket's capacity. ``shortfall`` is the amount that was missing.
     """
 
     amount: float
@@ -58,29 +58,29 @@
 
 
 class _Bucket:
-    """One account's bucket, of the share that was there at the last fill."""
+    """One account's bucket, with the granter's share as of the last fill."""
 
     def __init__(self, level: float, share: float, at: float) -> None:
         self.level = level
         self.share = share
-        self.at = at
-        # What lies granted at relays: when it lapses, and how much.
-        self.advanced: deque[tuple[float, float]] = deque()
-        self.out = 0.0
-        # What the stand-in has at most, and until when.
-        self.lent = 0.0
-        self.lent_until = at
+        self.filled_at = at
+        # Amounts granted in advance: when each expires, and how much.
+        self.advances: deque[tuple[float, float]] = deque()
+        self.advanced_total = 0.0
+        # The most that the standby holds, and when that expires.
+        self.standby_amount = 0.0
+        self.standby_until = at
         # What small requests may still take while the level is too low.
-        self.small = 0.0
-        # Mean size of the requests that were asked for.
-        self.mean = 0.0
+        self.small_level = 0.0
+        # Mean size of the requests.
+        self.mean_size = 0.0
 
-    def lapse(self, now: float) -> None:
-        """Forget what lay granted for too long to be used."""
-        while self.advanced and self.advanced[0][0] <= now:
-            self.out -= self.advanced.popleft()[1]
-        if not self.advanced:
-            self.out = 0.0
+    def expire_advances(self, now: float) -> None:
+        """Drop advances that have expired."""
+        while self.advances and self.advances[0][0] <= now:
+            self.advanced_total -= self.advances.popleft()[1]
+        if not self.advances:
+            self.advanced_total = 0.0
 
 
 class QuotaBroker:
@@ -89,30 +89,30 @@
     Parameters
     ----------
     bounds : QuotaBounds
-        What is tolerated.
-    terms : QuotaTerms, optional
-        Which requests go first near the limit.
+        How far limits may be exceeded.
+    policy : QuotaPolicy, optional
+        Which requests are preferred near the limit.
     share : callable, optional
-        Returns the part of all relays' shares that are granted from here at a time.
+        Returns the fraction of all relays' shares that this granter holds at a time.
     """
 
     def __init__(
         self,
         bounds: QuotaBounds,
-        terms: QuotaPolicy | None = None,
+        policy: QuotaPolicy | None = None,
         share: Callable[[float], float] = lambda _now: 1.0,
     ) -> None:
         self.bounds = bounds
-        self._terms = terms or QuotaPolicy()
+        self._policy = policy or QuotaPolicy()
         self._share = share
         self._buckets: dict[str, _Bucket] = {}
-        # Whether nobody can have granted anything before.
-        self.first = False
-        # Whether a stand-in may have a part of each burst that isn't known here.
-        self.lent_elsewhere: Callable[[float], bool] = lambda _now: False
+        # Whether new buckets are full, as no relay can have granted anything before.
+        self.starts_full = False
+        # Whether a standby may hold a part of each burst that this granter didn't give.
+        self.has_unknown_standby: Callable[[float], bool] = lambda _now: False
 
     def refresh(self, accounts: Iterable[ForwardAccount], now: float) -> None:
-        """Fill all buckets; to be called before and after each change of the share."""
+        """Fill all buckets; must be called before and after each change of share."""
         limited = [account for account in accounts if account.rate > 0.0]
         for account in limited:
             self._filled(account, now)
@@ -121,39 +121,40 @@
             self._buckets = {n: b for n, b in self._buckets.items() if n in names}
 
     def grant(self, account: ForwardAccount, need: float, now: float) -> Grant:
-        """Grant ``need`` of an account, or say when it may be there.
+        """Grant ``need`` of an account, or say when to ask again.
 
-        A request that the level doesn't cover may be granted on account of what will
-        be earned, as far as debts go: else small requests keep the level low and
-        large ones, which are worth most, are refused. Those that are small beside the
-        account's mean pass while others wait for what was overdrawn.
+        A request that the level doesn't cover may be granted on debt, up to a bound.
+        Otherwise small requests keep the level low, and large requests, which are worth
+        most, are refused. Requests much smaller than the account's mean size are
+        granted while others wait for the debt to be earned.
         """
         bucket = self._filled(account, now)
-        bucket.mean = bucket.mean or need
-        bucket.mean += _MEAN_WEIGHT * (need - bucket.mean)
-        debt = self.bounds.debt(account) * bucket.share * self._terms.overdraft
-        wanted = max(0.0, need - debt * (1.0 - _SMALL_DEBT))
-        if bucket.share > 0.0 and bucket.level >= wanted:
+        bucket.mean_size = bucket.mean_size or need
+        bucket.mean_size += _MEAN_WEIGHT * (need - bucket.mean_size)
+        debt = self.bounds.debt(account) * bucket.share * self._policy.overdraft
+        min_level = max(0.0, need - debt * (1.0 - _SMALL_DEBT_FRACTION))
+        if bucket.share > 0.0 and bucket.level >= min_level:
             bucket.level -= need
             return Grant(need, 0.0)
-        is_small = need < bucket.mean * self._terms.small
-        if is_small and bucket.small >= need and bucket.level - need >= -debt:
+        is_small = need < bucket.mean_size * self._policy.small
+        if is_small and bucket.small_level >= need and bucket.level - need >= -debt:
             bucket.level -= need
-            bucket.small -= need
+            bucket.small_level -= need
             return Grant(need, 0.0)
-        return Grant(0.0, self._wait(account, bucket, wanted), wanted - bucket.level)
+        wait = self._wait(account, bucket, min_level)
+        return Grant(0.0, wait, min_level - bucket.level)
 
     def _wait(
-        self, account: ForwardAccount, bucket: _Bucket, wanted: float
+        self, account: ForwardAccount, bucket: _Bucket, level: float
     ) -> float | None:
-        """Return the seconds until a level may be reached."""
-        if wanted > account.burst and bucket.share >= 1.0:
+        """Return the seconds until the bucket may reach a level; None for never."""
+        if level > account.burst and bucket.share >= 1.0:
             return None
         rate = account.rate * bucket.share
         if rate <= 0.0:
-            return _MOST_WAIT_S
-        wait = (wanted - bucket.level) / rate
-        return min(_MOST_WAIT_S, max(_LEAST_WAIT_S, wait))
+            return _MAX_WAIT_S
+        wait = (level - bucket.level) / rate
+        return min(_MAX_WAIT_S, max(_MIN_WAIT_S, wait))
 
     def advance(
         self, account: ForwardAccount, demand: float, balance: float, now: float
@@ -165,98 +166,105 @@
         account : ForwardAccount
             Whose limit.
         demand, balance : float
-            What the relay is asked for a second, and what it has left.
+            The relay's demand per second, and the unused amount that it holds.
         now : float
             Seconds.
         """
         bucket = self._filled(account, now)
-        room = self.bounds.in_advance(account) * bucket.share - bucket.out
-        want = min(demand * _ADVANCE_S - balance, room, self._spare(account, bucket))
-        if want <= 0.0:
+        room = self.bounds.in_advance(account) * bucket.share - bucket.advanced_total
+        amount = min(demand * _ADVANCE_S - balance, room, self._spare(account, bucket))
+        if amount <= 0.0:
             return 0.0
-        bucket.level -= want
-        bucket.out += want
-        bucket.advanced.append((now + ADVANCE_TTL_S, want))
-        return want
+        bucket.level -= amount
+        bucket.advanced_total += amount
+        bucket.advances.append((now + ADVANCE_TTL_S, amount))
+        return amount
 
-    def stand_by(self, account: ForwardAccount, balance: float, now: float) -> float:
-        """Return what a stand-in gets beside its ``balance``; 0 near the limit."""
+    def grant_standby(
+        self, account: ForwardAccount, balance: float, now: float
+    ) -> float:
+        """Return what a standby gets beside its ``balance``; 0 near the limit."""
         bucket = self._filled(account, now)
-        most = self.bounds.standby(account) + self.bounds.standby_of_burst(account)
+        most = self.bounds.standby(account) + self.bounds.standby_burst(account)
         room = most * bucket.share - balance
         amount = max(0.0, min(room, self._spare(account, bucket)))
         bucket.level -= amount
-        bucket.lent = balance + amount
-        bucket.lent_until = now + STANDBY_GRANT_TTL_S
+        bucket.standby_amount = balance + amount
+        bucket.standby_until = now + STANDBY_GRANT_TTL_S
         return amount
 
-    def part(self, account: ForwardAccount, weight: float, now: float) -> float:
-        """Take out what goes along with a share that another granter gets.
+    def withdraw_share(
+        self, account: ForwardAccount, weight: float, now: float
+    ) -> float:
+        """Withdraw and return the amount to transfer with a share to another granter.
 
-        It is what the share's part of the level is above the debt that the other begins
-        with.
+        It is the share's part of the level, plus the debt with which the other granter
+        starts.
         """
         bucket = self._filled(account, now)
         if bucket.share <= 0.0:
             return 0.0
-        part = min(1.0, weight / bucket.share)
-        amount = bucket.level * part + self.bounds.debt(account) * weight
-        bucket.level -= bucket.level * part
+        fraction = min(1.0, weight / bucket.share)
+        amount = bucket.level * fraction + self.bounds.debt(account) * weight
+        bucket.level -= bucket.level * fraction
         return max(0.0, amount)
 
-    def put(self, account: ForwardAccount, amount: float, now: float) -> None:
-        """Take what came along with a share."""
+    def deposit(self, account: ForwardAccount, amount: float, now: float) -> None:
+        """Add the amount that was transferred with a share."""
         bucket = self._filled(account, now)
-        bucket.level = min(bucket.level + amount, self._most(account, bucket, now))
+        bucket.level = min(bucket.level + amount, self._capacity(account, bucket, now))
 
     def _spare(self, account: ForwardAccount, bucket: _Bucket) -> float:
-        most = self._most(account, bucket, bucket.at)
-        return bucket.level - _PLENTY * most
-
-    def _most(self, account: ForwardAccount, bucket: _Bucket, now: float) -> float:
-        """Return the highest level: of a burst, what lies nowhere else."""
-        lent = 0.0
-        if self.lent_elsewhere(now):
-            lent = self.bounds.standby_of_burst(account) * bucket.share
-        elif now < bucket.lent_until:
-            lent = max(0.0, bucket.lent - self.bounds.standby(account))
-        return max(0.0, account.burst * bucket.share - bucket.out - lent)
+        capacity = self._capacity(account, bucket, bucket.filled_at)
+        return bucket.level - _MIN_ADVANCE_LEVEL * capacity
+
+    def _capacity(self, account: ForwardAccount, bucket: _Bucket, now: float) -> float:
+        """Return the highest level: the burst less what relays and the standby hold."""
+        standby = 0.0
+        if self.has_unknown_standby(now):
+            standby = self.bounds.standby_burst(account) * bucket.share
+        elif now < bucket.standby_until:
+            standby = max(0.0, bucket.standby_amount - self.bounds.standby(account))
+        burst = account.burst * bucket.share
+        return max(0.0, burst - bucket.advanced_total - standby)
 
     def _filled(self, account: ForwardAccount, now: float) -> _Bucket:
         share = self._share(now)
         bucket = self._buckets.get(account.name)
         if bucket is None:
-            level = account.burst if self.first else 0.0
-            held = share if self.first else 0.0
+            level = account.burst if self.starts_full else 0.0
+            held = share if self.starts_full else 0.0
             bucket = self._buckets[account.name] = _Bucket(level, held, now)
-        bucket.lapse(now)
-        earned = account.rate * min(share, bucket.share) * max(0.0, now - bucket.at)
-        # What was overdrawn of a share isn't known to who gets it.
+        bucket.expire_advances(now)
+        elapsed = max(0.0, now - bucket.filled_at)
+        earned = account.rate * min(share, bucket.share) * elapsed
+        # A gained share may carry debt that the granter before it has left.
         owed = self.bounds.debt(account) * max(0.0, share - bucket.share)
         bucket.share = share
-        bucket.at = max(bucket.at, now)
-        most = self._most(account, bucket, now)
-        bucket.level = min(most, bucket.level + earned - owed)
-        small = _SMALL_SHARE * account.burst * share
-        bucket.small = min(small, bucket.small + earned * _SMALL_SHARE)
+        bucket.filled_at = max(bucket.filled_at, now)
+        capacity = self._capacity(account, bucket, now)
+        bucket.level = min(capacity, bucket.level + earned - owed)
+        small = _SMALL_RATE_FRACTION * account.burst * share
+        earned_small = earned * _SMALL_RATE_FRACTION
+        bucket.small_level = min(small, bucket.small_level + earned_small)
         return bucket
 
 
 class Balances:
-    """Amounts of accounts' limits that one relay has, each until it lapses.
+    """Amounts of accounts' limits that one relay holds, each with an expiry.
 
     Parameters
     ----------
-    kept : float
-        Seconds from before an amount was asked for until it lapses.
+    ttl : float
+        Seconds from the request for an amount until the amount expires.
     """
 
-    def __init__(self, kept: float = ADVANCE_TTL_S) -> None:
-        self._kept = kept
+    def __init__(self, ttl: float = ADVANCE_TTL_S) -> None:
+        self._ttl = ttl
         self._amounts: dict[str, deque[tuple[float, float]]] = {}
 
     def left(self, account: str, now: float) -> float:
-        """Return what may still be admitted."""
+        """Return the unused amount of an account."""
         amounts = self._amounts.get(account)
         if not amounts:
             return 0.0
@@ -265,18 +273,18 @@
         return sum(amount for _until, amount in amounts)
 
     def add(self, account: str, amount: float, asked_at: float) -> None:
-        """Take an amount that was asked for at ``asked_at``."""
+        """Add an amount that was requested at ``asked_at``."""
         amounts = self._amounts.setdefault(account, deque())
-        amounts.append((asked_at + self._kept, amount))
+        amounts.append((asked_at + self._ttl, amount))
 
     def extend(self, asked_at: float) -> None:
-        """Keep all amounts that are left as if they were asked for then."""
+        """Renew all unused amounts as if they had been requested at ``asked_at``."""
         for name in self._amounts:
             left = self.left(name, asked_at)
-            self._amounts[name] = deque([(asked_at + self._kept, left)] if left else [])
+            self._amounts[name] = deque([(asked_at + self._ttl, left)] if left else [])
 
     def take(self, account: str, amount: float, now: float) -> bool:
-        """Use ``amount``, if there is so much."""
+        """Use ``amount`` if that much is left; return whether it was."""
         if self.left(account, now) < amount:
             return False
         amounts = self._amounts[account]
@@ -288,5 +296,5 @@
         return True
 
     def accounts(self) -> Iterable[str]:
-        """Return the accounts of which anything was had."""
+        """Return the accounts of which an amount was ever added."""
         return tuple(self._amounts)
--- a/src/ebonydeal/_internal/routing/limits/share_delegation.py
+++ b/src/ebonydeal/_internal/routing/limits/share_delegation.py
@@ -1,23 +1,23 @@
-"""Relays' equal shares of all limits, and who admits from each.
-
-A relay that has a share may delegate it for a while to another, the granter. It admits
-nothing from the share until the time is over by its own clock, which began when it got
-the granter's word. The granter counts the share from when the relay tells that word
-back, until the same time has passed since it gave the word, by its own clock. So the
-granter's time is over first, whatever calls take, whoever is suspended, and without
-clocks that agree. One that starts anew has promised nothing and has no share until the
-coordinator tells it of one.
+"""Relays' equal shares of all limits, and the delegation of a share to a granter.
+
+A relay may delegate its share for some time to another relay, the granter. It grants
+nothing from the share until that time has passed on its own clock, counted from when it
+received the granter's offer. The granter counts the share from when the relay sends the
+offer back, until the same time has passed on its own clock, counted from when it made
+the offer. So the granter's time ends first, whatever calls take, whichever process is
+suspended, and without synchronized clocks. A restarted relay has delegated nothing, and
+has no share until the coordinator assigns one.
 """
 
 from typing import NamedTuple
 
-# Clocks of relays run at the same pace but for this part.
-_DRIFT = 0.01
+# The rates of relays' clocks differ by at most this fraction.
+_MAX_CLOCK_DRIFT = 0.01
 _NEVER = float("-inf")
 
 
 class DelegationOffer(NamedTuple):
-    """A granter's word: who, until when by its clock, and how long that is, seconds."""
+    """A granter's offer: who, until when on its clock, and its duration, seconds."""
 
     granter: str
     until: float
@@ -30,49 +30,49 @@
     def __init__(self) -> None:
         self._weight = 0.0
         self._weight_until = _NEVER
-        self._word = DelegationOffer("", _NEVER, 0.0)
-        self._promised_until = _NEVER
+        self._offer = DelegationOffer("", _NEVER, 0.0)
+        self._delegated_until = _NEVER
 
-    def told(self, weight: float, until: float) -> None:
-        """Take the coordinator's word of what this relay's share is, and until when.
+    def set_weight(self, weight: float, until: float) -> None:
+        """Set this relay's share, as assigned by the coordinator, and its expiry.
 
-        A share that was had longer stays until it would have ended.
+        A weight of 0 changes nothing: the current share stays until it expires.
         """
         if weight > 0.0:
             self._weight = weight
             self._weight_until = until
 
     def weight(self, until: float) -> float:
-        """Return the share, if it is this relay's until then."""
+        """Return the share if it is valid until then, otherwise 0."""
         return self._weight if until <= self._weight_until else 0.0
 
     def is_free(self, now: float) -> bool:
-        """Return whether the share isn't promised to anybody."""
-        return now >= self._promised_until
+        """Return whether the share is delegated to nobody."""
+        return now >= self._delegated_until
 
     def free_in(self, now: float) -> float:
-        """Return the seconds until it isn't."""
-        return max(0.0, self._promised_until - now)
+        """Return the seconds until the share is free."""
+        return max(0.0, self._delegated_until - now)
 
-    def delegate(self, word: DelegationOffer, now: float) -> bool:
-        """Promise the share to who gave this word; not while it is another's."""
-        if not self.is_free(now) and word.granter != self._word.granter:
+    def delegate(self, offer: DelegationOffer, now: float) -> bool:
+        """Accept an offer, unless another granter has the share; return whether."""
+        if not self.is_free(now) and offer.granter != self._offer.granter:
             return False
-        self._word = word
-        self._promised_until = max(self._promised_until, now + word.seconds)
+        self._offer = offer
+        self._delegated_until = max(self._delegated_until, now + offer.seconds)
         return True
 
-    def promised(self, now: float) -> DelegationOffer | None:
-        """Return the word that the share is promised on."""
-        return None if self.is_free(now) else self._word
+    def accepted_offer(self, now: float) -> DelegationOffer | None:
+        """Return the offer under which the share is delegated, None if it is free."""
+        return None if self.is_free(now) else self._offer
 
-    def released(self, word: DelegationOffer) -> None:
-        """Note that who gave this word counts the share no more."""
-        if word.granter == self._word.granter:
-            self._promised_until = _NEVER
+    def end_delegation(self, offer: DelegationOffer) -> None:
+        """Note that the granter of this offer no longer counts the share."""
+        if offer.granter == self._offer.granter:
+            self._delegated_until = _NEVER
 
-    def own(self, now: float) -> float:
-        """Return the share from which this relay admits itself."""
+    def own_weight(self, now: float) -> float:
+        """Return the share from which this relay grants by itself."""
         return self.weight(now) if self.is_free(now) else 0.0
 
 
@@ -95,51 +95,52 @@
         self.granter = granter
         self._shares: dict[str, _Delegated] = {}
 
-    def word(self, seconds: float, now: float) -> DelegationOffer:
-        """Return the word on which a relay may delegate its share."""
-        return DelegationOffer(self.granter, now + seconds * (1.0 - _DRIFT), seconds)
+    def offer(self, seconds: float, now: float) -> DelegationOffer:
+        """Return an offer under which a relay may delegate its share."""
+        until = now + seconds * (1.0 - _MAX_CLOCK_DRIFT)
+        return DelegationOffer(self.granter, until, seconds)
 
-    def forget_before(self, node: str, incarnation: str) -> None:
-        """Forget the share of a relay's process before, whose promise is gone too."""
+    def drop_previous_process(self, node: str, incarnation: str) -> None:
+        """Drop the share of a relay's previous process, whose delegation has ended."""
         known = self._shares.get(node)
         if known is not None and known.incarnation != incarnation:
             del self._shares[node]
 
-    def heard(
+    def add(
         self,
         node: str,
         incarnation: str,
         weight: float,
-        word: DelegationOffer,
+        offer: DelegationOffer,
         now: float,
     ) -> None:
-        """Take a relay's share, if it promised it on a word that was given here."""
-        self.forget_before(node, incarnation)
-        self._shares = {n: t for n, t in self._shares.items() if now < t.until}
-        if word.granter == self.granter and now < word.until:
-            self._shares[node] = _Delegated(incarnation, weight, word.until)
-
-    def take(self, node: str, incarnation: str, until: float) -> None:
-        """Count a share that its relay was told nothing of since it started."""
+        """Count a relay's share if it is delegated under an offer made here."""
+        self.drop_previous_process(node, incarnation)
+        self._shares = {n: d for n, d in self._shares.items() if now < d.until}
+        if offer.granter == self.granter and now < offer.until:
+            self._shares[node] = _Delegated(incarnation, weight, offer.until)
+
+    def add_unassigned(self, node: str, incarnation: str, until: float) -> None:
+        """Count the share of a relay that was assigned none since it started."""
         self._shares[node] = _Delegated(incarnation, 0.0, until)
 
     def share_of(self, node: str, incarnation: str, now: float) -> float:
-        """Return what is delegated by one relay's process."""
-        told = self._shares.get(node)
-        if told is None or told.incarnation != incarnation or now >= told.until:
+        """Return the share that one relay's process has delegated."""
+        known = self._shares.get(node)
+        if known is None or known.incarnation != incarnation or now >= known.until:
             return 0.0
-        return told.weight
+        return known.weight
 
     def release(self, node: str, incarnation: str) -> None:
-        """Count a share no more."""
-        told = self._shares.get(node)
-        if told is not None and told.incarnation == incarnation:
+        """Stop counting a share."""
+        known = self._shares.get(node)
+        if known is not None and known.incarnation == incarnation:
             del self._shares[node]
 
     def nodes(self, now: float) -> set[str]:
-        """Return whose shares are delegated."""
-        return {node for node, told in self._shares.items() if now < told.until}
+        """Return the relays whose shares are delegated."""
+        return {node for node, d in self._shares.items() if now < d.until}
 
     def share(self, now: float) -> float:
-        """Return how much is delegated, as the relays told it."""
-        return sum(told.weight for told in self._shares.values() if now < told.until)
+        """Return the sum of delegated shares, as reported by the relays."""
+        return sum(d.weight for d in self._shares.values() if now < d.until)
--- a/src/ebonydeal/_internal/routing/limits/share_registry.py
+++ b/src/ebonydeal/_internal/routing/limits/share_registry.py
@@ -1,27 +1,28 @@
-"""Which relays have a share of all limits, as the holder of the lease decides it.
+"""Which relays have a share of all limits, as decided by the lease holder.
 
-The names lie in the platform's store before any of them is told: so a holder that takes
-over knows who may admit on its own, and counts only the rest as its own to grant. The
-shares of all names add up to one at most, whatever numbers relays were told:
+The names of these relays are stored before any of them is told about its share. A relay
+that takes over the lease therefore knows which relays may admit on their own, and
+grants only from the remaining shares. All shares add up to at most one, whatever share
+counts relays were told:
 
-- a share is one of ``shares``, which are never less than there are names;
-- a new name is added only when all shares that were told of fewer are over.
+- a share is one of ``shares``, of which there are never fewer than names;
+- a name is added only after all shares announced with a smaller count have expired.
 """
 
 import json
 from collections.abc import Set
 from typing import NamedTuple
 
-# A relay without a word of a coordinator has its share for so long. As long no share
-# of a lost relay is granted: new names, which are alike, wait for the same time.
+# A relay that doesn't reach the coordinator keeps its share for this long. For the same
+# time the share of a lost relay isn't granted, and new names aren't added.
 SHARE_TTL_S = 30.0
-# The first names are written when no other has come for this long.
-_SETTLED_S = 3.0
+# The first names are stored after no further relay has appeared for this long.
+_SETTLE_TIME_S = 3.0
 _NEVER = float("-inf")
 
 
 class RegistryRow(NamedTuple):
-    """What lies in the store: into how many shares limits are split, and whose."""
+    """The stored row: into how many shares limits are split, and who has one."""
 
     shares: int
     names: frozenset[str]
@@ -42,78 +43,82 @@
 
 
 class ShareRegistry:
-    """The names, as one holder of the lease keeps them."""
+    """The relays with shares, as one lease holder keeps them."""
 
     def __init__(self) -> None:
         self.row = EMPTY_ROW
         self._pending = EMPTY_ROW
-        self._counted_at = _NEVER
-        self._heard: dict[str, float] = {}
-        self._first_heard = _NEVER
-        self._newest: tuple[int, float] = (0, _NEVER)
+        # When the share count was raised or loaded.
+        self._count_raised_at = _NEVER
+        self._delegated_at: dict[str, float] = {}
+        self._first_delegated_at = _NEVER
+        # How many relays are alive, and since when there are so many.
+        self._alive_count: tuple[int, float] = (0, _NEVER)
 
     def load(self, row: RegistryRow, now: float) -> None:
-        """Begin as holder with what lies in the store."""
+        """Start as lease holder from the stored row."""
         self.__init__()  # type: ignore[misc]
         self.row = self._pending = row
-        self._counted_at = now
-
-    def heard(self, node: str, now: float) -> None:
-        """Note that a relay delegated its share here."""
-        self._heard[node] = now
-        if node in self.row.names and self._first_heard == _NEVER:
-            # Until then another granter may have the word of every name, and
-            # prolong their shares.
-            self._first_heard = now
-
-    def _is_over(self, name: str, now: float) -> bool:
-        """Return whether a name's share has ended, if it wasn't prolonged here."""
-        if self._first_heard == _NEVER:
+        self._count_raised_at = now
+
+    def record_delegation(self, node: str, now: float) -> None:
+        """Note that a relay delegated its share to this holder."""
+        self._delegated_at[node] = now
+        if node in self.row.names and self._first_delegated_at == _NEVER:
+            # Until then another granter may hold the shares of all names and renew
+            # them.
+            self._first_delegated_at = now
+
+    def _is_expired(self, name: str, now: float) -> bool:
+        """Return whether a name's share has expired, if it wasn't renewed here."""
+        if self._first_delegated_at == _NEVER:
             return False
-        last = max(self._heard.get(name, _NEVER), self._first_heard)
+        last = max(self._delegated_at.get(name, _NEVER), self._first_delegated_at)
         return now - last >= SHARE_TTL_S
 
-    def wanted(self, alive: Set[str], now: float) -> RegistryRow:
-        """Return what should lie in the store, with these relays alive."""
+    def next_row(self, alive: Set[str], now: float) -> RegistryRow:
+        """Return the row to be stored, given the relays that are alive."""
         row = self.row
         known = row.names | alive
-        self._heard = {n: at for n, at in self._heard.items() if n in known}
-        kept = {name for name in row.names if not self._is_over(name, now)}
+        self._delegated_at = {
+            n: at for n, at in self._delegated_at.items() if n in known
+        }
+        kept = {name for name in row.names if not self._is_expired(name, now)}
         new = set(alive) - kept
         if not row.names:
-            if self._newest[0] != len(alive):
-                self._newest = (len(alive), now)
-            if not alive or now - self._newest[1] < _SETTLED_S:
+            if self._alive_count[0] != len(alive):
+                self._alive_count = (len(alive), now)
+            if not alive or now - self._alive_count[1] < _SETTLE_TIME_S:
                 return row
             return RegistryRow(len(alive), frozenset(alive))
         count = len(kept) + len(new)
-        ready = row.shares >= count and now - self._counted_at >= SHARE_TTL_S
+        ready = row.shares >= count and now - self._count_raised_at >= SHARE_TTL_S
         if new and not ready:
             return RegistryRow(max(count, row.shares), frozenset(kept))
         return RegistryRow(count, frozenset(kept | new))
 
-    def writes(self, row: RegistryRow) -> None:
-        """Note that a row is on its way to the store."""
+    def begin_write(self, row: RegistryRow) -> None:
+        """Note that a row is being written to the store."""
         self._pending = row
 
-    def wrote(self, now: float) -> None:
-        """Note that it lies there."""
+    def confirm_write(self, now: float) -> None:
+        """Note that the row is stored."""
         if self._pending.shares > self.row.shares or not self.row.names:
-            self._counted_at = now
+            self._count_raised_at = now
         self.row = self._pending
 
     def weight(self, node: str) -> float:
-        """Return a relay's share, 0 where it has none."""
+        """Return a relay's share as a fraction, 0 if it has none."""
         if node not in self.row.names:
             return 0.0
         return 1.0 / max(self.row.shares, self._pending.shares)
 
-    def granted_here(self, delegated: Set[str], now: float) -> float:
-        """Return the part of all shares that the holder may grant from."""
+    def grantable_fraction(self, delegated: Set[str], now: float) -> float:
+        """Return the fraction of all shares that the lease holder may grant from."""
         names = self.row.names
         if not names:
             return 1.0
         elsewhere = sum(
-            name not in delegated and not self._is_over(name, now) for name in names
+            name not in delegated and not self._is_expired(name, now) for name in names
         )
         return 1.0 - elsewhere / len(names)
--- a/src/ebonydeal/_internal/routing/limits/startup_grant.py
+++ b/src/ebonydeal/_internal/routing/limits/startup_grant.py
@@ -1,9 +1,9 @@
-"""What a new holder of the lease may grant at once, before shares are delegated to it.
+"""What a new lease holder may grant at once, before shares are delegated to it.
 
-After a loss nobody has shares until what lost processes promised is over. Part of what
-is tolerated is kept for that time, for two holders in a window: losses come in series.
-The store counts them: when the last ones were begun lies there, written under the
-lease. So however often relays start, a window holds no more.
+After a loss nobody has shares until the delegations by lost processes have expired. A
+part of the tolerance is reserved for that time, enough for two holders in a window,
+since losses come in series. The start times of the last grants are stored together with
+the lease, so the bound of a window holds however often relays start.
 """
 
 from collections.abc import Iterable
@@ -11,71 +11,71 @@
 from ebonydeal._internal.models.forwarding import ForwardAccount
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 
-# What isn't granted by then lapses: shares are there.
+# What is unused then expires: by then shares are delegated.
 STARTUP_GRANT_TTL_S = 2.0
-# So many are begun in a window, each with its part.
+# This many startup grants may start in a window, each with its part of the tolerance.
 MAX_STARTUP_GRANTS = 2
-# By so much relays' readings of the store's clock may differ.
-_CLOCK_MARGIN_S = 1.0
+# Relays' readings of the store's clock may differ by this much.
+_MAX_CLOCK_SKEW_S = 1.0
 _NEVER = float("-inf")
 
 
 class StartupGrant:
-    """The amounts of one holder.
+    """The amounts that one lease holder may grant at its start.
 
     Parameters
     ----------
     bounds : QuotaBounds
-        What limits tolerate.
+        How far limits may be exceeded.
     """
 
     def __init__(self, bounds: QuotaBounds) -> None:
         self._bounds = bounds
-        # Whether one may be begun, and whether it is to be.
-        self._is_due = False
-        self.wanted = False
-        self._begun: list[float] = []
+        # Whether a grant may start, and whether its start is still to be stored.
+        self._allowed = False
+        self.is_requested = False
+        self._started_at: list[float] = []
         self._until = _NEVER
-        self._pending = _NEVER
+        self._pending_until = _NEVER
         self._used: dict[str, float] = {}
 
-    def load(self, begun: Iterable[float], now: float) -> None:
-        """Begin as holder.
+    def load(self, started_at: Iterable[float], now: float) -> None:
+        """Start as lease holder.
 
         Parameters
         ----------
-        begun : iterable of float
-            When the last ones were begun, by the store's clock, seconds.
+        started_at : iterable of float
+            When the last startup grants started, by the store's clock, seconds.
         now : float
             The store's time.
         """
-        spacing = self._bounds.window + STARTUP_GRANT_TTL_S + _CLOCK_MARGIN_S
-        self._begun = [at for at in begun if now - at < spacing]
-        self._is_due = len(self._begun) < MAX_STARTUP_GRANTS
-        self.wanted = False
+        spacing = self._bounds.window + STARTUP_GRANT_TTL_S + _MAX_CLOCK_SKEW_S
+        self._started_at = [at for at in started_at if now - at < spacing]
+        self._allowed = len(self._started_at) < MAX_STARTUP_GRANTS
+        self.is_requested = False
         self._until = _NEVER
         self._used = {}
 
-    def want(self) -> bool:
-        """Note that it is needed; return whether it is to be written now."""
-        self.wanted, self._is_due = self.wanted or self._is_due, False
-        return self.wanted
+    def request(self) -> bool:
+        """Note that the grant is needed; return whether its start must be stored."""
+        self.is_requested, self._allowed = self.is_requested or self._allowed, False
+        return self.is_requested
 
-    def writes(self, now: float, ahead: float) -> list[float]:
-        """Return what is to lie in the store: when the last ones were begun.
+    def begin_write(self, now: float, ahead: float) -> list[float]:
+        """Return the start times to be stored, which include this grant's.
 
-        ``now`` is by this process's clock, which the store's is ``ahead`` of.
+        ``now`` is this process's time; the store's clock is ``ahead`` of it.
         """
-        self._pending = now + STARTUP_GRANT_TTL_S
-        return [*self._begun, now + ahead][-MAX_STARTUP_GRANTS:]
+        self._pending_until = now + STARTUP_GRANT_TTL_S
+        return [*self._started_at, now + ahead][-MAX_STARTUP_GRANTS:]
 
-    def wrote(self) -> None:
-        """Note that it lies there."""
-        self.wanted = False
-        self._until = self._pending
+    def confirm_write(self) -> None:
+        """Note that the start times are stored."""
+        self.is_requested = False
+        self._until = self._pending_until
 
     def take(self, account: ForwardAccount, need: float, now: float) -> bool:
-        """Use ``need`` of an account, if so much is left."""
+        """Use ``need`` of an account if that much is left; return whether it was."""
         used = self._used.get(account.name, 0.0) + need
         if (
             now >= self._until
--- a/src/ebonydeal/_internal/routing/notices/__init__.py
+++ b/src/ebonydeal/_internal/routing/notices/__init__.py
@@ -1,5 +1,5 @@
-"""What endpoints say of themselves in their answers, and what follows for sends.
+"""What endpoints announce about themselves in answers, and what it means for sends.
 
-Event: an answer that says it, or says it no more. Called with each answer, by relays
-that tell each other, and before each send; touches its own memory only.
+Event: an answer that announces something, or no longer does. Called for each answer, by
+relays that report to each other, and before each send; works on its own memory only.
 """
--- a/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -1,9 +1,9 @@
-"""What each process of an endpoint said of itself, at one relay.
+"""What each process of an endpoint announced about itself, as one relay knows it.
 
-A limit holds from the answer that names it until an answer without it, to a request
-that was sent after the limit was last heard of: an answer may be older than it looks.
-What other relays report counts as well: the latest, by when it was heard, is taken, and
-of a limit that rises the lower one holds on for a while.
+A limit holds from the answer that announces it until an answer without it. That answer
+must be to a request sent after the limit was last announced, as answers may arrive out
+of order. Reports of other relays count as well: the most recent one is used. When a
+limit rises, the lower one stays in force for a while.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,26 +12,28 @@
 
 from ebonydeal._internal.models.forwarding import Process
 
-# For so long after a limit rose, or ended, the one before is told to others, or holds.
+# The lower limit stays in force for this long after a limit rose. The end of a limit is
+# reported to other relays for this long.
 _WINDOW_S = 4.0
-# A report takes so long at most. The end of a limit that another relay reports counts
-# as that much older: one named meanwhile goes before it.
-_TOLD_WITHIN_S = 0.5
-# A longer rest counts as this: one by mistake would take the endpoint out for good.
-_MOST_REST_S = 3600.0
-# For so long relays report that a process said that it leaves: by then the list has
-# it, or the process is gone.
-_LEAVING_TOLD_S = 30.0
-# Processes that are remembered, those that were heard of longest ago go first.
-_MOST_KNOWN = 4000
+# Longest time that a report takes. The end of a limit that another relay reports counts
+# as that much older, so that a limit announced meanwhile has precedence.
+_MAX_REPORT_DELAY_S = 0.5
+# A longer backoff is cut to this: one sent by mistake would exclude the endpoint for
+# good.
+_MAX_BACKOFF_S = 3600.0
+# Relays report for this long that a process is leaving: after that the list of
+# endpoints says so, or the process is gone.
+_LEAVING_REPORT_TTL_S = 30.0
+# Processes that are remembered; the least recently updated are evicted first.
+_MAX_PROCESSES = 4000
 _NEVER = float("-inf")
 
 
 class LimitReport(NamedTuple):
-    """What a process said of its limit, as relays report it to each other.
+    """A process's limit, as relays report it to each other.
 
-    ``limit`` is in requests a second, None for none any more; ``age`` are the seconds
-    since it was heard.
+    ``limit`` is in requests a second, None if it has ended; ``age`` is the time since
+    the answer that announced it, seconds.
     """
 
     process: Process
@@ -39,7 +41,7 @@
     age: float
 
     def encode(self) -> list:
-        """Return it as JSON has it."""
+        """Return the JSON representation."""
         return [*self.process, self.limit, round(self.age, 3)]
 
     @classmethod
@@ -55,161 +57,162 @@
 
 @dataclass
 class _Limit:
-    """A process's limit as last heard, when that was, and whether by this relay."""
+    """A process's last known limit, its time, and whether this relay received it."""
 
     limit: float | None
     at: float
     own: bool
-    # A lower limit, in force for a while after it rose.
-    before: float = 0.0
-    before_until: float = _NEVER
+    # The lower limit before a rise, and until when it stays in force.
+    lower: float = 0.0
+    lower_until: float = _NEVER
 
 
 class EndpointNotices:
-    """What is known of all processes."""
+    """What all processes of endpoints announced."""
 
     def __init__(self) -> None:
         self._limits: dict[Process, _Limit] = {}
-        # Until when a process wants nothing from this relay.
-        self._rest: dict[Process, float] = {}
-        # Since when a process says that it leaves.
+        # Until when a process wants no requests from this relay.
+        self._backoff_until: dict[Process, float] = {}
+        # When a process announced that it is leaving.
         self._leaving: dict[Process, float] = {}
-        # Told which process leaves.
+        # Called with each process that announces that it is leaving.
         self.on_leaving: Callable[[Process], None] = lambda _process: None
 
-    # --- rest ----------------------------------------------------------------
+    # --- backoff -------------------------------------------------------------
     def note_backoff(self, process: Process, seconds: float, now: float) -> bool:
-        """Take for how long a process wants nothing; return if that is longer."""
-        until = now + min(seconds, _MOST_REST_S)
-        if until <= self._rest.get(process, now):
+        """Note for how long a process wants no requests; return whether it extends."""
+        until = now + min(seconds, _MAX_BACKOFF_S)
+        if until <= self._backoff_until.get(process, now):
             return False
-        self._rest = {p: at for p, at in self._rest.items() if at > now}
-        self._rest[process] = until
+        self._backoff_until = {p: t for p, t in self._backoff_until.items() if t > now}
+        self._backoff_until[process] = until
         return True
 
     def backoff_remaining(self, process: Process, now: float) -> float:
-        """Return the seconds for which a process still wants nothing."""
-        return max(0.0, self._rest.get(process, now) - now)
+        """Return the seconds for which a process still wants no requests."""
+        return max(0.0, self._backoff_until.get(process, now) - now)
 
     # --- leaving -------------------------------------------------------------
     def note_leaving(self, process: Process, at: float) -> bool:
-        """Note that a process says that it leaves; return if that is news.
+        """Note that a process is leaving; return whether that is new.
 
-        It doesn't come back: a process that stays after all starts anew.
+        It can't be taken back: a process that stays after all must restart.
         """
         if process in self._leaving:
             return False
         self._leaving[process] = at
-        while len(self._leaving) > _MOST_KNOWN:
+        while len(self._leaving) > _MAX_PROCESSES:
             del self._leaving[next(iter(self._leaving))]
         self.on_leaving(process)
         return True
 
     def leaving_since(self, process: Process) -> float | None:
-        """Return when a process said that it leaves; None if it didn't."""
+        """Return when a process announced that it is leaving; None if it didn't."""
         return self._leaving.get(process)
 
     def leaving_reports(self, now: float) -> list[list]:
-        """Return what other relays are told, by id, start and seconds since then."""
+        """Return the reports for other relays: id, start and seconds since then."""
         return [
             [*process, round(now - at, 3)]
             for process, at in self._leaving.items()
-            if now - at <= _LEAVING_TOLD_S
+            if now - at <= _LEAVING_REPORT_TTL_S
         ]
 
     def merge_leaving(self, messages: Iterable[list], now: float) -> list[Process]:
-        """Take what another relay heard; return what is news."""
-        news = []
+        """Merge another relay's reports; return the processes that are new."""
+        new = []
         for endpoint_id, born, age in messages:
             process = Process(str(endpoint_id), int(born))
             if self.note_leaving(process, now - max(0.0, float(age))):
-                news.append(process)
-        return news
+                new.append(process)
+        return new
 
     # --- limits --------------------------------------------------------------
     def note_limit(
         self, process: Process, limit: float | None, sent_at: float, now: float
     ) -> bool:
-        """Take an answer to what was sent at ``sent_at``; return if that is news.
+        """Note the limit in an answer; return whether the known limit changed.
 
-        ``limit`` is what the answer names, None for none.
+        ``limit`` is None if the answer announces none; ``sent_at`` is when the request
+        was sent.
         """
         known = self._limits.get(process)
         if limit is None and known is None:
             return False
         at = sent_at if limit is None else now
-        return self._take(process, limit, at, True, now)
+        return self._update(process, limit, at, True, now)
 
     def merge_limit(self, report: LimitReport, now: float) -> bool:
-        """Take what another relay heard; return if that is news."""
+        """Merge another relay's report; return whether the known limit changed."""
         at = now - report.age
         if report.limit is None:
-            at -= _TOLD_WITHIN_S
-        return self._take(report.process, report.limit, at, False, now)
+            at -= _MAX_REPORT_DELAY_S
+        return self._update(report.process, report.limit, at, False, now)
 
-    def _take(
+    def _update(
         self, process: Process, limit: float | None, at: float, own: bool, now: float
     ) -> bool:
         known = self._limits.get(process)
         if known is None:
             self._limits[process] = _Limit(limit, at, own)
-            self._drop_oldest()
+            self._evict_oldest()
             return limit is not None
         if at < known.at:
             return False
         if known.own and not own and limit == known.limit:
-            if at < known.at + _TOLD_WITHIN_S:
+            if at < known.at + _MAX_REPORT_DELAY_S:
                 # It may be this relay's own report, sent back.
                 return False
-        changes = limit != known.limit
+        changed = limit != known.limit
         if known.limit is not None and limit is not None and limit > known.limit:
             lower = self.limit(process, now)
-            known.before = known.limit if lower is None else lower
-            known.before_until = now + _WINDOW_S
+            known.lower = known.limit if lower is None else lower
+            known.lower_until = now + _WINDOW_S
         known.limit, known.at, known.own = limit, at, own
-        return changes
+        return changed
 
-    def _drop_oldest(self) -> None:
-        while len(self._limits) > _MOST_KNOWN:
+    def _evict_oldest(self) -> None:
+        while len(self._limits) > _MAX_PROCESSES:
             del self._limits[min(self._limits, key=lambda p: self._limits[p].at)]
 
     @property
     def has_any(self) -> bool:
-        """Whether any process may have a limit, or rest."""
-        return bool(self._limits or self._rest)
+        """Whether any process may have a limit or a backoff."""
+        return bool(self._limits or self._backoff_until)
 
     def accepts_moved_streams(self, process: Process, now: float) -> bool:
-        """Return whether runs may be moved to a process without asking."""
+        """Return whether streams may be moved to a process without a permit."""
         return self.limit(process, now) is None and not self.backoff_remaining(
             process, now
         )
 
     def limit(self, process: Process, now: float) -> float | None:
-        """Return the limit of a process, requests a second; None for none."""
+        """Return the limit of a process, requests a second; None if it has none."""
         known = self._limits.get(process)
         if known is None or known.limit is None:
             return None
-        if now < known.before_until:
-            return min(known.limit, known.before)
+        if now < known.lower_until:
+            return min(known.limit, known.lower)
         return known.limit
 
     def active_limits(self, now: float) -> dict[Process, float]:
-        """Return all processes that have a limit."""
+        """Return the limits of all processes that have one."""
         limits = {process: self.limit(process, now) for process in self._limits}
         return {p: limit for p, limit in limits.items() if limit is not None}
 
     def limit_report(self, process: Process, now: float) -> LimitReport | None:
-        """Return what is known of a process's limit."""
+        """Return the report of a process's limit, None if none is known."""
         known = self._limits.get(process)
         if known is None:
             return None
         return LimitReport(process, known.limit, now - known.at)
 
     def limit_reports(self, now: float, own: bool = False) -> list[LimitReport]:
-        """Return what other relays are told; with ``own`` what was heard here alone.
+        """Return the reports for other relays; with ``own`` only this relay's own.
 
-        What others told is told on by the coordinator only: else it would seem newer
-        each time.
+        Only the coordinator forwards what others reported: otherwise it would seem
+        newer with each hop.
         """
         return [
             LimitReport(process, known.limit, now - known.at)
@@ -219,6 +222,6 @@
         ]
 
     def merge_limits(self, messages: Iterable[list], now: float) -> list[LimitReport]:
-        """Take what another relay reports; return what is news."""
+        """Merge another relay's reports; return those that changed a known limit."""
         reports = [LimitReport.decode(message) for message in messages]
         return [report for report in reports if self.merge_limit(report, now)]
--- a/tests/lib/endpoint_limit_model.py
+++ b/tests/lib/endpoint_limit_model.py
@@ -6,7 +6,10 @@
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.forwarding import Process
-from ebonydeal._internal.routing.limits.endpoint_limits import WINDOW_S, bears
+from ebonydeal._internal.routing.limits.endpoint_limits import (
+    WINDOW_S,
+    max_requests_per_window,
+)
 from tests.lib.limits_cluster import limited_account, quota_bounds
 from tests.lib.shares_model import Model
 
@@ -76,7 +79,11 @@
             if None in limits:
                 continue
             came = sum(end - WINDOW_S < at <= end for at in self.sent)
-            assert came <= bears(max(limits)) + 1e-6, (end, came, limits)
+            assert came <= max_requests_per_window(max(limits)) + 1e-6, (
+                end,
+                came,
+                limits,
+            )
 
     def _named_in(self, begin, end):
         """Return what was named in a window."""
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -100,26 +100,26 @@
             self.lease.on_read(*model.row, now)
             return
         renews = self.lease.is_mine and step.row.fence == self.lease.fence
-        wanted, startup = None, self.granter.startup.wanted
+        wanted, startup = None, self.granter.startup.is_requested
         if renews and self.granter.registry_fence == self.lease.fence:
             alive = {n for n, at in self.heard.items() if now - at <= 3.0}
-            wanted = self.granter.registry.wanted(alive, now)
-            self.granter.registry.writes(wanted)
+            wanted = self.granter.registry.next_row(alive, now)
+            self.granter.registry.begin_write(wanted)
             model.names = wanted
             if startup:
-                model.startups = self.granter.startup.writes(now, 0.0)
+                model.startups = self.granter.startup.begin_write(now, 0.0)
         model.row = (step.row, model.row[1] + 1)
         if model.lose_answers:
             self.lease.on_write_in_doubt()
             return
         self.lease.on_written(step.row, model.row[1])
         if wanted is not None and startup:
-            self.granter.startup.wrote()
+            self.granter.startup.confirm_write()
         if wanted is not None and wanted != self.granter.registry.row:
             self.granter.refresh()
-            self.granter.registry.wrote(now)
+            self.granter.registry.confirm_write(now)
             self.granter.refresh()
-            self.granter.broker.first = False
+            self.granter.broker.starts_full = False
         if not renews:
             self._begin(now)
 
@@ -158,17 +158,17 @@
                 self.lease.wanted = not holder.lease.holds(now)
                 self.link.on_reply(reply, now)
                 self.notices.merge_limits(holder.notices_of(), now)
-                self._take_back()
+                self._reclaim_share()
                 return
         if now - self.last_ok > PACE.coordinator_timeout:
             self.lease.wanted = True
         if not self.link.has_coordinator:
-            self._tell_stand_in()
+            self._delegate_to_standby()
 
-    def _take_back(self):
+    def _reclaim_share(self):
         """Take the share back from who had it before, as `LimitsClient` does."""
         link, model = self.link, self.model
-        promised = self.granter.own.promised(model.clock.now())
+        promised = self.granter.own_share.accepted_offer(model.clock.now())
         address = link._granter_address
         if promised is None or not address:
             return
@@ -179,11 +179,11 @@
         along = model.running[address].granter.release(self.name, self.incarnation)
         if model.lose_replies:
             return
-        self.granter.own.released(promised)
-        link._along, link._along_number = along, link._along_number + 1
-        link._along_for = ""
+        self.granter.own_share.end_delegation(promised)
+        link._transfer, link._transfer_number = along, link._transfer_number + 1
+        link._transfer_granter = ""
 
-    def _tell_stand_in(self):
+    def _delegate_to_standby(self):
         model = self.model
         address = self.link._standby_address()
         if address is None or not model.reaches(self.name, address):
--- a/tests/unit/relay/test_endpoint_limit_model.py
+++ b/tests/unit/relay/test_endpoint_limit_model.py
@@ -8,8 +8,8 @@
 from ebonydeal._internal.models.forwarding import Process
 from ebonydeal._internal.routing.limits.endpoint_limits import (
     ENDPOINT_BOUNDS,
-    bears,
     limit_account,
+    max_requests_per_window,
 )
 from tests.lib.endpoint_limit_model import EndpointModel
 from tests.unit.relay.test_shares_model import _heal, faults_of
@@ -21,7 +21,7 @@
         account = limit_account(Process("i1", 0), limit)
         allowed = ENDPOINT_BOUNDS.limit(account) + ENDPOINT_BOUNDS.tolerance(account)
         assert ENDPOINT_BOUNDS.fits(account)
-        assert allowed <= bears(max(limit, account.rate)) + 1e-9
+        assert allowed <= max_requests_per_window(max(limit, account.rate)) + 1e-9
 
     def test_of_no_requests_at_all_leaves_room_to_hear_of_its_end(self):
         account = limit_account(Process("i1", 0), 0.0)
@@ -29,7 +29,7 @@
         # Nothing of these limits is granted in advance, or lies at a stand-in.
         terms = {term.name: term.amount for term in ENDPOINT_BOUNDS.terms(account)}
         used = sum(terms[name] for name in ("rate", "burst", "debt", "late"))
-        assert used <= bears(0.0)
+        assert used <= max_requests_per_window(0.0)
 
 
 def faults_and_words(names):
--- a/tests/unit/relay/test_limits_client.py
+++ b/tests/unit/relay/test_limits_client.py
@@ -189,8 +189,8 @@
         relay.coordinator.coordinator_address = "n5:1"
         relay.peers.replies[RELEASE] = {"along": {"acme": 3.0}}
         relay.link.on_reply(reply("i5"), 100.2)
-        assert relay.granter.own.promised(100.2).granter == "i0"
-        await relay.link._take_back()
+        assert relay.granter.own_share.accepted_offer(100.2).granter == "i0"
+        await relay.link._reclaim_share()
         assert relay.paths() == [("n0:1", RELEASE)]
         relay.link.on_reply(reply("i5"), 100.3)
         word = relay.link.share_report()
@@ -203,7 +203,7 @@
         relay.coordinator.coordinator_address = "n5:1"
         relay.peers.replies[RELEASE] = {"along": {"acme": 3.0}}
         relay.link.on_reply(reply("i5"), 100.2)
-        await relay.link._take_back()
+        await relay.link._reclaim_share()
         assert relay.link.share_report()["along"] == {}
         relay.link.on_reply(reply("i5"), 100.3)
         assert relay.link.share_report()["along"] == {"acme": 3.0}
@@ -215,7 +215,7 @@
     async def test_not_before_its_time_where_who_has_it_gives_no_answer(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
         relay.link.on_reply(reply("i5"), 100.2)
-        await relay.link._take_back()
+        await relay.link._reclaim_share()
         relay.link.on_reply(reply("i5"), 100.4)
         assert relay.link.share_report()["granter"] == "i0"
         await relay.clock.advance(1.5)
--- a/tests/unit/relay/test_registry_store.py
+++ b/tests/unit/relay/test_registry_store.py
@@ -49,7 +49,7 @@
     async def pass_time(self, seconds):
         await self.clock.advance(seconds)
         for name in self.alive & self.granter.registry.row.names:
-            self.granter.registry.heard(name, self.clock.now())
+            self.granter.registry.record_delegation(name, self.clock.now())
 
 
 @pytest.fixture
@@ -148,9 +148,9 @@
 
     async def test_that_a_renewal_under_way_lacks_waits_for_the_next(self, starting):
         await starting.rows.read()
-        starting.granter.startup.wanted = False
+        starting.granter.startup.is_requested = False
         starting.rows.changes()
-        starting.granter.startup.wanted = True
+        starting.granter.startup.is_requested = True
         starting.rows.wrote()
         assert not self.grants(starting)
         await starting.write()
--- a/tests/unit/routing/admission/test_admission.py
+++ b/tests/unit/routing/admission/test_admission.py
@@ -51,7 +51,7 @@
     def test_the_same_request_twice_is_a_fault(self):
         admission = make_admission()
         admission.offer(make_ask("a"), NOW)
-        with pytest.raises(ValueError, match="offered already"):
+        with pytest.raises(ValueError, match="already offered"):
             admission.offer(make_ask("a"), NOW)
 
 
@@ -59,7 +59,7 @@
     def test_waiting_past_the_latest_start_is_refused_in_the_same_call(self):
         admission = make_admission()
         admission.offer(make_ask("a"), NOW)
-        admission.offer(make_ask("b", deadline=NOW + 5.0, least_s=1.0), NOW)
+        admission.offer(make_ask("b", deadline=NOW + 5.0, min_run_s=1.0), NOW)
         assert admission.wake_at() == NOW + 4.0
         (answer,) = admission.next_ready(NOW + 4.0)
         assert isinstance(answer, Refuse)
--- a/tests/unit/routing/limits/test_quota_broker.py
+++ b/tests/unit/routing/limits/test_quota_broker.py
@@ -48,7 +48,7 @@
 def full(terms=None, share=None):
     """Return the broker of the very first holder."""
     broker = QuotaBroker(BOUNDS, terms, share or Share())
-    broker.first = True
+    broker.starts_full = True
     return broker
 
 
@@ -141,8 +141,8 @@
 
     def test_a_part_that_may_lie_with_a_stand_in_is_left_out(self):
         broker = full(SAVED)
-        broker.lent_elsewhere = lambda now: now < 5.0
-        most = ACCOUNT.burst - BOUNDS.standby_of_burst(ACCOUNT)
+        broker.has_unknown_standby = lambda now: now < 5.0
+        most = ACCOUNT.burst - BOUNDS.standby_burst(ACCOUNT)
         assert broker.grant(ACCOUNT, most + 1.0, 1.0).amount == 0.0
         assert broker.grant(ACCOUNT, ACCOUNT.burst, 6.0).amount == ACCOUNT.burst
 
@@ -152,19 +152,19 @@
         broker = full(SAVED)
         has, now = 0.0, 1.0
         for _ in range(40):
-            has += broker.stand_by(ACCOUNT, has, now)
+            has += broker.grant_standby(ACCOUNT, has, now)
             now += 0.5
-        most = BOUNDS.standby(ACCOUNT) + BOUNDS.standby_of_burst(ACCOUNT)
+        most = BOUNDS.standby(ACCOUNT) + BOUNDS.standby_burst(ACCOUNT)
         assert has == pytest.approx(most)
         # Of a burst the holder has what the stand-in hasn't.
-        left = ACCOUNT.burst - BOUNDS.standby_of_burst(ACCOUNT)
+        left = ACCOUNT.burst - BOUNDS.standby_burst(ACCOUNT)
         assert broker.grant(ACCOUNT, left + 1.0, now).amount == 0.0
         assert broker.grant(ACCOUNT, left - 1.0, now).amount > 0.0
 
     def test_gets_nothing_of_an_account_near_its_limit(self):
         broker = full(SAVED)
         broker.grant(ACCOUNT, 25_000.0, 1.0)
-        assert broker.stand_by(ACCOUNT, 0.0, 1.0) == 0.0
+        assert broker.grant_standby(ACCOUNT, 0.0, 1.0) == 0.0
 
 
 class TestNearTheLimit:
@@ -244,13 +244,13 @@
 
 class TestBalances:
     def test_an_unused_amount_lapses(self):
-        local = Balances(kept=4.0)
+        local = Balances(ttl=4.0)
         local.add("acme", 1000.0, 10.0)
         assert local.take("acme", 400.0, 13.0)
         assert not local.take("acme", 400.0, 14.1)
 
     def test_each_lapses_by_itself(self):
-        local = Balances(kept=4.0)
+        local = Balances(ttl=4.0)
         local.add("acme", 1000.0, 10.0)
         local.add("acme", 500.0, 12.0)
         assert local.take("acme", 1200.0, 13.0)
@@ -258,7 +258,7 @@
         assert local.left("acme", 16.1) == 0.0
 
     def test_one_may_be_kept_longer(self):
-        local = Balances(kept=4.0)
+        local = Balances(ttl=4.0)
         local.add("acme", 1000.0, 10.0)
         local.extend(13.0)
         assert local.left("acme", 16.9) == 1000.0
--- a/tests/unit/routing/limits/test_startup_grant.py
+++ b/tests/unit/routing/limits/test_startup_grant.py
@@ -18,9 +18,9 @@
     """A holder's, begun at 50.0 s, with none before."""
     startup = StartupGrant(BOUNDS)
     startup.load([], 500.0)
-    assert startup.want()
-    startup.writes(50.0, 450.0)
-    startup.wrote()
+    assert startup.request()
+    startup.begin_write(50.0, 450.0)
+    startup.confirm_write()
     return startup
 
 
@@ -36,20 +36,20 @@
     def test_is_there_once_it_lies_in_the_store(self):
         startup = StartupGrant(BOUNDS)
         startup.load([], 500.0)
-        startup.want()
+        startup.request()
         assert not startup.take(ACCOUNT, 1.0, 50.0)
-        startup.writes(50.0, 450.0)
+        startup.begin_write(50.0, 450.0)
         assert not startup.take(ACCOUNT, 1.0, 50.0)
-        startup.wrote()
+        startup.confirm_write()
         assert startup.take(ACCOUNT, 1.0, 50.1)
 
     def test_lapses_by_when_its_write_began(self):
         startup = StartupGrant(BOUNDS)
         startup.load([], 500.0)
-        startup.want()
-        startup.writes(50.0, 450.0)
+        startup.request()
+        startup.begin_write(50.0, 450.0)
         # The answer came late.
-        startup.wrote()
+        startup.confirm_write()
         assert not startup.take(ACCOUNT, 1.0, 52.1)
 
 
@@ -66,18 +66,18 @@
     def test_two_a_window_and_the_time_that_they_are_used(self, begun, allowed):
         startup = StartupGrant(BOUNDS)
         startup.load(begun, 500.0)
-        assert startup.want() is allowed
+        assert startup.request() is allowed
 
     def test_what_lies_in_the_store_is_the_last_two(self):
         startup = StartupGrant(BOUNDS)
         startup.load([100.0, 489.0, 499.0], 500.0)
-        startup.want()
-        assert startup.writes(50.0, 450.0) == [499.0, 500.0]
+        startup.request()
+        assert startup.begin_write(50.0, 450.0) == [499.0, 500.0]
 
     def test_a_store_whose_clock_went_back_allows_none(self):
         startup = StartupGrant(BOUNDS)
         startup.load([899.0, 900.0], 500.0)
-        assert not startup.want()
+        assert not startup.request()
 
     def test_one_by_holder(self, startup):
-        assert not startup.want()
+        assert not startup.request()
