--- a/src/ebonydeal/_internal/relay/limits/client.py
+++ b/src/ebonydeal/_internal/relay/limits/client.py
@@ -387,25 +387,25 @@
     ) -> Grant:
         """Request what the coordinator lacks from the standby's part of the burst."""
         now = self._clock.now()
-        short = min(refused.shortfall, amount)
-        if short <= 0.0 or now < self._no_spare_until.get(account.name, now):
+        shortfall = min(refused.shortfall, amount)
+        if shortfall <= 0.0 or now < self._no_spare_until.get(account.name, now):
             return refused
-        got = await self._ask_standby(account, short, True)
-        if got is None or got.amount < short:
+        got = await self._ask_standby(account, shortfall, True)
+        if got is None or got.amount < shortfall:
             self._no_spare_until[account.name] = now + _NO_SPARE_WAIT_S
             return refused
-        if short >= amount:
+        if shortfall >= amount:
             return got
-        # Kept for the next request, where the coordinator refuses the rest.
-        self.balances.add(account.name, short, now)
+        # Kept for the next request if the coordinator refuses the rest.
+        self.balances.add(account.name, shortfall, now)
         try:
-            rest = _grant(await coordinator.grant(account.name, amount - short))
+            rest = _grant(await coordinator.grant(account.name, amount - shortfall))
         except EbonydealError as exc:
             logger.info("Grant request failed.", account=account.name, reason=str(exc))
             return refused
-        if rest.amount < amount - short:
+        if rest.amount < amount - shortfall:
             return refused
-        self.balances.take(account.name, short, self._clock.now())
+        self.balances.take(account.name, shortfall, self._clock.now())
         return self._counted(Grant(amount, 0.0), Event.ADMITTED_BY_GRANT)
 
     async def _ask_standby(
--- a/src/ebonydeal/_internal/relay/limits/messages.py
+++ b/src/ebonydeal/_internal/relay/limits/messages.py
@@ -1,25 +1,25 @@
-"""What relays tell each other of limits, as JSON on the wire."""
+"""Messages between relays about limits, as JSON on the wire."""
 
 from typing import TypedDict
 
-# Path of a call: a relay delegates its share to a stand-in.
+# Path of the call by which a relay delegates its share to a standby.
 DELEGATE = "/relay/v1/delegate"
-# Path of a call: a relay that has found the coordinator takes its share back.
+# Path of the call by which a relay that has found the coordinator gets its share back.
 RELEASE = "/relay/v1/release"
-# Path of a call: a relay wants to send to an endpoint that named a limit.
+# Path of the call by which a relay requests to send to an endpoint with a limit.
 PERMIT = "/relay/v1/permit"
 
 
 class ShareReport(TypedDict):
-    """What a relay tells of its share of all limits.
-
-    ``weight`` is the share, 0 without one. ``granter``, ``until`` and ``seconds`` are
-    the word on which it is delegated; ``free`` says that it is delegated to nobody.
-    ``up_s`` is for how long the process has run. ``stand_in`` holds by account what it
-    has to grant while there is no coordinator; ``stands_back_s`` is the time for which
-    it leaves a free lease to larger instances, seconds, ``zone`` its availability zone.
-    ``along`` holds by account what came along with the share from its last granter,
-    and ``along_number`` which of such amounts it is.
+    """A relay's report of its share of all limits.
+
+    ``weight`` is the share as a fraction, 0 without one. ``granter``, ``until`` and
+    ``seconds`` are the offer under which it is delegated; ``free`` says that it is
+    delegated to no relay. ``up_s`` is the uptime of the process. ``stand_in`` holds, by
+    account, the amounts that the relay may grant as standby; ``stands_back_s`` is how
+    long it leaves a free lease to larger instances, seconds; ``zone`` is its
+    availability zone. ``along`` holds, by account, the amounts that its last granter
+    returned with the share, and ``along_number`` the number of that transfer.
     """
 
     weight: float
@@ -36,12 +36,13 @@
 
 
 class ShareReply(TypedDict):
-    """A granter's answer: the word on which the relay may delegate its share.
+    """A granter's reply: the offer under which the relay may delegate its share.
 
-    ``weight`` is the relay's share and ``kept_s`` for how long, 0 where this granter
-    has no say in it; ``grants`` are amounts by account in advance. ``stand_ins`` are
-    the addresses of those who grant while there is no coordinator, ``stand_in`` what
-    this relay may then grant, beside what it has; None where it isn't the first.
+    ``weight`` is the relay's share and ``kept_s`` its TTL, both 0 if this granter
+    doesn't assign shares; ``grants`` are amounts by account in advance. ``stand_ins``
+    are the addresses of the standbys, which grant while there is no coordinator.
+    ``stand_in`` is what this relay may grant as first standby, beside the amounts that
+    it holds; None if it isn't the first standby.
     """
 
     granter: str
@@ -55,7 +56,7 @@
 
 
 class DelegateMessage(TypedDict):
-    """A relay's word to a stand-in."""
+    """A relay's report to a standby."""
 
     node: str
     incarnation: str
@@ -63,31 +64,31 @@
 
 
 class ReleaseMessage(TypedDict):
-    """A relay takes its share back."""
+    """A relay requests its share back."""
 
     node: str
     incarnation: str
 
 
 class ReleaseReply(TypedDict):
-    """What goes along with the share, by account; who answers counts it no more."""
+    """The amounts returned with a share, by account; its granter has released it."""
 
     along: dict[str, float]
 
 
 class PermitMessage(TypedDict):
-    """A relay asks to send one request to an endpoint that named a limit.
+    """A relay asks to send one request to an endpoint with a limit.
 
-    ``report`` is what it knows of the limit, as `LimitReport` is written.
+    ``report`` is what it knows about the limit, an encoded `LimitReport`.
     """
 
     report: list
 
 
 class PermitReply(TypedDict):
-    """Whether it may, or seconds until it may ask again.
+    """Whether the relay may send, or the seconds until it may ask again.
 
-    ``report`` is what the granter knows of the limit.
+    ``report`` is what the granter knows about the limit.
     """
 
     granted: bool
--- a/src/ebonydeal/_internal/relay/limits/permits.py
+++ b/src/ebonydeal/_internal/relay/limits/permits.py
@@ -1,6 +1,6 @@
-"""Whether an endpoint that asked for rest, or named a limit, may get a request now.
+"""Whether an endpoint with a backoff or a limit may get a request now.
 
-One that rests gets none. One with a limit gets what is granted of it, one by one.
+An endpoint in backoff gets none. One with a limit gets each request by a permit.
 """
 
 from typing import Protocol
@@ -19,33 +19,33 @@
 )
 from ebonydeal._internal.utils.clock import Clock
 
-# A granter that knows of the limit's end, which this relay can't be sure of yet, is
-# asked again so soon.
-_LEAST_WAIT_S = 0.1
-# Where nobody grants, nobody is asked again for so long.
-_NOBODY_WAIT_S = 1.0
+# Wait before asking again a granter which reports that the limit has ended, while this
+# relay can't be sure of that yet.
+_MIN_WAIT_S = 0.1
+# Wait before asking again after no granter was reached.
+_NO_GRANTER_WAIT_S = 1.0
 
 
 class PermitPort(Protocol):
-    """Where permits come from."""
+    """The source of permits."""
 
     async def permit(self, report: LimitReport) -> PermitReply:
-        """Ask for one request; raises EbonydealError where nobody grants."""
+        """Request a permit; raises EbonydealError if no relay grants permits."""
 
 
 class EndpointPermits:
-    """Asks for permits, and remembers when it is of no use.
+    """Requests permits, and remembers until when requests are futile.
 
     Parameters
     ----------
     notices : EndpointNotices
-        Which endpoints rest, and which have limits.
+        Backoffs and limits of endpoints.
     port : PermitPort
-        Who grants.
+        The source of permits.
     clock : Clock
         Time.
     metrics : Metrics
-        Counts what was granted and refused.
+        Counts permits granted and refused.
     """
 
     def __init__(
@@ -59,31 +59,31 @@
         self._port = port
         self._clock = clock
         self._metrics = metrics
-        # By process: under which limit nothing was left, and until when.
-        self._empty: dict[Process, tuple[float, float]] = {}
+        # By process, the limit under which a permit was refused, and until when.
+        self._refused: dict[Process, tuple[float, float]] = {}
 
     @property
     def needed(self) -> bool:
-        """Whether any endpoint may need them."""
+        """Whether any endpoint may need permits."""
         return self._notices.has_any
 
     def wait(self, member: Member, now: float) -> float:
-        """Return the seconds until an endpoint may be asked again; 0.0 for now."""
-        rest = self._notices.backoff_remaining(member.process, now)
-        return max(rest, self._until_permit(member, now))
+        """Return the seconds until an endpoint may get a request; 0.0 for now."""
+        backoff = self._notices.backoff_remaining(member.process, now)
+        return max(backoff, self._permit_wait(member, now))
 
-    def _until_permit(self, member: Member, now: float) -> float:
-        empty = self._empty.get(member.process)
-        if empty is None:
+    def _permit_wait(self, member: Member, now: float) -> float:
+        refused = self._refused.get(member.process)
+        if refused is None:
             return 0.0
-        limit, until = empty
+        limit, until = refused
         if now >= until or self._notices.limit(member.process, now) != limit:
-            del self._empty[member.process]
+            del self._refused[member.process]
             return 0.0
         return until - now
 
     async def take(self, member: Member) -> bool:
-        """Return whether one request may go to an endpoint now."""
+        """Return whether one request may be sent to an endpoint now."""
         asked_at = self._clock.now()
         process = member.process
         if self._notices.backoff_remaining(process, asked_at):
@@ -92,7 +92,7 @@
         report = self._notices.limit_report(process, asked_at)
         if limit is None or report is None:
             return True
-        wait = _NOBODY_WAIT_S
+        wait = _NO_GRANTER_WAIT_S
         try:
             reply = await self._port.permit(report)
         except EbonydealError:
@@ -104,11 +104,11 @@
         now = self._clock.now()
         if self._notices.limit(process, now) is None:
             return True
-        # What was granted longer ago may count in another window.
-        kept = ENDPOINT_BOUNDS.max_send_delay_s(limit_account(process, limit))
-        if granted and now - asked_at <= kept:
+        # An older grant may count in another window.
+        max_age = ENDPOINT_BOUNDS.max_send_delay_s(limit_account(process, limit))
+        if granted and now - asked_at <= max_age:
             self._metrics.count(Event.ENDPOINT_PERMITS_GRANTED)
             return True
         self._metrics.count(Event.ENDPOINT_PERMITS_REFUSED)
-        self._empty[process] = (limit, now + max(wait, _LEAST_WAIT_S))
+        self._refused[process] = (limit, now + max(wait, _MIN_WAIT_S))
         return False
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -1,8 +1,8 @@
-"""The names of relays that have shares of all limits, in the platform's store.
+"""The relays with shares of all limits, and startup grants, in the platform's store.
 
-They are written with a renewal of the lease where they have changed, so that they cost
-no call, and read by who takes the lease. So is when a new holder last granted something
-before it had shares.
+The names of the relays, and the times at which new lease holders started grants before
+they had shares, are written together with a renewal of the lease when they change, so
+they cost no extra call. A relay that takes the lease reads them.
 """
 
 import json
@@ -29,20 +29,20 @@
 
 
 class RegistryStore:
-    """Reads and writes the row of names.
+    """Reads and writes the rows of the share registry and of startup grants.
 
     Parameters
     ----------
     store : SharedStore
         The platform's store.
     granter : Granter
-        Whose registry it is.
-    lease : DutyLease
-        Under which it is kept.
+        Owner of the registry and of the startup grants.
+    lease : CoordinatorLease
+        The lease under which the rows are written.
     clock : Clock
         Time.
     alive : callable
-        Returns the names of the relays that were heard lately.
+        Returns the names of the relays that reported recently.
     """
 
     def __init__(
@@ -58,11 +58,11 @@
         self._lease = lease
         self._clock = clock
         self._alive = alive
-        self._writing = self._writing_startup = False
+        self._writing_registry = self._writing_startup = False
 
     @property
     def known(self) -> bool:
-        """Whether the row was read since this relay holds the lease."""
+        """Whether the rows were read under the current fencing token."""
         return self._granter.registry_fence == self._lease.fence
 
     @property
@@ -70,76 +70,78 @@
         return self._granter.registry
 
     def changes(self) -> list[RowChange]:
-        """Return the write of names that have changed, if any."""
-        self._writing = self._writing_startup = False
+        """Return the writes of rows that have changed."""
+        self._writing_registry = self._writing_startup = False
         if not self.known:
             return []
-        return [*self._startup_changes(), *self._names_changes()]
+        return [*self._startup_changes(), *self._registry_changes()]
 
     def _startup_changes(self) -> list[RowChange]:
         startup = self._granter.startup
         if not startup.is_requested:
             return []
         self._writing_startup = True
-        begun = startup.begin_write(self._clock.now(), self._store.ahead)
-        return [RowChange(SHARES_TABLE, _STARTUP_KEY, json.dumps(begun).encode())]
+        started_at = startup.begin_write(self._clock.now(), self._store.ahead)
+        return [RowChange(SHARES_TABLE, _STARTUP_KEY, json.dumps(started_at).encode())]
 
-    def _names_changes(self) -> list[RowChange]:
-        wanted = self._registry.next_row(self._alive(), self._clock.now())
-        if wanted == self._registry.row:
+    def _registry_changes(self) -> list[RowChange]:
+        row = self._registry.next_row(self._alive(), self._clock.now())
+        if row == self._registry.row:
             return []
-        self._registry.begin_write(wanted)
-        self._writing = True
-        return [RowChange(SHARES_TABLE, _KEY, wanted.encode())]
+        self._registry.begin_write(row)
+        self._writing_registry = True
+        return [RowChange(SHARES_TABLE, _KEY, row.encode())]
 
     def wrote(self) -> None:
-        """Note that the last changes lie in the store."""
+        """Note that the last changes are stored."""
         if self._writing_startup:
             self._granter.startup.confirm_write()
-            logger.info("Granting before shares are there.", fence=self._lease.fence)
-        if self._writing:
+            logger.info("Startup grant started.", fence=self._lease.fence)
+        if self._writing_registry:
             self._granter.refresh()
             self._registry.confirm_write(self._clock.now())
             self._granter.refresh()
-            # From now on relays may have granted before an account is known here.
+            # From now on relays may have granted before this one knows an account.
             self._granter.broker.starts_full = False
             row = self._registry.row
-            logger.info("Shares written.", shares=row.shares, names=len(row.names))
+            logger.info(
+                "Share registry stored.", shares=row.shares, names=len(row.names)
+            )
 
     async def read(self) -> None:
-        """Take what the holder before kept."""
+        """Load the rows that the previous lease holder wrote."""
         rows, _version = await self._store.rows(SHARES_TABLE)
         found: RegistryRow = EMPTY_ROW
-        begun: list[float] = []
+        started_at: list[float] = []
         now = self._clock.now()
         for row in rows:
             if row.value is None:
                 continue
             if row.key == _KEY:
-                found = _decoded(row.value)
+                found = _decode_registry(row.value)
             elif row.key == _STARTUP_KEY:
-                begun = _decoded_startup(row.value, now + self._store.ahead)
+                started_at = _decode_startup(row.value, now + self._store.ahead)
         self._granter.refresh()
         self._registry.load(found, self._clock.now())
         self._granter.on_registry_loaded()
         self._granter.refresh()
-        self._granter.startup.load(begun, now + self._store.ahead)
+        self._granter.startup.load(started_at, now + self._store.ahead)
         self._granter.request_startup_grant()
 
 
-def _decoded(value: bytes) -> RegistryRow:
-    """Return the row; one that can't be read names nobody."""
+def _decode_registry(value: bytes) -> RegistryRow:
+    """Return the registry row; an unreadable one counts as empty."""
     try:
         return RegistryRow.decode(value)
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as exc:
-        logger.error("The names of shares can't be read.", reason=repr(exc))
+        logger.error("Share registry is unreadable.", reason=repr(exc))
         return EMPTY_ROW
 
 
-def _decoded_startup(value: bytes, now: float) -> list[float]:
-    """Return when new holders granted so; what can't be read allows none now."""
+def _decode_startup(value: bytes, now: float) -> list[float]:
+    """Return the times of startup grants; an unreadable row allows no grant now."""
     try:
         return [float(at) for at in json.loads(value)]
     except (ValueError, TypeError, OverflowError, RecursionError) as exc:
-        logger.error("The times of the last starts can't be read.", reason=repr(exc))
+        logger.error("Times of startup grants are unreadable.", reason=repr(exc))
         return [now] * MAX_STARTUP_GRANTS
