--- a/src/ebonydeal/_internal/routing/duties/report_pacing.py
+++ b/src/ebonydeal/_internal/routing/duties/report_pacing.py
@@ -3,8 +3,8 @@
 Load pattern: hundreds of relays, each with a few requests a second, report to one that
 may have half a core. The more relays there are, the less often each reports, so that
 the coordinator's share of a core stays bounded. All timeouts are derived from the same
-period. With fixed timeouts, healthy relays at 195 counted as gone between two of their
-reports, a part of the limits was reserved for them, and usage windows were closed
+period. With fixed timeouts, healthy ones of 195 relays counted as gone between two of
+their reports, a part of the limits was reserved for them, and usage windows were closed
 before they had reported.
 """
 
--- a/tests/functional/relay/test_rest_asked_for.py
+++ b/tests/functional/relay/test_rest_asked_for.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.lib.noticing import NoticingEndpoint, press, relays
+from tests.lib.announcing_endpoints import AnnouncingEndpoint, running_relays, send_load
 
 REST_S = 3.0
 RESTS = b"Ebonydeal-Not-Executed: 1\r\nRetry-After: 3\r\n"
@@ -24,24 +24,24 @@
 
 class TestAskedForRest:
     async def test_the_others_serve(self):
-        ill = [NoticingEndpoint(f"i{n}", RESTS, SHED) for n in range(2)]
-        well = [NoticingEndpoint(f"i{n}") for n in range(2, 4)]
-        async with relays(2, *ill, *well) as (programs, _store):
-            statuses = await press(programs, 4.0)
+        ill = [AnnouncingEndpoint(f"i{n}", RESTS, SHED) for n in range(2)]
+        well = [AnnouncingEndpoint(f"i{n}") for n in range(2, 4)]
+        async with running_relays(2, *ill, *well) as (programs, _store):
+            statuses = await send_load(programs, 4.0)
         assert max(map(most_in_a_rest, ill)) <= ALLOWED
         # By which a relay hears it, once from each of them.
         assert statuses.count(503) <= len(programs) * len(ill)
 
     async def test_by_all_endpoints_refuses_at_once_until_its_end(self):
-        ill = NoticingEndpoint("i0", RESTS, SHED)
-        async with relays(1, ill) as (programs, _store):
+        ill = AnnouncingEndpoint("i0", RESTS, SHED)
+        async with running_relays(1, ill) as (programs, _store):
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            statuses = await press(programs, 2.5)
+            statuses = await send_load(programs, 2.5)
             # Nothing waits for the rest's end.
             assert loop.time() - begun < 4.5
             assert most_in_a_rest(ill) <= ALLOWED
             assert set(statuses) == {503}
-            ill.says, ill.status = b"", b"200 OK"
+            ill.extra_headers, ill.status = b"", b"200 OK"
             await asyncio.sleep(REST_S)
-            assert set(await press(programs, 0.5)) == {200}
+            assert set(await send_load(programs, 0.5)) == {200}
--- a/tests/lib/noticing.py
+++ b/tests/lib/announcing_endpoints.py
@@ -1,4 +1,4 @@
-"""Relays before endpoints that say something of themselves in each answer."""
+"""Relays in front of endpoints that announce something in each answer's headers."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -6,22 +6,22 @@
 from tests.lib.raw_endpoints import RawEndpoint, answer
 from tests.lib.relay_fakes import MemoryStore, ask, document, relay, until
 
-# Clients name the relay that they ask, and it passes this header on.
-ASKED = "X-Asked"
+# Clients name the relay that they send to in this header, which relays pass on.
+ENTRY_HEADER = "X-Asked"
 
 
-class NoticingEndpoint(RawEndpoint):
-    """An endpoint that adds ``says`` to each answer, and notes what it gets.
+class AnnouncingEndpoint(RawEndpoint):
+    """An endpoint that adds ``extra_headers`` to each answer, and notes what it gets.
 
-    ``arrivals`` holds when and from which relay each request came, ``told`` when each
+    ``arrivals`` holds when and from which relay each request came, ``first_announced_at`` when each
     relay first got an answer that said something.
     """
 
-    def __init__(self, name, says=b"", status=b"200 OK"):
+    def __init__(self, name, extra_headers=b"", status=b"200 OK"):
         super().__init__(name)
-        self.says, self.status = says, status
+        self.extra_headers, self.status = extra_headers, status
         self.arrivals = []
-        self.told = {}
+        self.first_announced_at = {}
 
     async def _serve(self, reader, writer):
         self.script = _Always(self._answer)
@@ -29,19 +29,20 @@
 
     async def _answer(self, _reader, writer, headers):
         now = asyncio.get_running_loop().time()
-        asked = headers[ASKED.lower()]
-        self.arrivals.append((now, asked))
-        writer.write(answer(headers, status=self.status, extra=self.says))
+        entry = headers[ENTRY_HEADER.lower()]
+        self.arrivals.append((now, entry))
+        writer.write(answer(headers, status=self.status, extra=self.extra_headers))
         await writer.drain()
-        if self.says:
-            self.told.setdefault(asked, now)
+        if self.extra_headers:
+            self.first_announced_at.setdefault(entry, now)
 
-    def fullest(self, window, known_after):
-        """Return the most that came in some window from relays that knew."""
+    def max_in_window(self, window, known_after):
+        """Return the most requests in any window from relays that know the headers."""
         counted = [
             at
-            for at, asked in self.arrivals
-            if asked in self.told and at >= self.told[asked] + known_after
+            for at, entry in self.arrivals
+            if entry in self.first_announced_at
+            and at >= self.first_announced_at[entry] + known_after
         ]
         return max(
             (sum(at - window < other <= at for other in counted) for at in counted),
@@ -60,8 +61,8 @@
 
 
 @asynccontextmanager
-async def relays(count, *endpoints, **cfg):
-    """Run some relays before endpoints; yields (relays, store)."""
+async def running_relays(count, *endpoints, **cfg):
+    """Run some relays in front of endpoints; yields (relays, store)."""
     store = MemoryStore()
     for endpoint in endpoints:
         await endpoint.start()
@@ -84,17 +85,17 @@
             await endpoint.stop()
 
 
-async def press(programs, seconds, gap=0.02, path="/safe/"):
-    """Ask the relays in turn; return the statuses."""
+async def send_load(programs, seconds, gap=0.02, path="/safe/"):
+    """Send requests to the relays in turn; return the statuses."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
-    asking, number = [], 0
+    tasks, number = [], 0
     while loop.time() < end:
         program = programs[number % len(programs)]
-        headers = [(ASKED, program.coordinator.lease.node)]
-        asking.append(
+        headers = [(ENTRY_HEADER, program.coordinator.lease.node)]
+        tasks.append(
             asyncio.ensure_future(ask(program, path, rid=f"r{number}", headers=headers))
         )
         number += 1
         await asyncio.sleep(gap)
-    return [status for status, _headers, _body in await asyncio.gather(*asking)]
+    return [status for status, _headers, _body in await asyncio.gather(*tasks)]
--- a/tests/unit/routing/admission/test_admission.py
+++ b/tests/unit/routing/admission/test_admission.py
@@ -23,26 +23,26 @@
     return admission
 
 
-def make_ask(name: str, account="desk", priority=Priority.STANDARD, **changes):
+def make_request(name: str, account="desk", priority=Priority.STANDARD, **changes):
     return AdmissionRequest(name, account, "pool", priority, 100.0, **changes)
 
 
 class TestOffer:
     def test_starts_at_once_while_there_is_room(self):
-        assert make_admission().offer(make_ask("a"), NOW) == Admit("a")
+        assert make_admission().offer(make_request("a"), NOW) == Admit("a")
 
     def test_waits_when_full_and_starts_after_a_release(self):
         admission = make_admission()
-        admission.offer(make_ask("a"), NOW)
-        assert admission.offer(make_ask("b"), NOW) == Wait("b", 2.0)
+        admission.offer(make_request("a"), NOW)
+        assert admission.offer(make_request("b"), NOW) == Wait("b", 2.0)
         assert admission.next_ready(NOW) == []
         admission.release("a", 100.0, NOW + 1)
         assert admission.next_ready(NOW + 1) == [Admit("b")]
 
     def test_refused_at_once_when_it_cannot_start_in_time(self):
         admission = make_admission()
-        admission.offer(make_ask("a"), NOW)
-        answer = admission.offer(make_ask("b", deadline=NOW + 1.0), NOW)
+        admission.offer(make_request("a"), NOW)
+        answer = admission.offer(make_request("b", deadline=NOW + 1.0), NOW)
         assert isinstance(answer, Refuse)
         assert answer.kind is ErrorKind.QUEUE_FULL
         assert 1.0 <= answer.retry_after <= 1.3
@@ -50,16 +50,16 @@
 
     def test_the_same_request_twice_is_a_fault(self):
         admission = make_admission()
-        admission.offer(make_ask("a"), NOW)
+        admission.offer(make_request("a"), NOW)
         with pytest.raises(ValueError, match="already offered"):
-            admission.offer(make_ask("a"), NOW)
+            admission.offer(make_request("a"), NOW)
 
 
 class TestGivenUp:
     def test_waiting_past_the_latest_start_is_refused_in_the_same_call(self):
         admission = make_admission()
-        admission.offer(make_ask("a"), NOW)
-        admission.offer(make_ask("b", deadline=NOW + 5.0, min_run_s=1.0), NOW)
+        admission.offer(make_request("a"), NOW)
+        admission.offer(make_request("b", deadline=NOW + 5.0, min_run_s=1.0), NOW)
         assert admission.wake_at() == NOW + 4.0
         (answer,) = admission.next_ready(NOW + 4.0)
         assert isinstance(answer, Refuse)
@@ -68,15 +68,15 @@
     def test_fallen_capacity_refuses_at_once_those_who_cannot_start(self):
         admission = make_admission(capacity=4)
         for number in range(8):
-            admission.offer(make_ask(f"r{number}", deadline=NOW + 5.0), NOW)
+            admission.offer(make_request(f"r{number}", deadline=NOW + 5.0), NOW)
         admission.set_capacity("pool", 1, NOW)
         refused = [item.request_id for item in admission.next_ready(NOW)]
         assert refused == ["r6", "r7"]
 
     def test_caller_who_left_frees_its_place(self):
         admission = make_admission()
-        admission.offer(make_ask("a"), NOW)
-        admission.offer(make_ask("b"), NOW)
+        admission.offer(make_request("a"), NOW)
+        admission.offer(make_request("b"), NOW)
         admission.cancel("b", NOW)
         admission.release("a", 0.0, NOW)
         assert admission.next_ready(NOW) == []
@@ -86,9 +86,11 @@
 class TestShedding:
     def test_lowest_class_gives_way(self):
         admission = make_admission(queue=1)
-        admission.offer(make_ask("a"), NOW)
-        admission.offer(make_ask("low", priority=Priority.BATCH), NOW)
-        answer = admission.offer(make_ask("high", priority=Priority.INTERACTIVE), NOW)
+        admission.offer(make_request("a"), NOW)
+        admission.offer(make_request("low", priority=Priority.BATCH), NOW)
+        answer = admission.offer(
+            make_request("high", priority=Priority.INTERACTIVE), NOW
+        )
         assert isinstance(answer, Wait)
         (shed,) = admission.next_ready(NOW)
         assert isinstance(shed, Refuse)
@@ -97,18 +99,18 @@
     def test_one_account_cannot_fill_the_queue(self):
         admission = make_admission(queue=4)
         for number in range(5):
-            admission.offer(make_ask(f"big{number}", "big"), NOW)
-        assert isinstance(admission.offer(make_ask("s", "small"), NOW), Wait)
+            admission.offer(make_request(f"big{number}", "big"), NOW)
+        assert isinstance(admission.offer(make_request("s", "small"), NOW), Wait)
         (shed,) = admission.next_ready(NOW)
         assert shed.request_id == "big4"
-        assert isinstance(admission.offer(make_ask("big5", "big"), NOW), Refuse)
+        assert isinstance(admission.offer(make_request("big5", "big"), NOW), Refuse)
 
     def test_accounts_take_turns(self):
         admission = make_admission()
-        admission.offer(make_ask("run"), NOW)
+        admission.offer(make_request("run"), NOW)
         for number in range(3):
-            admission.offer(make_ask(f"big{number}", "big"), NOW)
-        admission.offer(make_ask("small0", "small"), NOW)
+            admission.offer(make_request(f"big{number}", "big"), NOW)
+        admission.offer(make_request("small0", "small"), NOW)
         order, last = [], "run"
         for _ in range(4):
             admission.release(last, 0.0, NOW)
@@ -122,12 +124,12 @@
         admission = make_admission(
             9, [make_account(requests_per_s=2.0)], floor_share=0.0
         )
-        answers = [admission.offer(make_ask(f"r{i}"), NOW) for i in range(3)]
+        answers = [admission.offer(make_request(f"r{i}"), NOW) for i in range(3)]
         assert [type(answer) for answer in answers] == [Admit, Admit, Refuse]
         assert answers[2].kind is ErrorKind.RATE_LIMITED
         assert 0.5 <= answers[2].retry_after <= 0.65
 
     def test_refused_request_gives_its_share_back(self):
         admission = make_admission(0, [make_account(requests_per_s=1.0)], queue=0)
-        assert admission.offer(make_ask("a"), NOW).kind is ErrorKind.QUEUE_FULL
-        assert admission.offer(make_ask("b"), NOW).kind is ErrorKind.QUEUE_FULL
+        assert admission.offer(make_request("a"), NOW).kind is ErrorKind.QUEUE_FULL
+        assert admission.offer(make_request("b"), NOW).kind is ErrorKind.QUEUE_FULL
--- a/tests/unit/routing/helpers.py
+++ b/tests/unit/routing/helpers.py
@@ -37,7 +37,9 @@
     return LoadReport(running, waiting, 8, 0.0, 50.0, at)
 
 
-def make_ask(name: str = "r", blocks: tuple[str, ...] = (), **changes) -> RouteRequest:
+def make_request(
+    name: str = "r", blocks: tuple[str, ...] = (), **changes
+) -> RouteRequest:
     fields = {
         "request_id": name,
         "deployment": "pool",
--- a/tests/unit/routing/placement/test_concurrency.py
+++ b/tests/unit/routing/placement/test_concurrency.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.routing.placement.concurrency import ConcurrencyLimit
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
-from tests.unit.routing.helpers import NOW, make_ask, make_view
+from tests.unit.routing.helpers import NOW, make_request, make_view
 
 
 class TestConcurrencyLimit:
@@ -48,18 +48,18 @@
         views = (make_view("a", price_per_hour=0.1), make_view("b"))
         assert router.capacity(views) == 4
         for number in range(2):
-            ask = make_ask(f"r{number}", max_tokens=0)
+            ask = make_request(f"r{number}", max_tokens=0)
             router.sent(router.choose(ask, views[:1], NOW), ask, NOW)
-        assert router.choose(make_ask(), views, NOW).endpoint.endpoint_id == "b"
+        assert router.choose(make_request(), views, NOW).endpoint.endpoint_id == "b"
         # With nothing below its limit the choice is still made: admission holds.
-        assert router.choose(make_ask(), views[:1], NOW) is not None
+        assert router.choose(make_request(), views[:1], NOW) is not None
         router.failed("r0", "a", ErrorKind.ENDPOINT_REFUSED, NOW)
         assert router.capacity(views) == 3
 
     def test_new_incarnation_starts_without_history(self):
         router = Router.from_config(RoutingSettings(), Random(1))
         blocks = tuple(f"b{n}" for n in range(10))
-        ask = make_ask(blocks=blocks)
+        ask = make_request(blocks=blocks)
         first = router.choose(ask, (make_view("a"),), NOW)
         router.sent(first, ask, NOW)
         again = router.choose(ask, (make_view("a"),), NOW)
--- a/tests/unit/routing/placement/test_home.py
+++ b/tests/unit/routing/placement/test_home.py
@@ -4,7 +4,7 @@
 from ebonydeal._internal.routing.placement.home import Branches, home_of
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
-from tests.unit.routing.helpers import NOW, make_ask, make_load, make_view
+from tests.unit.routing.helpers import NOW, make_load, make_request, make_view
 
 SHARED = ("s1", "s2", "s3")
 
@@ -43,7 +43,7 @@
     def test_gateways_agree_without_signals(self):
         views = tuple(make_view(f"e{number}") for number in range(9))
         blocks = tuple(f"b{number}" for number in range(60))
-        ask = make_ask(blocks=blocks, session="van-7")
+        ask = make_request(blocks=blocks, session="van-7")
         chosen = set()
         for seed in range(9):
             router = Router.from_config(RoutingSettings(), Random(seed))
@@ -52,7 +52,7 @@
 
     def test_busy_home_is_passed_over(self):
         views = tuple(make_view(f"e{number}") for number in range(9))
-        ask = make_ask(blocks=tuple(f"b{n}" for n in range(60)), session="van-7")
+        ask = make_request(blocks=tuple(f"b{n}" for n in range(60)), session="van-7")
         router = Router.from_config(RoutingSettings(), Random(1))
         home = router.choose(ask, views, NOW).endpoint
         busy = tuple(
--- a/tests/unit/routing/placement/test_load.py
+++ b/tests/unit/routing/placement/test_load.py
@@ -10,7 +10,7 @@
 )
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
-from tests.unit.routing.helpers import NOW, make_ask, make_load, make_view
+from tests.unit.routing.helpers import NOW, make_load, make_request, make_view
 
 
 class TestExpectedLoad:
@@ -55,7 +55,7 @@
         cheap = make_view("cheap", load=make_load(7, 0, NOW - age))
         idle = make_view("idle", price_per_hour=1.1, load=make_load(0, 0, NOW - age))
         router = Router.from_config(RoutingSettings(near_equal=0.0), Random(1))
-        choice = router.choose(make_ask(), (cheap, idle), NOW)
+        choice = router.choose(make_request(), (cheap, idle), NOW)
         return choice.endpoint.endpoint_id
 
     def test_price_decides_while_a_slot_is_known_to_be_free(self):
@@ -77,7 +77,7 @@
         to_idle = 0
         for step in range(8):
             for number, router in enumerate(routers):
-                ask = make_ask(f"r{step}-{number}")
+                ask = make_request(f"r{step}-{number}")
                 now = NOW + 0.1 * step
                 choice = router.choose(ask, views, now)
                 router.sent(choice, ask, now)
--- a/tests/unit/routing/placement/test_outliers.py
+++ b/tests/unit/routing/placement/test_outliers.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
-from tests.unit.routing.helpers import NOW, make_ask, make_view
+from tests.unit.routing.helpers import NOW, make_request, make_view
 
 VIEWS = tuple(make_view(f"e{number}") for number in range(4))
 
@@ -62,11 +62,11 @@
     def test_router_uses_another_endpoint(self):
         router = Router.from_config(RoutingSettings(near_equal=0.0), Random(1))
         for number in range(5):
-            ask = make_ask(f"r{number}")
+            ask = make_request(f"r{number}")
             router.sent(router.choose(ask, VIEWS[:1], NOW), ask, NOW)
             router.failed(f"r{number}", "e0", ErrorKind.CONNECT_FAILED, NOW)
         used = {
-            router.choose(make_ask(), VIEWS, NOW).endpoint.endpoint_id
+            router.choose(make_request(), VIEWS, NOW).endpoint.endpoint_id
             for _ in range(50)
         }
         assert "e0" not in used
--- a/tests/unit/routing/placement/test_score.py
+++ b/tests/unit/routing/placement/test_score.py
@@ -8,7 +8,7 @@
     price_per_second,
     score,
 )
-from tests.unit.routing.helpers import make_ask, make_view
+from tests.unit.routing.helpers import make_request, make_view
 
 IDLE = Estimate(0.0, 8.0, 0.0, 0.0, 1000.0, 2.0)
 HOUR = 3600.0
@@ -18,19 +18,19 @@
     def test_parts_add_up(self):
         # 100 tokens of its own and 200 queued, 3 requests behind 8 slots.
         busy = IDLE._replace(load=10.0, prefill_queue=200.0)
-        assert delay_s(make_ask(), busy) == 0.1 + 0.2 + 3 * 2.0 / 8
+        assert delay_s(make_request(), busy) == 0.1 + 0.2 + 3 * 2.0 / 8
 
     def test_uncertain_load_costs_a_wait_before_all_slots_are_taken(self):
         # Just full, give or take 2: the mean of what is above is 2 / sqrt(2 pi).
         full = IDLE._replace(load=7.0, load_spread=2.0)
         waiting = 2.0 / sqrt(2.0 * pi)
-        assert round(delay_s(make_ask(), full), 9) == round(0.1 + waiting / 4, 9)
+        assert round(delay_s(make_request(), full), 9) == round(0.1 + waiting / 4, 9)
 
     def test_uncertainty_hardly_counts_far_from_the_limit(self):
         light = IDLE._replace(load=1.0, load_spread=1.0)
-        assert round(delay_s(make_ask(), light), 6) == 0.1
+        assert round(delay_s(make_request(), light), 6) == 0.1
         heavy = IDLE._replace(load=27.0, load_spread=2.0)
-        assert round(delay_s(make_ask(), heavy), 6) == 0.1 + 20 * 2.0 / 8
+        assert round(delay_s(make_request(), heavy), 6) == 0.1 + 20 * 2.0 / 8
 
 
 class TestPrice:
@@ -46,14 +46,14 @@
 
 class TestScore:
     def test_delay_within_and_beyond_the_target(self):
-        ask = make_ask(prompt_tokens=1000, first_token_s=0.4)
+        ask = make_request(prompt_tokens=1000, first_token_s=0.4)
         view = make_view("a", price_per_hour=0.0)
         terms = score(ask, view, IDLE, DelayPrice(1.0, 4.0, 4.0)).terms
         assert round(terms.wait, 9) == 1.0 + 3.0 * 0.6
         assert terms.prefill == 1.0
 
     def test_prefill_costs_more_where_others_wait_for_slots(self):
-        ask = make_ask(prompt_tokens=1000)
+        ask = make_request(prompt_tokens=1000)
         busy = IDLE._replace(load=15.0)
         terms = score(ask, make_view("a"), busy, DelayPrice(1.0, 1.0, 4.0)).terms
         assert terms.prefill == 1.0 + 4.0
@@ -61,9 +61,9 @@
     def test_weights_multiply_their_terms(self):
         view = make_view("a", price_per_hour=HOUR, evict_per_hour=1.0)
         price = DelayPrice(1.0, 4.0, 4.0)
-        plain = score(make_ask(), view, IDLE, price).terms
-        weights = make_ask().weights._replace(cost=2.0, recompute=3.0)
-        heavy = score(make_ask(weights=weights), view, IDLE, price).terms
+        plain = score(make_request(), view, IDLE, price).terms
+        weights = make_request().weights._replace(cost=2.0, recompute=3.0)
+        heavy = score(make_request(weights=weights), view, IDLE, price).terms
         assert heavy.price == 2.0 * plain.price
         assert round(heavy.prefill / plain.prefill, 9) == 3.0
         assert round(heavy.eviction / plain.eviction, 9) == 3.0
