--- a/tests/lib/announcing_endpoints.py
+++ b/tests/lib/announcing_endpoints.py
@@ -11,10 +11,10 @@
 
 
 class AnnouncingEndpoint(RawEndpoint):
-    """An endpoint that adds ``extra_headers`` to each answer, and notes what it gets.
+    """An endpoint that adds ``extra_headers`` to each answer and records requests.
 
-    ``arrivals`` holds when and from which relay each request came, ``first_announced_at`` when each
-    relay first got an answer that said something.
+    ``arrivals`` holds the time and the relay of each request, ``first_announced_at``
+    when each relay first got an answer with extra headers.
     """
 
     def __init__(self, name, extra_headers=b"", status=b"200 OK"):
--- a/tests/lib/endpoint_limit_model.py
+++ b/tests/lib/endpoint_limit_model.py
@@ -1,7 +1,7 @@
-"""Relays before an endpoint that names a limit, changes it and takes it back.
+"""A model of relays in front of an endpoint that announces, changes and ends a limit.
 
-On top of `shares_model`: in each step every relay sends whatever it may, and hears in
-each answer what the endpoint names then.
+Based on `shares_model`: in each step every relay sends as much as it may, and each
+answer announces the endpoint's current limit.
 """
 
 from ebonydeal._internal.errors import EbonydealError
@@ -11,45 +11,45 @@
     max_requests_per_window,
 )
 from tests.lib.limits_cluster import limited_account, quota_bounds
-from tests.lib.shares_model import Model
+from tests.lib.shares_model import SharesModel
 
 ENDPOINT = Process("i1", 7)
-# From so long after it passed on an answer that names the limit, a relay is bound.
+# A relay is bound by the limit from this long after the answer that announced it.
 _KNOWN_AFTER_S = 0.5
-# What a relay sends in a step while it knows of no limit.
-_UNLIMITED = 3
+# Requests that a relay sends in a step while it knows of no limit.
+_UNLIMITED_REQUESTS = 3
 
 
-class EndpointModel(Model):
-    """The relays, and what the endpoint names.
+class EndpointModel(SharesModel):
+    """The relays, and the endpoint's limit.
 
-    ``sent`` holds when a request of a relay that was bound came; ``named`` the limits
-    that the endpoint named, with when each began.
+    ``sent`` holds the arrival times of requests from relays that were bound;
+    ``announced`` the limits that the endpoint announced, with the time of each.
     """
 
     def __init__(self, names, step=0.4):
-        self.named, self.sent, self.told = [(0.0, None)], [], {}
+        self.announced, self.sent, self.first_announced_at = [(0.0, None)], [], {}
         super().__init__(names, limited_account(6.0), quota_bounds(), 1.0, step)
 
-    def name(self, limit):
-        """Let the endpoint name another limit, None for none."""
-        self.named.append((self.clock.now(), limit))
+    def announce(self, limit):
+        """Let the endpoint announce another limit, None for none."""
+        self.announced.append((self.clock.now(), limit))
 
     @property
     def limit(self):
-        return self.named[-1][1]
+        return self.announced[-1][1]
 
     def started(self, name):
-        self.told.pop(name, None)
+        self.first_announced_at.pop(name, None)
 
-    def _press(self):
+    def _send_requests(self):
         for name, relay in list(self.running.items()):
             if name not in self.paused:
                 self._send_all(name, relay)
 
     def _send_all(self, name, relay):
         now = self.clock.now()
-        for _ in range(_UNLIMITED):
+        for _ in range(_UNLIMITED_REQUESTS):
             if relay.notices.limit(ENDPOINT, now) is not None:
                 break
             self._arrive(name, relay)
@@ -62,34 +62,37 @@
             self._arrive(name, relay)
 
     def _arrive(self, name, relay):
-        """Let the endpoint get a request, and answer it."""
+        """Let the endpoint receive a request and answer it."""
         now = self.clock.now()
-        if name in self.told and now >= self.told[name] + _KNOWN_AFTER_S:
+        if (
+            name in self.first_announced_at
+            and now >= self.first_announced_at[name] + _KNOWN_AFTER_S
+        ):
             self.sent.append(now)
         if self.limit is None:
-            self.told.pop(name, None)
+            self.first_announced_at.pop(name, None)
         else:
-            self.told.setdefault(name, now)
+            self.first_announced_at.setdefault(name, now)
         relay.notices.note_limit(ENDPOINT, self.limit, now, now)
 
     def check_limit(self):
-        """Check each window in which a limit was named throughout."""
+        """Check each window in which a limit was announced throughout."""
         for end in self.sent:
-            limits = self._named_in(end - WINDOW_S, end)
+            limits = self._announced_in(end - WINDOW_S, end)
             if None in limits:
                 continue
-            came = sum(end - WINDOW_S < at <= end for at in self.sent)
-            assert came <= max_requests_per_window(max(limits)) + 1e-6, (
+            count = sum(end - WINDOW_S < at <= end for at in self.sent)
+            assert count <= max_requests_per_window(max(limits)) + 1e-6, (
                 end,
-                came,
+                count,
                 limits,
             )
 
-    def _named_in(self, begin, end):
-        """Return what was named in a window."""
-        later = [at for at, _limit in self.named[1:]] + [float("inf")]
+    def _announced_in(self, begin, end):
+        """Return the limits announced in a window."""
+        later = [at for at, _limit in self.announced[1:]] + [float("inf")]
         return [
             limit
-            for (since, limit), until in zip(self.named, later, strict=True)
+            for (since, limit), until in zip(self.announced, later, strict=True)
             if since <= end and until > begin
         ]
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -1,8 +1,8 @@
-"""Relays that share limits, as a model: the real decisions, in steps of time.
+"""A model of relays that share limits: the real decisions, in steps of time.
 
-In each step every relay that runs takes a step of the lease, tells its word, and lets
-pass whatever it may. Faults come between steps. Calls are instant; what is lost of them
-is told by `lose_words` and `lose_replies`.
+In each step every running relay takes a step of the lease, reports, and admits as much
+as it may. Faults occur between steps. Calls take no time; `lose_reports` and
+`lose_replies` say which part of a call is lost.
 """
 
 from ebonydeal._internal.errors import EbonydealError
@@ -19,7 +19,7 @@
 from ebonydeal._internal.routing.limits.share_registry import EMPTY_ROW
 
 LEASE_S = 3.0
-PACE = ReportPacing(0.5)
+PACING = ReportPacing(0.5)
 
 
 class ModelClock:
@@ -31,7 +31,7 @@
 
 
 class _Coordinator:
-    """What a relay's link sees of the coordinator."""
+    """The coordinator, as a relay's client sees it."""
 
     def __init__(self, relay):
         self._relay = relay
@@ -59,7 +59,7 @@
             self.lease, lambda: self.lease.holds(clock.now()), clock, model.bounds
         )
         self.granter.accounts = lambda: (model.account,)
-        self.link = LimitsClient(
+        self.client = LimitsClient(
             self.granter,
             None,
             clock,
@@ -68,11 +68,11 @@
             Metrics(),
             RelayPlacement(),
         )
-        self.link.address = lambda: name
-        self.link.coordinator = _Coordinator(self)
-        self.last_ok = clock.now()
+        self.client.address = lambda: name
+        self.client.coordinator = _Coordinator(self)
+        self.last_reply_at = clock.now()
         self.counted = self.hastened = False
-        self.heard = {}
+        self.reported_at = {}
 
     # --- lease ---------------------------------------------------------------
     def step_lease(self):
@@ -100,152 +100,152 @@
             self.lease.on_read(*model.row, now)
             return
         renews = self.lease.is_mine and step.row.fence == self.lease.fence
-        wanted, startup = None, self.granter.startup.is_requested
+        row, startup = None, self.granter.startup.is_requested
         if renews and self.granter.registry_fence == self.lease.fence:
-            alive = {n for n, at in self.heard.items() if now - at <= 3.0}
-            wanted = self.granter.registry.next_row(alive, now)
-            self.granter.registry.begin_write(wanted)
-            model.names = wanted
+            alive = {n for n, at in self.reported_at.items() if now - at <= 3.0}
+            row = self.granter.registry.next_row(alive, now)
+            self.granter.registry.begin_write(row)
+            model.registry_row = row
             if startup:
-                model.startups = self.granter.startup.begin_write(now, 0.0)
+                model.startup_times = self.granter.startup.begin_write(now, 0.0)
         model.row = (step.row, model.row[1] + 1)
-        if model.lose_answers:
+        if model.lose_store_answers:
             self.lease.on_write_in_doubt()
             return
         self.lease.on_written(step.row, model.row[1])
-        if wanted is not None and startup:
+        if row is not None and startup:
             self.granter.startup.confirm_write()
-        if wanted is not None and wanted != self.granter.registry.row:
+        if row is not None and row != self.granter.registry.row:
             self.granter.refresh()
             self.granter.registry.confirm_write(now)
             self.granter.refresh()
             self.granter.broker.starts_full = False
         if not renews:
-            self._begin(now)
+            self.take_over(now)
 
-    def _begin(self, now):
+    def take_over(self, now):
         self.granter.refresh()
-        self.granter.registry.load(self.model.names, now)
+        self.granter.registry.load(self.model.registry_row, now)
         self.granter.on_registry_loaded()
         self.granter.refresh()
-        self.granter.startup.load(self.model.startups, now)
+        self.granter.startup.load(self.model.startup_times, now)
         self.granter.request_startup_grant()
 
     @property
     def notices(self):
         return self.granter.notices
 
-    def notices_of(self, own=False):
+    def limit_reports(self, own=False):
         now = self.model.clock.now()
-        return [word.encode() for word in self.notices.limit_reports(now, own)]
+        return [report.encode() for report in self.notices.limit_reports(now, own)]
 
-    # --- words ---------------------------------------------------------------
-    def tell(self):
-        """Tell the coordinator, or a stand-in while there is none."""
+    # --- reports -------------------------------------------------------------
+    def report(self):
+        """Report to the coordinator, or to a standby while there is none."""
         model, now = self.model, self.model.clock.now()
         if self.lease.is_mine and self.granter.registry_fence != self.lease.fence:
             if model.reaches_store(self.name):
-                self._begin(now)
+                self.take_over(now)
         target = self.name if self.lease.is_mine else None
         row = self.lease.row
         if target is None and row is not None:
             target = row.address
         if target and model.reaches(self.name, target):
             holder = model.running[target]
-            reply = holder.hear(self) if not model.lose_words else None
+            reply = holder.handle_report(self) if not model.lose_reports else None
             if reply is not None and not model.lose_replies:
-                self.last_ok = now
+                self.last_reply_at = now
                 self.lease.wanted = not holder.lease.holds(now)
-                self.link.on_reply(reply, now)
-                self.notices.merge_limits(holder.notices_of(), now)
+                self.client.on_reply(reply, now)
+                self.notices.merge_limits(holder.limit_reports(), now)
                 self._reclaim_share()
                 return
-        if now - self.last_ok > PACE.coordinator_timeout:
+        if now - self.last_reply_at > PACING.coordinator_timeout:
             self.lease.wanted = True
-        if not self.link.has_coordinator:
+        if not self.client.has_coordinator:
             self._delegate_to_standby()
 
     def _reclaim_share(self):
-        """Take the share back from who had it before, as `LimitsClient` does."""
-        link, model = self.link, self.model
-        promised = self.granter.own_share.accepted_offer(model.clock.now())
-        address = link._granter_address
-        if promised is None or not address:
+        """Get the share back from its granter, as `LimitsClient` does."""
+        client, model = self.client, self.model
+        offer = self.granter.own_share.accepted_offer(model.clock.now())
+        address = client._granter_address
+        if offer is None or not address:
             return
-        if address in (link.coordinator.coordinator_address, self.name):
+        if address in (client.coordinator.coordinator_address, self.name):
             return
-        if not model.reaches(self.name, address) or model.lose_words:
+        if not model.reaches(self.name, address) or model.lose_reports:
             return
         along = model.running[address].granter.release(self.name, self.incarnation)
         if model.lose_replies:
             return
-        self.granter.own_share.end_delegation(promised)
-        link._transfer, link._transfer_number = along, link._transfer_number + 1
-        link._transfer_granter = ""
+        self.granter.own_share.end_delegation(offer)
+        client._transfer, client._transfer_number = along, client._transfer_number + 1
+        client._transfer_granter = ""
 
     def _delegate_to_standby(self):
         model = self.model
-        address = self.link._standby_address()
+        address = self.client._standby_address()
         if address is None or not model.reaches(self.name, address):
             return
         for _ in range(2):
             other = model.running[address]
-            word = self.link.share_report()
-            reply = other.granter.handle_report(self.name, self.incarnation, word)
-            if model.lose_replies or not self.link._delegate(reply, address):
+            report = self.client.share_report()
+            reply = other.granter.handle_report(self.name, self.incarnation, report)
+            if model.lose_replies or not self.client._delegate(reply, address):
                 return
 
-    def hear(self, relay):
+    def handle_report(self, relay):
         if not self.lease.is_mine:
             return None
         now = self.model.clock.now()
-        self.heard[relay.name] = now
-        word = relay.link.share_report()
+        self.reported_at[relay.name] = now
+        report = relay.client.share_report()
         reply = self.granter.handle_report(
-            relay.name, relay.incarnation, word, PACE.isolation_timeout
+            relay.name, relay.incarnation, report, PACING.isolation_timeout
         )
         account = self.model.account
-        self.notices.merge_limits(relay.notices_of(own=True), now)
-        left = relay.link.balances.left(account.name, now)
+        self.notices.merge_limits(relay.limit_reports(own=True), now)
+        left = relay.client.balances.left(account.name, now)
         reply["grants"] = self.granter.advances({account.name: [account.rate, left]})
         if self.granter.manages_shares:
-            peers = [StandbyCandidate(n, n, "", 0.0) for n in self.heard]
-            reply["stand_ins"] = [p.address for p in self.granter.standbys(peers)]
+            candidates = [StandbyCandidate(n, n, "", 0.0) for n in self.reported_at]
+            reply["stand_ins"] = [c.address for c in self.granter.standbys(candidates)]
             reply["stand_in"] = self.granter.standby_grants(
-                relay.name, word["stand_in"]
+                relay.name, report["stand_in"]
             )
         return reply
 
     # --- requests ------------------------------------------------------------
     def admit_all(self, size):
-        """Let pass what may be granted here and what lies here; return how much."""
+        """Use all balances and grants of this relay; return the admitted amount."""
         now, account = self.model.clock.now(), self.model.account
-        passed = 0.0
-        while self.link.balances.take(account.name, size, now):
-            passed += size
+        admitted = 0.0
+        while self.client.balances.take(account.name, size, now):
+            admitted += size
         try:
             while self.granter.grant(account, size).amount >= size:
-                passed += size
+                admitted += size
         except EbonydealError:
             pass
-        return passed
+        return admitted
 
 
-class Model:
-    """The relays, the store's rows, and what is harmed."""
+class SharesModel:
+    """The relays, the store's rows, and the faults."""
 
     def __init__(self, names, account, bounds, size, step=0.4):
         self.clock = ModelClock()
         self.account, self.bounds, self.size, self.step = account, bounds, size, step
-        self.names, self.row = EMPTY_ROW, (None, 0)
-        # When new holders granted before they had shares, as the store has it.
-        self.startups = []
-        self.running, self.paused, self.cut = {}, set(), set()
-        self.store_away = self.lose_words = self.lose_replies = False
-        self.lose_answers = False
-        self.calm = False
+        self.registry_row, self.row = EMPTY_ROW, (None, 0)
+        # The stored start times of startup grants.
+        self.startup_times = []
+        self.running, self.paused, self.partitioned = {}, set(), set()
+        self.store_down = self.lose_reports = self.lose_replies = False
+        self.lose_store_answers = False
+        self.idle = False
         self._starts = 0
-        self.passed = []
+        self.admitted = []
         for name in names:
             self.start(name)
 
@@ -256,57 +256,57 @@
             self.started(name)
 
     def started(self, _name):
-        """Note that a process is new."""
+        """Note that a new process was started."""
 
     def kill(self, name):
         self.running.pop(name, None)
         self.paused.discard(name)
 
     def reaches_store(self, name):
-        return not self.store_away and name not in self.cut
+        return not self.store_down and name not in self.partitioned
 
     def reaches(self, sender, receiver):
         if sender == receiver:
             return receiver in self.running
         up = receiver in self.running and receiver not in self.paused
-        return up and not ({sender, receiver} & self.cut)
+        return up and not ({sender, receiver} & self.partitioned)
 
-    def play(self, seconds):
-        """Let time pass, and check after each step that no share is used twice."""
+    def run(self, seconds):
+        """Advance time, and check after each step that no share is used twice."""
         for _ in range(round(seconds / self.step)):
             self.clock.at += self.step
             for name, relay in list(self.running.items()):
                 if name not in self.paused:
                     relay.step_lease()
-                    relay.tell()
+                    relay.report()
             for name, relay in list(self.running.items()):
                 if name not in self.paused:
                     relay.granter.refresh()
             self.check_shares()
-            if not self.calm:
-                self._press()
+            if not self.idle:
+                self._send_requests()
 
     def check_shares(self):
         now = self.clock.now()
         shares = {n: r.granter.share(now) for n, r in self.running.items()}
         assert sum(shares.values()) <= 1.0 + 1e-9, shares
 
-    def _press(self):
+    def _send_requests(self):
         for name, relay in self.running.items():
             if name not in self.paused:
                 if amount := relay.admit_all(self.size):
-                    self.passed.append((self.clock.now(), amount))
+                    self.admitted.append((self.clock.now(), amount))
 
     def check_limit(self):
         allowed = self.bounds.limit(self.account) + self.bounds.tolerance(self.account)
-        assert self.fullest() <= allowed + 1e-6, (self.fullest(), allowed)
+        assert self.max_in_window() <= allowed + 1e-6, (self.max_in_window(), allowed)
 
-    def fullest(self):
+    def max_in_window(self):
         most = total = begin = 0
-        for at, amount in self.passed:
+        for at, amount in self.admitted:
             total += amount
-            while self.passed[begin][0] < at - self.bounds.window:
-                total -= self.passed[begin][1]
+            while self.admitted[begin][0] < at - self.bounds.window:
+                total -= self.admitted[begin][1]
                 begin += 1
             most = max(most, total)
         return most
--- a/tests/unit/relay/test_endpoint_limit_model.py
+++ b/tests/unit/relay/test_endpoint_limit_model.py
@@ -12,7 +12,7 @@
     max_requests_per_window,
 )
 from tests.lib.endpoint_limit_model import EndpointModel
-from tests.unit.relay.test_shares_model import _heal, faults_of
+from tests.unit.relay.test_shares_model import faults_of, heal
 
 
 class TestSum:
@@ -32,33 +32,33 @@
         assert used <= max_requests_per_window(0.0)
 
 
-def faults_and_words(names):
+def faults_and_announcements(names):
     """Return all faults, and what the endpoint may name."""
     faults = faults_of(names)
-    faults["names 1"] = lambda model: model.name(1.0)
-    faults["names 4"] = lambda model: model.name(4.0)
-    faults["names none"] = lambda model: model.name(None)
+    faults["names 1"] = lambda model: model.announce(1.0)
+    faults["names 4"] = lambda model: model.announce(4.0)
+    faults["names none"] = lambda model: model.announce(None)
     return faults
 
 
-def warmed(names, seconds=6.0):
+def started_model(names, seconds=6.0):
     model = EndpointModel(names)
-    model.calm = True
-    model.play(seconds)
-    model.calm = False
-    model.name(2.0)
-    model.play(2.0)
+    model.idle = True
+    model.run(seconds)
+    model.idle = False
+    model.announce(2.0)
+    model.run(2.0)
     return model
 
 
-def play_series(names, series, faults, pause):
-    model = warmed(names)
+def run_series(names, series, faults, pause):
+    model = started_model(names)
     try:
         for fault in series:
             faults[fault](model)
-            model.play(pause)
-        _heal(model)
-        model.play(4.0)
+            model.run(pause)
+        heal(model)
+        model.run(4.0)
         model.check_limit()
     except AssertionError as exc:
         raise AssertionError(series) from exc
@@ -68,15 +68,15 @@
     @pytest.mark.parametrize("pause", [0.4, 1.6, 4.0])
     def test_of_two_at_three_relays(self, pause):
         names = ("a", "b", "c")
-        faults = faults_and_words(names)
+        faults = faults_and_announcements(names)
         for series in product(faults, repeat=2):
-            play_series(names, series, faults, pause)
+            run_series(names, series, faults, pause)
 
     def test_of_three_at_two_relays(self):
         names = ("a", "b")
-        faults = faults_and_words(names)
+        faults = faults_and_announcements(names)
         for series in product(faults, repeat=3):
-            play_series(names, series, faults, 0.8)
+            run_series(names, series, faults, 0.8)
 
 
 class TestRandomSeries:
@@ -87,36 +87,36 @@
     def test_at_the_sizes_of_deployments(self, relays, seed):
         rng = Random(seed)
         names = [f"n{number}" for number in range(relays)]
-        model = warmed(names, 8.0)
-        faults = faults_and_words(rng.sample(names, 4))
+        model = started_model(names, 8.0)
+        faults = faults_and_announcements(rng.sample(names, 4))
         for _ in range(40 if relays < 20 else 15):
             if rng.random() < 0.15:
                 for name in rng.sample(names, relays // 3):
                     model.kill(name)
             if rng.random() < 0.3:
-                _heal(model)
+                heal(model)
                 for name in names:
                     model.start(name)
             faults[rng.choice(list(faults))](model)
-            model.play(rng.choice([0.4, 0.8, 2.0]))
+            model.run(rng.choice([0.4, 0.8, 2.0]))
         model.check_limit()
 
 
 class TestCalm:
     @pytest.mark.parametrize(("relays", "limit"), [(3, 1.0), (9, 4.0), (68, 20.0)])
     def test_the_endpoint_gets_what_it_takes(self, relays, limit):
-        model = warmed([f"n{number}" for number in range(relays)], 8.0)
-        model.name(limit)
-        model.play(12.0)
+        model = started_model([f"n{number}" for number in range(relays)], 8.0)
+        model.announce(limit)
+        model.run(12.0)
         begun = model.clock.now()
-        model.play(20.0)
-        came = sum(at > begun for at in model.sent)
-        assert 0.9 * limit * 20.0 <= came <= 1.1 * limit * 20.0 + 2.0
+        model.run(20.0)
+        count = sum(at > begun for at in model.sent)
+        assert 0.9 * limit * 20.0 <= count <= 1.1 * limit * 20.0 + 2.0
 
     def test_its_end_is_known_to_all_soon(self):
-        model = warmed([f"n{number}" for number in range(9)], 8.0)
-        model.name(None)
-        model.play(4.0)
+        model = started_model([f"n{number}" for number in range(9)], 8.0)
+        model.announce(None)
+        model.run(4.0)
         now = model.clock.now()
         known = [r.notices.active_limits(now) for r in model.running.values()]
         assert not any(known)
--- a/tests/unit/relay/test_shares_model.py
+++ b/tests/unit/relay/test_shares_model.py
@@ -11,7 +11,7 @@
 
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from tests.lib.limits_cluster import limited_account
-from tests.lib.shares_model import Model
+from tests.lib.shares_model import SharesModel
 
 BOUNDS = QuotaBounds(4.0, 0.1, 0.0)
 TOKENS = QuotaBounds(8.0, 0.1, 140_000.0)
@@ -24,13 +24,13 @@
         faults[f"kill {name}"] = lambda model, n=name: model.kill(n)
         faults[f"start {name}"] = lambda model, n=name: model.start(n)
         faults[f"pause {name}"] = lambda model, n=name: model.paused.add(n)
-        faults[f"cut {name}"] = lambda model, n=name: model.cut.add(n)
+        faults[f"cut {name}"] = lambda model, n=name: model.partitioned.add(n)
     faults["restart all"] = _restart_all
-    faults["heal"] = _heal
-    faults["store"] = lambda model: setattr(model, "store_away", True)
-    faults["words"] = lambda model: setattr(model, "lose_words", True)
+    faults["heal"] = heal
+    faults["store"] = lambda model: setattr(model, "store_down", True)
+    faults["words"] = lambda model: setattr(model, "lose_reports", True)
     faults["replies"] = lambda model: setattr(model, "lose_replies", True)
-    faults["answers"] = lambda model: setattr(model, "lose_answers", True)
+    faults["answers"] = lambda model: setattr(model, "lose_store_answers", True)
     return faults
 
 
@@ -40,30 +40,30 @@
         model.start(name)
 
 
-def _heal(model):
+def heal(model):
     model.paused.clear()
-    model.cut.clear()
-    model.store_away = model.lose_words = model.lose_replies = False
-    model.lose_answers = False
+    model.partitioned.clear()
+    model.store_down = model.lose_reports = model.lose_replies = False
+    model.lose_store_answers = False
 
 
-def warmed(names, account, bounds, size, seconds=6.0):
-    model = Model(names, account, bounds, size)
-    model.calm = True
-    model.play(seconds)
-    model.calm = False
+def started_model(names, account, bounds, size, seconds=6.0):
+    model = SharesModel(names, account, bounds, size)
+    model.idle = True
+    model.run(seconds)
+    model.idle = False
     return model
 
 
-def play_series(names, series, faults, pause):
+def run_series(names, series, faults, pause):
     """Play one series of faults; what fails names it."""
-    model = warmed(names, limited_account(6.0), BOUNDS, 1.0)
+    model = started_model(names, limited_account(6.0), BOUNDS, 1.0)
     try:
         for fault in series:
             faults[fault](model)
-            model.play(pause)
-        _heal(model)
-        model.play(2.0)
+            model.run(pause)
+        heal(model)
+        model.run(2.0)
         model.check_limit()
     except AssertionError as exc:
         raise AssertionError(series) from exc
@@ -75,20 +75,20 @@
         names = ("a", "b", "c")
         faults = faults_of(names)
         for series in product(faults, repeat=2):
-            play_series(names, series, faults, pause)
+            run_series(names, series, faults, pause)
 
     def test_of_three_faults_at_two_relays(self):
         names = ("a", "b")
         faults = faults_of(names)
         for series in product(faults, repeat=3):
-            play_series(names, series, faults, 1.2)
+            run_series(names, series, faults, 1.2)
 
 
 class TestRandomSeries:
-    def play(self, relays, account, bounds, size, seed, steps=40):
+    def run(self, relays, account, bounds, size, seed, steps=40):
         rng = Random(seed)
         names = [f"n{number}" for number in range(relays)]
-        model = warmed(names, account, bounds, size, 8.0)
+        model = started_model(names, account, bounds, size, 8.0)
         faults = faults_of(rng.sample(names, min(4, relays)))
         kinds = list(faults)
         for _ in range(steps):
@@ -97,26 +97,26 @@
                     faults[f"kill {name}"] = lambda m, n=name: m.kill(n)
                     faults[f"kill {name}"](model)
             if rng.random() < 0.3:
-                _heal(model)
+                heal(model)
                 for name in names:
                     model.start(name)
             if rng.random() < 0.1:
                 model.start(f"new{rng.randrange(20)}")
             faults[rng.choice(kinds)](model)
-            model.play(rng.choice([0.4, 0.8, 2.0]))
+            model.run(rng.choice([0.4, 0.8, 2.0]))
         model.check_limit()
         return model
 
     @pytest.mark.parametrize("seed", range(12))
     def test_requests_at_nine(self, seed):
-        self.play(9, limited_account(60.0), BOUNDS, 1.0, seed)
+        self.run(9, limited_account(60.0), BOUNDS, 1.0, seed)
 
     @pytest.mark.parametrize("seed", range(6))
     def test_tokens_at_nine(self, seed):
         account = limited_account(120_000.0, in_tokens=True)
-        self.play(9, account, TOKENS, 22_000.0, seed)
+        self.run(9, account, TOKENS, 22_000.0, seed)
 
     @pytest.mark.parametrize(("relays", "seed"), [(68, 1), (87, 2), (87, 3), (195, 4)])
     def test_tokens_at_hundreds(self, relays, seed):
         account = limited_account(512_150.0, in_tokens=True)
-        self.play(relays, account, TOKENS, 9_000.0, seed, steps=15)
+        self.run(relays, account, TOKENS, 9_000.0, seed, steps=15)
