--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -1,7 +1,7 @@
-"""Relays that share limits, in one process on a clock of their own.
+"""Relays that share limits, in one process with a manual clock.
 
-Each has the lease, the coordinator, the exchange and the gate of a relay; calls
-between them go through `Net`, which loses what faults say.
+Each has the lease, the coordinator, the exchange and the quota gate of a relay. Calls
+between them go through `Network`, which drops calls according to the faults.
 """
 
 import asyncio
@@ -33,44 +33,44 @@
 LEASE_S = 3.0
 
 
-class Net:
-    """Carries calls between relays, and loses those to whom faults say.
+class Network:
+    """Carries calls between relays, and drops them according to the faults.
 
-    ``cut`` holds the names of relays that reach nobody and nobody reaches.
+    ``partitioned`` holds the names of relays that reach nobody and nobody reaches.
     """
 
     def __init__(self):
         self.nodes = {}
-        self.cut = set()
+        self.partitioned = set()
         self.paused = set()
 
     def reaches(self, sender, address):
         node = self.nodes.get(address)
         if node is None or node.name in self.paused:
             return False
-        return sender == node.name or not ({sender, node.name} & self.cut)
+        return sender == node.name or not ({sender, node.name} & self.partitioned)
 
 
 class _Client:
-    """A relay's way to the others."""
+    """A relay's client for calls to other relays."""
 
-    def __init__(self, net, name):
-        self._net = net
+    def __init__(self, network, name):
+        self._network = network
         self._name = name
 
     async def call(self, address, path, message, _timeout):
         await asyncio.sleep(0)
-        if not self._net.reaches(self._name, address):
+        if not self._network.reaches(self._name, address):
             raise EbonydealError(ErrorKind.CONNECT_FAILED, f"{address}: no answer")
-        return self._net.nodes[address].calls[path](message)
+        return self._network.nodes[address].calls[path](message)
 
 
 class _Store:
-    """A relay's way to the platform's store."""
+    """A relay's client of the platform's store."""
 
-    def __init__(self, store, net, name):
+    def __init__(self, store, network, name):
         self._store = store
-        self._net = net
+        self._network = network
         self._name = name
 
     @property
@@ -78,7 +78,7 @@
         return self._store.ahead
 
     def _check(self):
-        if self._name in self._net.cut:
+        if self._name in self._network.partitioned:
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, "cut off")
 
     async def rows(self, table, start=""):
@@ -91,7 +91,7 @@
 
 
 class LimitedRelay:
-    """What of one relay admits requests."""
+    """The parts of one relay that admit requests."""
 
     def __init__(self, cluster, name, seed):
         self.name = name
@@ -99,7 +99,7 @@
         clock, rng = cluster.clock, Random(seed)
         view = RelayView(2.0)
         view.index = RouteIndex(cluster.table)
-        store = _Store(cluster.store, cluster.net, name)
+        store = _Store(cluster.store, cluster.network, name)
         incarnation = f"i{seed}"
         self.coordinator = Coordinator(
             CoordinatorParts(store, MemoryDuties(), view, clock, rng),
@@ -108,7 +108,7 @@
             cluster.bounds,
             True,
         )
-        client = _Client(cluster.net, name)
+        client = _Client(cluster.network, name)
         self.metrics = Metrics()
         self.limits = LimitsClient(
             self.coordinator.granter,
@@ -127,7 +127,7 @@
                 client,
                 clock,
                 rng,
-                self._word,
+                self._report,
                 lambda reply, at: self.limits.on_reply(reply["limits"], at),
             ),
             (),
@@ -138,7 +138,7 @@
         self.coordinator.is_stand_in = lambda: self.limits.is_standby
         self.coordinator.has_stand_in = lambda: self.limits.is_delegated_to_standby
         self.coordinator.relays_before = lambda: self.exchange.relays_before
-        self.coordinator.on_begin = self._announce
+        self.coordinator.on_begin = self._announce_holder
         self.calls = {
             EXCHANGE: self.coordinator.exchange,
             GRANT: self.coordinator.grant,
@@ -147,7 +147,7 @@
             HOLDER: self.exchange.take_holder,
         }
 
-    def _word(self, relays):
+    def _report(self, relays):
         return word(
             self.name,
             incarnation=self._incarnation,
@@ -157,7 +157,7 @@
             limits=self.limits.share_report(),
         )
 
-    def _announce(self):
+    def _announce_holder(self):
         self.coordinator.add_future(self.exchange.announce())
 
     async def start(self):
@@ -174,21 +174,21 @@
 
 
 class Cluster:
-    """Some relays, one store, and one account that clients press.
+    """Some relays, one store, and one account whose clients send requests.
 
     Parameters
     ----------
     relays : int
-        How many.
+        Number of relays.
     account : ForwardAccount
-        Whose limit is pressed.
+        The account of the requests.
     bounds : QuotaBounds
-        What is tolerated.
+        How far the account's limit may be exceeded.
     """
 
     def __init__(self, relays, account, bounds, seed=1):
         self.clock = ManualClock(1000.0)
-        self.net = Net()
+        self.network = Network()
         self.store = MemoryStore()
         self.bounds = bounds
         self.account = account
@@ -198,25 +198,25 @@
         self._seeds = seed * 1000
         self.rng = Random(seed)
         self.relays = {}
-        # When requests passed, and how much each counts.
+        # When requests were admitted, and the amount of each.
         self.admitted = []
-        self.refused = defaultdict(int)
+        self.rejected = defaultdict(int)
 
     async def start(self, *names):
-        """Start relays; without names, all that aren't up."""
+        """Start relays; without names, all that aren't running."""
         for name in names or self._names:
             if name in self.relays:
                 continue
             self._seeds += 1
             relay = LimitedRelay(self, name, self._seeds)
-            self.relays[name] = self.net.nodes[relay.address] = relay
+            self.relays[name] = self.network.nodes[relay.address] = relay
             await relay.start()
 
     async def kill(self, *names):
-        """End relays; without names, all."""
+        """Kill relays; without names, all."""
         for name in names or list(self.relays):
             relay = self.relays.pop(name)
-            self.net.nodes.pop(relay.address, None)
+            self.network.nodes.pop(relay.address, None)
             await relay.stop()
 
     @property
@@ -227,44 +227,44 @@
                 return name
         return None
 
-    def others(self, share):
-        """Return the names of some relays, the holder first."""
+    def relays_to_lose(self, fraction):
+        """Return the names of a fraction of the relays, the lease holder first."""
         first = self.holder
         rest = sorted(name for name in self.relays if name != first)
-        count = round(len(self.relays) * share)
+        count = round(len(self.relays) * fraction)
         return ([first] if first else []) + rest[: count - 1]
 
-    async def press(self, seconds, rate, amount=lambda rng: 1.0):
-        """Let clients ask at all relays evenly, so many times a second."""
+    async def send_load(self, seconds, rate, amount=lambda rng: 1.0):
+        """Send ``rate`` requests a second, distributed evenly over all relays."""
         end = self.clock.now() + seconds
-        asking = []
+        tasks = []
         while self.clock.now() < end:
             await self.clock.advance(1.0 / rate)
-            names = [n for n in self.relays if n not in self.net.paused]
+            names = [n for n in self.relays if n not in self.network.paused]
             if names:
                 relay = self.relays[self.rng.choice(names)]
-                asking.append(asyncio.ensure_future(self._ask(relay, amount)))
+                tasks.append(asyncio.ensure_future(self._admit(relay, amount)))
         await settle()
-        await asyncio.gather(*asking)
+        await asyncio.gather(*tasks)
 
-    async def _ask(self, relay, amount):
+    async def _admit(self, relay, amount):
         size = amount(self.rng)
         try:
             await relay.gate.admit(self.account, size, 0.0)
         except EbonydealError as exc:
             assert exc.kind in (ErrorKind.RATE_LIMITED, ErrorKind.LIMIT_UNAVAILABLE)
-            self.refused[int(self.clock.now())] += 1
+            self.rejected[int(self.clock.now())] += 1
         else:
             self.admitted.append((self.clock.now(), size))
 
     def allowed(self):
-        """The most that may pass in any window."""
+        """Return the most that may be admitted in any window."""
         limit = self.account.rate * self.bounds.window + self.account.burst
         slack = self.bounds.slack if self.account.in_tokens else 0.0
         return limit * (1.0 + self.bounds.overshoot) + slack
 
-    def fullest(self):
-        """Return the most that passed in any window."""
+    def max_in_window(self):
+        """Return the most that was admitted in any window."""
         most = total = begin = 0
         for at, size in self.admitted:
             total += size
