--- a/tests/unit/relay/test_endpoint_limit_model.py
+++ b/tests/unit/relay/test_endpoint_limit_model.py
@@ -1,4 +1,4 @@
-"""An endpoint's limit holds, whatever is lost, cut off, suspended or said meanwhile."""
+"""An endpoint's limit holds under any loss, partition, suspension or announcement."""
 
 from itertools import product
 from random import Random
@@ -15,25 +15,25 @@
 from tests.unit.relay.test_shares_model import faults_of, heal
 
 
-class TestSum:
+class TestBounds:
     @pytest.mark.parametrize("limit", [0.0, 0.3, 1.0, 1.4, 8.0, 60.0, 5000.0])
-    def test_fits_what_the_endpoint_bears(self, limit):
+    def test_terms_fit_what_the_endpoint_accepts(self, limit):
         account = limit_account(Process("i1", 0), limit)
         allowed = ENDPOINT_BOUNDS.limit(account) + ENDPOINT_BOUNDS.tolerance(account)
         assert ENDPOINT_BOUNDS.fits(account)
         assert allowed <= max_requests_per_window(max(limit, account.rate)) + 1e-9
 
-    def test_of_no_requests_at_all_leaves_room_to_hear_of_its_end(self):
+    def test_limit_of_zero_still_admits_requests_that_reveal_its_end(self):
         account = limit_account(Process("i1", 0), 0.0)
         assert account.rate > 0.0
-        # Nothing of these limits is granted in advance, or lies at a stand-in.
+        # Nothing of these limits is granted in advance or held by a standby.
         terms = {term.name: term.amount for term in ENDPOINT_BOUNDS.terms(account)}
         used = sum(terms[name] for name in ("rate", "burst", "debt", "late"))
         assert used <= max_requests_per_window(0.0)
 
 
 def faults_and_announcements(names):
-    """Return all faults, and what the endpoint may name."""
+    """Return all faults and announcements by name."""
     faults = faults_of(names)
     faults["names 1"] = lambda model: model.announce(1.0)
     faults["names 4"] = lambda model: model.announce(4.0)
@@ -66,13 +66,13 @@
 
 class TestEverySeries:
     @pytest.mark.parametrize("pause", [0.4, 1.6, 4.0])
-    def test_of_two_at_three_relays(self, pause):
+    def test_of_two_events_at_three_relays(self, pause):
         names = ("a", "b", "c")
         faults = faults_and_announcements(names)
         for series in product(faults, repeat=2):
             run_series(names, series, faults, pause)
 
-    def test_of_three_at_two_relays(self):
+    def test_of_three_events_at_two_relays(self):
         names = ("a", "b")
         faults = faults_and_announcements(names)
         for series in product(faults, repeat=3):
@@ -102,18 +102,18 @@
         model.check_limit()
 
 
-class TestCalm:
+class TestWithoutFaults:
     @pytest.mark.parametrize(("relays", "limit"), [(3, 1.0), (9, 4.0), (68, 20.0)])
-    def test_the_endpoint_gets_what_it_takes(self, relays, limit):
+    def test_endpoint_gets_as_many_requests_as_its_limit(self, relays, limit):
         model = started_model([f"n{number}" for number in range(relays)], 8.0)
         model.announce(limit)
         model.run(12.0)
-        begun = model.clock.now()
+        started_at = model.clock.now()
         model.run(20.0)
-        count = sum(at > begun for at in model.sent)
+        count = sum(at > started_at for at in model.sent)
         assert 0.9 * limit * 20.0 <= count <= 1.1 * limit * 20.0 + 2.0
 
-    def test_its_end_is_known_to_all_soon(self):
+    def test_all_relays_learn_of_the_end_of_a_limit(self):
         model = started_model([f"n{number}" for number in range(9)], 8.0)
         model.announce(None)
         model.run(4.0)
--- a/tests/unit/relay/test_endpoint_permits.py
+++ b/tests/unit/relay/test_endpoint_permits.py
@@ -1,4 +1,4 @@
-"""Whom a relay asks before it sends to an endpoint with a limit, and when again."""
+"""When a relay requests permits to send to an endpoint with a limit."""
 
 import pytest
 
@@ -14,16 +14,16 @@
 
 
 class Port:
-    """Grants or refuses, as it is told; ``lasts`` is how long an answer takes."""
+    """Replies with ``reply`` or raises ``error``, after ``duration`` seconds."""
 
     def __init__(self, clock):
-        self.clock, self.asked = clock, 0
+        self.clock, self.requests = clock, 0
         self.reply = {"granted": True, "wait": 0.0, "report": None}
-        self.lasts, self.error = 0.0, None
+        self.duration, self.error = 0.0, None
 
     async def permit(self, _report):
-        self.asked += 1
-        self.clock._now += self.lasts
+        self.requests += 1
+        self.clock._now += self.duration
         if self.error is not None:
             raise self.error
         return self.reply
@@ -52,51 +52,49 @@
 
 
 class TestTake:
-    async def test_without_a_limit_nobody_is_asked(self, permits, port):
+    async def test_without_a_limit_no_permit_is_requested(self, permits, port):
         assert await permits.take(OTHER)
-        assert port.asked == 0
+        assert port.requests == 0
 
-    async def test_with_one_each_request_is_asked_for(self, permits, port):
+    async def test_with_a_limit_each_request_needs_a_permit(self, permits, port):
         assert await permits.take(MEMBER) and await permits.take(MEMBER)
-        assert port.asked == 2
+        assert port.requests == 2
 
-    async def test_a_refusal_closes_it_until_its_turn(self, permits, port, clock):
+    async def test_after_a_refusal_the_endpoint_waits(self, permits, port, clock):
         port.reply = {"granted": False, "wait": 2.0, "report": None}
         assert not await permits.take(MEMBER)
         assert permits.wait(MEMBER, 101.0) == 1.0
         assert permits.wait(MEMBER, 102.0) == 0.0
 
-    async def test_a_refusal_without_a_time_closes_it_for_a_moment(self, permits, port):
+    async def test_after_a_refusal_without_a_time_it_waits(self, permits, port):
         port.reply = {"granted": False, "wait": 0.0, "report": None}
         assert not await permits.take(MEMBER)
         assert permits.wait(MEMBER, 100.0) > 0.0
 
-    async def test_another_limit_opens_it_at_once(self, permits, port, notices):
+    async def test_a_changed_limit_ends_the_wait(self, permits, port, notices):
         port.reply = {"granted": False, "wait": 9.0, "report": None}
         await permits.take(MEMBER)
         notices.note_limit(MEMBER.process, 0.5, 100.0, 100.1)
         assert permits.wait(MEMBER, 100.2) == 0.0
 
-    async def test_where_nobody_grants_nothing_is_sent(self, permits, port):
+    async def test_without_a_granter_nothing_is_sent(self, permits, port):
         port.error = EbonydealError(ErrorKind.WRONG_OWNER)
         assert not await permits.take(MEMBER)
         assert permits.wait(MEMBER, 100.0) > 0.0
 
-    async def test_what_was_granted_long_ago_is_used_no_more(self, permits, port):
-        port.lasts = 3.0
+    async def test_a_permit_that_arrives_late_is_not_used(self, permits, port):
+        port.duration = 3.0
         assert not await permits.take(MEMBER)
 
-    async def test_the_granters_word_that_it_has_ended_holds(
-        self, permits, port, clock
-    ):
+    async def test_granter_may_report_the_end_of_a_limit(self, permits, port, clock):
         clock._now = 110.0
         port.reply = {"granted": False, "wait": 0.0, "report": ["i1", 0, None, 0.2]}
         assert await permits.take(MEMBER)
 
 
-class TestRest:
-    async def test_closes_it_without_asking(self, permits, port, notices):
+class TestBackoff:
+    async def test_prevents_requests_without_asking(self, permits, port, notices):
         notices.note_backoff(OTHER.process, 3.0, 100.0)
         assert permits.wait(OTHER, 101.0) == 2.0
         assert not await permits.take(OTHER)
-        assert port.asked == 0
+        assert port.requests == 0
--- a/tests/unit/relay/test_limits_client.py
+++ b/tests/unit/relay/test_limits_client.py
@@ -1,4 +1,4 @@
-"""Whom a relay asks for amounts, and when it takes its share back."""
+"""Which granters a relay asks for amounts, and when it gets its share back."""
 
 import pytest
 
@@ -56,7 +56,7 @@
 
 
 def reply(granter="i0", **more):
-    """Return a holder's answer."""
+    """Return a lease holder's reply."""
     return {
         "granter": granter,
         "until": 101.4,
@@ -79,7 +79,7 @@
         )
         self.granter.accounts = lambda: (ACCOUNT,)
         self.peers, self.metrics = Peers(), Metrics()
-        self.link = LimitsClient(
+        self.client = LimitsClient(
             self.granter,
             self.peers,
             self.clock,
@@ -88,8 +88,8 @@
             self.metrics,
             RelayPlacement(),
         )
-        self.link.address = lambda: "n1:1"
-        self.link.coordinator = self.coordinator = Coordinator()
+        self.client.address = lambda: "n1:1"
+        self.client.coordinator = self.coordinator = Coordinator()
 
     def paths(self):
         return [(address, path) for address, path, _message in self.peers.calls]
@@ -97,127 +97,127 @@
 
 @pytest.fixture
 def relay():
-    """A relay that has just heard the coordinator."""
+    """A relay that has just got a reply from the coordinator."""
     relay = Relay()
-    relay.link.on_reply(reply(), 100.0)
+    relay.client.on_reply(reply(), 100.0)
     return relay
 
 
-class TestAsked:
-    async def test_the_coordinator_first(self, relay):
+class TestGrant:
+    async def test_coordinator_is_asked_first(self, relay):
         relay.coordinator.replies = [amount(1.0)]
-        assert (await relay.link.grant(ACCOUNT, 1.0)).amount == 1.0
+        assert (await relay.client.grant(ACCOUNT, 1.0)).amount == 1.0
         assert relay.peers.calls == []
 
-    async def test_the_stand_in_where_it_gives_no_answer(self, relay):
+    async def test_standby_is_asked_if_the_coordinator_does_not_answer(self, relay):
         relay.coordinator.replies = [NO_ANSWER]
         relay.peers.replies[GRANT] = amount(1.0)
-        assert (await relay.link.grant(ACCOUNT, 1.0)).amount == 1.0
+        assert (await relay.client.grant(ACCOUNT, 1.0)).amount == 1.0
         assert relay.paths() == [("n2:1", GRANT)]
 
-    async def test_not_again_for_a_while(self, relay):
+    async def test_unreachable_coordinator_is_not_asked_for_each_request(self, relay):
         relay.coordinator.replies = [NO_ANSWER]
         relay.peers.replies[GRANT] = amount(1.0)
-        await relay.link.grant(ACCOUNT, 1.0)
-        await relay.link.grant(ACCOUNT, 1.0)
+        await relay.client.grant(ACCOUNT, 1.0)
+        await relay.client.grant(ACCOUNT, 1.0)
         assert len(relay.coordinator.asked) == 1
 
-    async def test_the_next_stand_in_where_the_first_is_gone(self, relay):
+    async def test_second_standby_is_asked_if_the_first_is_gone(self, relay):
         relay.coordinator.replies = [NO_ANSWER]
         with pytest.raises(EbonydealError):
-            await relay.link.grant(ACCOUNT, 1.0)
+            await relay.client.grant(ACCOUNT, 1.0)
         relay.peers.replies[GRANT] = amount(1.0)
-        assert (await relay.link.grant(ACCOUNT, 1.0)).amount == 1.0
+        assert (await relay.client.grant(ACCOUNT, 1.0)).amount == 1.0
         assert relay.paths() == [("n2:1", GRANT), ("n3:1", GRANT)]
 
-    async def test_nobody_is_told_so_with_the_time_that_a_share_comes_back(self, relay):
+    async def test_without_granter_the_error_says_when_the_share_is_free(self, relay):
         relay.coordinator.replies = [NO_ANSWER]
         with pytest.raises(EbonydealError) as caught:
-            await relay.link.grant(ACCOUNT, 1.0)
+            await relay.client.grant(ACCOUNT, 1.0)
         assert caught.value.kind is ErrorKind.LIMIT_UNAVAILABLE
         assert caught.value.retry_after == pytest.approx(1.4)
 
-    async def test_a_part_of_the_burst_that_the_stand_in_has(self, relay):
+    async def test_standby_supplies_what_the_coordinator_lacks(self, relay):
         relay.coordinator.replies = [amount(0.0, 0.5, 4.0), amount(6.0)]
         relay.peers.replies[GRANT] = amount(4.0)
-        assert (await relay.link.grant(ACCOUNT, 10.0)).amount == 10.0
+        assert (await relay.client.grant(ACCOUNT, 10.0)).amount == 10.0
         assert relay.coordinator.asked == [10.0, 6.0]
         assert relay.peers.calls[0][2]["spare"]
-        assert relay.link.balances.left("acme", 100.0) == 0.0
+        assert relay.client.balances.left("acme", 100.0) == 0.0
 
-    async def test_what_it_spared_is_kept_where_the_rest_is_refused(self, relay):
+    async def test_amount_from_the_standby_is_kept_if_the_rest_is_refused(self, relay):
         relay.coordinator.replies = [amount(0.0, 0.5, 4.0), amount(0.0, 0.5, 1.0)]
         relay.peers.replies[GRANT] = amount(4.0)
-        assert (await relay.link.grant(ACCOUNT, 10.0)).wait == 0.5
-        assert relay.link.balances.left("acme", 100.0) == 4.0
+        assert (await relay.client.grant(ACCOUNT, 10.0)).wait == 0.5
+        assert relay.client.balances.left("acme", 100.0) == 4.0
 
-    async def test_one_that_has_nothing_to_spare_not_for_each_request(self, relay):
+    async def test_standby_without_spare_is_not_asked_for_each_request(self, relay):
         relay.coordinator.replies = [amount(0.0, 0.5, 4.0)] * 3
         relay.peers.replies[GRANT] = amount(0.0, 1.0)
         for _ in range(3):
-            await relay.link.grant(ACCOUNT, 10.0)
+            await relay.client.grant(ACCOUNT, 10.0)
         assert len(relay.peers.calls) == 1
 
 
-class TestReleaseBefore:
-    async def test_its_coordinator_grants_without_shares(self):
+class TestPreviousRelease:
+    async def test_coordinator_without_shares_grants(self):
         relay = Relay()
-        relay.link.on_legacy_reply({"acme": 2.0}, 100.0)
-        assert relay.link.balances.left("acme", 100.0) == 2.0
+        relay.client.on_legacy_reply({"acme": 2.0}, 100.0)
+        assert relay.client.balances.left("acme", 100.0) == 2.0
         relay.coordinator.replies = [{"amount": 1.0, "wait": 0.0}]
-        assert (await relay.link.grant(ACCOUNT, 1.0)).amount == 1.0
-        assert relay.link.share_report()["granter"] == ""
+        assert (await relay.client.grant(ACCOUNT, 1.0)).amount == 1.0
+        assert relay.client.share_report()["granter"] == ""
 
 
 class TestOwnShare:
-    async def test_is_used_when_the_promise_is_over(self, relay):
+    async def test_is_used_when_the_delegation_has_expired(self, relay):
         relay.coordinator.replies = [NO_ANSWER]
         await relay.clock.advance(1.5)
         relay.granter.refresh()
         await relay.clock.advance(4.0)
         relay.granter.refresh()
         assert relay.granter.share(relay.clock.now()) == 0.25
-        assert (await relay.link.grant(ACCOUNT, 1.0)).amount == 1.0
+        assert (await relay.client.grant(ACCOUNT, 1.0)).amount == 1.0
 
-    def test_is_over_some_time_after_the_last_word(self, relay):
+    def test_expires_after_the_last_reply(self, relay):
         assert relay.granter.share(129.9) == 0.25
         assert relay.granter.share(130.1) == 0.0
 
 
-class TestTakenBack:
-    async def test_when_another_holder_is_found(self, relay):
+class TestReclaimShare:
+    async def test_when_another_lease_holder_is_found(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
         relay.peers.replies[RELEASE] = {"along": {"acme": 3.0}}
-        relay.link.on_reply(reply("i5"), 100.2)
+        relay.client.on_reply(reply("i5"), 100.2)
         assert relay.granter.own_share.accepted_offer(100.2).granter == "i0"
-        await relay.link._reclaim_share()
+        await relay.client._reclaim_share()
         assert relay.paths() == [("n0:1", RELEASE)]
-        relay.link.on_reply(reply("i5"), 100.3)
-        word = relay.link.share_report()
-        assert (word["granter"], word["along"]) == ("i5", {"acme": 3.0})
-        # The new one was told its own word, and what came along.
-        relay.link.on_reply(reply("i5"), 100.4)
-        assert relay.link.share_report()["along"] == {}
-
-    async def test_what_came_along_goes_to_one_granter(self, relay):
+        relay.client.on_reply(reply("i5"), 100.3)
+        report = relay.client.share_report()
+        assert (report["granter"], report["along"]) == ("i5", {"acme": 3.0})
+        # The new holder got its own offer back, and the transferred amounts.
+        relay.client.on_reply(reply("i5"), 100.4)
+        assert relay.client.share_report()["along"] == {}
+
+    async def test_transferred_amounts_go_to_one_granter_only(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
         relay.peers.replies[RELEASE] = {"along": {"acme": 3.0}}
-        relay.link.on_reply(reply("i5"), 100.2)
-        await relay.link._reclaim_share()
-        assert relay.link.share_report()["along"] == {}
-        relay.link.on_reply(reply("i5"), 100.3)
-        assert relay.link.share_report()["along"] == {"acme": 3.0}
-        # Its answer is lost, and another one is found.
+        relay.client.on_reply(reply("i5"), 100.2)
+        await relay.client._reclaim_share()
+        assert relay.client.share_report()["along"] == {}
+        relay.client.on_reply(reply("i5"), 100.3)
+        assert relay.client.share_report()["along"] == {"acme": 3.0}
+        # Its reply is lost, and another lease holder is found.
         await relay.clock.advance(2.0)
-        relay.link.on_reply(reply("i6"), 102.0)
-        assert relay.link.share_report()["along"] == {}
+        relay.client.on_reply(reply("i6"), 102.0)
+        assert relay.client.share_report()["along"] == {}
 
-    async def test_not_before_its_time_where_who_has_it_gives_no_answer(self, relay):
+    async def test_waits_for_expiry_if_the_granter_does_not_answer(self, relay):
         relay.coordinator.coordinator_address = "n5:1"
-        relay.link.on_reply(reply("i5"), 100.2)
-        await relay.link._reclaim_share()
-        relay.link.on_reply(reply("i5"), 100.4)
-        assert relay.link.share_report()["granter"] == "i0"
+        relay.client.on_reply(reply("i5"), 100.2)
+        await relay.client._reclaim_share()
+        relay.client.on_reply(reply("i5"), 100.4)
+        assert relay.client.share_report()["granter"] == "i0"
         await relay.clock.advance(1.5)
-        relay.link.on_reply(reply("i5"), 101.4)
-        assert relay.link.share_report()["granter"] == "i5"
+        relay.client.on_reply(reply("i5"), 101.4)
+        assert relay.client.share_report()["granter"] == "i5"
--- a/tests/unit/relay/test_registry_store.py
+++ b/tests/unit/relay/test_registry_store.py
@@ -1,4 +1,4 @@
-"""The names of relays with shares, as a holder of the lease finds and keeps them."""
+"""How a lease holder reads and writes the names of the relays with shares."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 AB = RegistryRow(2, frozenset("ab"))
 
 
-class Holder:
+class LeaseHolder:
     def __init__(self, fence=4):
         self.clock, self.store = ManualClock(100.0), MemoryStore()
         self.lease = CoordinatorLease("a", "i", "a:1", 3.0)
@@ -34,19 +34,19 @@
             self.lease, lambda: True, self.clock, QuotaBounds(4.0, 0.1, 0.0)
         )
         self.alive = {"a", "b"}
-        self.rows = RegistryStore(
+        self.registry_store = RegistryStore(
             self.store, self.granter, self.lease, self.clock, lambda: self.alive
         )
 
     async def write(self):
-        """Write what has changed; return the row then."""
-        changes = self.rows.changes()
+        """Write pending changes; return the registry's row after that."""
+        changes = self.registry_store.changes()
         if changes:
             await self.store.transact(changes)
-            self.rows.wrote()
+            self.registry_store.wrote()
         return self.granter.registry.row
 
-    async def pass_time(self, seconds):
+    async def advance(self, seconds):
         await self.clock.advance(seconds)
         for name in self.alive & self.granter.registry.row.names:
             self.granter.registry.record_delegation(name, self.clock.now())
@@ -54,40 +54,40 @@
 
 @pytest.fixture
 def holder():
-    return Holder()
+    return LeaseHolder()
 
 
-class TestFound:
-    async def test_nothing_is_written_before_it_was_read(self, holder):
-        assert holder.rows.changes() == []
-        assert not holder.rows.known
-        await holder.rows.read()
-        assert holder.rows.known
+class TestRead:
+    async def test_nothing_is_written_before_the_rows_were_read(self, holder):
+        assert holder.registry_store.changes() == []
+        assert not holder.registry_store.known
+        await holder.registry_store.read()
+        assert holder.registry_store.known
 
-    async def test_it_is_read_again_under_another_fencing_number(self, holder):
-        await holder.rows.read()
+    async def test_rows_are_read_again_under_another_fencing_token(self, holder):
+        await holder.registry_store.read()
         holder.lease.on_written(LeaseRow("a", "i", "a:1", 9), 2)
-        assert not holder.rows.known
-        assert holder.rows.changes() == []
+        assert not holder.registry_store.known
+        assert holder.registry_store.changes() == []
 
     @pytest.mark.parametrize(
         "value",
         [b"{", b"[]", b'{"shares": 2}', b"null", b'{"names": [], "shares": 1e999}'],
     )
-    async def test_what_can_t_be_read_names_nobody(self, holder, value):
+    async def test_unreadable_row_counts_as_empty(self, holder, value):
         await holder.store.put(SHARES_TABLE, "names", value)
-        await holder.rows.read()
+        await holder.registry_store.read()
         assert holder.granter.registry.row == EMPTY_ROW
 
-    async def test_what_one_wrote_the_next_reads(self, holder):
+    async def test_written_row_is_read_by_the_next_holder(self, holder):
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
-        await holder.rows.read()
+        await holder.registry_store.read()
         assert holder.granter.registry.row == AB
 
 
 class TestNames:
-    async def test_the_first_are_written_when_no_other_came_for_a_while(self, holder):
-        await holder.rows.read()
+    async def test_first_names_are_written_once_no_relay_is_added(self, holder):
+        await holder.registry_store.read()
         assert await holder.write() == EMPTY_ROW
         await holder.clock.advance(2.0)
         holder.alive = {"a", "b", "c"}
@@ -96,41 +96,41 @@
         assert await holder.write() == RegistryRow(3, frozenset("abc"))
         assert holder.granter.registry.weight("a") == pytest.approx(1 / 3)
 
-    async def test_a_new_one_waits_until_larger_shares_are_over(self, holder):
+    async def test_new_name_waits_until_larger_shares_have_expired(self, holder):
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
-        await holder.rows.read()
+        await holder.registry_store.read()
         holder.alive = {"a", "b", "c"}
         assert await holder.write() == RegistryRow(3, AB.names)
         assert holder.granter.registry.weight("c") == 0.0
-        await holder.pass_time(SHARE_TTL_S - 1.0)
+        await holder.advance(SHARE_TTL_S - 1.0)
         assert (await holder.write()).names == AB.names
-        await holder.pass_time(1.1)
+        await holder.advance(1.1)
         assert await holder.write() == RegistryRow(3, frozenset("abc"))
 
-    async def test_one_that_is_silent_goes_when_its_share_is_over(self, holder):
+    async def test_silent_relay_is_removed_when_its_share_has_expired(self, holder):
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
-        await holder.rows.read()
+        await holder.registry_store.read()
         holder.alive = {"a"}
-        await holder.pass_time(1.0)
-        await holder.pass_time(SHARE_TTL_S - 1.0)
+        await holder.advance(1.0)
+        await holder.advance(SHARE_TTL_S - 1.0)
         assert (await holder.write()).names == AB.names
-        await holder.pass_time(1.1)
+        await holder.advance(1.1)
         assert await holder.write() == RegistryRow(1, frozenset("a"))
 
-    async def test_nobody_goes_while_none_of_them_was_heard(self, holder):
+    async def test_no_name_is_removed_before_any_delegated_its_share(self, holder):
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
-        await holder.rows.read()
+        await holder.registry_store.read()
         holder.alive = {"new"}
-        await holder.pass_time(SHARE_TTL_S * 3)
+        await holder.advance(SHARE_TTL_S * 3)
         assert (await holder.write()).names >= AB.names
         assert holder.granter.share(holder.clock.now()) == 0.0
 
 
 class TestStartup:
-    """Both relays had shares under the holder before: this one has none yet."""
+    """Both relays had shares under the previous holder; the new one has none yet."""
 
     @pytest.fixture
-    async def starting(self, holder):
+    async def new_holder(self, holder):
         await holder.store.put(SHARES_TABLE, "names", AB.encode())
         return holder
 
@@ -140,25 +140,25 @@
         except EbonydealError:
             return False
 
-    async def test_is_granted_once_it_lies_in_the_store(self, starting):
-        await starting.rows.read()
-        assert not self.grants(starting)
-        await starting.write()
-        assert self.grants(starting)
-
-    async def test_that_a_renewal_under_way_lacks_waits_for_the_next(self, starting):
-        await starting.rows.read()
-        starting.granter.startup.is_requested = False
-        starting.rows.changes()
-        starting.granter.startup.is_requested = True
-        starting.rows.wrote()
-        assert not self.grants(starting)
-        await starting.write()
-        assert self.grants(starting)
+    async def test_grant_starts_only_after_it_is_stored(self, new_holder):
+        await new_holder.registry_store.read()
+        assert not self.grants(new_holder)
+        await new_holder.write()
+        assert self.grants(new_holder)
+
+    async def test_grant_missing_in_a_renewal_waits_for_the_next(self, new_holder):
+        await new_holder.registry_store.read()
+        new_holder.granter.startup.is_requested = False
+        new_holder.registry_store.changes()
+        new_holder.granter.startup.is_requested = True
+        new_holder.registry_store.wrote()
+        assert not self.grants(new_holder)
+        await new_holder.write()
+        assert self.grants(new_holder)
 
     @pytest.mark.parametrize("value", [b"{", b"5", b'["x"]', b"null"])
-    async def test_of_times_that_cant_be_read_is_none(self, starting, value):
-        await starting.store.put(SHARES_TABLE, "startup", value)
-        await starting.rows.read()
-        await starting.write()
-        assert not self.grants(starting)
+    async def test_unreadable_times_allow_no_grant(self, new_holder, value):
+        await new_holder.store.put(SHARES_TABLE, "startup", value)
+        await new_holder.registry_store.read()
+        await new_holder.write()
+        assert not self.grants(new_holder)
--- a/tests/unit/relay/test_retry_share.py
+++ b/tests/unit/relay/test_retry_share.py
@@ -1,8 +1,8 @@
-"""Further sends stay within their budget though relays start.
+"""Retries stay within their budget when relays start.
 
-Each process of a relay began with a retry to spend on each service, whatever the number
-of relays. Where 87 start at once while all endpoints fail, 87 requests were sent once
-more, of which 75 are allowed.
+Each relay process started with one retry for each service, whatever the number of
+relays. When 87 relays start at once while all endpoints fail, 87 requests were retried,
+but only 75 retries are allowed.
 """
 
 import pytest
@@ -24,36 +24,36 @@
     return program
 
 
-def further_sends(policy, requests):
-    """Return how many of so many failed requests are sent again, each once."""
-    sends = 0
+def count_retries(policy, requests):
+    """Return how many of a number of failed requests are retried, each once."""
+    retries = 0
     for _ in range(requests):
         policy.first_send("s", 100.0)
         failure = Failure(ErrorKind.ENDPOINT_FAILED, "s", idempotent=True)
-        sends += isinstance(policy.next_try(failure, 1, 100.0), Retry)
-    return sends
+        retries += isinstance(policy.next_try(failure, 1, 100.0), Retry)
+    return retries
 
 
 class TestStart:
-    def play(self, relays, starts, requests):
-        """Return what all relays send again, and what they may."""
-        each = further_sends(started(relays)._retries, requests)
-        asked = relays * starts * requests
-        return relays * starts * each, CFG.retry_ratio * asked + CFG.retry_extra
+    def run(self, relays, starts, requests):
+        """Return the retries of all relays, and the allowed number."""
+        each = count_retries(started(relays)._retries, requests)
+        total = relays * starts * requests
+        return relays * starts * each, CFG.retry_ratio * total + CFG.retry_extra
 
     @pytest.mark.parametrize("relays", [3, 9, 17, 68, 87, 195])
     @pytest.mark.parametrize("requests", [1, 4, 20])
     async def test_of_all_relays_at_once(self, relays, requests):
-        again, allowed = self.play(relays, 1, requests)
-        assert again <= allowed
+        retries, allowed = self.run(relays, 1, requests)
+        assert retries <= allowed
 
     async def test_of_nine_relays_again_and_again(self):
-        again, allowed = self.play(9, 10, 1)
-        assert again <= allowed
+        retries, allowed = self.run(9, 10, 1)
+        assert retries <= allowed
 
-    async def test_the_first_request_of_a_few_relays_is_sent_again(self):
-        assert further_sends(started(9)._retries, 1) == 1
+    async def test_first_request_is_retried_with_few_relays(self):
+        assert count_retries(started(9)._retries, 1) == 1
 
-    def test_less_is_saved_up_the_more_relays_there_are(self):
+    def test_budget_cap_falls_with_the_number_of_relays(self):
         assert retry_share(CFG, 195).budget_cap == 1.0
         assert retry_share(CFG, 9).budget_cap > 4.0
--- a/tests/unit/relay/test_shares_model.py
+++ b/tests/unit/relay/test_shares_model.py
@@ -1,7 +1,7 @@
-"""No share of a limit is used twice, whatever is lost, cut off or suspended.
+"""No share of a limit is used twice under any loss, partition or suspension.
 
-All series of a few faults at two and three relays, and random long ones at the sizes of
-deployments. In each step everything that may pass is let pass.
+All series of a few faults at two and three relays, and random long series at the sizes
+of deployments. In each step as much as possible is admitted.
 """
 
 from itertools import product
@@ -18,7 +18,7 @@
 
 
 def faults_of(names):
-    """Return each fault as a name and what it does to a model."""
+    """Return the faults by name, each a function that applies it to a model."""
     faults = {"none": lambda model: None}
     for name in names:
         faults[f"kill {name}"] = lambda model, n=name: model.kill(n)
@@ -56,7 +56,7 @@
 
 
 def run_series(names, series, faults, pause):
-    """Play one series of faults; what fails names it."""
+    """Run one series of faults; a failure names the series."""
     model = started_model(names, limited_account(6.0), BOUNDS, 1.0)
     try:
         for fault in series:
