--- a/tests/unit/routing/admission/test_admission.py
+++ b/tests/unit/routing/admission/test_admission.py
@@ -28,7 +28,7 @@
 
 
 class TestOffer:
-    def test_starts_at_once_while_there_is_room(self):
+    def test_starts_at_once_while_there_is_capacity(self):
         assert make_admission().offer(make_request("a"), NOW) == Admit("a")
 
     def test_waits_when_full_and_starts_after_a_release(self):
@@ -48,15 +48,15 @@
         assert 1.0 <= answer.retry_after <= 1.3
         assert admission.waiting("pool") == 0
 
-    def test_the_same_request_twice_is_a_fault(self):
+    def test_same_request_offered_twice_is_an_error(self):
         admission = make_admission()
         admission.offer(make_request("a"), NOW)
         with pytest.raises(ValueError, match="already offered"):
             admission.offer(make_request("a"), NOW)
 
 
-class TestGivenUp:
-    def test_waiting_past_the_latest_start_is_refused_in_the_same_call(self):
+class TestWaiting:
+    def test_request_past_its_latest_start_is_refused_in_the_same_call(self):
         admission = make_admission()
         admission.offer(make_request("a"), NOW)
         admission.offer(make_request("b", deadline=NOW + 5.0, min_run_s=1.0), NOW)
@@ -65,7 +65,7 @@
         assert isinstance(answer, Refuse)
         assert (answer.request_id, answer.kind) == ("b", ErrorKind.QUEUE_FULL)
 
-    def test_fallen_capacity_refuses_at_once_those_who_cannot_start(self):
+    def test_reduced_capacity_refuses_requests_that_cannot_start_in_time(self):
         admission = make_admission(capacity=4)
         for number in range(8):
             admission.offer(make_request(f"r{number}", deadline=NOW + 5.0), NOW)
@@ -73,7 +73,7 @@
         refused = [item.request_id for item in admission.next_ready(NOW)]
         assert refused == ["r6", "r7"]
 
-    def test_caller_who_left_frees_its_place(self):
+    def test_cancelled_request_frees_its_place(self):
         admission = make_admission()
         admission.offer(make_request("a"), NOW)
         admission.offer(make_request("b"), NOW)
@@ -84,7 +84,7 @@
 
 
 class TestShedding:
-    def test_lowest_class_gives_way(self):
+    def test_lowest_class_is_shed_first(self):
         admission = make_admission(queue=1)
         admission.offer(make_request("a"), NOW)
         admission.offer(make_request("low", priority=Priority.BATCH), NOW)
@@ -120,7 +120,7 @@
 
 
 class TestLimits:
-    def test_rate_of_an_account(self):
+    def test_rate_limit_of_an_account_is_enforced(self):
         admission = make_admission(
             9, [make_account(requests_per_s=2.0)], floor_share=0.0
         )
@@ -129,7 +129,7 @@
         assert answers[2].kind is ErrorKind.RATE_LIMITED
         assert 0.5 <= answers[2].retry_after <= 0.65
 
-    def test_refused_request_gives_its_share_back(self):
+    def test_refused_request_releases_its_reservation(self):
         admission = make_admission(0, [make_account(requests_per_s=1.0)], queue=0)
         assert admission.offer(make_request("a"), NOW).kind is ErrorKind.QUEUE_FULL
         assert admission.offer(make_request("b"), NOW).kind is ErrorKind.QUEUE_FULL
--- a/tests/unit/routing/admission/test_admission_machine.py
+++ b/tests/unit/routing/admission/test_admission_machine.py
@@ -19,17 +19,19 @@
 
 QUEUE = 6
 ACCOUNTS = ("large", "small")
-LIMITED = 8
+CONCURRENCY_LIMIT = 8
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Every offered request gets one answer, in time; bounds always hold."""
+    """Every offered request gets one answer in time, and bounds always hold."""
 
     def __init__(self) -> None:
         super().__init__()
         cfg = AdmissionSettings(queue=QUEUE)
         self.admission = Admission.from_config(cfg, "gw-1", Random(1))
-        self.admission.configure({"small": make_account("small", concurrency=LIMITED)})
+        self.admission.configure(
+            {"small": make_account("small", concurrency=CONCURRENCY_LIMIT)}
+        )
         self.now = NOW
         self.capacity = 2
         self.admission.set_capacity("pool", self.capacity, self.now)
@@ -37,21 +39,21 @@
         self.running: dict[str, AdmissionRequest] = {}
         self.count = 0
 
-    def settle_ready(self) -> None:
+    def apply_ready(self) -> None:
         for answer in self.admission.next_ready(self.now):
-            ask = self.waiting.pop(answer.request_id)
-            self.take(answer, ask)
+            request = self.waiting.pop(answer.request_id)
+            self.take(answer, request)
 
-    def take(self, answer: Admit | Wait | Refuse, ask: AdmissionRequest) -> None:
+    def take(self, answer: Admit | Wait | Refuse, request: AdmissionRequest) -> None:
         match answer:
             case Admit():
-                if ask.deadline:
-                    assert self.now < ask.deadline
-                self.running[ask.request_id] = ask
+                if request.deadline:
+                    assert self.now < request.deadline
+                self.running[request.request_id] = request
             case Wait(expected_s=expected):
-                if ask.deadline:
-                    assert self.now + expected <= ask.deadline
-                self.waiting[ask.request_id] = ask
+                if request.deadline:
+                    assert self.now + expected <= request.deadline
+                self.waiting[request.request_id] = request
             case Refuse(kind=kind, retry_after=retry_after):
                 assert 0.5 <= retry_after <= 156.0
                 assert ANSWERS[kind].outcome is Outcome.NOT_RUN
@@ -65,20 +67,20 @@
         self.count += 1
         deadline = self.now + budget if budget else 0.0
         name = f"r{self.count}"
-        ask = AdmissionRequest(name, account, "pool", priority, 10.0, deadline)
-        self.take(self.admission.offer(ask, self.now), ask)
-        self.settle_ready()
+        request = AdmissionRequest(name, account, "pool", priority, 10.0, deadline)
+        self.take(self.admission.offer(request, self.now), request)
+        self.apply_ready()
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), cancel=st.booleans())
-    def ends(self, data: st.DataObject, cancel: bool) -> None:
+    def request_ends(self, data: st.DataObject, cancel: bool) -> None:
         name = data.draw(st.sampled_from(sorted(self.running)))
         del self.running[name]
         if cancel:
             self.admission.cancel(name, self.now)
         else:
             self.admission.release(name, 5.0, self.now)
-        self.settle_ready()
+        self.apply_ready()
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
@@ -86,13 +88,13 @@
         name = data.draw(st.sampled_from(sorted(self.waiting)))
         del self.waiting[name]
         self.admission.cancel(name, self.now)
-        self.settle_ready()
+        self.apply_ready()
 
     @rule(capacity=st.integers(0, 4))
     def capacity_changes(self, capacity: int) -> None:
         self.capacity = capacity
         self.admission.set_capacity("pool", capacity, self.now)
-        self.settle_ready()
+        self.apply_ready()
 
     @rule(seconds=st.floats(0.0, 20.0))
     def time_passes(self, seconds: float) -> None:
@@ -100,29 +102,29 @@
         wake = self.admission.wake_at()
         while wake is not None and wake <= end:
             self.now = max(self.now, wake)
-            self.settle_ready()
+            self.apply_ready()
             wake = self.admission.wake_at()
         self.now = end
 
     @invariant()
-    def books_agree(self) -> None:
+    def counts_agree(self) -> None:
         assert self.admission.waiting("pool") == len(self.waiting) <= QUEUE
         assert self.admission.running("pool") == len(self.running)
         for account in ACCOUNTS:
-            asks = [*self.waiting.values(), *self.running.values()]
-            held = sum(ask.account == account for ask in asks)
+            requests = [*self.waiting.values(), *self.running.values()]
+            held = sum(request.account == account for request in requests)
             assert self.admission.limits.in_flight(account) == held
-        assert self.admission.limits.in_flight("small") <= LIMITED
+        assert self.admission.limits.in_flight("small") <= CONCURRENCY_LIMIT
 
     @invariant()
-    def nobody_waits_beside_a_free_slot(self) -> None:
+    def no_request_waits_while_a_slot_is_free(self) -> None:
         if self.waiting:
             assert len(self.running) >= self.capacity
 
     @invariant()
-    def nobody_waits_past_its_time(self) -> None:
-        for ask in self.waiting.values():
-            assert not ask.deadline or self.now <= ask.deadline
+    def no_request_waits_past_its_deadline(self) -> None:
+        for request in self.waiting.values():
+            assert not request.deadline or self.now <= request.deadline
 
 
 AdmissionMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
@@ -130,7 +132,7 @@
 
 
 class TestFairness:
-    def test_no_account_starves_whatever_another_piles_up(self):
+    def test_account_is_not_starved_by_the_backlog_of_another(self):
         queue = FairQueue()
         for number in range(200):
             queue.push(f"big{number}", "big", Priority.STANDARD, 100.0, 0.0)
--- a/tests/unit/routing/duties/test_coordinator_lease.py
+++ b/tests/unit/routing/duties/test_coordinator_lease.py
@@ -1,4 +1,4 @@
-"""The lease's protocol against a store, lost answers, pauses and restarts."""
+"""The protocol of the coordinator's lease under lost answers, pauses and restarts."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -56,13 +56,13 @@
         run(one, store, now)
 
 
-class TestTaking:
-    def test_first_comer_gets_fence_one(self):
+class TestTake:
+    def test_first_holder_gets_fencing_token_one(self):
         one, store = lease(), Store()
         take(one, store, 10.0)
         assert (one.fence, store.row.holder) == (1, "a")
 
-    def test_another_waits_for_the_whole_time_to_live(self):
+    def test_another_relay_waits_for_the_whole_ttl(self):
         store = Store()
         take(lease("a"), store, 10.0)
         other = lease("b")
@@ -71,7 +71,7 @@
         run(other, store, 10.1 + TTL)
         assert other.holds(10.1 + TTL) and other.fence == 2
 
-    def test_a_renewal_starts_the_wait_anew(self):
+    def test_renewal_restarts_the_wait(self):
         store = Store()
         first, other = lease("a"), lease("b")
         take(first, store, 10.0)
@@ -81,14 +81,14 @@
         run(other, store, 13.6)
         assert not other.holds(13.6) and first.fence == 1
 
-    def test_who_restarts_takes_its_own_back_at_once_with_a_new_fence(self):
+    def test_restarted_holder_takes_its_lease_at_once_with_a_new_token(self):
         store = Store()
         take(lease("a", "1"), store, 10.0)
         again = lease("a", "2")
         take(again, store, 10.2)
         assert again.fence == 2
 
-    def test_a_released_lease_is_taken_at_once(self):
+    def test_released_lease_is_taken_at_once(self):
         store = Store()
         first = lease("a")
         take(first, store, 10.0)
@@ -97,7 +97,7 @@
         take(other, store, 10.1)
         assert other.fence == 2
 
-    def test_who_does_not_want_it_rests(self):
+    def test_relay_that_does_not_want_the_lease_sleeps(self):
         store = Store()
         one = lease(wanted=False)
         run(one, store, 1.0)
@@ -105,8 +105,8 @@
         assert store.row is None
 
 
-class TestHearing:
-    def test_a_newer_holder_is_heard_of_and_an_older_is_not(self):
+class TestLearnHolder:
+    def test_newer_holder_is_learned_and_an_older_one_is_ignored(self):
         store = Store()
         first, other = lease("a"), lease("b")
         take(first, store, 10.0)
@@ -116,7 +116,7 @@
         assert first.row == later and not first.holds(10.1)
         first.learn_holder(LeaseRow("b", "1", "b:1", 4), 41)
         assert first.row == later
-        # What was heard gives no right: whoever wants the lease asks the store first.
+        # It doesn't entitle to act: a relay that wants the lease reads the store first.
         assert first.wanted
         assert isinstance(first.next_step(99.0), Read)
         first.wanted = False
@@ -124,7 +124,7 @@
 
 
 class TestHolding:
-    def test_right_ends_before_anothers_can_begin(self):
+    def test_lease_ends_before_another_relay_can_take_it(self):
         store = Store()
         first, other = lease("a"), lease("b")
         take(first, store, 10.0)
@@ -132,7 +132,7 @@
         assert not first.holds(10.0 + TTL)
         assert not other.holds(10.0 + TTL - 0.01)
 
-    def test_last_holder_goes_on_after_an_outage_that_lasted_longer(self):
+    def test_last_holder_renews_after_an_outage_longer_than_the_ttl(self):
         store = Store()
         first, other = lease("a"), lease("b")
         take(first, store, 10.0)
@@ -142,7 +142,7 @@
         run(first, store, 16.0)
         assert first.holds(16.0) and first.fence == 1
 
-    def test_in_doubt_looks_before_it_acts(self):
+    def test_row_is_read_after_a_write_in_doubt(self):
         store = Store()
         one = lease()
         run(one, store, 10.0)
@@ -152,26 +152,26 @@
         one.on_write_in_doubt()
         assert not one.holds(10.0)
         assert isinstance(run(one, store, 10.2), Read)
-        # The write took effect; the right counts from before it was sent.
+        # The write took effect; the lease counts from before it was sent.
         assert one.holds(10.2) and not one.holds(10.0 + TTL)
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Relays on one clock; a holder never acts beside a newer one's right."""
+    """Relays on one clock; no holder acts while a newer one holds the lease."""
 
     def __init__(self):
         super().__init__()
         self.store = Store()
         self.now = 100.0
-        self.born = 0
+        self.incarnations = 0
         self.leases = {}
-        self.used = {}
+        self.token_owners = {}
         for node in NODES:
             self.restart(node)
 
     def restart(self, node):
-        self.born += 1
-        self.leases[node] = lease(node, str(self.born))
+        self.incarnations += 1
+        self.leases[node] = lease(node, str(self.incarnations))
 
     @rule(by=st.floats(0.01, 4.0))
     def time_passes(self, by):
@@ -208,11 +208,11 @@
         assert len(holders) <= 1
 
     @invariant()
-    def a_fence_is_of_one_incarnation(self):
+    def fencing_token_belongs_to_one_incarnation(self):
         row = self.store.row
         if row is not None and row.holder:
             owner = (row.holder, row.incarnation)
-            assert self.used.setdefault(row.fence, owner) == owner
+            assert self.token_owners.setdefault(row.fence, owner) == owner
 
 
 LeaseMachine.TestCase.settings = settings(
--- a/tests/unit/routing/helpers.py
+++ b/tests/unit/routing/helpers.py
@@ -1,4 +1,4 @@
-"""Short builders of the values that routing takes."""
+"""Short builders for arguments of routing functions."""
 
 from ebonydeal._internal.models.document import Account
 from ebonydeal._internal.models.endpoints import (
--- a/tests/unit/routing/limits/test_account_limits.py
+++ b/tests/unit/routing/limits/test_account_limits.py
@@ -26,26 +26,26 @@
 
 class TestShares:
     @given(st.lists(demand, min_size=1, max_size=12), st.floats(0.0, 1.0))
-    def test_parts_add_up_to_one(self, demands, floor):
-        parts = [
+    def test_shares_add_up_to_one(self, demands, floor):
+        shares = [
             fair_share(own, demands[:i] + demands[i + 1 :], floor)
             for i, own in enumerate(demands)
         ]
-        assert sum(parts) == pytest.approx(1.0)
-        assert min(parts) >= floor / len(demands) - 1e-9
+        assert sum(shares) == pytest.approx(1.0)
+        assert min(shares) >= floor / len(demands) - 1e-9
 
     @given(
         st.integers(0, 500),
         st.dictionaries(st.sampled_from("abcdefghi"), demand, min_size=1),
     )
-    def test_whole_parts_add_up_to_the_limit(self, total, demands):
+    def test_whole_shares_add_up_to_the_limit(self, total, demands):
         split = whole_shares(total, demands)
         assert sum(split.values()) == total
         assert min(split.values()) >= 0
 
 
 class TestRateMeter:
-    def test_steady_rate_is_found(self):
+    def test_steady_rate_is_measured(self):
         meter = RateMeter(2.0)
         for step in range(400):
             meter.add(1.0, NOW + step * 0.1)
@@ -58,14 +58,14 @@
         assert DemandReport.from_message(report.to_message()) == report
 
     @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0])
-    def test_garbage_is_refused(self, value):
+    def test_invalid_amounts_are_rejected(self, value):
         message = {"gateway": "g", "seq": 1, "demands": {"desk": [value, 0, 0, 0]}}
         with pytest.raises(ValueError, match="not a finite amount"):
             DemandReport.from_message(message)
 
 
 class TestTake:
-    def test_concurrency_is_held_and_freed(self):
+    def test_concurrency_is_limited_and_released(self):
         limits = make_limits(concurrency=2)
         taken = [limits.take("desk", 10.0, NOW) for _ in range(3)]
         assert taken[:2] == [None, None]
@@ -73,14 +73,14 @@
         limits.settle("desk", 10.0, 10.0, NOW)
         assert limits.take("desk", 10.0, NOW) is None
 
-    def test_tokens_are_settled_after(self):
+    def test_unused_tokens_are_refunded(self):
         limits = make_limits(tokens_per_s=100.0)
         assert limits.take("desk", 100.0, NOW) is None
         assert limits.take("desk", 50.0, NOW).limit == "tokens_per_s"
         limits.settle("desk", 100.0, 50.0, NOW)
         assert limits.take("desk", 50.0, NOW) is None
 
-    def test_request_larger_than_the_bucket_passes_when_full(self):
+    def test_request_larger_than_the_bucket_is_admitted_when_full(self):
         limits = make_limits(tokens_per_s=100.0)
         assert limits.take("desk", 1000.0, NOW) is None
         over = limits.take("desk", 1.0, NOW)
@@ -95,7 +95,7 @@
         taken = [limits.take("desk", 1.0, NOW) for _ in range(6)]
         assert taken.count(None) < 5
 
-    def test_silent_but_listed_gateway_keeps_its_part(self):
+    def test_silent_but_listed_gateway_keeps_its_share(self):
         for listed, most in ((frozenset({"gw-2"}), 5), (frozenset(), 10)):
             limits = make_limits(concurrency=10)
             limits.take("desk", 1.0, NOW)
@@ -115,14 +115,14 @@
         assert outcome.worst_high <= 1.1
         assert 0.9 <= outcome.last <= 1.1
 
-    def test_split_peers_do_not_double_the_limit(self):
+    def test_partitioned_peers_do_not_double_the_limit(self):
         story = Story("split", "requests_per_s", 60, split_at=20.0, heal_at=50.0)
         outcome = LimitRun(story, AdmissionSettings(), 1).run()
         assert outcome.worst_high <= 1.1
 
 
 class TestMemory:
-    def test_replaced_gateways_are_forgotten(self):
+    def test_replaced_gateways_are_evicted(self):
         limits = make_limits(concurrency=10)
         for number in range(50):
             report = DemandReport(f"gw-{number + 2}", 1, {"desk": Demand(0, 0, 1, 1)})
--- a/tests/unit/routing/limits/test_quota_bounds.py
+++ b/tests/unit/routing/limits/test_quota_bounds.py
@@ -1,4 +1,4 @@
-"""The most that a window holds, as a sum of terms."""
+"""The most that a window may hold, as a sum of terms."""
 
 import pytest
 
@@ -21,15 +21,15 @@
             limited_account(36_000.0, burst=1e6, in_tokens=True),
         ],
     )
-    def test_stays_within_what_is_tolerated(self, window, overshoot, slack, account):
+    def test_stays_within_the_tolerance(self, window, overshoot, slack, account):
         assert QuotaBounds(window, overshoot, slack).fits(account)
 
-    def test_with_the_settings_of_a_relay(self):
+    def test_fits_with_the_default_settings_of_a_relay(self):
         cfg = RelaySettings()
         bounds = QuotaBounds(cfg.quota_window_s, cfg.quota_overshoot, cfg.quota_slack)
         assert bounds.fits(limited_account(512_150.0, in_tokens=True))
 
-    def test_each_term_counts(self):
+    def test_each_term_is_positive(self):
         bounds = QuotaBounds(8.0, 0.1, 140_000.0)
         account = limited_account(512_150.0, in_tokens=True)
         names = [term.name for term in bounds.terms(account)]
@@ -48,7 +48,7 @@
         bounds = QuotaBounds(8.0, 0.1, 140_000.0)
         assert bounds.tolerance(limited_account(60.0)) == pytest.approx(54.0)
 
-    def test_without_tolerance_nothing_but_the_limit_remains(self):
+    def test_without_tolerance_only_the_limit_remains(self):
         bounds, account = QuotaBounds(8.0, 0.0, 0.0), limited_account(60.0)
         assert sum(term.amount for term in bounds.terms(account)) == 540.0
         assert bounds.max_send_delay_s(account) == 0.0
--- a/tests/unit/routing/limits/test_startup_grant.py
+++ b/tests/unit/routing/limits/test_startup_grant.py
@@ -10,12 +10,12 @@
 
 BOUNDS = QuotaBounds(8.0, 0.1, 0.0)
 ACCOUNT = limited_account(100.0)
-MOST = BOUNDS.startup(ACCOUNT) / MAX_STARTUP_GRANTS
+MAX_AMOUNT = BOUNDS.startup(ACCOUNT) / MAX_STARTUP_GRANTS
 
 
 @pytest.fixture
 def startup():
-    """A holder's, begun at 50.0 s, with none before."""
+    """A lease holder's first startup grant, started at 50.0 s."""
     startup = StartupGrant(BOUNDS)
     startup.load([], 500.0)
     assert startup.request()
@@ -25,15 +25,15 @@
 
 
 class TestAmount:
-    def test_is_used_up_by_account(self, startup):
-        assert startup.take(ACCOUNT, 0.7 * MOST, 50.1)
-        assert not startup.take(ACCOUNT, 0.4 * MOST, 50.2)
-        assert startup.take(ACCOUNT._replace(name="other"), 0.4 * MOST, 50.2)
+    def test_is_bounded_for_each_account(self, startup):
+        assert startup.take(ACCOUNT, 0.7 * MAX_AMOUNT, 50.1)
+        assert not startup.take(ACCOUNT, 0.4 * MAX_AMOUNT, 50.2)
+        assert startup.take(ACCOUNT._replace(name="other"), 0.4 * MAX_AMOUNT, 50.2)
 
-    def test_lapses(self, startup):
+    def test_expires(self, startup):
         assert not startup.take(ACCOUNT, 1.0, 50.0 + STARTUP_GRANT_TTL_S)
 
-    def test_is_there_once_it_lies_in_the_store(self):
+    def test_is_available_only_after_it_is_stored(self):
         startup = StartupGrant(BOUNDS)
         startup.load([], 500.0)
         startup.request()
@@ -43,7 +43,7 @@
         startup.confirm_write()
         assert startup.take(ACCOUNT, 1.0, 50.1)
 
-    def test_lapses_by_when_its_write_began(self):
+    def test_expiry_counts_from_the_start_of_its_write(self):
         startup = StartupGrant(BOUNDS)
         startup.load([], 500.0)
         startup.request()
@@ -55,7 +55,7 @@
 
 class TestSpacing:
     @pytest.mark.parametrize(
-        ("begun", "allowed"),
+        ("started_at", "allowed"),
         [
             ([499.0], True),
             ([495.0, 499.0], False),
@@ -63,21 +63,21 @@
             ([489.0, 499.0], True),
         ],
     )
-    def test_two_a_window_and_the_time_that_they_are_used(self, begun, allowed):
+    def test_at_most_two_in_a_window_and_their_ttl(self, started_at, allowed):
         startup = StartupGrant(BOUNDS)
-        startup.load(begun, 500.0)
+        startup.load(started_at, 500.0)
         assert startup.request() is allowed
 
-    def test_what_lies_in_the_store_is_the_last_two(self):
+    def test_last_two_start_times_are_stored(self):
         startup = StartupGrant(BOUNDS)
         startup.load([100.0, 489.0, 499.0], 500.0)
         startup.request()
         assert startup.begin_write(50.0, 450.0) == [499.0, 500.0]
 
-    def test_a_store_whose_clock_went_back_allows_none(self):
+    def test_no_grant_if_the_clock_of_the_store_went_back(self):
         startup = StartupGrant(BOUNDS)
         startup.load([899.0, 900.0], 500.0)
         assert not startup.request()
 
-    def test_one_by_holder(self, startup):
+    def test_one_grant_per_lease_holder(self, startup):
         assert not startup.request()
