--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -267,10 +267,9 @@
             # The previous lease holder is certainly gone: only standbys had shares.
             return STANDBY_DELEGATION_S
         shares = max(self.registry.row.shares, 1)
-        pacing = ReportPacing.of(
+        return ReportPacing.of(
             shares, self.min_report_interval, _MIN_COORDINATOR_CORES
-        )
-        return pacing.isolation_timeout
+        ).isolation_timeout
 
     def _has_unknown_standby(self, now: float) -> bool:
         """Return whether a standby may hold amounts from another lease holder."""
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -159,8 +159,9 @@
             )
         )
         self._crashes.on_crash = self._suspects.crashed
-        pacing = ReportPacing(self._policy.exchange_s)
-        self._split = Split(self._node.id, pacing.isolation_timeout)
+        self._split = Split(
+            self._node.id, ReportPacing(self._policy.exchange_s).isolation_timeout
+        )
         self.view.on_orders = self._split.ordered
         self._rollout_hearer = RolloutHearer(self._split, self.view, clock)
         bounds = QuotaBounds(
--- a/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
+++ b/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
@@ -184,8 +184,9 @@
 
     def _write(self, now: float, fence: int) -> Write:
         self._sent_at = now
-        row = self._me._replace(fence=fence, relays=self.relay_count)
-        return Write(row, self._version)
+        return Write(
+            self._me._replace(fence=fence, relays=self.relay_count), self._version
+        )
 
     def on_read(self, row: LeaseRow | None, version: int, now: float) -> None:
         """Take the row that was read; version 0 if there is none."""
--- a/src/ebonydeal/_internal/routing/limits/account_limits.py
+++ b/src/ebonydeal/_internal/routing/limits/account_limits.py
@@ -255,8 +255,7 @@
         # The current request counts, so that an idle gateway gets a share.
         own = self._demand(limits.name, now)
         demands[self._gateway] = own.concurrency + 1.0
-        unreserved = self._unreserved(limits.name, now)
-        total = int(limits.concurrency * unreserved.concurrency)
+        total = int(limits.concurrency * self._unreserved(limits.name, now).concurrency)
         share = whole_shares(total, demands)[self._gateway]
         elsewhere = sum(demand.in_flight for demand in others.values())
         # What other gateways leave unused is divided by demand, too.
--- a/src/ebonydeal/_internal/routing/limits/quota_broker.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_broker.py
@@ -141,8 +141,9 @@
             bucket.level -= need
             bucket.small_level -= need
             return Grant(need, 0.0)
-        wait = self._wait(account, bucket, min_level)
-        return Grant(0.0, wait, min_level - bucket.level)
+        return Grant(
+            0.0, self._wait(account, bucket, min_level), min_level - bucket.level
+        )
 
     def _wait(
         self, account: ForwardAccount, bucket: _Bucket, level: float
@@ -225,8 +226,7 @@
             standby = self.bounds.standby_burst(account) * bucket.share
         elif now < bucket.standby_until:
             standby = max(0.0, bucket.standby_amount - self.bounds.standby(account))
-        burst = account.burst * bucket.share
-        return max(0.0, burst - bucket.advanced_total - standby)
+        return max(0.0, account.burst * bucket.share - bucket.advanced_total - standby)
 
     def _filled(self, account: ForwardAccount, now: float) -> _Bucket:
         share = self._share(now)
@@ -236,8 +236,9 @@
             held = share if self.starts_full else 0.0
             bucket = self._buckets[account.name] = _Bucket(level, held, now)
         bucket.expire_advances(now)
-        elapsed = max(0.0, now - bucket.filled_at)
-        earned = account.rate * min(share, bucket.share) * elapsed
+        earned = (
+            account.rate * min(share, bucket.share) * max(0.0, now - bucket.filled_at)
+        )
         # A gained share may carry debt that the granter before it has left.
         owed = self.bounds.debt(account) * max(0.0, share - bucket.share)
         bucket.share = share
@@ -245,8 +246,9 @@
         capacity = self._capacity(account, bucket, now)
         bucket.level = min(capacity, bucket.level + earned - owed)
         small = _SMALL_RATE_FRACTION * account.burst * share
-        earned_small = earned * _SMALL_RATE_FRACTION
-        bucket.small_level = min(small, bucket.small_level + earned_small)
+        bucket.small_level = min(
+            small, bucket.small_level + earned * _SMALL_RATE_FRACTION
+        )
         return bucket
 
 
