--- a/tests/unit/routing/duties/test_report_pacing.py
+++ b/tests/unit/routing/duties/test_report_pacing.py
@@ -12,8 +12,9 @@
 
 class TestPeriod:
     def test_few_relays_report_with_the_configured_period(self):
-        periods = {ReportPacing.of(9, MIN_PERIOD_S, cores).period for cores in CORES}
-        assert periods == {MIN_PERIOD_S}
+        assert {ReportPacing.of(9, MIN_PERIOD_S, cores).period for cores in CORES} == {
+            MIN_PERIOD_S
+        }
 
     @pytest.mark.parametrize("cores", CORES)
     def test_rate_of_reports_is_bounded(self, cores):
