--- a/src/ebonydeal/_internal/routing/limits/share_delegation.py
+++ b/src/ebonydeal/_internal/routing/limits/share_delegation.py
@@ -97,8 +97,9 @@
 
     def offer(self, seconds: float, now: float) -> DelegationOffer:
         """Return an offer under which a relay may delegate its share."""
-        until = now + seconds * (1.0 - _MAX_CLOCK_DRIFT)
-        return DelegationOffer(self.granter, until, seconds)
+        return DelegationOffer(
+            self.granter, now + seconds * (1.0 - _MAX_CLOCK_DRIFT), seconds
+        )
 
     def drop_previous_process(self, node: str, incarnation: str) -> None:
         """Drop the share of a relay's previous process, whose delegation has ended."""
