--- a/src/ebonydeal/_internal/directory/crash_guard.py
+++ b/src/ebonydeal/_internal/directory/crash_guard.py
@@ -10,8 +10,11 @@
 from ebonydeal._internal.models.requests import Request
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.routing.crashes.crash_evidence import CrashEvidence, Standing
-from ebonydeal._internal.routing.crashes.crash_messages import SeenCrash
+from ebonydeal._internal.routing.crashes.crash_evidence import (
+    CrashEvidence,
+    QuarantineStatus,
+)
+from ebonydeal._internal.routing.crashes.crash_messages import ObservedCrash
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.reachability import refuses_connections
 from ebonydeal._internal.utils.request_digest import RequestDigest
@@ -48,9 +51,9 @@
         """Raise REQUEST_QUARANTINED; ``ran`` says that this very one may have run."""
         self._evidence.expire(self._clock.now())
         digest = _digest(request)
-        if self._evidence.standing(digest) is not Standing.QUARANTINED:
+        if self._evidence.status(digest) is not QuarantineStatus.QUARANTINED:
             return
-        count = len(self._evidence.endpoints(digest))
+        count = len(self._evidence.crashed_endpoints(digest))
         raise EbonydealError(
             ErrorKind.REQUEST_QUARANTINED,
             f"{count} endpoints crashed under this request (digest {digest}).",
@@ -66,9 +69,9 @@
         if not await self._refuses(view.address, _CONNECT_S):
             return
         now, digest = self._clock.now(), _digest(request)
-        seen = SeenCrash(view.endpoint_id, view.incarnation, view.place.zone, now)
-        held_before = self._evidence.standing(digest) is Standing.QUARANTINED
-        if self._evidence.crashed(seen, [digest]) is None:
+        seen = ObservedCrash(view.endpoint_id, view.incarnation, view.place.zone, now)
+        held_before = self._evidence.status(digest) is QuarantineStatus.QUARANTINED
+        if self._evidence.record_crash(seen, [digest]) is None:
             return
         self._metrics.count(Event.ENDPOINTS_CRASHED)
         logger.info(
@@ -77,13 +80,13 @@
             digest=digest,
             endpoint=view.endpoint_id,
         )
-        held = self._evidence.standing(digest) is Standing.QUARANTINED
+        held = self._evidence.status(digest) is QuarantineStatus.QUARANTINED
         if held and not held_before:
             self._metrics.count(Event.REQUESTS_QUARANTINED)
             logger.warning(
                 "Request quarantined.",
                 digest=digest,
-                endpoints=self._evidence.endpoints(digest),
+                endpoints=self._evidence.crashed_endpoints(digest),
                 told_by="itself",
             )
 
@@ -94,7 +97,7 @@
         gets may do so before it runs it.
         """
         if status < _FIRST_FAILURE:
-            self._evidence.served(_digest(request), self._clock.now())
+            self._evidence.record_success(_digest(request), self._clock.now())
 
 
 def _digest(request: Request) -> str:
--- a/src/ebonydeal/_internal/relay/crashes/crash_check.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_detector.py
@@ -31,7 +31,7 @@
 _MOST_LOGGED = 16
 
 
-class Crashed(NamedTuple):
+class CrashedEndpoint(NamedTuple):
     """An endpoint that crashed, and the requests at work there on this relay."""
 
     member: Member
@@ -53,7 +53,7 @@
     return member.endpoint_id, member.born
 
 
-class CrashCheck(Service):
+class CrashDetector(Service):
     """Asks endpoints whose connections broke for another one.
 
     Parameters
@@ -73,9 +73,9 @@
         self._connect_s = connect_s
         self._broken: dict[_Start, _Broken] = {}
         # Told what crashed.
-        self.on_crash: Callable[[Crashed], None] = lambda _crashed: None
+        self.on_crash: Callable[[CrashedEndpoint], None] = lambda _crashed: None
 
-    def broke(self, member: Member, digest: str) -> None:
+    def connection_broken(self, member: Member, digest: str) -> None:
         """Note a connection that ended amid a request.
 
         One that leaves, or is listed no more, was about to end.
@@ -90,7 +90,7 @@
         self._broken[_start(listed)] = _Broken({digest}, asyncio.Event())
         self.add_future(self._check(listed))
 
-    async def checked(self, member: Member) -> None:
+    async def wait_until_checked(self, member: Member) -> None:
         """Wait until it is known whether an endpoint crashed, if that is being asked.
 
         A request that goes on at once would bring down the next endpoint before
@@ -119,5 +119,5 @@
             crashed=refused,
         )
         if refused:
-            self.on_crash(Crashed(member, digests))
+            self.on_crash(CrashedEndpoint(member, digests))
         broken.done.set()
--- a/src/ebonydeal/_internal/relay/crashes/crash_store.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_store.py
@@ -45,15 +45,15 @@
     def changes(self) -> list[RowChange]:
         """Return the write that keeps what changed since the last one, if anything."""
         self._writing = ""
-        if not self.known or self._suspects.mark == self._written:
+        if not self.known or self._suspects.fingerprint == self._written:
             return []
-        message = {"wall": self._clock.wall(), "memory": self._suspects.memory()}
+        message = {"wall": self._clock.wall(), "memory": self._suspects.to_message()}
         value = pack(message)
         if len(value) > MOST_BYTES:
             # What is refused is still known to all relays, but not kept.
             logger.warning("Crashes are too many to keep.", size=len(value))
             return []
-        self._writing = self._suspects.mark
+        self._writing = self._suspects.fingerprint
         return [RowChange(CRASHES_TABLE, _KEY, value)]
 
     def wrote(self) -> None:
@@ -70,7 +70,7 @@
             try:
                 message = unpack(row.value)
                 passed = max(0.0, self._clock.wall() - float(message["wall"]))
-                self._suspects.learn(_aged(message["memory"], passed), "store")
+                self._suspects.merge(_aged(message["memory"], passed), "store")
             except UNREADABLE as exc:
                 logger.error("Stored crashes can't be read.", reason=repr(exc))
         self.known = True
--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -17,22 +17,25 @@
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.crashes.crash_check import Crashed
+from ebonydeal._internal.relay.crashes.crash_detector import CrashedEndpoint
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
 from ebonydeal._internal.relay.peers.messages import CrashesMessage, ExchangeMessage
 from ebonydeal._internal.relay.requests.outcomes import MayHaveRun
-from ebonydeal._internal.routing.crashes.crash_blame import CrashKey
-from ebonydeal._internal.routing.crashes.crash_evidence import CrashEvidence, Standing
+from ebonydeal._internal.routing.crashes.crash_attribution import CrashKey
+from ebonydeal._internal.routing.crashes.crash_evidence import (
+    CrashEvidence,
+    QuarantineStatus,
+)
 from ebonydeal._internal.routing.crashes.crash_messages import (
     EvidenceMessage,
-    SeenCrash,
+    ObservedCrash,
 )
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
 logger = get_logger("relay.suspects")
 
-CRASHES = "/relay/v1/crashes"
+CRASHES_PATH = "/relay/v1/crashes"
 # Longest wait for another relay to take a word: it hears of it again with its next
 # exchange, half a second later.
 _CALL_S = 0.4
@@ -66,39 +69,39 @@
         self._coordinators_mark = ""
 
     # --- for one request -----------------------------------------------------
-    def standing(self, digest: str) -> Standing:
+    def status(self, digest: str) -> QuarantineStatus:
         """Return what is held of a request."""
-        return self._parts.evidence.standing(digest)
+        return self._parts.evidence.status(digest)
 
     def check(self, digest: str) -> None:
         """Raise REQUEST_QUARANTINED for a request that brings endpoints down."""
-        if self.standing(digest) is Standing.QUARANTINED:
+        if self.status(digest) is QuarantineStatus.QUARANTINED:
             raise EbonydealError(ErrorKind.REQUEST_QUARANTINED, self._why(digest))
 
-    def stopped(self, digest: str) -> MayHaveRun | None:
+    def stopped_outcome(self, digest: str) -> MayHaveRun | None:
         """Return the outcome of a run that was ended since its request is held."""
-        if self.standing(digest) is not Standing.QUARANTINED:
+        if self.status(digest) is not QuarantineStatus.QUARANTINED:
             return None
         return MayHaveRun(ErrorKind.REQUEST_QUARANTINED, self._why(digest))
 
     def _why(self, digest: str) -> str:
-        count = len(self._parts.evidence.endpoints(digest))
+        count = len(self._parts.evidence.crashed_endpoints(digest))
         return f"{count} endpoints crashed under this request (digest {digest})."
 
-    def runs_at(self, endpoint_id: str) -> int:
+    def suspects_at(self, endpoint_id: str) -> int:
         """Return how many suspects this relay has at an endpoint."""
         return self._places.get(endpoint_id, 0)
 
     @contextmanager
-    def at_work(
+    def track_run(
         self, digest: str, endpoint_id: str, limit: asyncio.Timeout
     ) -> Iterator[None]:
         """Let a run's limit end as soon as its request is held."""
         runs = self._runs.setdefault(digest, set())
         runs.add(limit)
-        suspect = self.standing(digest) is Standing.SUSPECT
+        suspect = self.status(digest) is QuarantineStatus.SUSPECT
         if suspect:
-            self._places[endpoint_id] = self.runs_at(endpoint_id) + 1
+            self._places[endpoint_id] = self.suspects_at(endpoint_id) + 1
         try:
             yield
         finally:
@@ -115,34 +118,34 @@
         else:
             del self._places[endpoint_id]
 
-    def served(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Note a success of a request."""
-        if self._parts.evidence.served(digest, self._parts.clock.now()):
+        if self._parts.evidence.record_success(digest, self._parts.clock.now()):
             self._changed("itself")
 
-    def heard(self, member: Member, sent_at: float) -> None:
+    def record_activity(self, member: Member, sent_at: float) -> None:
         """Note a sign of life of an endpoint on a request sent then."""
         evidence, now = self._parts.evidence, self._parts.clock.now()
         if now - evidence.last_crash > _CONTRADICTED_S:
             return
-        if evidence.heard(member.endpoint_id, member.born, sent_at, now):
+        if evidence.record_activity(member.endpoint_id, member.born, sent_at, now):
             logger.warning("Endpoint lives after all.", endpoint=member.endpoint_id)
             self._changed("itself")
 
     # --- what relays saw -------------------------------------------------------
-    def crashed(self, crashed: Crashed) -> None:
+    def record_crash(self, crashed: CrashedEndpoint) -> None:
         """Take a crash that this relay saw, and tell all others."""
         parts, member = self._parts, crashed.member
         parts.metrics.count(Event.ENDPOINTS_CRASHED)
-        seen = SeenCrash(
+        seen = ObservedCrash(
             member.endpoint_id, member.born, member.zone, parts.clock.now()
         )
-        key = parts.evidence.crashed(seen, crashed.digests)
+        key = parts.evidence.record_crash(seen, crashed.digests)
         if key is not None:
             self._told.put_nowait([key])
             self._changed("itself")
 
-    def take(self, message: CrashesMessage) -> dict[str, Any]:
+    def receive(self, message: CrashesMessage) -> dict[str, Any]:
         """Take another relay's word on crashes."""
         now = self._parts.clock.now()
         if self._parts.evidence.merge(message["crashes"], now):
@@ -152,7 +155,7 @@
     def _changed(self, who: str) -> None:
         """Act on what follows from a change: refuse, stop runs, tell what we know."""
         evidence = self._parts.evidence
-        untold = evidence.untold()
+        untold = evidence.take_unreported()
         if untold:
             self._told.put_nowait(untold)
         held = {found.digest: found.endpoints for found in evidence.quarantined()}
@@ -192,7 +195,7 @@
 
     async def _call(self, address: str, message: CrashesMessage) -> None:
         try:
-            await self._parts.client.call(address, CRASHES, message, _CALL_S)
+            await self._parts.client.call(address, CRASHES_PATH, message, _CALL_S)
         except EbonydealError as exc:
             logger.info("Crash not told.", peer=address, reason=str(exc))
 
@@ -205,34 +208,38 @@
 
     # --- with other messages -----------------------------------------------------
     @property
-    def mark(self) -> str:
+    def fingerprint(self) -> str:
         """Tells whether another relay remembers the same."""
-        return self._parts.evidence.mark
+        return self._parts.evidence.fingerprint
 
-    def memory(self) -> EvidenceMessage:
+    def to_message(self) -> EvidenceMessage:
         """Return all that this relay remembers."""
         return self._parts.evidence.to_message(self._parts.clock.now())
 
-    def unless(self, mark: str) -> EvidenceMessage | None:
+    def to_message_if_differs(self, mark: str) -> EvidenceMessage | None:
         """Return all, or None for a relay that remembers the same."""
-        return None if mark == self.mark else self.memory()
+        return None if mark == self.fingerprint else self.to_message()
 
-    def compare(self, word: ExchangeMessage) -> tuple[str, EvidenceMessage | None]:
+    def exchange_evidence(
+        self, word: ExchangeMessage
+    ) -> tuple[str, EvidenceMessage | None]:
         """Take a relay's memory; return the mark of ours, and ours where it differs."""
-        self.learn(word.get("crashes"), word["node"])
+        self.merge(word.get("crashes"), word["node"])
         # One of the release before tells no mark, and can't take a memory.
-        return self.mark, self.unless(word.get("crashes_mark", self.mark))
+        return self.fingerprint, self.to_message_if_differs(
+            word.get("crashes_mark", self.fingerprint)
+        )
 
-    def word(self) -> EvidenceMessage | None:
+    def evidence_for_coordinator(self) -> EvidenceMessage | None:
         """Return what the coordinator is told: all, where it has something else."""
-        return self.unless(self._coordinators_mark)
+        return self.to_message_if_differs(self._coordinators_mark)
 
-    def heard_from(self, mark: str, message: Any, who: str) -> None:
+    def apply_reply(self, mark: str, message: Any, who: str) -> None:
         """Take a relay's whole memory, or None; what can't be read is left out."""
         self._coordinators_mark = mark
-        self.learn(message, who)
+        self.merge(message, who)
 
-    def learn(self, message: Any, who: str) -> None:
+    def merge(self, message: Any, who: str) -> None:
         """Take a relay's whole memory, or None; what can't be read is left out."""
         if message is None:
             return
--- a/src/ebonydeal/_internal/relay/peers/handler.py
+++ b/src/ebonydeal/_internal/relay/peers/handler.py
@@ -10,7 +10,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.peers.access import check_credential
-from ebonydeal._internal.relay.crashes.suspects import CRASHES, Suspects
+from ebonydeal._internal.relay.crashes.suspects import CRASHES_PATH, Suspects
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
 from ebonydeal._internal.relay.limits.messages import DELEGATE, PERMIT, RELEASE
 from ebonydeal._internal.relay.peers.long_reads import LONG_READ, LongReadTaker
@@ -74,7 +74,7 @@
             VIEW: self._news,
             NEWS: taker.take,
             LONG_READ: long_reads.take,
-            CRASHES: suspects.take,
+            CRASHES_PATH: suspects.receive,
         }
 
     def serve(self, path: str, call: Callable[[Any], Any]) -> None:
@@ -111,8 +111,8 @@
         if since is not None and view.members_known and view.members_version > since:
             reply["members"] = [list(member) for member in view.members.values()]
             reply["version"] = view.members_version
-        crashes = self._suspects.unless(
-            message.get("crashes_mark", self._suspects.mark)
+        crashes = self._suspects.to_message_if_differs(
+            message.get("crashes_mark", self._suspects.fingerprint)
         )
         if crashes is not None:
             reply["crashes"] = crashes
--- a/src/ebonydeal/_internal/relay/peers/word.py
+++ b/src/ebonydeal/_internal/relay/peers/word.py
@@ -83,8 +83,8 @@
             answers=parts.failing.own(now),
             leaving=self.leaving,
             seen=list(parts.news.seen),
-            crashes_mark=parts.suspects.mark,
-            crashes=parts.suspects.word(),
+            crashes_mark=parts.suspects.fingerprint,
+            crashes=parts.suspects.evidence_for_coordinator(),
             rollouts=parts.split.tallies(now),
             limits=parts.limits.word(),
             notices=[w.encode() for w in parts.notices.limit_reports(now, own=True)],
@@ -114,7 +114,7 @@
         else:
             parts.limits.heard_before_shares(reply["grants"], asked_at)
         mark, crashes = reply.get("crashes_mark", ""), reply.get("crashes")
-        parts.suspects.heard_from(mark, crashes, "coordinator")
+        parts.suspects.apply_reply(mark, crashes, "coordinator")
         parts.notices.take_limits(reply.get("notices", []), asked_at)
         parts.notices.take_leaving(reply.get("said_leaving", []), asked_at)
         behind = reply["members"] > parts.view.last_change
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -9,7 +9,7 @@
 
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
+from ebonydeal._internal.relay.crashes.crash_detector import CrashDetector
 from ebonydeal._internal.relay.crashes.crash_store import CrashStore
 from ebonydeal._internal.relay.crashes.suspects import SuspectParts, Suspects
 from ebonydeal._internal.relay.duties.coordinator import (
@@ -56,7 +56,7 @@
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
 from ebonydeal._internal.routing.crashes.crash_evidence import (
     CrashEvidence,
-    EvidenceTerms,
+    QuarantinePolicy,
 )
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
 from ebonydeal._internal.routing.duties.pace import Pace
@@ -147,10 +147,10 @@
         self._long_reads = LongReads(
             self._client, clock, rng, self._other_relays, self._policy.tell_long_s
         )
-        self._crashes = CrashCheck(self.view, clock, self._cfg.connect_ms / 1000.0)
+        self._crashes = CrashDetector(self.view, clock, self._cfg.connect_ms / 1000.0)
         self._suspects = Suspects(
             SuspectParts(
-                CrashEvidence(EvidenceTerms.from_config(self._policy)),
+                CrashEvidence(QuarantinePolicy.from_config(self._policy)),
                 self._client,
                 CallBudget(self._other_relays, clock, rng),
                 metrics,
@@ -158,7 +158,7 @@
                 self._node.id,
             )
         )
-        self._crashes.on_crash = self._suspects.crashed
+        self._crashes.on_crash = self._suspects.record_crash
         self._split = Split(self._node.id, Pace(self._policy.exchange_s).patience)
         self.view.on_orders = self._split.ordered
         self._rollout_hearer = RolloutHearer(self._split, self.view, clock)
@@ -277,7 +277,7 @@
         self.coordinator.keep(CrashStore(ports.store, self._suspects, clock))
         self._rollouts = self._build_rollouts(ports)
         handler.rollouts = self._rollouts.report
-        self.coordinator.compare_crashes = self._suspects.compare
+        self.coordinator.compare_crashes = self._suspects.exchange_evidence
         self.coordinator.hears_store = lambda: members.fresh
         self.coordinator.hears_config = lambda: config.fresh
         self._news = NewsFeed(
--- a/src/ebonydeal/_internal/relay/requests/chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/chooser.py
@@ -5,7 +5,7 @@
 
 from ebonydeal._internal.models.forwarding import EngineShape, Member
 from ebonydeal._internal.relay.requests.job import Job, SendParts
-from ebonydeal._internal.routing.crashes.crash_evidence import Standing
+from ebonydeal._internal.routing.crashes.crash_evidence import QuarantineStatus
 from ebonydeal._internal.routing.placement.member_choice import Ask
 
 # Requests' lengths are guesses, right at the median: so much longer is allowed.
@@ -100,7 +100,7 @@
         """Return the best one of these endpoints, or None."""
         parts, job = self._parts, self._job
         allowed = parts.outliers.allowed(listed, now)
-        if parts.suspects.standing(job.digest) is Standing.SUSPECT:
+        if parts.suspects.status(job.digest) is QuarantineStatus.SUSPECT:
             return self._apart(allowed)
         failing = parts.failing.failing(now)
         if job.req.prompt_tokens is None:
@@ -129,7 +129,7 @@
         def key(member: Member) -> tuple[int, int, bool, str]:
             endpoint_id = member.endpoint_id
             return (
-                parts.suspects.runs_at(endpoint_id),
+                parts.suspects.suspects_at(endpoint_id),
                 parts.choice.running(endpoint_id),
                 member.zone != parts.zone,
                 endpoint_id,
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -10,7 +10,7 @@
     Route,
 )
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
+from ebonydeal._internal.relay.crashes.crash_detector import CrashDetector
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
 from ebonydeal._internal.relay.peers.long_reads import LongReads
@@ -103,7 +103,7 @@
     usage: UsageMeter
     moves: StreamMoves
     long_reads: LongReads
-    crashes: CrashCheck
+    crashes: CrashDetector
     suspects: Suspects
     split: Split
     notices: NoticeReader
--- a/src/ebonydeal/_internal/relay/requests/plain.py
+++ b/src/ebonydeal/_internal/relay/requests/plain.py
@@ -104,7 +104,7 @@
             async with sends.limited(limit):
                 return await self._exchange(sends, member)
         except TimeoutError:
-            if stopped := self._parts.suspects.stopped(job.digest):
+            if stopped := self._parts.suspects.stopped_outcome(job.digest):
                 return stopped
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, f"no answer in {limit:.3f} s")
         finally:
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -79,7 +79,7 @@
         """Return the next endpoint; raises NO_ENDPOINT or DEADLINE_EXCEEDED."""
         parts, job = self._parts, self.job
         if self.member is not None:
-            await parts.crashes.checked(self.member)
+            await parts.crashes.wait_until_checked(self.member)
         patience = parts.clock.now() + job.route.objective * _WAIT_SHARE
         while True:
             self._check()
@@ -296,7 +296,7 @@
     def heard(self) -> None:
         """Note a sign of life of the endpoint."""
         if self.sent is not None and self.member is not None:
-            self._parts.suspects.heard(self.member, self.sent.at)
+            self._parts.suspects.record_activity(self.member, self.sent.at)
 
     def answered(self, status: int) -> None:
         """Note a whole answer that goes to the client."""
@@ -311,7 +311,7 @@
             self._note_answer()
         if status < 300:
             # An endpoint that fails part of its requests may do so before it runs them.
-            parts.suspects.served(self.job.digest)
+            parts.suspects.record_success(self.job.digest)
 
     @asynccontextmanager
     async def limited(self, seconds: float) -> AsyncIterator[None]:
@@ -319,7 +319,7 @@
         assert self.member is not None
         digest, endpoint_id = self.job.digest, self.member.endpoint_id
         async with timeout(seconds) as limit:
-            with self._parts.suspects.at_work(digest, endpoint_id, limit):
+            with self._parts.suspects.track_run(digest, endpoint_id, limit):
                 yield
 
     def began(self) -> None:
@@ -350,7 +350,7 @@
         error = _error_of(outcome)
         match outcome:
             case MayHaveRun(kind=ErrorKind.ENDPOINT_FAILED):
-                parts.crashes.broke(self.member, job.digest)
+                parts.crashes.connection_broken(self.member, job.digest)
         match outcome:
             case MayHaveRun() | Answered():
                 self._note_failure(self.member)
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -154,7 +154,7 @@
             async with sends.limited(limit):
                 return await self._exchange(sends, run, out)
         except TimeoutError:
-            if stopped := self._parts.suspects.stopped(sends.job.digest):
+            if stopped := self._parts.suspects.stopped_outcome(sends.job.digest):
                 return stopped
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, f"not done in {limit:.3f} s")
         finally:
--- a/src/ebonydeal/_internal/relay/view/view_sync.py
+++ b/src/ebonydeal/_internal/relay/view/view_sync.py
@@ -91,7 +91,9 @@
             view = self._view
             since = view.members_version if members else None
             message = ViewMessage(
-                config=view.version, members=since, crashes_mark=self._suspects.mark
+                config=view.version,
+                members=since,
+                crashes_mark=self._suspects.fingerprint,
             )
             try:
                 reply = await self._client.call(address, VIEW, message, _CALL_S)
@@ -99,7 +101,7 @@
                 logger.info("No news.", peer=address, reason=str(exc))
                 continue
             self._take(reply, address)
-            self._suspects.learn(reply.get("crashes"), address)
+            self._suspects.merge(reply.get("crashes"), address)
             if not away:
                 return
 
--- a/src/ebonydeal/_internal/routing/crashes/crash_blame.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_attribution.py
@@ -21,7 +21,7 @@
 _MOST_ALIKE = 4
 # A success clears crashes up to so many seconds after it: a popular request comes many
 # times a second, and one that crashes endpoints never succeeds.
-ALIBI_S = 10.0
+SUCCESS_CLEARS_S = 10.0
 # A zone's endpoints go at once: relays see it within some 30 ms. Two of them still
 # count, as one request may well be sent to two endpoints of a zone at once.
 _ZONE_S = 0.1
@@ -65,7 +65,7 @@
         return known != (len(self.digests), self.mark)
 
 
-class Blame(NamedTuple):
+class Attribution(NamedTuple):
     """What follows: crashes by the requests that they are held against.
 
     Attributes
@@ -80,7 +80,7 @@
     suspected: dict[str, frozenset[CrashKey]]
 
 
-class Inquiry:
+class CrashAttributor:
     """Works out what follows from the crashes that are remembered.
 
     Parameters
@@ -103,7 +103,7 @@
         self._served = served
         self._least = least
 
-    def blame(self) -> Blame:
+    def attribute(self) -> Attribution:
         """Return what is held of each request."""
         held: dict[str, frozenset[CrashKey]] = {}
         explained: set[CrashKey] = set()
@@ -111,7 +111,7 @@
             counted = self._counted(explained)
             guilty = self._guilty(counted)
             if not guilty:
-                return Blame(held, counted)
+                return Attribution(held, counted)
             held.update((digest, counted[digest]) for digest in guilty)
             explained.update(
                 key
@@ -150,7 +150,7 @@
     def _has_alibi(self, digest: str, crash: Crash) -> bool:
         """Return whether an equal request succeeded since shortly before a crash."""
         served = self._served.get(digest)
-        return served is not None and crash.at <= served + ALIBI_S
+        return served is not None and crash.at <= served + SUCCESS_CLEARS_S
 
     def _guilty(self, counted: dict[str, frozenset[CrashKey]]) -> list[str]:
         """Return those under which most endpoints crashed, if these were enough.
--- a/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
@@ -16,16 +16,16 @@
 
 from xxhash import xxh3_64_hexdigest
 
-from ebonydeal._internal.routing.crashes.crash_blame import (
-    ALIBI_S,
+from ebonydeal._internal.routing.crashes.crash_attribution import (
+    SUCCESS_CLEARS_S,
     Crash,
+    CrashAttributor,
     CrashKey,
-    Inquiry,
 )
 from ebonydeal._internal.routing.crashes.crash_messages import (
     CrashMessage,
     EvidenceMessage,
-    SeenCrash,
+    ObservedCrash,
     read_memory,
 )
 from ebonydeal._internal.settings.policy import PolicySettings
@@ -44,7 +44,7 @@
 _NEWER_S = 1.0
 
 
-class Standing(StrEnum):
+class QuarantineStatus(StrEnum):
     """What is held of a request."""
 
     CLEAR = "clear"
@@ -52,29 +52,29 @@
     QUARANTINED = "quarantined"
 
 
-class Quarantine(NamedTuple):
+class QuarantinedRequest(NamedTuple):
     """A request that is refused, and the endpoints that crashed under it."""
 
     digest: str
     endpoints: tuple[str, ...]
 
 
-class EvidenceTerms(NamedTuple):
+class QuarantinePolicy(NamedTuple):
     """How much is enough, and how long it is remembered.
 
     Attributes
     ----------
-    crashes : int
+    crash_threshold : int
         Endpoints that a request may bring down before it is refused; 0 is off.
-    memory : float
+    retention_s : float
         Seconds for which a crash is remembered.
     """
 
-    crashes: int = 3
-    memory: float = 1800.0
+    crash_threshold: int = 3
+    retention_s: float = 1800.0
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "EvidenceTerms":
+    def from_config(cls, cfg: PolicySettings) -> "QuarantinePolicy":
         """Build from settings."""
         return cls(cfg.quarantine_crashes, cfg.quarantine_s)
 
@@ -88,8 +88,8 @@
         How much is enough.
     """
 
-    def __init__(self, terms: EvidenceTerms | None = None) -> None:
-        self._terms = terms or EvidenceTerms()
+    def __init__(self, policy: QuarantinePolicy | None = None) -> None:
+        self._policy = policy or QuarantinePolicy()
         self._crashes: dict[CrashKey, Crash] = {}
         # Successes of requests that were at work in a crash, and of any lately.
         self._served: dict[str, float] = {}
@@ -100,22 +100,24 @@
         # What follows, by digest: the crashes that count against it.
         self._against: dict[str, frozenset[CrashKey]] = {}
         self._held: dict[str, frozenset[CrashKey]] = {}
-        self.mark = ""
+        self.fingerprint = ""
         # When the last crash was, monotonic seconds.
         self.last_crash = -inf
         self._conclude()
 
     # --- what was seen -------------------------------------------------------
-    def crashed(self, seen: SeenCrash, digests: Iterable[str]) -> CrashKey | None:
+    def record_crash(
+        self, seen: ObservedCrash, digests: Iterable[str]
+    ) -> CrashKey | None:
         """Note a crash and requests at work; return it if any of this is news."""
-        if not self._terms.crashes:
+        if not self._policy.crash_threshold:
             return None
         key = self._note(seen, digests)
         if key is not None:
             self._conclude()
         return key
 
-    def _note(self, seen: SeenCrash, digests: Iterable[str]) -> CrashKey | None:
+    def _note(self, seen: ObservedCrash, digests: Iterable[str]) -> CrashKey | None:
         key = self._key_of(seen)
         crash = self._crashes.get(key)
         known = crash is not None
@@ -127,12 +129,12 @@
         changed = crash.add(new)
         for digest in new & crash.digests:
             lately = self._lately.get(digest)
-            if lately is not None and seen.at - lately <= ALIBI_S:
+            if lately is not None and seen.at - lately <= SUCCESS_CLEARS_S:
                 self._served[digest] = max(lately, self._served.get(digest, lately))
                 self._untold.add(key)
         return None if known and not changed else key
 
-    def _key_of(self, seen: SeenCrash) -> CrashKey:
+    def _key_of(self, seen: ObservedCrash) -> CrashKey:
         """Return the key of a crash: what others saw of it at about the same time."""
         number = 0
         while True:
@@ -142,7 +144,7 @@
                 return key
             number += 1
 
-    def served(self, digest: str, at: float) -> bool:
+    def record_success(self, digest: str, at: float) -> bool:
         """Note a success; return whether others should know of it."""
         self._lately.pop(digest, None)
         self._lately[digest] = at
@@ -156,7 +158,9 @@
         self._conclude()
         return True
 
-    def heard(self, endpoint_id: str, born: int, sent_at: float, now: float) -> bool:
+    def record_activity(
+        self, endpoint_id: str, born: int, sent_at: float, now: float
+    ) -> bool:
         """Note a sign of life; return whether it shows that a crash was none.
 
         It does so on a connection from before the crash, since a process that ended
@@ -180,7 +184,7 @@
         self._conclude()
         return True
 
-    def untold(self) -> list[CrashKey]:
+    def take_unreported(self) -> list[CrashKey]:
         """Return crashes of which this relay knows what it hasn't told yet."""
         keys = [key for key in self._untold if key in self._crashes]
         self._untold.clear()
@@ -188,7 +192,7 @@
 
     def expire(self, now: float) -> None:
         """Forget what is older than the memory."""
-        oldest = now - self._terms.memory
+        oldest = now - self._policy.retention_s
         kept = {k: c for k, c in self._crashes.items() if c.at >= oldest}
         if len(kept) < len(self._crashes):
             self._crashes = kept
@@ -204,29 +208,38 @@
             del self._crashes[(idle or known)[0]]
 
     # --- what follows ----------------------------------------------------------
-    def standing(self, digest: str) -> Standing:
+    def status(self, digest: str) -> QuarantineStatus:
         """Return what is held of a request."""
         if digest in self._held:
-            return Standing.QUARANTINED
-        return Standing.SUSPECT if digest in self._against else Standing.CLEAR
+            return QuarantineStatus.QUARANTINED
+        return (
+            QuarantineStatus.SUSPECT
+            if digest in self._against
+            else QuarantineStatus.CLEAR
+        )
 
-    def endpoints(self, digest: str) -> tuple[str, ...]:
+    def crashed_endpoints(self, digest: str) -> tuple[str, ...]:
         """Return the endpoints whose crashes are held against a request."""
         keys = self._held.get(digest) or self._against.get(digest, frozenset())
         return tuple(sorted(key.endpoint_id for key in keys))
 
-    def quarantined(self) -> list[Quarantine]:
+    def quarantined(self) -> list[QuarantinedRequest]:
         """Return the requests that are refused."""
-        return [Quarantine(digest, self.endpoints(digest)) for digest in self._held]
+        return [
+            QuarantinedRequest(digest, self.crashed_endpoints(digest))
+            for digest in self._held
+        ]
 
     def _conclude(self) -> None:
         """Work out from the crashes what is held of each request."""
-        self.mark = self._mark()
-        inquiry = Inquiry(self._crashes, self._served, self._terms.crashes)
-        self._held, self._against = inquiry.blame()
+        self.fingerprint = self._compute_fingerprint()
+        inquiry = CrashAttributor(
+            self._crashes, self._served, self._policy.crash_threshold
+        )
+        self._held, self._against = inquiry.attribute()
 
     # --- between relays ----------------------------------------------------------
-    def _mark(self) -> str:
+    def _compute_fingerprint(self) -> str:
         """Return a short text that tells whether two memories are the same."""
         if not self._crashes:
             return ""
@@ -269,11 +282,11 @@
         Raises ValueError, KeyError or TypeError for what can't be a memory.
         """
         memory = read_memory(message, now)
-        if not self._terms.crashes:
+        if not self._policy.crash_threshold:
             return False
         news = False
         for told in memory.crashes[-_MOST_CRASHES:]:
-            if now - told.seen.at >= self._terms.memory:
+            if now - told.seen.at >= self._policy.retention_s:
                 continue
             news |= self._note(told.seen, told.digests) is not None
             crash = self._crashes.get(self._key_of(told.seen))
--- a/src/ebonydeal/_internal/routing/crashes/crash_messages.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_messages.py
@@ -30,7 +30,7 @@
     served: dict[str, float]
 
 
-class SeenCrash(NamedTuple):
+class ObservedCrash(NamedTuple):
     """A crash as one relay saw it; ``at`` is in monotonic seconds."""
 
     endpoint_id: str
@@ -42,7 +42,7 @@
 class Told(NamedTuple):
     """One crash as another relay told it."""
 
-    seen: SeenCrash
+    seen: ObservedCrash
     digests: frozenset[str]
     alive: bool
 
@@ -63,7 +63,7 @@
         raise ValueError("successes aren't told by digest")
     crashes = tuple(
         Told(
-            SeenCrash(
+            ObservedCrash(
                 _text(told["endpoint"]),
                 _whole(told["born"]),
                 _text(told["zone"]),
--- a/tests/functional/relay/test_crashing_request.py
+++ b/tests/functional/relay/test_crashing_request.py
@@ -63,7 +63,7 @@
 
 def heard(relay):
     """Return how many crashes a relay remembers."""
-    return len(relay._suspects.memory()["crashes"])
+    return len(relay._suspects.to_message()["crashes"])
 
 
 async def all_hold(relays, seconds=_KNOWN_S):
@@ -263,7 +263,7 @@
                 await repeat(relays[number % 3], "/once/x", f"r{number}", b"harmless")
             await asyncio.sleep(0.2)
             assert [r._suspects.report() for r in relays] == [[], [], []]
-            assert all(r._suspects.mark == "" for r in relays)
+            assert all(r._suspects.fingerprint == "" for r in relays)
 
     async def test_an_endpoint_that_leaves_counts_against_nobody(self):
         async with cluster() as (relays, fleet):
@@ -275,9 +275,9 @@
             for n, r in pairs(relays):
                 member = r.view.members[leaving[n].name]
                 leaving[n].crash()
-                r._crashes.broke(member, "d" * 32)
+                r._crashes.connection_broken(member, "d" * 32)
             await asyncio.sleep(0.2)
-            assert all(r._suspects.mark == "" for r in relays)
+            assert all(r._suspects.fingerprint == "" for r in relays)
 
 
 def stored_crashes(store):
--- a/tests/unit/relay/crashes/test_crash_check.py
+++ b/tests/unit/relay/crashes/test_crash_detector.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
+from ebonydeal._internal.relay.crashes.crash_detector import CrashDetector
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.utils.clock import SystemClock
 
@@ -22,7 +22,7 @@
     view = RelayView(2.0)
     for found in members:
         view.put(found)
-    check = CrashCheck(view, SystemClock(), 0.3)
+    check = CrashDetector(view, SystemClock(), 0.3)
     seen = []
     check.on_crash = seen.append
     async with check:
@@ -41,9 +41,9 @@
     async def test_an_address_that_refuses_is_a_crash(self, closed_port):
         one = member(closed_port)
         async with checking(one) as (check, seen):
-            check.broke(one, "a")
-            check.broke(one, "b")
-            await check.checked(one)
+            check.connection_broken(one, "a")
+            check.connection_broken(one, "b")
+            await check.wait_until_checked(one)
             assert [(found.member, found.digests) for found in seen] == [
                 (one, frozenset("ab"))
             ]
@@ -53,8 +53,8 @@
         host, port = server.sockets[0].getsockname()
         one = member(f"{host}:{port}")
         async with server, checking(one) as (check, seen):
-            check.broke(one, "a")
-            await check.checked(one)
+            check.connection_broken(one, "a")
+            await check.wait_until_checked(one)
             assert seen == []
 
     async def test_one_that_cant_be_reached_tells_nothing(self, monkeypatch):
@@ -64,28 +64,28 @@
         monkeypatch.setattr(asyncio, "open_connection", hang)
         one = member("127.0.0.1:9")
         async with checking(one) as (check, seen):
-            check.broke(one, "a")
+            check.connection_broken(one, "a")
             # The request that waits for it goes on meanwhile.
-            await asyncio.wait_for(check.checked(one), 5.0)
+            await asyncio.wait_for(check.wait_until_checked(one), 5.0)
             await asyncio.sleep(0.4)
             assert seen == []
 
     async def test_one_that_leaves_ends_as_it_said(self, closed_port):
         one = member(closed_port, leaving=True)
         async with checking(one) as (check, seen):
-            check.broke(one, "a")
-            await check.checked(one)
+            check.connection_broken(one, "a")
+            await check.wait_until_checked(one)
             assert seen == []
 
     async def test_nor_one_that_is_listed_no_more(self, closed_port):
         async with checking() as (check, seen):
-            check.broke(member(closed_port), "a")
+            check.connection_broken(member(closed_port), "a")
             await asyncio.sleep(0.05)
             assert seen == []
 
     async def test_nor_one_that_started_again_since(self, closed_port):
         async with checking(member(closed_port, born=2)) as (check, seen):
-            check.broke(member(closed_port, born=1), "a")
+            check.connection_broken(member(closed_port, born=1), "a")
             await asyncio.sleep(0.05)
             assert seen == []
 
@@ -93,6 +93,6 @@
         self, closed_port
     ):
         async with checking(member(closed_port, revision=5)) as (check, seen):
-            check.broke(member(closed_port), "a")
-            await check.checked(member(closed_port))
+            check.connection_broken(member(closed_port), "a")
+            await check.wait_until_checked(member(closed_port))
             assert len(seen) == 1
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind, Outcome
 from ebonydeal._internal.models.forwarding import Repeat
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.relay.crashes.crash_check import Crashed
+from ebonydeal._internal.relay.crashes.crash_detector import CrashedEndpoint
 from ebonydeal._internal.relay.crashes.suspects import SuspectParts, Suspects
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
 from ebonydeal._internal.relay.requests.outcomes import MayHaveRun
@@ -39,7 +39,7 @@
 
     def crash(self, number, *digests):
         self.clock._now += 1.0
-        self.suspects.crashed(Crashed(MEMBERS[number], frozenset(digests)))
+        self.suspects.record_crash(CrashedEndpoint(MEMBERS[number], frozenset(digests)))
 
 
 class TestRuns:
@@ -50,17 +50,20 @@
 
         async def run():
             async with asyncio.timeout(60.0) as limit:
-                with relay.suspects.at_work("fatal", "i3", limit):
+                with relay.suspects.track_run("fatal", "i3", limit):
                     await asyncio.sleep(60.0)
 
         running = asyncio.ensure_future(run())
         await asyncio.sleep(0)
-        assert relay.suspects.runs_at("i3") == 1
+        assert relay.suspects.suspects_at("i3") == 1
         relay.crash(2, "fatal")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(running, 5.0)
-        assert relay.suspects.stopped("fatal").kind is ErrorKind.REQUEST_QUARANTINED
-        assert relay.suspects.runs_at("i3") == 0
+        assert (
+            relay.suspects.stopped_outcome("fatal").kind
+            is ErrorKind.REQUEST_QUARANTINED
+        )
+        assert relay.suspects.suspects_at("i3") == 0
 
     async def test_one_whose_time_is_up_at_that_moment_ends_too(self):
         relay = Relay()
@@ -68,7 +71,7 @@
         relay.crash(1, "fatal")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.0) as limit:
-                with relay.suspects.at_work("fatal", "i3", limit):
+                with relay.suspects.track_run("fatal", "i3", limit):
                     while not limit.expired():
                         try:
                             await asyncio.sleep(0.01)
@@ -80,7 +83,7 @@
         relay = Relay()
         for number in range(3):
             relay.crash(number, "fatal")
-        assert relay.suspects.stopped("other") is None
+        assert relay.suspects.stopped_outcome("other") is None
         relay.suspects.check("other")
         with pytest.raises(EbonydealError):
             relay.suspects.check("fatal")
@@ -98,8 +101,8 @@
     def test_a_word_that_cant_be_read_is_refused_and_changes_nothing(self):
         relay = Relay()
         with pytest.raises((KeyError, TypeError, ValueError)):
-            relay.suspects.take({"node": "n1", "crashes": {"crashes": [{}]}})
-        assert relay.suspects.mark == ""
+            relay.suspects.receive({"node": "n1", "crashes": {"crashes": [{}]}})
+        assert relay.suspects.fingerprint == ""
 
     def test_a_memory_that_cant_be_read_is_left_out(self):
         relay = Relay()
@@ -110,17 +113,17 @@
             {"crashes": [5], "served": {}},
             {"crashes": [], "served": []},
         ):
-            relay.suspects.learn(wrong, "n1")
-        assert relay.suspects.mark == ""
+            relay.suspects.merge(wrong, "n1")
+        assert relay.suspects.fingerprint == ""
 
     def test_the_coordinator_is_told_until_it_remembers_the_same(self):
         relay, other = Relay(), Relay()
         relay.crash(0, "fatal")
-        word = relay.suspects.word()
+        word = relay.suspects.evidence_for_coordinator()
         assert word is not None
-        other.suspects.learn(word, "n0")
-        relay.suspects.heard_from(other.suspects.mark, None, "coordinator")
-        assert relay.suspects.word() is None
+        other.suspects.merge(word, "n0")
+        relay.suspects.apply_reply(other.suspects.fingerprint, None, "coordinator")
+        assert relay.suspects.evidence_for_coordinator() is None
 
     async def test_each_request_is_counted_once(self):
         relay = Relay()
@@ -154,7 +157,7 @@
         relay = Relay()
         relay.crash(0, "fatal", "other")
         async with asyncio.timeout(60.0) as limit:
-            with relay.suspects.at_work("other", MEMBERS[0].endpoint_id, limit):
+            with relay.suspects.track_run("other", MEMBERS[0].endpoint_id, limit):
                 member = await self.sends(relay).choose()
         assert member.endpoint_id != MEMBERS[0].endpoint_id
 
@@ -195,6 +198,6 @@
         for number in range(3):
             relay.crash(number, "fatal")
         with pytest.raises(EbonydealError) as caught:
-            sends.after(relay.suspects.stopped("fatal"))
+            sends.after(relay.suspects.stopped_outcome("fatal"))
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
         assert caught.value.outcome is Outcome.UNKNOWN
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -24,7 +24,7 @@
 from ebonydeal._internal.relay.requests.outcomes import Answered, MayHaveRun
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.crashes.crash_evidence import Standing
+from ebonydeal._internal.routing.crashes.crash_evidence import QuarantineStatus
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
@@ -67,9 +67,11 @@
         retries=retries,
         metrics=Metrics(),
         long_reads=SimpleNamespace(sent=lambda *_read: None),
-        crashes=SimpleNamespace(broke=lambda *_broke: None, checked=at_once),
+        crashes=SimpleNamespace(
+            connection_broken=lambda *_broke: None, wait_until_checked=at_once
+        ),
         suspects=SimpleNamespace(
-            check=lambda _digest: None, standing=lambda _digest: Standing.CLEAR
+            check=lambda _digest: None, status=lambda _digest: QuarantineStatus.CLEAR
         ),
         pools=EndpointPools(clock, 1.0),
         clock=clock,
