--- a/src/ebonydeal/_internal/benchmarks/rollouts/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/suite.py
@@ -15,19 +15,28 @@
 )
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
 from ebonydeal._internal.routing.duties.pace import Pace
-from ebonydeal._internal.routing.rollout.course import (
+from ebonydeal._internal.routing.rollout.evidence import (
+    LikelihoodTest,
+    MixtureTest,
+    SingleEffectTest,
+)
+from ebonydeal._internal.routing.rollout.exposure import (
+    ExposureBound,
+    ExposurePlan,
+    LoadedPlan,
+    SteadyPlan,
+)
+from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
     Continue,
-    Course,
-    Fleet,
     RollBack,
-    Terms,
+    RolloutPolicy,
+    RolloutState,
+    ServiceEndpoints,
 )
-from ebonydeal._internal.routing.rollout.evidence import Mixture, OneStrength, Test
-from ebonydeal._internal.routing.rollout.exposure import Bound, Loaded, Plan, Steady
 
 # The bounds that are kept, whatever terms are tried.
-BOUND = Bound(0.1, 50.0)
+BOUND = ExposureBound(0.1, 50.0)
 ROLL_BACK_S = 5.0
 _BAD_ANSWERS = 50
 # Seconds after an order's end until which it is played on.
@@ -44,13 +53,13 @@
     test: str = "mixture"
     plan: str = "steady"
 
-    def build_test(self) -> Test:
+    def build_test(self) -> LikelihoodTest:
         """Return a new test."""
-        return Mixture() if self.test == "mixture" else OneStrength()
+        return MixtureTest() if self.test == "mixture" else SingleEffectTest()
 
-    def build_plan(self) -> Plan:
+    def build_plan(self) -> ExposurePlan:
         """Return a plan."""
-        return Steady() if self.plan == "steady" else Loaded()
+        return SteadyPlan() if self.plan == "steady" else LoadedPlan()
 
 
 class Came(NamedTuple):
@@ -74,8 +83,8 @@
     """Play one roll-out."""
     world = World(case)
     order = RolloutOrder("s", "v2", case.duration, 1)
-    terms = Terms(plan=ways.build_plan())
-    course = Course(order, case.duration, terms, ways.build_test())
+    terms = RolloutPolicy(plan=ways.build_plan())
+    course = RolloutState(order, case.duration, terms, ways.build_test())
     period = Pace.of(case.relays, 0.5, 1.0).period
     lag = period + _WAY_S
     told = _Told(course, max(1, round(lag / STEP_S)))
@@ -104,14 +113,14 @@
         told.add(step, now)
         new = world.new if now >= case.boot else ()
         drained = full_at is not None and now - full_at >= _RUN_S
-        fleet = Fleet(world.old, new, 0 if drained else 5)
+        fleet = ServiceEndpoints(world.old, new, 0 if drained else 5)
         verdict = course.decide(fleet, lag, now)
         match verdict:
             case Continue(full=full):
                 shares, canaries = verdict.shares, verdict.canaries
                 full_at = (full_at or now) if full else None
             case Complete():
-                decided, cut = now, verdict.cut
+                decided, cut = now, verdict.old_in_flight
                 shares, canaries = dict.fromkeys(world.routes, 1.0), new
             case RollBack():
                 decided = now
@@ -126,7 +135,7 @@
     Bad answers are told at once.
     """
 
-    def __init__(self, course: Course, looks: int) -> None:
+    def __init__(self, course: RolloutState, looks: int) -> None:
         self._course = course
         self._looks = looks
         self._counts: list[Step] = []
@@ -138,7 +147,7 @@
         self._counts.append(step)
         if len(self._counts) > self._looks:
             due = self._counts.pop(0)
-            course.saw_requests(due.requests, due.exposed)
+            course.add_requests(due.requests, due.exposed)
         self._answers.append(step)
         keep = 1 if any(waiting.bad for waiting in self._answers) else self._looks
         while len(self._answers) > keep:
--- a/src/ebonydeal/_internal/benchmarks/rollouts/world.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/world.py
@@ -1,8 +1,8 @@
 """A service with an old and a new version, and the relays before it, as counts.
 
 Each step of the model is one look of the coordinator. Requests of the step are drawn by
-route; each relay deals its own out by counting, as `Split` does; answers are drawn by
-category; what relays counted is told with their period, one after the other.
+route; each relay deals its own out by counting, as `TrafficSplit` does; answers are
+drawn by category; what relays counted is told with their period, one after the other.
 """
 
 from enum import StrEnum
--- a/src/ebonydeal/_internal/relay/duties/rollout_book.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_registry.py
@@ -5,17 +5,17 @@
 
 from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
 from ebonydeal._internal.relay.duties.rollout_run import RolloutRun, Totals
-from ebonydeal._internal.routing.rollout.course import (
+from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
-    Course,
     RollBack,
-    Terms,
+    RolloutPolicy,
+    RolloutState,
     Verdict,
 )
 
 
 @dataclass
-class RolloutBook:
+class RolloutRegistry:
     """Roll-outs by service.
 
     Attributes
@@ -30,7 +30,7 @@
         Versions that are a service's own: there before its order, or completed.
     """
 
-    terms: Terms
+    terms: RolloutPolicy
     runs: dict[str, RolloutRun] = field(default_factory=dict)
     barred: dict[str, set[str]] = field(default_factory=dict)
     own: dict[str, set[str]] = field(default_factory=dict)
@@ -65,7 +65,7 @@
             own.update(before - {order.to} or before)
         # The operator's newest word goes before an older verdict.
         barred.discard(order.to)
-        run = RolloutRun(Course(order, now + order.duration, self.terms))
+        run = RolloutRun(RolloutState(order, now + order.duration, self.terms))
         self.runs[service] = run
         if order.to in own:
             # Back to what the service runs: there is nothing to find out.
@@ -129,7 +129,7 @@
             )
             # By the store's clock, which all holders read alike.
             until = min(float(kept["until"]) - ahead, now + order.duration)
-            run = RolloutRun(Course(order, until, self.terms), status_due=False)
+            run = RolloutRun(RolloutState(order, until, self.terms), status_due=False)
             run.course.phase = Phase(kept["phase"])
             run.kept = {
                 str(relay): Totals(int(counts[0]), int(counts[1]))
--- a/src/ebonydeal/_internal/relay/duties/rollout_run.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_run.py
@@ -6,10 +6,14 @@
 
 from ebonydeal._internal.models.rollouts import Phase
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage
-from ebonydeal._internal.routing.rollout.course import Continue, Course, Verdict
-from ebonydeal._internal.routing.rollout.evidence import Standing
-from ebonydeal._internal.routing.rollout.split import TallyMessage
+from ebonydeal._internal.routing.rollout.evidence import EvidenceSummary
+from ebonydeal._internal.routing.rollout.rollout_state import (
+    Continue,
+    RolloutState,
+    Verdict,
+)
 from ebonydeal._internal.routing.rollout.tally import Counts, added, empty, less
+from ebonydeal._internal.routing.rollout.traffic_split import TallyMessage
 
 
 class Counted(NamedTuple):
@@ -62,7 +66,7 @@
         Whether operators are still to be told of its phase.
     """
 
-    course: Course
+    course: RolloutState
     verdict: Verdict = field(default_factory=lambda: Continue({}, ()))
     told: dict[str, Counted] = field(default_factory=dict)
     kept: dict[str, Totals] = field(default_factory=dict)
@@ -74,7 +78,7 @@
         return self.course.phase is Phase.RUNNING
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> EvidenceSummary:
         """How much speaks against the version."""
         return self.course.evidence.standing()
 
@@ -119,7 +123,7 @@
         }
         exposed = max(0, told.exposed - last.exposed)
         if last is not _NOTHING:
-            self.course.saw_requests(requests, exposed)
+            self.course.add_requests(requests, exposed)
             return
         # A relay's first word to this holder is of all the time since the order, and
         # says nothing of the rate; the holder before may have counted most of it.
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
 from ebonydeal._internal.models.shared import RowChange, SharedRow
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.duties.rollout_book import RolloutBook
+from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
 from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
 from ebonydeal._internal.relay.ports import SharedStore, Wire
 from ebonydeal._internal.relay.view.view import RelayView
@@ -39,7 +39,7 @@
         self,
         store: SharedStore,
         wire: Wire,
-        book: RolloutBook,
+        book: RolloutRegistry,
         view: RelayView,
         clock: Clock,
     ) -> None:
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -16,7 +16,7 @@
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
-from ebonydeal._internal.relay.duties.rollout_book import RolloutBook
+from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
 from ebonydeal._internal.relay.duties.rollout_run import RolloutRun
 from ebonydeal._internal.relay.duties.rollout_store import RolloutStore
 from ebonydeal._internal.relay.peers.messages import (
@@ -24,16 +24,16 @@
     ExchangeMessage,
     RolloutsMessage,
 )
-from ebonydeal._internal.relay.peers.rollouts import gates_message
+from ebonydeal._internal.relay.peers.rollouts import encode_gates
 from ebonydeal._internal.relay.ports import SharedStore, Wire
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.rollout.course import (
+from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
     Continue,
-    Course,
-    Fleet,
     RollBack,
-    Terms,
+    RolloutPolicy,
+    RolloutState,
+    ServiceEndpoints,
     Verdict,
 )
 from ebonydeal._internal.utils.clock import Clock
@@ -75,11 +75,11 @@
         Terms of verdict and exposure.
     """
 
-    def __init__(self, parts: RolloutParts, terms: Terms) -> None:
+    def __init__(self, parts: RolloutParts, terms: RolloutPolicy) -> None:
         super().__init__()
         self._parts = parts
-        self._book = RolloutBook(terms)
-        self.kept = RolloutStore(
+        self._book = RolloutRegistry(terms)
+        self.store = RolloutStore(
             parts.store, parts.wire, self._book, parts.view, parts.clock
         )
         # When each new endpoint was first seen here.
@@ -93,7 +93,7 @@
     # --- what others are told -------------------------------------------------
     def gates(self) -> list[Gate] | None:
         """Return what relays are told; None while this relay doesn't decide."""
-        decides = self.kept.known and self._parts.coordinator.holds
+        decides = self.store.known and self._parts.coordinator.holds
         return self._book.gates() if decides else None
 
     def message(self) -> RolloutsMessage | None:
@@ -101,9 +101,9 @@
         gates = self.gates()
         if gates is None:
             return None
-        return gates_message(gates, self._parts.view.versions.read_to)
+        return encode_gates(gates, self._parts.view.versions.read_to)
 
-    def rolling(self, service: str) -> str | None:
+    def target_version(self, service: str) -> str | None:
         """Return the version that a service's roll-out under way is to, or None."""
         run = self._book.runs.get(service)
         return run.course.order.to if run is not None and run.is_running else None
@@ -153,9 +153,9 @@
         while not self.should_stop:
             await self._parts.clock.sleep(_STEP_S)
             if not coordinator.holds:
-                if self.kept.known and not coordinator.lease.mine:
-                    self.kept.lost()
-            elif self.kept.known and self.step():
+                if self.store.known and not coordinator.lease.mine:
+                    self.store.lost()
+            elif self.store.known and self.step():
                 await self._push()
 
     def step(self) -> bool:
@@ -168,7 +168,7 @@
             self._step_one(run, now)
         if running and now - self._kept_at >= _KEEP_S:
             self._kept_at = now
-            self.kept.changed()
+            self.store.changed()
         return self.gates() != before
 
     def _step_one(self, run: RolloutRun, now: float) -> None:
@@ -228,7 +228,9 @@
             and view.versions.first_listed(member.endpoint_id) < order.revision
         }
 
-    def _fleet(self, course: Course, words: list[ExchangeMessage], now: float) -> Fleet:
+    def _fleet(
+        self, course: RolloutState, words: list[ExchangeMessage], now: float
+    ) -> ServiceEndpoints:
         """Return the endpoints that the decision rests on, and what runs there."""
         order = course.order
         barred = self._book.barred_of(order.service)
@@ -243,14 +245,16 @@
         )
         loads = [word["loads"] for word in words]
         running = sum(int(load[e][0]) for load in loads for e in old if e in load)
-        return Fleet(old, new, running)
+        return ServiceEndpoints(old, new, running)
 
     def _starts_slow(self, member: Member, now: float) -> bool:
         """Return whether an endpoint is still slow after its start."""
         seen = self._seen.setdefault(member.endpoint_id, now)
         return now - seen < member.warming
 
-    def _go_on(self, run: RolloutRun, verdict: Continue, fleet: Fleet) -> None:
+    def _go_on(
+        self, run: RolloutRun, verdict: Continue, fleet: ServiceEndpoints
+    ) -> None:
         """Take new shares; log where the last step begins or is taken back."""
         was_full = isinstance(run.verdict, Continue) and run.verdict.full
         run.verdict = verdict
@@ -265,7 +269,7 @@
             evidence=round(run.standing.total, 2),
             old=len(fleet.old),
             new=len(fleet.new),
-            running=fleet.old_running,
+            running=fleet.old_in_flight,
             **run.spent(),
         )
 
@@ -274,7 +278,7 @@
         order = run.course.order
         self._book.end(run, verdict)
         match verdict:
-            case Complete(cut=cut):
+            case Complete(old_in_flight=cut):
                 self._parts.metrics.count(Event.ROLLOUTS_COMPLETED)
                 logger.info(
                     "Roll-out completed.",
@@ -299,5 +303,5 @@
         self._note_write()
 
     def _note_write(self) -> None:
-        self.kept.changed()
+        self.store.changed()
         self.write_soon()
--- a/src/ebonydeal/_internal/relay/peers/handler.py
+++ b/src/ebonydeal/_internal/relay/peers/handler.py
@@ -21,10 +21,10 @@
     ViewMessage,
     ViewReply,
 )
-from ebonydeal._internal.relay.peers.rollouts import gates_message
+from ebonydeal._internal.relay.peers.rollouts import encode_gates
 from ebonydeal._internal.relay.view.news import NEWS, NewsTaker
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.utils.peerclient import COMPRESS_FROM_BYTES
 from ebonydeal._internal.utils.web import error_response, read_json
 
@@ -52,7 +52,7 @@
         taker: NewsTaker,
         long_reads: LongReadTaker,
         suspects: Suspects,
-        split: Split,
+        split: TrafficSplit,
         metrics: Metrics,
     ) -> None:
         self._credential = credential
@@ -118,7 +118,7 @@
             reply["crashes"] = crashes
         gates = self._split.gates()
         if gates:
-            reply["rollouts"] = gates_message(gates, view.versions.read_to)
+            reply["rollouts"] = encode_gates(gates, view.versions.read_to)
         lease = self._coordinator.lease
         if lease.row is not None:
             reply["lease"] = [list(lease.row), lease.version]
--- a/src/ebonydeal/_internal/relay/peers/messages.py
+++ b/src/ebonydeal/_internal/relay/peers/messages.py
@@ -4,7 +4,7 @@
 
 from ebonydeal._internal.relay.limits.messages import LimitsReply, LimitsWord
 from ebonydeal._internal.routing.crashes.crash_messages import EvidenceMessage
-from ebonydeal._internal.routing.rollout.split import TallyMessage
+from ebonydeal._internal.routing.rollout.traffic_split import TallyMessage
 
 # Paths of the calls.
 EXCHANGE = "/relay/v1/exchange"
--- a/src/ebonydeal/_internal/relay/peers/rollouts.py
+++ b/src/ebonydeal/_internal/relay/peers/rollouts.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.peers.messages import RolloutsMessage
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.utils.clock import Clock
 
 logger = get_logger("relay.rollout")
@@ -18,7 +18,7 @@
 _TELL_S = 0.2
 
 
-def gates_message(gates: list[Gate], read_to: int) -> RolloutsMessage:
+def encode_gates(gates: list[Gate], read_to: int) -> RolloutsMessage:
     """Return gates as they are told, and how far orders were read."""
     return RolloutsMessage(read_to=read_to, gates=[list(gate) for gate in gates])
 
@@ -37,7 +37,7 @@
     )
 
 
-class RolloutHearer(Service):
+class RolloutReceiver(Service):
     """Takes gates, and has bad answers told before the next exchange.
 
     Parameters
@@ -50,19 +50,19 @@
         Time.
     """
 
-    def __init__(self, split: Split, view: RelayView, clock: Clock) -> None:
+    def __init__(self, split: TrafficSplit, view: RelayView, clock: Clock) -> None:
         super().__init__()
         self._split = split
         self._view = view
         self._clock = clock
         # Makes an exchange with the coordinator now.
-        self.hasten: Callable[[], None] = lambda: None
+        self.report_now: Callable[[], None] = lambda: None
 
-    def take(self, message: RolloutsMessage) -> dict[str, Any]:
+    def receive(self, message: RolloutsMessage) -> dict[str, Any]:
         """Take gates; they are in force before endpoints that waited for them."""
         gates = [_gate(item) for item in message["gates"]]
         before = {gate.service: gate for gate in self._split.gates()}
-        self._split.told(gates, self._clock.now())
+        self._split.apply_gates(gates, self._clock.now())
         for gate in self._split.gates():
             known = before.get(gate.service)
             if known is None or _differs(known, gate):
@@ -79,16 +79,16 @@
         self._view.orders_read_to(int(message["read_to"]))
         return {}
 
-    def learn(self, message: RolloutsMessage) -> None:
+    def receive_verdicts(self, message: RolloutsMessage) -> None:
         """Take verdicts from a relay that doesn't decide: its shares may be old."""
-        self._split.learn([_gate(item) for item in message["gates"]])
+        self._split.apply_verdicts([_gate(item) for item in message["gates"]])
 
     @Service.task
     async def _tell_bad(self) -> None:
         while not self.should_stop:
             await self._clock.sleep(_TELL_S)
-            if self._split.troubled(self._clock.now()):
-                self.hasten()
+            if self._split.has_new_bad_answers(self._clock.now()):
+                self.report_now()
 
 
 def _differs(known: Gate, gate: Gate) -> bool:
--- a/src/ebonydeal/_internal/relay/peers/word.py
+++ b/src/ebonydeal/_internal/relay/peers/word.py
@@ -5,7 +5,7 @@
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.limits.link import LimitsLink
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage, ExchangeReply
-from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
+from ebonydeal._internal.relay.peers.rollouts import RolloutReceiver
 from ebonydeal._internal.relay.peers.roster import addresses_hash
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.requests.usage import UsageMeter
@@ -15,7 +15,7 @@
 from ebonydeal._internal.routing.placement.endpoint_load import Told
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.utils.clock import Clock
 
 # Less work than this of a service isn't told, endpoints kept busy.
@@ -33,8 +33,8 @@
     limits: LimitsLink
     failing: FailureShares
     suspects: Suspects
-    split: Split
-    rollouts: RolloutHearer
+    split: TrafficSplit
+    rollouts: RolloutReceiver
     notices: EndpointNotices
     news: NewsTaker
     view: RelayView
@@ -120,7 +120,7 @@
         behind = reply["members"] > parts.view.last_change
         rollouts = reply.get("rollouts")
         if rollouts is not None:
-            parts.rollouts.take(rollouts)
+            parts.rollouts.receive(rollouts)
         # Twice in a row: a change is usually just on its way to us.
         twice = behind and self._was_behind
         self._was_behind = behind
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -31,7 +31,7 @@
     ROLLOUTS,
     ExchangeReply,
 )
-from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
+from ebonydeal._internal.relay.peers.rollouts import RolloutReceiver
 from ebonydeal._internal.relay.peers.word import RelayWord, WordParts
 from ebonydeal._internal.relay.ports import RelayPorts
 from ebonydeal._internal.relay.requests.connections import EndpointPools
@@ -72,9 +72,9 @@
 )
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
-from ebonydeal._internal.routing.rollout.course import Terms as RolloutTerms
-from ebonydeal._internal.routing.rollout.exposure import Bound
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.exposure import ExposureBound
+from ebonydeal._internal.routing.rollout.rollout_state import RolloutPolicy
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.settings.relay import RelaySettings
 from ebonydeal._internal.utils.clock import Clock
@@ -159,9 +159,11 @@
             )
         )
         self._crashes.on_crash = self._suspects.record_crash
-        self._split = Split(self._node.id, Pace(self._policy.exchange_s).patience)
-        self.view.on_orders = self._split.ordered
-        self._rollout_hearer = RolloutHearer(self._split, self.view, clock)
+        self._split = TrafficSplit(
+            self._node.id, Pace(self._policy.exchange_s).patience
+        )
+        self.view.on_orders = self._split.set_orders
+        self._rollout_hearer = RolloutReceiver(self._split, self.view, clock)
         bounds = QuotaBounds(
             self._cfg.quota_window_s,
             self._cfg.quota_overshoot,
@@ -260,8 +262,8 @@
             seeds,
         )
         handler.serve(HOLDER, self._exchange.take_holder)
-        handler.serve(ROLLOUTS, self._rollout_hearer.take)
-        self._rollout_hearer.hasten = self._exchange.hasten
+        handler.serve(ROLLOUTS, self._rollout_hearer.receive)
+        self._rollout_hearer.report_now = self._exchange.hasten
         self.coordinator.on_begin = self._announce
         self._limits.coordinator = self._exchange
         self._limits.address = lambda: self._word.address
@@ -303,7 +305,7 @@
             clock,
             FleetTerms.from_config(self._policy),
         )
-        self._fleet.rolling = self._rollouts.rolling
+        self._fleet.rolling = self._rollouts.target_version
 
     def _build_coordinator(
         self, ports: RelayPorts, bounds: QuotaBounds, incarnation: str
@@ -336,12 +338,14 @@
                 self._metrics,
                 self._clock,
             ),
-            RolloutTerms(bound=Bound(self._cfg.expose_share, self._cfg.expose_slack)),
+            RolloutPolicy(
+                bound=ExposureBound(self._cfg.expose_share, self._cfg.expose_slack)
+            ),
         )
         rollouts.write_soon = self.coordinator.write_soon
-        rollouts.on_gates = self._rollout_hearer.take
+        rollouts.on_gates = self._rollout_hearer.receive
         self.coordinator.rollouts = rollouts.message
-        self.coordinator.keep(rollouts.kept)
+        self.coordinator.keep(rollouts.store)
         return rollouts
 
     def on_init_dependencies(self) -> Iterable[Service]:
@@ -404,7 +408,7 @@
         """Take the coordinator's answer to what was told at ``asked_at``."""
         if self._word.heard(reply, asked_at):
             self._sync.behind = True
-        self._split.patience = self._exchange.patience
+        self._split.gate_ttl_s = self._exchange.patience
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
         mine = self.coordinator.lease.mine
         config = self._followers[0]
--- a/src/ebonydeal/_internal/relay/requests/chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/chooser.py
@@ -60,14 +60,16 @@
         parts, job = self._parts, self._job
         now = parts.clock.now()
         listed = self._open(avoid, now)
-        if not parts.split.watches(job.service):
+        if not parts.split.has_rollout(job.service):
             return self._best(listed, now)
         first, self._asked = not self._asked, True
-        part = parts.split.part(job.service, job.route.name, listed, now, again, first)
+        part = parts.split.choose_version(
+            job.service, job.route.name, listed, now, again, first
+        )
         found = self._best(part.members, now)
-        if found is None and part.new:
+        if found is None and part.is_new:
             # None of the new endpoints can be asked now.
-            part = parts.split.part(
+            part = parts.split.choose_version(
                 job.service, job.route.name, listed, now, again=True, first=False
             )
             found = self._best(part.members, now)
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -26,7 +26,7 @@
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.utils.clock import Clock
 
@@ -105,7 +105,7 @@
     long_reads: LongReads
     crashes: CrashDetector
     suspects: Suspects
-    split: Split
+    split: TrafficSplit
     notices: NoticeReader
     permits: EndpointPermits
     metrics: Metrics
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -26,7 +26,7 @@
 )
 from ebonydeal._internal.routing.placement.endpoint_load import Sent
 from ebonydeal._internal.routing.retries.retries import Failure, GiveUp
-from ebonydeal._internal.routing.rollout.split import Awaited
+from ebonydeal._internal.routing.rollout.traffic_split import AwaitedAnswer
 
 logger = get_logger("relay.job")
 
@@ -186,31 +186,35 @@
         parts, job = self._parts, self.job
         split = parts.split
         self._pending = 0
-        if not split.watches(job.service):
+        if not split.has_rollout(job.service):
             return
         route = job.route.name
-        if split.sent(job.service, route, member, first=self._tries == 1):
+        if split.record_send(job.service, route, member, first=self._tries == 1):
             parts.metrics.count(Event.SENT_TO_NEW_VERSION)
-        self._pending = split.awaits(
-            Awaited(job.service, route, member, self.expected, job.route.objective, now)
+        self._pending = split.expect_answer(
+            AwaitedAnswer(
+                job.service, route, member, self.expected, job.route.objective, now
+            )
         )
 
     def _note_answer(self) -> None:
         """Count an answer, or a stream's first event, for its version."""
         if self._pending:
-            self._parts.split.answered(self._pending, self._parts.clock.now())
+            self._parts.split.record_answer(self._pending, self._parts.clock.now())
             self._pending = 0
 
     def _note_failure(self, member: Member) -> None:
         """Count a failure that may be the version's."""
         self._forget_answer()
-        if self._parts.split.failed(self.job.service, self.job.route.name, member):
+        if self._parts.split.record_failure(
+            self.job.service, self.job.route.name, member
+        ):
             self._parts.metrics.count(Event.NEW_VERSION_FAILED)
 
     def _forget_answer(self) -> None:
         """Wait for no answer any more, which says nothing of the version."""
         if self._pending:
-            self._parts.split.gave_up(self._pending)
+            self._parts.split.cancel_answer(self._pending)
             self._pending = 0
 
     def _refuse_early(self, expected: float | None) -> None:
@@ -331,7 +335,7 @@
     def ended(self) -> None:
         """Note that the send is over."""
         if self._pending:
-            self._parts.split.over(self._pending, self._parts.clock.now())
+            self._parts.split.record_end(self._pending, self._parts.clock.now())
         if self.sent is not None:
             self._parts.choice.ended(self.sent)
             self.sent = None
--- a/src/ebonydeal/_internal/relay/view/view_sync.py
+++ b/src/ebonydeal/_internal/relay/view/view_sync.py
@@ -15,7 +15,7 @@
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.peers.exchange import Exchange
 from ebonydeal._internal.relay.peers.messages import VIEW, ViewMessage
-from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
+from ebonydeal._internal.relay.peers.rollouts import RolloutReceiver
 from ebonydeal._internal.relay.ports import Wire
 from ebonydeal._internal.relay.view.follower import TableFollower
 from ebonydeal._internal.relay.view.view import RelayView
@@ -42,7 +42,7 @@
         wire: Wire,
         view: RelayView,
         suspects: Suspects,
-        rollouts: RolloutHearer,
+        rollouts: RolloutReceiver,
         followers: tuple[TableFollower, ...],
         clock: Clock,
         rng: Random,
@@ -117,7 +117,7 @@
                 view.replace(members, reply["version"], self._clock.now(), False)
                 logger.info("Endpoints from a peer.", peer=address, count=len(members))
             if "rollouts" in reply:
-                self._rollouts.learn(reply["rollouts"])
+                self._rollouts.receive_verdicts(reply["rollouts"])
             if "lease" in reply:
                 row, version = reply["lease"]
                 self._exchange.lease.hear(LeaseRow(*row), int(version))
--- a/src/ebonydeal/_internal/routing/rollout/evidence.py
+++ b/src/ebonydeal/_internal/routing/rollout/evidence.py
@@ -5,10 +5,10 @@
 there; both are likelihood ratios that are added up as answers come, so looking at them
 often makes no error more likely:
 
-* `Mixture` weighs many ways of being bad at once: parts of the answers that fail, and
-  parts that are several times slower;
-* `OneStrength` knows one: some more answers than usual fail or are slower than nearly
-  all of the old version.
+* `MixtureTest` weighs many ways of being bad at once: parts of the answers that fail,
+  and parts that are several times slower;
+* `SingleEffectTest` knows one: some more answers than usual fail or are slower than
+  nearly all of the old version.
 
 An endpoint that is ill by itself looks like a bad version where it is the only one of
 its version that is asked. So evidence is kept by endpoint, and what remains without
@@ -54,7 +54,7 @@
 _LEAST_RATIO = -1.0
 
 
-class Normal:
+class Baseline:
     """What is normal on one route: the old version's answers of late."""
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
     return bad
 
 
-class Test(Protocol):
+class LikelihoodTest(Protocol):
     """Turns answers of the new version into logarithms of likelihood ratios."""
 
     size: int
@@ -126,7 +126,7 @@
         """
 
 
-class Mixture:
+class MixtureTest:
     """Weighs many ways of being bad."""
 
     def __init__(self) -> None:
@@ -149,7 +149,7 @@
         ]
 
 
-class OneStrength:
+class SingleEffectTest:
     """Weighs one way: a fifth more answers than usual are bad.
 
     Bad is a failure, or a time in which nearly all of the old version's answers came,
@@ -203,7 +203,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class EvidenceSummary:
     """How much speaks against a version, natural logarithms of likelihood ratios.
 
     ``total`` is that of all endpoints, ``without`` that without the one that speaks
@@ -227,9 +227,9 @@
         What turns answers into ratios.
     """
 
-    def __init__(self, test: Test) -> None:
+    def __init__(self, test: LikelihoodTest) -> None:
         self._test = test
-        self._normal: dict[str, Normal] = {}
+        self._normal: dict[str, Baseline] = {}
         # By route and endpoint, one ratio for each way of being bad.
         self._ratios: dict[str, dict[str, list[float]]] = {}
         self._answers: dict[str, int] = {}
@@ -258,11 +258,11 @@
             if not self._is_usual(route, old.get(route, empty()), alone)
         }
         for route, counts in old.items():
-            self._normal.setdefault(route, Normal()).add(counts, now)
+            self._normal.setdefault(route, Baseline()).add(counts, now)
         for route, by_endpoint in new.items():
             if route in unsure or not by_endpoint:
                 continue
-            normal = self._normal.setdefault(route, Normal())
+            normal = self._normal.setdefault(route, Baseline())
             table = self._test.table(normal.shares())
             ratios = self._ratios.setdefault(route, {})
             for endpoint_id, counts in by_endpoint.items():
@@ -287,10 +287,10 @@
             return alone or sum(counts) >= _LEAST_NORMAL
         return max(weighed(self._test.table(normal.shares()), counts)) <= _UPSET
 
-    def standing(self) -> Standing:
+    def standing(self) -> EvidenceSummary:
         """Return how much speaks against the version."""
         if not self._answers:
-            return Standing()
+            return EvidenceSummary()
         sums = {route: self._sum(ratios) for route, ratios in self._ratios.items()}
         total, route = _against(sums)
         without, loudest = min(
@@ -298,7 +298,7 @@
             for endpoint_id in self._answers
         )
         others = self.answers - self._answers[loudest]
-        return Standing(total, without, loudest, route, others)
+        return EvidenceSummary(total, without, loudest, route, others)
 
     def _sum(self, ratios: dict[str, list[float]]) -> list[float]:
         """Return what all endpoints of a route say, by way of being bad."""
--- a/src/ebonydeal/_internal/routing/rollout/exposure.py
+++ b/src/ebonydeal/_internal/routing/rollout/exposure.py
@@ -25,7 +25,7 @@
 _EARLY_TIME = 0.8
 
 
-class Bound(NamedTuple):
+class ExposureBound(NamedTuple):
     """How many requests a bad version may get.
 
     ``share`` of all requests for the service between the order and its end, and
@@ -40,7 +40,7 @@
         return (self.share * requests + self.slack) * (1.0 - _KEPT_BACK)
 
 
-class Spent(NamedTuple):
+class Exposure(NamedTuple):
     """What was used of the bound.
 
     Attributes
@@ -78,7 +78,7 @@
         return sum(self.rates.values())
 
 
-class Early(NamedTuple):
+class CanaryTraffic(NamedTuple):
     """What the new version gets before the last step.
 
     ``shares`` are parts of routes' requests; ``canaries`` the endpoints that get them.
@@ -88,7 +88,7 @@
     canaries: tuple[str, ...]
 
 
-class Steady:
+class SteadyPlan:
     """Gives two new endpoints an even part of the requests all the time.
 
     Every route gets as many a second, so that each has its own verdict.
@@ -97,17 +97,17 @@
     _CANARIES = 2
 
     def early(
-        self, bound: Bound, spent: Spent, old: int, new: tuple[str, ...]
-    ) -> Early:
+        self, bound: ExposureBound, spent: Exposure, old: int, new: tuple[str, ...]
+    ) -> CanaryTraffic:
         """Return what goes to which of the ``new`` endpoints now.
 
         ``old`` is how many old ones there are; ``new`` in order of preference.
         """
         wanted = min(_wanted(bound, spent), room(bound, spent))
-        return Early(_dealt(spent.rates, wanted), new[: self._CANARIES])
+        return CanaryTraffic(_dealt(spent.rates, wanted), new[: self._CANARIES])
 
 
-class Loaded:
+class LoadedPlan:
     """Lets one new endpoint after the other carry what an old one does.
 
     A version may be bad only under load. Where few endpoints carry much, the bound
@@ -120,29 +120,29 @@
     _BURST_S = 0.8
 
     def early(
-        self, bound: Bound, spent: Spent, old: int, new: tuple[str, ...]
-    ) -> Early:
-        """Return what goes to which of the ``new`` endpoints now, as `Steady` does."""
+        self, bound: ExposureBound, spent: Exposure, old: int, new: tuple[str, ...]
+    ) -> CanaryTraffic:
+        """Return what each of the ``new`` endpoints gets now, as in `SteadyPlan`."""
         wanted = _wanted(bound, spent)
         usual = spent.rate * self._LOAD / max(1, old)
         if usual <= 0.0 or wanted <= 0.0:
-            return Early({}, ())
+            return CanaryTraffic({}, ())
         if wanted >= usual:
             # There is enough for several at a time.
             count = max(1, min(len(new), int(wanted / usual)))
             shares = _dealt(spent.rates, min(wanted, room(bound, spent)))
-            return Early(shares, new[:count])
+            return CanaryTraffic(shares, new[:count])
         period = self._BURST_S * usual / wanted
         turn = int(spent.elapsed / period)
         # At the start of each period, one endpoint after the other.
         if spent.elapsed - turn * period >= self._BURST_S:
-            return Early({}, ())
+            return CanaryTraffic({}, ())
         shares = _dealt(spent.rates, min(usual, room(bound, spent)))
         place = turn % min(len(new), self._CANARIES)
-        return Early(shares, new[place : place + 1])
+        return CanaryTraffic(shares, new[place : place + 1])
 
 
-def _wanted(bound: Bound, spent: Spent) -> float:
+def _wanted(bound: ExposureBound, spent: Exposure) -> float:
     """Return the requests a second that use up the early part evenly."""
     whole = spent.requests + spent.rate * max(0.0, spent.left)
     share = _DOUBT_SHARE if spent.doubt else _EARLY_SHARE
@@ -154,10 +154,10 @@
     )
 
 
-Plan = Steady | Loaded
+ExposurePlan = SteadyPlan | LoadedPlan
 
 
-def room(bound: Bound, spent: Spent) -> float:
+def room(bound: ExposureBound, spent: Exposure) -> float:
     """Return the requests a second that may be given until the next look.
 
     What was asked so far bounds it, not what is still expected: traffic may end.
@@ -179,7 +179,7 @@
     return shares
 
 
-def last_step(bound: Bound, spent: Spent) -> float:
+def last_step(bound: ExposureBound, spent: Exposure) -> float:
     """Return the seconds before the order's end for which all requests may go over.
 
     Even if every one of them fails, the bound holds.
--- a/src/ebonydeal/_internal/routing/rollout/course.py
+++ b/src/ebonydeal/_internal/routing/rollout/rollout_state.py
@@ -6,15 +6,15 @@
 from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
 from ebonydeal._internal.routing.rollout.evidence import (
     Evidence,
-    Mixture,
-    Standing,
-    Test,
+    EvidenceSummary,
+    LikelihoodTest,
+    MixtureTest,
 )
 from ebonydeal._internal.routing.rollout.exposure import (
-    Bound,
-    Loaded,
-    Plan,
-    Spent,
+    Exposure,
+    ExposureBound,
+    ExposurePlan,
+    LoadedPlan,
     last_step,
     room,
 )
@@ -42,7 +42,7 @@
 _RATE_STEP_S = 0.2
 
 
-class Terms(NamedTuple):
+class RolloutPolicy(NamedTuple):
     """Terms of the verdict, natural logarithms of likelihood ratios.
 
     Attributes
@@ -58,8 +58,8 @@
     bad: float = 7.0
     alike: float = 2.0
     doubt: float = 2.5
-    bound: Bound = Bound()
-    plan: Plan = Loaded()
+    bound: ExposureBound = ExposureBound()
+    plan: ExposurePlan = LoadedPlan()
 
 
 @dataclass(frozen=True)
@@ -73,9 +73,9 @@
 
 @dataclass(frozen=True)
 class Complete:
-    """All requests go to the new version; ``cut`` still run on old endpoints."""
+    """All requests go to the new version; ``old_in_flight`` still run on old ones."""
 
-    cut: int
+    old_in_flight: int
 
 
 @dataclass(frozen=True)
@@ -83,24 +83,24 @@
     """Nothing goes to the new version any more."""
 
     reason: str
-    standing: Standing
+    standing: EvidenceSummary
 
 
 Verdict = Continue | Complete | RollBack
 
 
-class Fleet(NamedTuple):
+class ServiceEndpoints(NamedTuple):
     """The endpoints of a service that may get requests.
 
-    ``old`` and ``new`` are ids; ``old_running`` requests at work on old ones.
+    ``old`` and ``new`` are ids; ``old_in_flight`` requests at work on old ones.
     """
 
     old: tuple[str, ...]
     new: tuple[str, ...]
-    old_running: int = 0
+    old_in_flight: int = 0
 
 
-class Course:
+class RolloutState:
     """One roll-out.
 
     Parameters
@@ -119,13 +119,13 @@
         self,
         order: RolloutOrder,
         until: float,
-        terms: Terms | None = None,
-        test: Test | None = None,
+        terms: RolloutPolicy | None = None,
+        test: LikelihoodTest | None = None,
     ) -> None:
         self.order = order
         self.until = until
-        self.terms = terms or Terms()
-        self.evidence = Evidence(test or Mixture())
+        self.terms = terms or RolloutPolicy()
+        self.evidence = Evidence(test or MixtureTest())
         self.phase = Phase.RUNNING
         self.requests = 0.0
         self.exposed = 0.0
@@ -137,7 +137,7 @@
         self._unrated: dict[str, int] = {}
         self._rated_at: float | None = None
 
-    def saw_requests(self, by_route: dict[str, int], exposed: int) -> None:
+    def add_requests(self, by_route: dict[str, int], exposed: int) -> None:
         """Take requests for the service that relays told of, by route.
 
         ``exposed`` of them went to the new version.
@@ -163,10 +163,10 @@
         self._unrated.clear()
         self._rated_at = now
 
-    def decide(self, fleet: Fleet, lag: float, now: float) -> Verdict:
+    def decide(self, fleet: ServiceEndpoints, lag: float, now: float) -> Verdict:
         """Return what is to be done now; a verdict is final.
 
-        ``lag`` is as in `Spent`.
+        ``lag`` is as in `Exposure`.
         """
         self._rate(now)
         standing = self.evidence.standing()
@@ -179,7 +179,7 @@
         if self._new_since is None:
             self._new_since = now
         left = self.until - now
-        spent = Spent(
+        spent = Exposure(
             requests=self.requests,
             exposed=self.exposed,
             rates=dict(self._rates),
@@ -193,7 +193,7 @@
                 self.full_since = now
             if self._is_complete(fleet, now):
                 self.phase = Phase.COMPLETED
-                return Complete(fleet.old_running)
+                return Complete(fleet.old_in_flight)
             return Continue(dict.fromkeys(self._rates, 1.0), fleet.new, full=True)
         self.full_since = None
         if not fleet.old:
@@ -207,7 +207,7 @@
         shares = {route: round(share, 4) for route, share in early.shares.items()}
         return Continue(shares, early.canaries)
 
-    def _alone(self, spent: Spent) -> dict[str, float]:
+    def _alone(self, spent: Exposure) -> dict[str, float]:
         """Return the shares while no old endpoint is left.
 
         Nobody else can serve, so all requests go over once some were answered well;
@@ -218,7 +218,7 @@
         part = room(self.terms.bound, spent) / max(1.0, spent.rate)
         return dict.fromkeys(spent.rates, round(min(1.0, part), 4))
 
-    def _is_bad(self, standing: Standing, fleet: Fleet) -> bool:
+    def _is_bad(self, standing: EvidenceSummary, fleet: ServiceEndpoints) -> bool:
         """Return whether enough speaks against the version itself."""
         if standing.total < self.terms.bad:
             return False
@@ -226,11 +226,11 @@
         others = [e for e in fleet.new if e != standing.loudest]
         return not others or standing.without >= self.terms.alike
 
-    def _stays_in_doubt(self, standing: Standing, now: float) -> bool:
+    def _stays_in_doubt(self, standing: EvidenceSummary, now: float) -> bool:
         """Return whether a doubt outlasts the order: then the old version stays."""
         return now - self.until > _DOUBT_S and self._doubts(standing)
 
-    def _doubts(self, standing: Standing) -> bool:
+    def _doubts(self, standing: EvidenceSummary) -> bool:
         """Return whether something speaks against the version itself.
 
         One ill endpoint doesn't, once the others answered well.
@@ -239,7 +239,7 @@
             return False
         return standing.others < _PROVED or standing.without >= self.terms.doubt / 2.0
 
-    def _is_full(self, fleet: Fleet, spent: Spent) -> bool:
+    def _is_full(self, fleet: ServiceEndpoints, spent: Exposure) -> bool:
         """Return whether all requests go to the new version now."""
         if len(fleet.new) < _ENOUGH * len(fleet.old):
             return False
@@ -253,7 +253,7 @@
             step *= _STEP_SLACK
         return spent.left <= step
 
-    def _is_judged(self, spent: Spent) -> bool:
+    def _is_judged(self, spent: Exposure) -> bool:
         """Return whether enough was seen of the version to give it all requests."""
         if self.evidence.answers >= _PROVED:
             return True
@@ -261,16 +261,18 @@
         watched = self.until - spent.left - self._new_since
         return watched >= _WATCHED * self.order.duration
 
-    def _is_complete(self, fleet: Fleet, now: float) -> bool:
+    def _is_complete(self, fleet: ServiceEndpoints, now: float) -> bool:
         """Return whether the old endpoints may stop."""
         assert self.full_since is not None
         left = self.until - now
         if now - self.full_since < (_LEAST_FULL_S if left > 0.0 else _LATE_FULL_S):
             return False
         # What comes after the word counts as exposed, too: no sooner than needed.
-        return left <= _WRITE_S or (fleet.old_running == 0 and left <= 2.0 * _WRITE_S)
+        return left <= _WRITE_S or (fleet.old_in_flight == 0 and left <= 2.0 * _WRITE_S)
 
-    def _ranked(self, fleet: Fleet, standing: Standing) -> tuple[str, ...]:
+    def _ranked(
+        self, fleet: ServiceEndpoints, standing: EvidenceSummary
+    ) -> tuple[str, ...]:
         """Return the new endpoints, those first that get the first requests.
 
         One that seems ill goes last: others tell whether it is the version.
@@ -297,5 +299,5 @@
         )
 
 
-def _reason(standing: Standing) -> str:
+def _reason(standing: EvidenceSummary) -> str:
     return f"route {standing.route or 'none'}: evidence {standing.total:.1f}"
--- a/src/ebonydeal/_internal/routing/rollout/split.py
+++ b/src/ebonydeal/_internal/routing/rollout/traffic_split.py
@@ -53,14 +53,14 @@
     new: dict[str, dict[str, Counts]]
 
 
-class Part(NamedTuple):
+class VersionChoice(NamedTuple):
     """The endpoints that a request may go to, and whether they are new ones."""
 
     members: Sequence[Member]
-    new: bool = False
+    is_new: bool = False
 
 
-class Awaited(NamedTuple):
+class AwaitedAnswer(NamedTuple):
     """An answer, or a stream's first event, that is waited for.
 
     Attributes
@@ -85,7 +85,7 @@
 class _Wait:
     """One awaited answer: its usual time, whether it was counted, when it ended."""
 
-    answer: Awaited
+    answer: AwaitedAnswer
     usual: float
     counted: bool = False
     over_at: float | None = None
@@ -148,21 +148,21 @@
     )
 
 
-class Split:
+class TrafficSplit:
     """Roll-outs at one relay.
 
     Parameters
     ----------
     name : str
         This relay's name.
-    patience : float
+    gate_ttl_s : float
         Seconds without a word after which nothing new goes to a version that isn't
         called good.
     """
 
-    def __init__(self, name: str, patience: float) -> None:
+    def __init__(self, name: str, gate_ttl_s: float) -> None:
         self._name = name
-        self.patience = patience
+        self.gate_ttl_s = gate_ttl_s
         self._watched: dict[str, _Watch] = {}
         # Usual logarithm of the time by route, where no expectation is told.
         self._usual: dict[str, float] = {}
@@ -170,7 +170,7 @@
         self._waits: dict[int, _Wait] = {}
 
     # --- what is known ---------------------------------------------------------
-    def ordered(self, orders: dict[str, RolloutOrder]) -> None:
+    def set_orders(self, orders: dict[str, RolloutOrder]) -> None:
         """Take all orders as the operator has them now, by service."""
         for service, order in orders.items():
             known = self._watched.get(service)
@@ -183,7 +183,7 @@
             if watch.gate is None:
                 del self._watched[service]
 
-    def told(self, gates: Sequence[Gate], now: float) -> None:
+    def apply_gates(self, gates: Sequence[Gate], now: float) -> None:
         """Take what the coordinator says; a verdict is never turned back."""
         for gate in gates:
             watch = self._watched.get(gate.service)
@@ -202,21 +202,21 @@
                 # Nothing more is counted: endpoints come and go for long.
                 watch.tally = _decided(watch.tally)
 
-    def learn(self, gates: Sequence[Gate]) -> None:
+    def apply_verdicts(self, gates: Sequence[Gate]) -> None:
         """Take verdicts, not shares, of who only heard of them."""
         for gate in gates:
             watch = self._watched.get(gate.service)
             if gate.phase is Phase.RUNNING:
                 continue
             if watch is None or watch.order.revision <= gate.revision:
-                self.told([gate], 0.0)
+                self.apply_gates([gate], 0.0)
 
-    def watches(self, service: str) -> bool:
+    def has_rollout(self, service: str) -> bool:
         """Return whether the service has a roll-out."""
         return service in self._watched
 
     # --- one request -------------------------------------------------------------
-    def part(
+    def choose_version(
         self,
         service: str,
         route: str,
@@ -224,7 +224,7 @@
         now: float,
         again: bool = False,
         first: bool = True,
-    ) -> Part:
+    ) -> VersionChoice:
         """Return the endpoints of one version that a request may go to.
 
         ``again`` says that it was sent before: a repeat goes to the old version.
@@ -232,7 +232,7 @@
         """
         watch = self._watched.get(service)
         if watch is None:
-            return Part(members)
+            return VersionChoice(members)
         gate = watch.gate
         to = watch.order.to
         barred = watch.barred if gate is None else gate.barred
@@ -241,19 +241,19 @@
         phase = Phase.RUNNING if gate is None else gate.phase
         match phase:
             case Phase.COMPLETED:
-                return Part(new, True) if new else Part(old)
+                return VersionChoice(new, True) if new else VersionChoice(old)
             case Phase.ROLLED_BACK:
-                return Part(old)
-        if gate is None or now - watch.told_at > self.patience:
+                return VersionChoice(old)
+        if gate is None or now - watch.told_at > self.gate_ttl_s:
             # Nothing says that the version is bad where nobody else can serve.
-            return Part(old) if old else Part(new, True)
+            return VersionChoice(old) if old else VersionChoice(new, True)
         if first:
             saved = self._credit(watch, route) + gate.shares.get(route, 0.0)
             watch.credit[route] = min(_MOST_CREDIT, saved)
         if (again and old) or self._credit(watch, route) < 1.0:
-            return Part(old)
+            return VersionChoice(old)
         canaries = [m for m in new if m.endpoint_id in gate.canaries]
-        return Part(canaries, True) if canaries else Part(old)
+        return VersionChoice(canaries, True) if canaries else VersionChoice(old)
 
     def _credit(self, watch: _Watch, route: str) -> float:
         credit = watch.credit.get(route)
@@ -264,7 +264,9 @@
         return credit
 
     # --- what is counted -----------------------------------------------------------
-    def sent(self, service: str, route: str, member: Member, first: bool) -> bool:
+    def record_send(
+        self, service: str, route: str, member: Member, first: bool
+    ) -> bool:
         """Count a send; return whether it goes to a new version.
 
         ``first`` where it is the request's first one.
@@ -281,7 +283,7 @@
         watch.credit[route] = max(0.0, self._credit(watch, route) - 1.0)
         return True
 
-    def awaits(self, answer: Awaited) -> int:
+    def expect_answer(self, answer: AwaitedAnswer) -> int:
         """Wait for an answer; returns the number by which it is told, or 0."""
         if self._running(answer.service) is None:
             return 0
@@ -295,7 +297,7 @@
         self._waits[number] = _Wait(answer, usual)
         return number
 
-    def answered(self, number: int, now: float) -> None:
+    def record_answer(self, number: int, now: float) -> None:
         """Count an answer, or a stream's first event, by the time it took."""
         wait = self._waits.pop(number, None)
         if wait is None:
@@ -307,17 +309,17 @@
         if not wait.counted:
             self._count_wait(wait, took)
 
-    def over(self, number: int, now: float) -> None:
+    def record_end(self, number: int, now: float) -> None:
         """Note that a send is over; what came of it may still be told."""
         wait = self._waits.get(number)
         if wait is not None and wait.over_at is None:
             wait.over_at = now
 
-    def gave_up(self, number: int) -> None:
+    def cancel_answer(self, number: int) -> None:
         """Wait for an answer no more, without a reason in the version."""
         self._waits.pop(number, None)
 
-    def failed(self, service: str, route: str, member: Member) -> bool:
+    def record_failure(self, service: str, route: str, member: Member) -> bool:
         """Count a failure that may be the version's; return whether it is a new one."""
         watch = self._running(service)
         if watch is None:
@@ -329,7 +331,7 @@
         known = self._usual.get(route, log(seconds))
         self._usual[route] = known + (log(seconds) - known) * _LEARN
 
-    def _is_new(self, answer: Awaited) -> bool:
+    def _is_new(self, answer: AwaitedAnswer) -> bool:
         watch = self._watched.get(answer.service)
         return watch is not None and answer.member.version == watch.order.to
 
@@ -371,7 +373,7 @@
         self._count_late(now)
         return {service: watch.tally for service, watch in self._watched.items()}
 
-    def troubled(self, now: float) -> bool:
+    def has_new_bad_answers(self, now: float) -> bool:
         """Return whether a new version failed or is late since this was asked last."""
         self._count_late(now)
         found = False
--- a/tests/functional/relay/test_rollouts.py
+++ b/tests/functional/relay/test_rollouts.py
@@ -118,9 +118,9 @@
                 )
             await found.order(seconds=20.0)
             for program in found.relays:
-                await until(lambda p=program: p._split.watches("s"))
+                await until(lambda p=program: p._split.has_rollout("s"))
                 listed = program.view.of_service("s")
-                part = program._split.part("s", "/safe/", listed, 0.0)
+                part = program._split.choose_version("s", "/safe/", listed, 0.0)
                 assert {m.version for m in part.members} == {OLD}
 
     async def test_an_unreadable_one_orders_nothing(self):
@@ -212,11 +212,11 @@
 
             deaf._exchange._ask = unreachable
             # Neither by an answer on its way nor by what is told without a question.
-            deaf._split.told = lambda _gates, _now: None
-            await asyncio.sleep(deaf._split.patience + 0.2)
+            deaf._split.apply_gates = lambda _gates, _now: None
+            await asyncio.sleep(deaf._split.gate_ttl_s + 0.2)
             now = deaf._clock.now()
             members = deaf.view.of_service("s")
-            part = deaf._split.part("s", "/safe/", members, now)
+            part = deaf._split.choose_version("s", "/safe/", members, now)
             assert {m.version for m in part.members} == {OLD}
 
 
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -19,20 +19,20 @@
 from ebonydeal._internal.models.shared import RowChange
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.platform.wire import PlatformWire
-from ebonydeal._internal.relay.duties.rollout_book import RolloutBook
+from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
 from ebonydeal._internal.relay.duties.rollout_run import RolloutRun, Totals
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.rollout.course import (
+from ebonydeal._internal.routing.rollout.evidence import EvidenceSummary
+from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
     Continue,
-    Course,
     RollBack,
-    Terms,
+    RolloutPolicy,
+    RolloutState,
 )
-from ebonydeal._internal.routing.rollout.evidence import Standing
-from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryStore, word
 
@@ -77,7 +77,7 @@
         parts = RolloutParts(
             coordinator, view, PlatformWire(), store, None, Metrics(), clock
         )
-        self.rollouts = Rollouts(parts, Terms())
+        self.rollouts = Rollouts(parts, RolloutPolicy())
         self._relays = relays
 
     def take_lease(self):
@@ -87,23 +87,23 @@
     async def _take(self):
         await self.store.put(*LEASE, b"holder")
         self.lease_version = self.store.version
-        await self.rollouts.kept.read()
-        if not self.rollouts.kept.known:
+        await self.rollouts.store.read()
+        if not self.rollouts.store.known:
             # What the follower of orders does when it is asked for them.
             self.view.orders_unchanged(self.store.version)
-            await self.rollouts.kept.read()
+            await self.rollouts.store.read()
 
     def renew(self):
         """Renew, with what is due; a holder that was replaced does nothing."""
         changes = [RowChange(*LEASE, b"holder", self.lease_version)]
-        changes += self.rollouts.kept.changes()
+        changes += self.rollouts.store.changes()
         result = asyncio.run(self.store.transact(changes))
         if not result.applied:
             self.holds = False
-            self.rollouts.kept.lost()
+            self.rollouts.store.lost()
             return False
         self.lease_version = self.store.tables[LEASE[0]][LEASE[1]].version
-        self.rollouts.kept.wrote()
+        self.rollouts.store.wrote()
         return True
 
     def step(self):
@@ -119,12 +119,12 @@
     def __init__(self, name, clock, order=ORDER):
         self.name = name
         self.clock = clock
-        self.split = Split(name, 2.0)
-        self.split.ordered({"s": order})
+        self.split = TrafficSplit(name, 2.0)
+        self.split.set_orders({"s": order})
 
     def hears(self, gates):
         if gates is not None:
-            self.split.told(gates, self.clock.now())
+            self.split.apply_gates(gates, self.clock.now())
 
     def word(self, now):
         return word(self.name, rollouts=self.split.tallies(now))
@@ -134,11 +134,11 @@
         over = 0
         now = self.clock.now()
         for _ in range(count):
-            part = self.split.part("s", "r", members, now)
+            part = self.split.choose_version("s", "r", members, now)
             if not part.members:
                 continue
             chosen = part.members[0]
-            self.split.sent("s", "r", chosen, first=True)
+            self.split.record_send("s", "r", chosen, first=True)
             over += chosen.version == ORDER.to
             bad = failing and chosen.version == ORDER.to
             category = FAILED if bad else category_of(0.1, 0.1)
@@ -206,7 +206,7 @@
         clock, listed, store, relays, first, second = self.play()
         second.take_lease()
         first.rollouts._end(
-            first.rollouts._book.runs["s"], RollBack("late", Standing())
+            first.rollouts._book.runs["s"], RollBack("late", EvidenceSummary())
         )
         assert not first.renew()
         assert status(store) == "running"
@@ -214,7 +214,7 @@
     def test_a_verdict_that_relays_act_on_stands(self):
         clock, listed, store, relays, first, second = self.play()
         run = first.rollouts._book.runs["s"]
-        first.rollouts._end(run, RollBack("test", Standing()))
+        first.rollouts._end(run, RollBack("test", EvidenceSummary()))
         # Told to one relay only, and never written.
         relays[1].hears(first.rollouts.gates())
         second.take_lease()
@@ -228,19 +228,19 @@
         first.renew()
         del store.tables["ebonydeal-rollouts"]
         for relay in relays:
-            relay.split = Split(relay.name, 2.0)
+            relay.split = TrafficSplit(relay.name, 2.0)
         second.take_lease()
         second.step()
         assert second.rollouts._book.runs["s"].course.phase is Phase.COMPLETED
 
     def test_what_wasnt_written_is_written_with_the_next_renewal(self):
         clock, _listed, store, _relays, first, _second = self.play()
-        first.rollouts.kept.changed()
-        assert first.rollouts.kept.changes()
+        first.rollouts.store.changed()
+        assert first.rollouts.store.changes()
         # No answer came.
-        assert first.rollouts.kept.changes()
-        first.rollouts.kept.wrote()
-        assert not first.rollouts.kept.changes()
+        assert first.rollouts.store.changes()
+        first.rollouts.store.wrote()
+        assert not first.rollouts.store.changes()
 
     def test_orders_that_it_hasnt_read_are_not_taken_for_withdrawn(self):
         clock, _listed, store, relays, first, second = self.play()
@@ -248,11 +248,11 @@
         asked = []
         told.on_waiting = lambda: asked.append(True)
         second = Holder(store, clock, told, relays)
-        asyncio.run(second.rollouts.kept.read())
-        assert not second.rollouts.kept.known and asked and told.waits_for_orders
+        asyncio.run(second.rollouts.store.read())
+        assert not second.rollouts.store.known and asked and told.waits_for_orders
         assert second.rollouts.gates() is None
         told.take_orders({"s": ORDER}, store.version, "test")
-        asyncio.run(second.rollouts.kept.read())
+        asyncio.run(second.rollouts.store.read())
         second.step()
         assert second.rollouts._book.runs["s"].course.phase is Phase.RUNNING
 
@@ -261,13 +261,13 @@
         asyncio.run(store.put("ebonydeal-rollouts", "memory", b"no row of ours"))
         second.take_lease()
         second.step()
-        assert second.rollouts.kept.known
+        assert second.rollouts.store.known
         assert second.rollouts._book.runs["s"].course.order == ORDER
 
 
 class TestBook:
     def book(self, **more):
-        found = RolloutBook(Terms())
+        found = RolloutRegistry(RolloutPolicy())
         found.begin(ORDER, {"v1"}, 0.0)
         return found
 
@@ -278,7 +278,7 @@
 
     def test_one_that_is_ordered_again_may_get_requests(self):
         book = self.book()
-        book.end(book.runs["s"], RollBack("bad", Standing()))
+        book.end(book.runs["s"], RollBack("bad", EvidenceSummary()))
         assert book.barred_of("s") == {"v2"}
         book.begin(ORDER._replace(revision=6), set(), 1.0)
         assert not book.barred_of("s")
@@ -293,7 +293,7 @@
         book = self.book()
         book.runs["s"].kept["n1/i"] = Totals(100, 4)
         kept = json.loads(json.dumps(book.to_memory(ahead=1000.0)))
-        again = RolloutBook(Terms())
+        again = RolloutRegistry(RolloutPolicy())
         again.take_memory(kept, ahead=990.0, now=15.0)
         run = again.runs["s"]
         # The other process's clock is ten seconds ahead of the first one's.
@@ -305,14 +305,14 @@
     def test_words_of_another_order_are_left_out(self):
         relay = Relay("n1", ManualClock(1.0), ORDER._replace(revision=4))
         relay.serves([member("a", "v1")], False)
-        run = RolloutRun(Course(ORDER, 20.0))
+        run = RolloutRun(RolloutState(ORDER, 20.0))
         run.hear([relay.word(1.0), word("n2"), {"node": "n3"}], False, 1.0)
         assert run.course.requests == 0
 
     def test_a_lost_relays_counts_stay(self):
         relay = Relay("n1", ManualClock(1.0))
         relay.serves([member("a", "v1")], False)
-        run = RolloutRun(Course(ORDER, 20.0))
+        run = RolloutRun(RolloutState(ORDER, 20.0))
         run.hear([relay.word(1.0)], False, 1.0)
         run.hear([], False, 2.0)
         assert run.course.requests == 20
@@ -320,7 +320,7 @@
 
     def test_answers_count_once(self):
         relay = Relay("n1", ManualClock(1.0))
-        run = RolloutRun(Course(ORDER, 20.0))
+        run = RolloutRun(RolloutState(ORDER, 20.0))
         relay.split._count("s", "r", member("b", "v2"), FAILED)
         for now in (1.0, 1.2, 1.4):
             run.hear([relay.word(now)], False, now)
@@ -370,7 +370,7 @@
     @rule()
     def write_takes_effect_unheard(self):
         changes = [RowChange(*LEASE, b"holder", self.holder.lease_version)]
-        changes += self.holder.rollouts.kept.changes()
+        changes += self.holder.rollouts.store.changes()
         asyncio.run(self.store.transact(changes))
         self.holder.lease_version = self.store.tables[LEASE[0]][LEASE[1]].version
 
@@ -397,8 +397,8 @@
     @rule(which=st.integers(0, 2))
     def a_relay_starts_anew(self, which):
         name = f"n{which}"
-        self.relays[which].split = Split(name, 2.0)
-        self.relays[which].split.ordered({"s": ORDER})
+        self.relays[which].split = TrafficSplit(name, 2.0)
+        self.relays[which].split.set_orders({"s": ORDER})
 
     @invariant()
     def one_verdict(self):
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -30,7 +30,7 @@
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.routing import RetrySettings, RoutingSettings
 from tests.lib.clock import ManualClock
 from tests.unit.relay.requests.test_outcomes import PROMISES, outcomes
@@ -62,7 +62,7 @@
         choice=MemberChoice(8.0),
         outliers=Outliers(RoutingSettings(), Random(1)),
         failing=FailureShares(0.15),
-        split=Split("n1", 2.0),
+        split=TrafficSplit("n1", 2.0),
         permits=EndpointPermits(EndpointNotices(), None, clock, Metrics()),
         retries=retries,
         metrics=Metrics(),
--- a/tests/unit/routing/rollout/test_evidence.py
+++ b/tests/unit/routing/rollout/test_evidence.py
@@ -6,8 +6,8 @@
 
 from ebonydeal._internal.routing.rollout.evidence import (
     Evidence,
-    Mixture,
-    OneStrength,
+    MixtureTest,
+    SingleEffectTest,
 )
 from ebonydeal._internal.routing.rollout.tally import (
     CATEGORIES,
@@ -18,7 +18,7 @@
     less,
 )
 
-TESTS = [Mixture, OneStrength]
+TESTS = [MixtureTest, SingleEffectTest]
 
 
 def answers(rng, count, failing=0.0, slower=1.0, part=1.0):
@@ -68,13 +68,13 @@
         "trouble", [{"failing": 0.4}, {"slower": 6.0}, {"failing": 0.1, "slower": 3.0}]
     )
     def test_a_trouble_of_both_versions_is_not_its_own(self, trouble):
-        evidence, rng = Evidence(Mixture()), random.Random(3)
+        evidence, rng = Evidence(MixtureTest()), random.Random(3)
         watch(evidence, rng, 20, {}, {})
         watch(evidence, rng, 16, trouble, trouble, begin=20)
         assert watch(evidence, rng, 20, {}, {}, begin=36).total < 7.0
 
     def test_one_ill_endpoint_is_told_apart(self):
-        evidence, rng = Evidence(Mixture()), random.Random(4)
+        evidence, rng = Evidence(MixtureTest()), random.Random(4)
         for step in range(60):
             fresh = {"x": answers(rng, 2), "ill": answers(rng, 2, failing=0.6)}
             evidence.add({"r": answers(rng, 40)}, {"r": fresh}, step * 0.25)
@@ -83,7 +83,7 @@
         assert standing.total > 7.0 > 2.0 > standing.without
 
     def test_without_an_endpoint_is_as_if_it_had_never_answered(self):
-        whole, others = Evidence(Mixture()), Evidence(Mixture())
+        whole, others = Evidence(MixtureTest()), Evidence(MixtureTest())
         rng = random.Random(6)
         for step in range(40):
             old = {"r": answers(rng, 40), "s": answers(rng, 20)}
@@ -97,14 +97,14 @@
         assert found.others == others.answers
 
     def test_a_route_without_new_endpoints_says_nothing(self):
-        evidence, rng = Evidence(Mixture()), random.Random(1)
+        evidence, rng = Evidence(MixtureTest()), random.Random(1)
         watch(evidence, rng, 8, {}, {})
         before = evidence.standing()
         evidence.add({"s": answers(rng, 40)}, {"s": {}}, 3.0)
         assert evidence.standing() == before
 
     def test_before_the_old_version_answered_nothing_counts(self):
-        evidence = Evidence(Mixture())
+        evidence = Evidence(MixtureTest())
         evidence.add({}, {"r": {"x": answers(random.Random(1), 30, failing=1.0)}}, 0.0)
         assert evidence.standing().total <= 0.0
 
@@ -121,19 +121,19 @@
         ],
     )
     def test_few_answers_are_enough_where_they_are_clear(self, bad, seed):
-        evidence, rng = Evidence(Mixture()), random.Random(seed)
+        evidence, rng = Evidence(MixtureTest()), random.Random(seed)
         watch(evidence, rng, 12, {}, {}, endpoints=())
         standing = watch(evidence, rng, 8, {}, bad, begin=12)
         assert standing.total >= 7.0 and standing.without >= 2.0
 
     @pytest.mark.parametrize("seed", range(5))
     def test_one_that_turns_bad_is_found_as_soon(self, seed):
-        evidence, rng = Evidence(Mixture()), random.Random(seed)
+        evidence, rng = Evidence(MixtureTest()), random.Random(seed)
         watch(evidence, rng, 100, {}, {})
         assert watch(evidence, rng, 8, {}, {"failing": 0.6}, begin=100).total >= 7.0
 
     def test_one_that_is_bad_on_one_route_names_it(self):
-        evidence, rng = Evidence(Mixture()), random.Random(7)
+        evidence, rng = Evidence(MixtureTest()), random.Random(7)
         for step in range(40):
             old = {"good": answers(rng, 40), "bad": answers(rng, 20)}
             new = {
--- a/tests/unit/routing/rollout/test_exposure.py
+++ b/tests/unit/routing/rollout/test_exposure.py
@@ -5,22 +5,22 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.routing.rollout.exposure import (
-    Bound,
-    Loaded,
-    Spent,
-    Steady,
+    Exposure,
+    ExposureBound,
+    LoadedPlan,
+    SteadyPlan,
     last_step,
 )
 
-BOUND = Bound(0.1, 50.0)
+BOUND = ExposureBound(0.1, 50.0)
 NEW = tuple(f"b{n}" for n in range(10))
-PLANS = [Steady(), Loaded()]
+PLANS = [SteadyPlan(), LoadedPlan()]
 
 
 def spent(requests=1000.0, exposed=0.0, rates=None, left=10.0, duration=None):
     """Return what was used; without a ``duration`` nothing has passed."""
     elapsed = 0.0 if duration is None else duration - left
-    return Spent(requests, exposed, rates or {"r": 100.0}, left, 0.6, elapsed)
+    return Exposure(requests, exposed, rates or {"r": 100.0}, left, 0.6, elapsed)
 
 
 class TestEarly:
@@ -51,14 +51,14 @@
     def test_each_route_gets_as_many(self):
         rates = {"often": 200.0, "seldom": 40.0}
         shares = (
-            Steady().early(BOUND, spent(rates=rates, duration=20.0), 10, NEW).shares
+            SteadyPlan().early(BOUND, spent(rates=rates, duration=20.0), 10, NEW).shares
         )
         assert shares["often"] * 200.0 == pytest.approx(shares["seldom"] * 40.0)
 
     def test_a_usual_load_is_carried_in_bursts_by_one_endpoint(self):
         rates = {"r": 90.0}
         looks = [
-            Loaded().early(
+            LoadedPlan().early(
                 BOUND, spent(rates=rates, left=20.0 - t / 5, duration=20.0), 3, NEW
             )
             for t in range(60)
@@ -71,7 +71,7 @@
     def test_one_endpoint_after_the_other_carries_it(self):
         rates = {"r": 90.0}
         asked = {
-            Loaded()
+            LoadedPlan()
             .early(BOUND, spent(rates=rates, left=left, duration=30.0), 3, NEW)
             .canaries
             for left in (t / 10 for t in range(300))
--- a/tests/unit/routing/rollout/test_course.py
+++ b/tests/unit/routing/rollout/test_rollout_state.py
@@ -5,12 +5,12 @@
 from ebonydeal._internal.benchmarks.rollouts.suite import BOUND, Ways, play
 from ebonydeal._internal.benchmarks.rollouts.world import Case, Fault, When
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.routing.rollout.course import (
+from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
     Continue,
-    Course,
-    Fleet,
     RollBack,
+    RolloutState,
+    ServiceEndpoints,
 )
 from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty
 
@@ -60,7 +60,7 @@
 
 
 def course(duration=20.0, until=20.0):
-    return Course(RolloutOrder("s", "v2", duration, 1), until)
+    return RolloutState(RolloutOrder("s", "v2", duration, 1), until)
 
 
 def told(found, now, new=None, failing=False, rate=25):
@@ -72,7 +72,7 @@
         counts = empty()
         counts[FAILED if failing else category_of(0.1, 0.1)] = 3
         fresh[endpoint_id] = counts
-    found.saw_requests({"r": rate}, 0)
+    found.add_requests({"r": rate}, 0)
     found.evidence.add({"r": usual}, {"r": fresh}, now)
 
 
@@ -80,26 +80,30 @@
     def test_without_new_endpoints_nothing_goes_over(self):
         found = course()
         told(found, 1.0)
-        assert found.decide(Fleet(("a",), ()), 0.6, 1.0) == Continue({}, ())
+        assert found.decide(ServiceEndpoints(("a",), ()), 0.6, 1.0) == Continue({}, ())
 
     def test_too_few_of_them_never_get_all(self):
         found = course()
         for step in range(100):
             told(found, step * 0.25, ("b",))
-            verdict = found.decide(Fleet(tuple("acdef"), ("b",)), 0.6, step * 0.25)
+            verdict = found.decide(
+                ServiceEndpoints(tuple("acdef"), ("b",)), 0.6, step * 0.25
+            )
             assert isinstance(verdict, Continue) and not verdict.full
 
     def test_one_that_seems_ill_goes_last(self):
         found = course()
         for step in range(20):
             told(found, step * 0.25, ("b",), failing=step > 12)
-            verdict = found.decide(Fleet(("a",), ("b", "c", "d")), 0.6, step * 0.25)
+            verdict = found.decide(
+                ServiceEndpoints(("a",), ("b", "c", "d")), 0.6, step * 0.25
+            )
             assert isinstance(verdict, Continue)
         assert "b" not in verdict.canaries
 
     def test_one_ill_endpoint_doesnt_keep_a_good_version_back(self):
         found = course()
-        fleet = Fleet(("a",), ("b", "c", "d"))
+        fleet = ServiceEndpoints(("a",), ("b", "c", "d"))
         for step in range(101):
             now = step * 0.2
             told(found, now, ("c", "d"), rate=20)
@@ -113,12 +117,12 @@
         found = course()
         for step in range(105):
             told(found, step * 0.2, rate=20)
-            found.decide(Fleet(("a",), ()), 0.6, step * 0.2)
+            found.decide(ServiceEndpoints(("a",), ()), 0.6, step * 0.2)
         looks = []
         for step in range(105, 125):
             now = step * 0.2
             told(found, now, ("b", "c"), failing=True, rate=20)
-            looks.append(found.decide(Fleet(("a",), ("b", "c")), 0.6, now))
+            looks.append(found.decide(ServiceEndpoints(("a",), ("b", "c")), 0.6, now))
             if isinstance(looks[-1], RollBack):
                 break
         assert isinstance(looks[-1], RollBack)
@@ -129,7 +133,9 @@
         verdicts = []
         for step in range(20):
             told(found, step * 0.25, ("b",), failing=step > 12)
-            verdicts.append(found.decide(Fleet(("a",), ("b",)), 0.6, step * 0.25))
+            verdicts.append(
+                found.decide(ServiceEndpoints(("a",), ("b",)), 0.6, step * 0.25)
+            )
         assert any(isinstance(verdict, RollBack) for verdict in verdicts)
 
 
@@ -140,15 +146,15 @@
         found = course()
         for step in range(20):
             told(found, step * 0.25)
-            found.decide(Fleet(("a",), ()), 0.6, step * 0.25)
+            found.decide(ServiceEndpoints(("a",), ()), 0.6, step * 0.25)
         shares = []
         for step in range(20, 40):
             now = step * 0.25
             fresh = empty()
             fresh[FAILED if failing else category_of(0.1, 0.1)] = 5
-            found.saw_requests({"r": 25}, 5)
+            found.add_requests({"r": 25}, 5)
             found.evidence.add({}, {"r": {"b": fresh, "c": fresh}}, now, alone=True)
-            verdict = found.decide(Fleet((), ("b", "c")), 0.6, now)
+            verdict = found.decide(ServiceEndpoints((), ("b", "c")), 0.6, now)
             if isinstance(verdict, RollBack):
                 return shares, verdict
             shares.append(verdict.shares["r"])
@@ -169,15 +175,17 @@
         for step in range(0, 100):
             now = step * 0.2
             told(found, now, ("b", "c"), rate=20)
-            verdict = found.decide(Fleet(("a",), ("b", "c"), running), 0.6, now)
+            verdict = found.decide(
+                ServiceEndpoints(("a",), ("b", "c"), running), 0.6, now
+            )
             if isinstance(verdict, Complete):
                 return now, verdict
         raise AssertionError("not completed")
 
     def test_waits_for_what_runs_on_old_endpoints(self):
         at, verdict = self.play(running=3)
-        assert 20.0 - at <= 0.4 and verdict.cut == 3
+        assert 20.0 - at <= 0.4 and verdict.old_in_flight == 3
 
     def test_doesnt_wait_longer_than_needed(self):
         at, verdict = self.play(running=0)
-        assert 0.3 <= 20.0 - at <= 0.8 and verdict.cut == 0
+        assert 0.3 <= 20.0 - at <= 0.8 and verdict.old_in_flight == 0
