--- a/src/ebonydeal/_internal/routing/crashes/__init__.py
+++ b/src/ebonydeal/_internal/routing/crashes/__init__.py
@@ -1,5 +1,5 @@
-"""Which requests bring endpoints down, and are refused for it.
+"""Which requests crash endpoints, and are quarantined for it.
 
-Event: an endpoint that ends with requests at work. Called when a crash was seen or
-told, and at each request; touches its own memory only.
+Called when an endpoint crashed with requests in flight, when another process reports a
+crash, and for each request; changes its own memory only.
 """
--- a/src/ebonydeal/_internal/routing/crashes/crash_attribution.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_attribution.py
@@ -1,14 +1,16 @@
-"""Which of the requests at work in crashes brought the endpoints down.
+"""Attributes crashes of endpoints to the requests that were in flight there.
 
-Most of them have no part in it. Not held against one are:
+Most of these requests didn't cause the crash. The following crashes are not attributed
+to a request:
 
 * crashes up to some seconds after a success of an equal request;
-* crashes at which another request was at work that is held to bring endpoints down;
-* of crashes in one zone at one moment all but two: a zone's loss takes all of it;
-* crashes of endpoints that were heard of afterwards.
+* crashes that are attributed to another request already;
+* of crashes in one zone at one moment all but two, as a zone outage takes down every
+  endpoint of the zone;
+* crashes of endpoints that were active afterwards.
 
-Where two requests were at work in the same three crashes, one more crash, or a success,
-tells them apart.
+Where two requests were in flight in the same three crashes, one more crash, or a
+success, distinguishes them.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,24 +19,26 @@
 
 from xxhash import xxh3_64_hexdigest
 
-# Crashes at which requests that were at work alike are told apart no longer.
-_MOST_ALIKE = 4
+# From this number of crashes on, requests that were in flight in the same crashes are
+# quarantined together.
+_MAX_CRASHES_TO_DISTINGUISH = 4
 # A success clears crashes up to so many seconds after it: a popular request comes many
 # times a second, and one that crashes endpoints never succeeds.
 SUCCESS_CLEARS_S = 10.0
-# A zone's endpoints go at once: relays see it within some 30 ms. Two of them still
-# count, as one request may well be sent to two endpoints of a zone at once.
-_ZONE_S = 0.1
-_MOST_OF_ZONE = 2
-# Requests that are remembered of one crash: as many as large engines take at once.
-_MOST_AT_WORK = 128
+# In a zone outage all endpoints crash at once, and relays see it within some 30 ms. Two
+# of them still count, as one request may be sent to two endpoints of a zone at once.
+_ZONE_OUTAGE_WINDOW_S = 0.1
+_MAX_CRASHES_PER_ZONE_OUTAGE = 2
+# Requests remembered per crash: as many as large engines take at once.
+_MAX_REQUESTS_PER_CRASH = 128
 
 
 class CrashKey(NamedTuple):
-    """One crash: of which start of an endpoint, and which of that start's.
+    """Identifies a crash by the endpoint's start, and by its number within that start.
 
-    Endpoints that don't tell when they started come back under the same key but for
-    the number.
+    Endpoints that don't report when they started keep the same ``born``, so only the
+    number distinguishes their crashes. The names of class and fields are part of the
+    fingerprint that relays compare.
     """
 
     endpoint_id: str
@@ -44,95 +48,99 @@
 
 @dataclass
 class Crash:
-    """A crash as remembered; ``at`` is in monotonic seconds."""
+    """A remembered crash; ``at`` is in monotonic seconds."""
 
     zone: str
     at: float
     digests: set[str] = field(default_factory=set)
-    mark: str = ""
+    fingerprint: str = ""
 
-    # Whether the endpoint was heard of afterwards, so that it was none.
+    # Whether the endpoint was active afterwards, so that it didn't crash.
     alive: bool = False
 
     def add(self, digests: Iterable[str]) -> bool:
-        """Add requests at work, as many as are remembered; return whether any is new.
+        """Add in-flight requests up to the maximum; return whether any is new.
 
-        Of more, all relays remember the same.
+        Where there are more, all relays remember the same ones.
         """
-        known = len(self.digests), self.mark
-        self.digests = set(sorted(self.digests.union(digests))[:_MOST_AT_WORK])
-        self.mark = xxh3_64_hexdigest("".join(sorted(self.digests)).encode())
-        return known != (len(self.digests), self.mark)
+        known = len(self.digests), self.fingerprint
+        self.digests = set(
+            sorted(self.digests.union(digests))[:_MAX_REQUESTS_PER_CRASH]
+        )
+        self.fingerprint = xxh3_64_hexdigest("".join(sorted(self.digests)).encode())
+        return known != (len(self.digests), self.fingerprint)
 
 
 class Attribution(NamedTuple):
-    """What follows: crashes by the requests that they are held against.
+    """Crashes by the digests of the requests that they are attributed to.
 
     Attributes
     ----------
-    held : dict
-        Requests that bring endpoints down.
+    quarantined : dict
+        Requests that crash endpoints.
     suspected : dict
         Requests that may.
     """
 
-    held: dict[str, frozenset[CrashKey]]
+    quarantined: dict[str, frozenset[CrashKey]]
     suspected: dict[str, frozenset[CrashKey]]
 
 
 class CrashAttributor:
-    """Works out what follows from the crashes that are remembered.
+    """Attributes remembered crashes to requests.
 
     Parameters
     ----------
     crashes : mapping
         The crashes.
-    served : mapping
-        When requests at work in them last succeeded, monotonic seconds.
-    least : int
-        Crashes that are enough.
+    successes : mapping
+        When requests in flight in them last succeeded, monotonic seconds.
+    threshold : int
+        Crashes from which on a request is quarantined; 0 is off.
     """
 
     def __init__(
         self,
         crashes: Mapping[CrashKey, Crash],
-        served: Mapping[str, float],
-        least: int,
+        successes: Mapping[str, float],
+        threshold: int,
     ) -> None:
         self._crashes = crashes
-        self._served = served
-        self._least = least
+        self._successes = successes
+        self._threshold = threshold
 
     def attribute(self) -> Attribution:
-        """Return what is held of each request."""
-        held: dict[str, frozenset[CrashKey]] = {}
-        explained: set[CrashKey] = set()
+        """Return the crashes attributed to each request."""
+        quarantined: dict[str, frozenset[CrashKey]] = {}
+        attributed: set[CrashKey] = set()
         while True:
-            counted = self._counted(explained)
-            guilty = self._guilty(counted)
-            if not guilty:
-                return Attribution(held, counted)
-            held.update((digest, counted[digest]) for digest in guilty)
-            explained.update(
+            candidates = self._candidates(attributed)
+            causes = self._causes(candidates)
+            if not causes:
+                return Attribution(quarantined, candidates)
+            quarantined.update((digest, candidates[digest]) for digest in causes)
+            attributed.update(
                 key
                 for key, crash in self._crashes.items()
-                if not crash.digests.isdisjoint(guilty)
+                if not crash.digests.isdisjoint(causes)
             )
 
-    def _counted(self, explained: set[CrashKey]) -> dict[str, frozenset[CrashKey]]:
-        """Return the crashes that may be held against each request."""
+    def _candidates(self, attributed: set[CrashKey]) -> dict[str, frozenset[CrashKey]]:
+        """Return the crashes that each request may have caused."""
         found: dict[str, list[CrashKey]] = {}
         for key, crash in sorted(self._crashes.items(), key=_zone_and_time):
-            if crash.alive or key in explained:
+            if crash.alive or key in attributed:
                 continue
             for digest in crash.digests:
-                if not self._has_alibi(digest, crash):
+                if not self._is_cleared(digest, crash):
                     found.setdefault(digest, []).append(key)
-        return {digest: self._of_zones(keys) for digest, keys in found.items()}
+        return {
+            digest: self._without_zone_outages(keys) for digest, keys in found.items()
+        }
 
-    def _of_zones(self, keys: list[CrashKey]) -> frozenset[CrashKey]:
-        """Return crashes, in order of zone and time, without a zone's loss."""
-        if len(keys) <= _MOST_OF_ZONE:
+    def _without_zone_outages(self, keys: list[CrashKey]) -> frozenset[CrashKey]:
+        """Return crashes, given in order of zone and time, without zone outages."""
+        if len(keys) <= _MAX_CRASHES_PER_ZONE_OUTAGE:
             return frozenset(keys)
         kept: list[CrashKey] = []
         for key in keys:
@@ -141,35 +149,36 @@
                 before
                 for before in kept
                 if self._crashes[before].zone == crash.zone
-                and crash.at - self._crashes[before].at <= _ZONE_S
+                and crash.at - self._crashes[before].at <= _ZONE_OUTAGE_WINDOW_S
             ]
-            if len(near) < _MOST_OF_ZONE:
+            if len(near) < _MAX_CRASHES_PER_ZONE_OUTAGE:
                 kept.append(key)
         return frozenset(kept)
 
-    def _has_alibi(self, digest: str, crash: Crash) -> bool:
+    def _is_cleared(self, digest: str, crash: Crash) -> bool:
         """Return whether an equal request succeeded since shortly before a crash."""
-        served = self._served.get(digest)
-        return served is not None and crash.at <= served + SUCCESS_CLEARS_S
+        succeeded = self._successes.get(digest)
+        return succeeded is not None and crash.at <= succeeded + SUCCESS_CLEARS_S
 
-    def _guilty(self, counted: dict[str, frozenset[CrashKey]]) -> list[str]:
-        """Return those under which most endpoints crashed, if these were enough.
+    def _causes(self, candidates: dict[str, frozenset[CrashKey]]) -> list[str]:
+        """Return the requests with the most crashes, if these reach the threshold.
 
-        Of those that share so few crashes that either may have caused the other's,
-        none.
+        Leaves out requests that share so many crashes that one of them may have caused
+        those of the other.
         """
-        least = self._least
-        most = max((len(starts) for starts in counted.values()), default=0)
-        if not least or most < least:
+        threshold = self._threshold
+        most = max((len(keys) for keys in candidates.values()), default=0)
+        if not threshold or most < threshold:
             return []
-        top = [d for d, starts in counted.items() if len(starts) == most]
-        if most >= max(_MOST_ALIKE, least + 1):
+        top = [d for d, keys in candidates.items() if len(keys) == most]
+        if most >= max(_MAX_CRASHES_TO_DISTINGUISH, threshold + 1):
             return top
         return [
             digest
             for digest in top
             if not any(
-                other != digest and len(counted[other] - counted[digest]) < least
+                other != digest
+                and len(candidates[other] - candidates[digest]) < threshold
                 for other in top
             )
         ]
--- a/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
@@ -1,12 +1,13 @@
-"""What a relay remembers of crashes, and which requests it refuses for them.
+"""The crashes that a process remembers, and the requests that it quarantines for them.
 
-A request that crashes what runs it comes again, since its caller sees a failure like
-any other. What it costs is borne by all others at work on those endpoints. So each
-crash is remembered with the requests that were at work, and a request under which three
-endpoints crashed is refused until the memory of it ends.
+A request that crashes its endpoint is sent again, since its caller sees an ordinary
+failure, and each crash fails all other requests in flight there. So each crash is
+remembered with the requests in flight, and a request that three crashes are attributed
+to is refused until these crashes are forgotten.
 
-What is held of requests is worked out anew from the remembered crashes, so that relays
-with the same memory hold the same, in whatever order they heard it.
+The attribution is computed anew from the remembered crashes, so that relays that
+remember the same crashes quarantine the same requests, in whatever order they learned
+of them.
 """
 
 from collections.abc import Iterable
@@ -26,26 +27,26 @@
     CrashMessage,
     EvidenceMessage,
     ObservedCrash,
-    read_memory,
+    parse_evidence,
 )
 from ebonydeal._internal.settings.policy import PolicySettings
 
 # Relays see one crash within this of each other; an endpoint takes longer to start.
-_SAME_S = 1.0
+_SAME_CRASH_WINDOW_S = 1.0
 # What an endpoint sent before it crashed is read within this, on a busy instance.
-_ON_ITS_WAY_S = 1.0
-# What was buffered is read at once; a live stream has an event every few milliseconds.
-_SIGNS_APART_S = 0.3
-# Bounds of the memory: crashes, with 128 requests each, and successes. A megabyte at
-# worst; a request enters it only with the crash of an endpoint that had taken it.
-_MOST_CRASHES = 64
-_MOST_SUCCESSES = 2048
-# Differences of a success's time that are worth telling, seconds.
-_NEWER_S = 1.0
+_MAX_READ_DELAY_S = 1.0
+# Buffered data is read at once; a live stream has an event every few milliseconds.
+_MIN_ACTIVITY_SPAN_S = 0.3
+# Bounds of the memory: crashes, with 128 requests each, and successes; a megabyte at
+# worst. A request is remembered only if an endpoint crashed that had accepted it.
+_MAX_CRASHES = 64
+_MAX_SUCCESSES = 2048
+# A later success is merged only if it is newer by at least this.
+_MIN_SUCCESS_ADVANCE_S = 1.0
 
 
 class QuarantineStatus(StrEnum):
-    """What is held of a request."""
+    """Whether crashes are attributed to a request."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -53,19 +54,19 @@
 
 
 class QuarantinedRequest(NamedTuple):
-    """A request that is refused, and the endpoints that crashed under it."""
+    """A request that is refused, and the endpoints that it crashed."""
 
     digest: str
     endpoints: tuple[str, ...]
 
 
 class QuarantinePolicy(NamedTuple):
-    """How much is enough, and how long it is remembered.
+    """When a request is quarantined, and for how long.
 
     Attributes
     ----------
     crash_threshold : int
-        Endpoints that a request may bring down before it is refused; 0 is off.
+        Endpoints that a request may crash before it is refused; 0 is off.
     retention_s : float
         Seconds for which a crash is remembered.
     """
@@ -80,183 +81,187 @@
 
 
 class CrashEvidence:
-    """Crashes, and what follows from them.
+    """Remembers crashes, and keeps their attribution up to date.
 
     Parameters
     ----------
-    terms : EvidenceTerms, optional
-        How much is enough.
+    policy : QuarantinePolicy, optional
+        When a request is quarantined.
     """
 
     def __init__(self, policy: QuarantinePolicy | None = None) -> None:
         self._policy = policy or QuarantinePolicy()
         self._crashes: dict[CrashKey, Crash] = {}
-        # Successes of requests that were at work in a crash, and of any lately.
-        self._served: dict[str, float] = {}
-        self._lately: dict[str, float] = {}
-        self._untold: set[CrashKey] = set()
-        # When the first sign of life after a crash came.
-        self._signs: dict[CrashKey, float] = {}
-        # What follows, by digest: the crashes that count against it.
-        self._against: dict[str, frozenset[CrashKey]] = {}
-        self._held: dict[str, frozenset[CrashKey]] = {}
+        # Last successes of requests that were in flight in a crash.
+        self._successes: dict[str, float] = {}
+        # Last successes of any requests, up to a maximum.
+        self._recent_successes: dict[str, float] = {}
+        self._unreported: set[CrashKey] = set()
+        # When the endpoint was first active after a crash.
+        self._first_activity: dict[CrashKey, float] = {}
+        # Crashes attributed to each request, by digest.
+        self._suspected: dict[str, frozenset[CrashKey]] = {}
+        self._quarantined: dict[str, frozenset[CrashKey]] = {}
         self.fingerprint = ""
         # When the last crash was, monotonic seconds.
         self.last_crash = -inf
-        self._conclude()
+        self._update_attribution()
 
-    # --- what was seen -------------------------------------------------------
+    # --- observations ----------------------------------------------------------
     def record_crash(
-        self, seen: ObservedCrash, digests: Iterable[str]
+        self, observed: ObservedCrash, digests: Iterable[str]
     ) -> CrashKey | None:
-        """Note a crash and requests at work; return it if any of this is news."""
+        """Record a crash and requests in flight; return its key if any of it is new."""
         if not self._policy.crash_threshold:
             return None
-        key = self._note(seen, digests)
+        key = self._add_crash(observed, digests)
         if key is not None:
-            self._conclude()
+            self._update_attribution()
         return key
 
-    def _note(self, seen: ObservedCrash, digests: Iterable[str]) -> CrashKey | None:
-        key = self._key_of(seen)
+    def _add_crash(
+        self, observed: ObservedCrash, digests: Iterable[str]
+    ) -> CrashKey | None:
+        key = self._key_of(observed)
         crash = self._crashes.get(key)
         known = crash is not None
         if crash is None:
-            crash = self._crashes[key] = Crash(seen.zone, seen.at)
-            self.last_crash = max(self.last_crash, seen.at)
-            self._make_room()
+            crash = self._crashes[key] = Crash(observed.zone, observed.at)
+            self.last_crash = max(self.last_crash, observed.at)
+            self._evict()
         new = set(digests) - crash.digests
         changed = crash.add(new)
         for digest in new & crash.digests:
-            lately = self._lately.get(digest)
-            if lately is not None and seen.at - lately <= SUCCESS_CLEARS_S:
-                self._served[digest] = max(lately, self._served.get(digest, lately))
-                self._untold.add(key)
+            recent = self._recent_successes.get(digest)
+            if recent is not None and observed.at - recent <= SUCCESS_CLEARS_S:
+                self._successes[digest] = max(
+                    recent, self._successes.get(digest, recent)
+                )
+                self._unreported.add(key)
         return None if known and not changed else key
 
-    def _key_of(self, seen: ObservedCrash) -> CrashKey:
-        """Return the key of a crash: what others saw of it at about the same time."""
+    def _key_of(self, observed: ObservedCrash) -> CrashKey:
+        """Return the key of a crash; relays that see it at about one time share it."""
         number = 0
         while True:
-            key = CrashKey(seen.endpoint_id, seen.born, number)
+            key = CrashKey(observed.endpoint_id, observed.born, number)
             crash = self._crashes.get(key)
-            if crash is None or abs(crash.at - seen.at) <= _SAME_S:
+            if crash is None or abs(crash.at - observed.at) <= _SAME_CRASH_WINDOW_S:
                 return key
             number += 1
 
     def record_success(self, digest: str, at: float) -> bool:
-        """Note a success; return whether others should know of it."""
-        self._lately.pop(digest, None)
-        self._lately[digest] = at
-        if len(self._lately) > _MOST_SUCCESSES:
-            del self._lately[next(iter(self._lately))]
-        keys = self._held.get(digest) or self._against.get(digest)
+        """Record a success; return whether it must be reported to other relays."""
+        self._recent_successes.pop(digest, None)
+        self._recent_successes[digest] = at
+        if len(self._recent_successes) > _MAX_SUCCESSES:
+            del self._recent_successes[next(iter(self._recent_successes))]
+        keys = self._quarantined.get(digest) or self._suspected.get(digest)
         if not keys:
             return False
-        self._served[digest] = at
-        self._untold.update(keys)
-        self._conclude()
+        self._successes[digest] = at
+        self._unreported.update(keys)
+        self._update_attribution()
         return True
 
     def record_activity(
         self, endpoint_id: str, born: int, sent_at: float, now: float
     ) -> bool:
-        """Note a sign of life; return whether it shows that a crash was none.
+        """Record data from an endpoint; return whether it disproves a crash.
 
-        It does so on a connection from before the crash, since a process that ended
-        has none of these; not so soon after it that it may have been on its way, and
-        not by one sign alone, as a relay that stood still reads late what was.
+        Only data on a connection from before the crash does, since a process that ended
+        has lost these connections. It must come too late to have been sent before the
+        crash, and more than once, as a relay that was suspended reads old data late.
         """
-        found = [
+        disproved = [
             key
             for key, crash in self._crashes.items()
             if key[:2] == (endpoint_id, born)
-            and sent_at < crash.at - _SAME_S
-            and now > crash.at + _ON_ITS_WAY_S
+            and sent_at < crash.at - _SAME_CRASH_WINDOW_S
+            and now > crash.at + _MAX_READ_DELAY_S
             and not crash.alive
-            and now - self._signs.setdefault(key, now) >= _SIGNS_APART_S
+            and now - self._first_activity.setdefault(key, now) >= _MIN_ACTIVITY_SPAN_S
         ]
-        if not found:
+        if not disproved:
             return False
-        for key in found:
+        for key in disproved:
             self._crashes[key].alive = True
-        self._untold.update(found)
-        self._conclude()
+        self._unreported.update(disproved)
+        self._update_attribution()
         return True
 
     def take_unreported(self) -> list[CrashKey]:
-        """Return crashes of which this relay knows what it hasn't told yet."""
-        keys = [key for key in self._untold if key in self._crashes]
-        self._untold.clear()
+        """Return, once, the crashes with changes that weren't reported yet."""
+        keys = [key for key in self._unreported if key in self._crashes]
+        self._unreported.clear()
         return keys
 
     def expire(self, now: float) -> None:
-        """Forget what is older than the memory."""
+        """Forget crashes older than the retention time."""
         oldest = now - self._policy.retention_s
         kept = {k: c for k, c in self._crashes.items() if c.at >= oldest}
         if len(kept) < len(self._crashes):
             self._crashes = kept
-            self._trim()
-            self._conclude()
+            self._drop_unused()
+            self._update_attribution()
 
-    def _make_room(self) -> None:
-        """Drop the oldest crashes that nobody is held to have caused."""
-        while len(self._crashes) > _MOST_CRASHES:
+    def _evict(self) -> None:
+        """Drop the oldest crashes, those without a quarantined request first."""
+        while len(self._crashes) > _MAX_CRASHES:
             *known, _newest = self._crashes
-            spoken_for = set().union(*self._held.values())
-            idle = [key for key in known if key not in spoken_for]
-            del self._crashes[(idle or known)[0]]
+            in_use = set().union(*self._quarantined.values())
+            unused = [key for key in known if key not in in_use]
+            del self._crashes[(unused or known)[0]]
 
-    # --- what follows ----------------------------------------------------------
+    # --- attribution -----------------------------------------------------------
     def status(self, digest: str) -> QuarantineStatus:
-        """Return what is held of a request."""
-        if digest in self._held:
+        """Return whether a request is quarantined or suspected."""
+        if digest in self._quarantined:
             return QuarantineStatus.QUARANTINED
         return (
             QuarantineStatus.SUSPECT
-            if digest in self._against
+            if digest in self._suspected
             else QuarantineStatus.CLEAR
         )
 
     def crashed_endpoints(self, digest: str) -> tuple[str, ...]:
-        """Return the endpoints whose crashes are held against a request."""
-        keys = self._held.get(digest) or self._against.get(digest, frozenset())
+        """Return the endpoints whose crashes are attributed to a request."""
+        keys = self._quarantined.get(digest) or self._suspected.get(digest, frozenset())
         return tuple(sorted(key.endpoint_id for key in keys))
 
     def quarantined(self) -> list[QuarantinedRequest]:
         """Return the requests that are refused."""
         return [
             QuarantinedRequest(digest, self.crashed_endpoints(digest))
-            for digest in self._held
+            for digest in self._quarantined
         ]
 
-    def _conclude(self) -> None:
-        """Work out from the crashes what is held of each request."""
+    def _update_attribution(self) -> None:
         self.fingerprint = self._compute_fingerprint()
-        inquiry = CrashAttributor(
-            self._crashes, self._served, self._policy.crash_threshold
+        attributor = CrashAttributor(
+            self._crashes, self._successes, self._policy.crash_threshold
         )
-        self._held, self._against = inquiry.attribute()
+        self._quarantined, self._suspected = attributor.attribute()
 
-    # --- between relays ----------------------------------------------------------
+    # --- exchange with other relays ----------------------------------------------
     def _compute_fingerprint(self) -> str:
-        """Return a short text that tells whether two memories are the same."""
+        """Return a short text that is equal where two relays remember the same."""
         if not self._crashes:
             return ""
-        words = [
-            f"{key}{crash.alive}{crash.mark}"
+        lines = [
+            f"{key}{crash.alive}{crash.fingerprint}"
             for key, crash in sorted(self._crashes.items(), key=_key_first)
         ]
-        return xxh3_64_hexdigest("\n".join([*words, *sorted(self._served)]).encode())
+        return xxh3_64_hexdigest("\n".join([*lines, *sorted(self._successes)]).encode())
 
     def to_message(
         self, now: float, only: Iterable[CrashKey] | None = None
     ) -> EvidenceMessage:
-        """Return what is remembered, or what of it speaks of ``only`` some crashes."""
+        """Return all that is remembered, or what concerns ``only`` these crashes."""
         keys = self._crashes if only is None else only
-        # One that was to be told may have been dropped since.
+        # A crash may have been dropped since its report was queued.
         crashes = {key: self._crashes[key] for key in keys if key in self._crashes}
-        at_work = set().union(*(crash.digests for crash in crashes.values()))
+        in_flight = set().union(*(crash.digests for crash in crashes.values()))
         return EvidenceMessage(
             crashes=[
                 CrashMessage(
@@ -271,42 +276,44 @@
             ],
             served={
                 digest: round(max(0.0, now - at), 3)
-                for digest, at in self._served.items()
-                if digest in at_work
+                for digest, at in self._successes.items()
+                if digest in in_flight
             },
         )
 
     def merge(self, message: EvidenceMessage, now: float) -> bool:
-        """Take what another relay remembers; return whether any of it is news.
+        """Merge another relay's evidence; return whether anything changed.
 
-        Raises ValueError, KeyError or TypeError for what can't be a memory.
+        Raises ValueError, KeyError or TypeError for an invalid message.
         """
-        memory = read_memory(message, now)
+        reported = parse_evidence(message, now)
         if not self._policy.crash_threshold:
             return False
-        news = False
-        for told in memory.crashes[-_MOST_CRASHES:]:
-            if now - told.seen.at >= self._policy.retention_s:
+        changed = False
+        for item in reported.crashes[-_MAX_CRASHES:]:
+            if now - item.observed.at >= self._policy.retention_s:
                 continue
-            news |= self._note(told.seen, told.digests) is not None
-            crash = self._crashes.get(self._key_of(told.seen))
-            if told.alive and crash is not None and not crash.alive:
-                crash.alive = news = True
-        for digest, at in memory.served.items():
-            known = self._served.get(digest)
-            if known is None or at > known + _NEWER_S:
-                self._served[digest] = at
-                news = True
-        if news:
-            self._trim()
-            self._conclude()
-        return news
-
-    def _trim(self) -> None:
-        """Keep successes only of requests that crashes speak of."""
-        at_work = set().union(*(c.digests for c in self._crashes.values()))
-        self._served = {d: at for d, at in self._served.items() if d in at_work}
-        self._signs = {k: at for k, at in self._signs.items() if k in self._crashes}
+            changed |= self._add_crash(item.observed, item.digests) is not None
+            crash = self._crashes.get(self._key_of(item.observed))
+            if item.alive and crash is not None and not crash.alive:
+                crash.alive = changed = True
+        for digest, at in reported.successes.items():
+            known = self._successes.get(digest)
+            if known is None or at > known + _MIN_SUCCESS_ADVANCE_S:
+                self._successes[digest] = at
+                changed = True
+        if changed:
+            self._drop_unused()
+            self._update_attribution()
+        return changed
+
+    def _drop_unused(self) -> None:
+        """Drop successes and activity that concern no remembered crash."""
+        in_flight = set().union(*(c.digests for c in self._crashes.values()))
+        self._successes = {d: at for d, at in self._successes.items() if d in in_flight}
+        self._first_activity = {
+            k: at for k, at in self._first_activity.items() if k in self._crashes
+        }
 
 
 def _key_first(item: tuple[CrashKey, Crash]) -> CrashKey:
--- a/src/ebonydeal/_internal/routing/crashes/crash_messages.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_messages.py
@@ -1,15 +1,15 @@
-"""What relays tell each other of crashes, and its reading."""
+"""Messages in which relays report crashes to each other, and their parsing."""
 
 from math import isfinite
 from typing import Any, NamedTuple, TypedDict
 
-_MOST_TEXT = 200
+_MAX_TEXT_CHARS = 200
 
 
 class CrashMessage(TypedDict):
-    """One crash: the endpoint, seconds since then, and the requests at work.
+    """One crash: the endpoint, its age in seconds, and the requests in flight.
 
-    ``alive`` says that the endpoint was heard of afterwards, so that it was none.
+    ``alive`` says that the endpoint was active afterwards, so that it didn't crash.
     """
 
     endpoint: str
@@ -21,7 +21,7 @@
 
 
 class EvidenceMessage(TypedDict):
-    """What a relay remembers.
+    """What a relay remembers of crashes.
 
     ``served`` are seconds since the last success of a request, by digest.
     """
@@ -39,60 +39,61 @@
     at: float
 
 
-class Told(NamedTuple):
-    """One crash as another relay told it."""
+class ReportedCrash(NamedTuple):
+    """One crash as another relay reported it."""
 
-    seen: ObservedCrash
+    observed: ObservedCrash
     digests: frozenset[str]
     alive: bool
 
 
-class Memory(NamedTuple):
-    """A relay's memory as it was told; ``served`` are monotonic seconds."""
+class ReportedEvidence(NamedTuple):
+    """Another relay's evidence; ``successes`` are monotonic seconds by digest."""
 
-    crashes: tuple[Told, ...]
-    served: dict[str, float]
+    crashes: tuple[ReportedCrash, ...]
+    successes: dict[str, float]
 
 
-def read_memory(message: Any, now: float) -> Memory:
-    """Return what a message says; raises ValueError, KeyError or TypeError for none.
+def parse_evidence(message: Any, now: float) -> ReportedEvidence:
+    """Parse a message; raises ValueError, KeyError or TypeError if it is invalid.
 
-    All of it is read before any is taken, so that half of a wrong one changes nothing.
+    All of it is parsed before any is applied, so that an invalid message changes
+    nothing.
     """
     if not isinstance(message["served"], dict):
-        raise ValueError("successes aren't told by digest")
+        raise ValueError("successes must be a mapping by digest")
     crashes = tuple(
-        Told(
+        ReportedCrash(
             ObservedCrash(
-                _text(told["endpoint"]),
-                _whole(told["born"]),
-                _text(told["zone"]),
-                now - _age(told["age"]),
+                _text(reported["endpoint"]),
+                _integer(reported["born"]),
+                _text(reported["zone"]),
+                now - _age(reported["age"]),
             ),
-            frozenset(_text(digest) for digest in told["requests"]),
-            bool(told["alive"]),
+            frozenset(_text(digest) for digest in reported["requests"]),
+            bool(reported["alive"]),
         )
-        for told in message["crashes"]
+        for reported in message["crashes"]
     )
-    served = {
+    successes = {
         _text(digest): now - _age(age) for digest, age in message["served"].items()
     }
-    return Memory(crashes, served)
+    return ReportedEvidence(crashes, successes)
 
 
 def _text(value: object) -> str:
-    if not isinstance(value, str) or len(value) > _MOST_TEXT:
-        raise ValueError("a name is wrong")
+    if not isinstance(value, str) or len(value) > _MAX_TEXT_CHARS:
+        raise ValueError("a name must be a string, and not too long")
     return value
 
 
-def _whole(value: object) -> int:
+def _integer(value: object) -> int:
     if not isinstance(value, int):
-        raise ValueError("a number isn't whole")
+        raise ValueError("a number must be an integer")
     return value
 
 
 def _age(value: object) -> float:
     if not isinstance(value, (int, float)) or not isfinite(value) or value < 0.0:
-        raise ValueError("an age is wrong")
+        raise ValueError("an age must be finite and not negative")
     return float(value)
--- a/tests/unit/routing/crashes/test_crash_evidence.py
+++ b/tests/unit/routing/crashes/test_crash_evidence.py
@@ -195,7 +195,7 @@
         found = evidence()
         for number in range(10_000):
             found.record_success(f"d{number}", 100.0)
-        assert len(found._lately) <= 2048
+        assert len(found._recent_successes) <= 2048
 
 
 class TestMerge:
