--- a/src/ebonydeal/_internal/relay/crashes/__init__.py
+++ b/src/ebonydeal/_internal/relay/crashes/__init__.py
@@ -1,5 +1,5 @@
-"""Endpoints that ended under requests: seen, told, kept, and acted on.
+"""Crashes of endpoints on a relay: detected, reported, persisted, and acted on.
 
-Called when a connection to an endpoint breaks and when another relay tells; keeps
-what is known beside the lease.
+Called when a connection to an endpoint breaks, and when another relay reports a crash.
+What is known is persisted with the coordinator's lease.
 """
--- a/src/ebonydeal/_internal/relay/crashes/crash_detector.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_detector.py
@@ -1,9 +1,10 @@
-"""Whether an endpoint whose connection broke amid a request has crashed.
+"""Detects whether an endpoint whose connection broke during a request has crashed.
 
-A broken connection alone says little: links reset, answers are cut, and endpoints that
-leave close what is left. One whose address refuses a new connection at the same moment
-has no process any more. What falls silent, or can't be reached, tells nothing: the same
-is seen when a zone loses power or a link is cut.
+A broken connection alone isn't enough: links are reset, answers are cut off, and
+endpoints that leave close their connections. Only an endpoint whose address refuses a
+new connection at that moment has no process any more. One that doesn't answer, or can't
+be reached, isn't counted as crashed: a power failure in a zone, or a cut link, looks
+the same.
 """
 
 import asyncio
@@ -21,40 +22,40 @@
 
 logger = get_logger("relay.crash")
 
-# Connections of a process that ends break within a few milliseconds of each other: so
-# long the requests that were at work on them are put together.
-_GROUP_S = 0.005
-# A process that is gone refuses within milliseconds; what takes longer is unreachable,
-# and the request that waits goes on.
-_LONGEST_CHECK_S = 0.1
-# Digests in one line: a full engine has some hundred requests at work.
-_MOST_LOGGED = 16
+# Connections of a process that ends break within a few milliseconds of each other: the
+# check waits for this long to collect the requests in flight on them.
+_COLLECT_S = 0.005
+# The address of an ended process refuses within milliseconds. One that takes longer is
+# unreachable, and the waiting request continues.
+_MAX_CHECK_WAIT_S = 0.1
+# Digests per log line: a full engine has some hundred requests in flight.
+_MAX_LOGGED_DIGESTS = 16
 
 
 class CrashedEndpoint(NamedTuple):
-    """An endpoint that crashed, and the requests at work there on this relay."""
+    """An endpoint that crashed, and the requests of this relay in flight there."""
 
     member: Member
     digests: frozenset[str]
 
 
-class _Broken(NamedTuple):
+class _Check(NamedTuple):
     """Requests whose connections to an endpoint broke; ``done`` once it is checked."""
 
     digests: set[str]
     done: asyncio.Event
 
 
-# An endpoint that starts again under its id is another one.
-_Start = tuple[str, int]
+# Id and start time: an endpoint that restarts under its id is another one.
+_StartKey = tuple[str, int]
 
 
-def _start(member: Member) -> _Start:
+def _start_key(member: Member) -> _StartKey:
     return member.endpoint_id, member.born
 
 
 class CrashDetector(Service):
-    """Asks endpoints whose connections broke for another one.
+    """Opens a new connection to endpoints whose connections broke.
 
     Parameters
     ----------
@@ -62,62 +63,62 @@
         The listed endpoints.
     clock : Clock
         Time.
-    connect_s : float
-        Longest wait for a connection, seconds.
+    connect_timeout_s : float
+        Connect timeout, seconds.
     """
 
-    def __init__(self, view: RelayView, clock: Clock, connect_s: float) -> None:
+    def __init__(self, view: RelayView, clock: Clock, connect_timeout_s: float) -> None:
         super().__init__()
         self._view = view
         self._clock = clock
-        self._connect_s = connect_s
-        self._broken: dict[_Start, _Broken] = {}
-        # Told what crashed.
+        self._connect_timeout_s = connect_timeout_s
+        self._checks: dict[_StartKey, _Check] = {}
+        # Called with each endpoint that crashed.
         self.on_crash: Callable[[CrashedEndpoint], None] = lambda _crashed: None
 
     def connection_broken(self, member: Member, digest: str) -> None:
-        """Note a connection that ended amid a request.
+        """Check an endpoint whose connection broke during a request.
 
-        One that leaves, or is listed no more, was about to end.
+        One that is leaving, or isn't listed any more, was expected to end.
         """
         listed = self._view.members.get(member.endpoint_id)
         if listed is None or listed.leaving or listed.born != member.born:
             return
-        waiting = self._broken.get(_start(listed))
-        if waiting is not None:
-            waiting.digests.add(digest)
+        running = self._checks.get(_start_key(listed))
+        if running is not None:
+            running.digests.add(digest)
             return
-        self._broken[_start(listed)] = _Broken({digest}, asyncio.Event())
+        self._checks[_start_key(listed)] = _Check({digest}, asyncio.Event())
         self.add_future(self._check(listed))
 
     async def wait_until_checked(self, member: Member) -> None:
-        """Wait until it is known whether an endpoint crashed, if that is being asked.
+        """Wait for the check of an endpoint, if one is running.
 
-        A request that goes on at once would bring down the next endpoint before
-        anything is held against it.
+        A request that is sent again at once would crash the next endpoint before the
+        first crash is attributed to it.
         """
-        broken = self._broken.get(_start(member))
-        if broken is None:
+        check = self._checks.get(_start_key(member))
+        if check is None:
             return
         with suppress(TimeoutError):
-            async with asyncio.timeout(_LONGEST_CHECK_S):
-                await broken.done.wait()
+            async with asyncio.timeout(_MAX_CHECK_WAIT_S):
+                await check.done.wait()
 
     async def _check(self, member: Member) -> None:
-        """Find out about one endpoint, and tell."""
-        await self._clock.sleep(_GROUP_S)
-        refused = await refuses_connections(member.address, self._connect_s)
-        broken = self._broken.pop(_start(member))
-        digests = frozenset(broken.digests)
+        """Check one endpoint, and call ``on_crash`` if it crashed."""
+        await self._clock.sleep(_COLLECT_S)
+        refused = await refuses_connections(member.address, self._connect_timeout_s)
+        check = self._checks.pop(_start_key(member))
+        digests = frozenset(check.digests)
         logger.info(
             "Connections broke amid requests.",
             endpoint=member.endpoint_id,
             born=member.born,
             zone=member.zone,
             requests=len(digests),
-            digests=sorted(digests)[:_MOST_LOGGED],
+            digests=sorted(digests)[:_MAX_LOGGED_DIGESTS],
             crashed=refused,
         )
         if refused:
             self.on_crash(CrashedEndpoint(member, digests))
-        broken.done.set()
+        check.done.set()
--- a/src/ebonydeal/_internal/relay/crashes/crash_store.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_store.py
@@ -1,7 +1,8 @@
-"""What relays remember of crashes, in the platform's store.
+"""Persists what relays remember of crashes in the platform's store.
 
-It is written with a renewal of the lease where it has changed, so it costs no call, and
-read by who takes the lease: so it outlives the loss of all relays at once.
+The row is written together with a renewal of the lease when it has changed, which costs
+no extra call. A relay that acquires the lease reads it, so the evidence survives the
+loss of all relays at once.
 """
 
 from typing import Any
@@ -20,64 +21,67 @@
 
 
 class CrashStore:
-    """Reads and writes the row of crashes.
+    """Reads and writes the row with the crash evidence.
 
     Parameters
     ----------
     store : SharedStore
         The platform's store.
     suspects : Suspects
-        What this relay remembers.
+        The crash evidence of this relay.
     clock : Clock
-        The time of day, as monotonic time ends with a process.
+        Wall-clock time, as monotonic time ends with the process.
     """
 
     def __init__(self, store: SharedStore, suspects: Suspects, clock: Clock) -> None:
         self._store = store
         self._suspects = suspects
         self._clock = clock
+        # Fingerprint of the evidence in the store.
         self._written = ""
-        # Mark of the last changes, until it is known whether they took effect.
+        # Fingerprint of the last changes, until it is known whether they took effect.
         self._writing = ""
-        # Whether what lies in the store was read: before that it isn't written over.
+        # Whether the row was read: it isn't overwritten before.
         self.known = False
 
     def changes(self) -> list[RowChange]:
-        """Return the write that keeps what changed since the last one, if anything."""
+        """Return the write that persists the evidence, if it has changed."""
         self._writing = ""
         if not self.known or self._suspects.fingerprint == self._written:
             return []
         message = {"wall": self._clock.wall(), "memory": self._suspects.to_message()}
         value = pack(message)
         if len(value) > MOST_BYTES:
-            # What is refused is still known to all relays, but not kept.
-            logger.warning("Crashes are too many to keep.", size=len(value))
+            # All relays still know the quarantined requests; they aren't persisted.
+            logger.warning("Crash evidence is too large to persist.", size=len(value))
             return []
         self._writing = self._suspects.fingerprint
         return [RowChange(CRASHES_TABLE, _KEY, value)]
 
     def wrote(self) -> None:
-        """Note that the last changes lie in the store."""
+        """Note that the last changes took effect."""
         if self._writing:
             self._written = self._writing
 
     async def read(self) -> None:
-        """Take what the holder before kept."""
+        """Merge the evidence that the previous lease holder persisted."""
         rows, _version = await self._store.rows(CRASHES_TABLE)
         for row in rows:
             if row.key != _KEY or row.value is None:
                 continue
             try:
                 message = unpack(row.value)
-                passed = max(0.0, self._clock.wall() - float(message["wall"]))
-                self._suspects.merge(_aged(message["memory"], passed), "store")
+                elapsed = max(0.0, self._clock.wall() - float(message["wall"]))
+                self._suspects.merge(_aged(message["memory"], elapsed), "store")
             except UNREADABLE as exc:
-                logger.error("Stored crashes can't be read.", reason=repr(exc))
+                logger.error("Stored crash evidence is unreadable.", reason=repr(exc))
         self.known = True
 
 
-def _aged(memory: Any, seconds: float) -> Any:
-    """Return a memory as it is so much later."""
-    crashes = [{**told, "age": told["age"] + seconds} for told in memory["crashes"]]
-    served = {digest: age + seconds for digest, age in memory["served"].items()}
+def _aged(evidence: Any, seconds: float) -> Any:
+    """Return an evidence message with its ages increased by ``seconds``."""
+    crashes = [
+        {**crash, "age": crash["age"] + seconds} for crash in evidence["crashes"]
+    ]
+    served = {digest: age + seconds for digest, age in evidence["served"].items()}
     return {"crashes": crashes, "served": served}
--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -1,9 +1,10 @@
-"""Requests that bring endpoints down, known to all relays at once.
+"""Requests that crash endpoints, known to all relays at once.
 
-Each relay tells all others of a crash when it sees it, with the requests that were at
-work. Who misses that word hears it from the coordinator, who compares memories with
-each relay's next word, and a relay that starts without a coordinator from any other. So
-no single relay, nor the store, is needed for all to know.
+A relay that detects a crash reports it to all others, with the requests that were in
+flight. A relay that misses this report gets the evidence from the coordinator, which
+compares fingerprints with each relay's next report; one that starts without a
+coordinator gets it from any other relay. So no single relay, nor the store, is needed
+for all relays to know.
 """
 
 import asyncio
@@ -36,16 +37,16 @@
 logger = get_logger("relay.suspects")
 
 CRASHES_PATH = "/relay/v1/crashes"
-# Longest wait for another relay to take a word: it hears of it again with its next
-# exchange, half a second later.
-_CALL_S = 0.4
-_EXPIRY_S = 1.0
-# Signs of life are looked at for so long after a crash: a stream lasts no longer.
-_CONTRADICTED_S = 60.0
+# Timeout of a report to another relay: one that misses it gets the evidence with its
+# next exchange, half a second later.
+_CALL_TIMEOUT_S = 0.4
+_EXPIRY_INTERVAL_S = 1.0
+# For so long after a crash, data from endpoints is recorded: a stream lasts no longer.
+_ACTIVITY_WINDOW_S = 60.0
 
 
 class SuspectParts(NamedTuple):
-    """What the suspects are kept with; ``node`` is this relay's name."""
+    """Dependencies of `Suspects`; ``node`` is this relay's name."""
 
     evidence: CrashEvidence
     client: PeerClient
@@ -56,52 +57,52 @@
 
 
 class Suspects(Service):
-    """What is held of requests, and the runs of those that are to be stopped."""
+    """Tracks suspected and quarantined requests, and stops runs of quarantined ones."""
 
     def __init__(self, parts: SuspectParts) -> None:
         super().__init__()
         self._parts = parts
         self._runs: dict[str, set[asyncio.Timeout]] = {}
-        self._places: dict[str, int] = {}
-        self._told: asyncio.Queue[list[CrashKey]] = asyncio.Queue()
-        self._refused: set[str] = set()
-        # Of the memory that the coordinator had at the last exchange.
-        self._coordinators_mark = ""
+        self._suspect_counts: dict[str, int] = {}
+        self._unsent: asyncio.Queue[list[CrashKey]] = asyncio.Queue()
+        self._quarantined: set[str] = set()
+        # Fingerprint of the coordinator's evidence at the last exchange.
+        self._coordinator_fingerprint = ""
 
     # --- for one request -----------------------------------------------------
     def status(self, digest: str) -> QuarantineStatus:
-        """Return what is held of a request."""
+        """Return whether a request is quarantined or suspected."""
         return self._parts.evidence.status(digest)
 
     def check(self, digest: str) -> None:
-        """Raise REQUEST_QUARANTINED for a request that brings endpoints down."""
+        """Raise REQUEST_QUARANTINED for a request that crashes endpoints."""
         if self.status(digest) is QuarantineStatus.QUARANTINED:
-            raise EbonydealError(ErrorKind.REQUEST_QUARANTINED, self._why(digest))
+            raise EbonydealError(ErrorKind.REQUEST_QUARANTINED, self._message(digest))
 
     def stopped_outcome(self, digest: str) -> MayHaveRun | None:
-        """Return the outcome of a run that was ended since its request is held."""
+        """Return the outcome of a run that was stopped by the quarantine, or None."""
         if self.status(digest) is not QuarantineStatus.QUARANTINED:
             return None
-        return MayHaveRun(ErrorKind.REQUEST_QUARANTINED, self._why(digest))
+        return MayHaveRun(ErrorKind.REQUEST_QUARANTINED, self._message(digest))
 
-    def _why(self, digest: str) -> str:
+    def _message(self, digest: str) -> str:
         count = len(self._parts.evidence.crashed_endpoints(digest))
         return f"{count} endpoints crashed under this request (digest {digest})."
 
     def suspects_at(self, endpoint_id: str) -> int:
-        """Return how many suspects this relay has at an endpoint."""
-        return self._places.get(endpoint_id, 0)
+        """Return how many suspects this relay has in flight at an endpoint."""
+        return self._suspect_counts.get(endpoint_id, 0)
 
     @contextmanager
     def track_run(
         self, digest: str, endpoint_id: str, limit: asyncio.Timeout
     ) -> Iterator[None]:
-        """Let a run's limit end as soon as its request is held."""
+        """Make a run time out as soon as its request is quarantined."""
         runs = self._runs.setdefault(digest, set())
         runs.add(limit)
         suspect = self.status(digest) is QuarantineStatus.SUSPECT
         if suspect:
-            self._places[endpoint_id] = self.suspects_at(endpoint_id) + 1
+            self._suspect_counts[endpoint_id] = self.suspects_at(endpoint_id) + 1
         try:
             yield
         finally:
@@ -109,81 +110,85 @@
             if not runs and self._runs.get(digest) is runs:
                 del self._runs[digest]
             if suspect:
-                self._leave(endpoint_id)
+                self._release(endpoint_id)
 
-    def _leave(self, endpoint_id: str) -> None:
-        left = self._places[endpoint_id] - 1
-        if left:
-            self._places[endpoint_id] = left
+    def _release(self, endpoint_id: str) -> None:
+        remaining = self._suspect_counts[endpoint_id] - 1
+        if remaining:
+            self._suspect_counts[endpoint_id] = remaining
         else:
-            del self._places[endpoint_id]
+            del self._suspect_counts[endpoint_id]
 
     def record_success(self, digest: str) -> None:
-        """Note a success of a request."""
+        """Record a success of a request."""
         if self._parts.evidence.record_success(digest, self._parts.clock.now()):
-            self._changed("itself")
+            self._on_change("itself")
 
     def record_activity(self, member: Member, sent_at: float) -> None:
-        """Note a sign of life of an endpoint on a request sent then."""
+        """Record data from an endpoint for a request sent at ``sent_at``."""
         evidence, now = self._parts.evidence, self._parts.clock.now()
-        if now - evidence.last_crash > _CONTRADICTED_S:
+        if now - evidence.last_crash > _ACTIVITY_WINDOW_S:
             return
         if evidence.record_activity(member.endpoint_id, member.born, sent_at, now):
             logger.warning("Endpoint lives after all.", endpoint=member.endpoint_id)
-            self._changed("itself")
+            self._on_change("itself")
 
-    # --- what relays saw -------------------------------------------------------
+    # --- crashes -----------------------------------------------------------------
     def record_crash(self, crashed: CrashedEndpoint) -> None:
-        """Take a crash that this relay saw, and tell all others."""
+        """Record a crash that this relay detected, and report it to all others."""
         parts, member = self._parts, crashed.member
         parts.metrics.count(Event.ENDPOINTS_CRASHED)
-        seen = ObservedCrash(
+        observed = ObservedCrash(
             member.endpoint_id, member.born, member.zone, parts.clock.now()
         )
-        key = parts.evidence.record_crash(seen, crashed.digests)
+        key = parts.evidence.record_crash(observed, crashed.digests)
         if key is not None:
-            self._told.put_nowait([key])
-            self._changed("itself")
+            self._unsent.put_nowait([key])
+            self._on_change("itself")
 
     def receive(self, message: CrashesMessage) -> dict[str, Any]:
-        """Take another relay's word on crashes."""
+        """Merge another relay's report of crashes."""
         now = self._parts.clock.now()
         if self._parts.evidence.merge(message["crashes"], now):
-            self._changed(str(message["node"]))
+            self._on_change(str(message["node"]))
         return {}
 
-    def _changed(self, who: str) -> None:
-        """Act on what follows from a change: refuse, stop runs, tell what we know."""
+    def _on_change(self, source: str) -> None:
+        """Apply changed evidence: report it, and stop runs of quarantined requests."""
         evidence = self._parts.evidence
-        untold = evidence.take_unreported()
-        if untold:
-            self._told.put_nowait(untold)
-        held = {found.digest: found.endpoints for found in evidence.quarantined()}
-        for digest in held.keys() - self._refused:
+        unreported = evidence.take_unreported()
+        if unreported:
+            self._unsent.put_nowait(unreported)
+        quarantined = {
+            found.digest: found.endpoints for found in evidence.quarantined()
+        }
+        for digest in quarantined.keys() - self._quarantined:
             self._parts.metrics.count(Event.REQUESTS_QUARANTINED)
             logger.warning(
                 "Request quarantined.",
                 digest=digest,
-                endpoints=held[digest],
-                told_by=who,
+                endpoints=quarantined[digest],
+                told_by=source,
                 stopped=len(self._runs.get(digest, ())),
             )
             self._stop(digest)
-        for digest in self._refused - held.keys():
-            logger.warning("Request no longer quarantined.", digest=digest, told_by=who)
-        self._refused = set(held)
+        for digest in self._quarantined - quarantined.keys():
+            logger.warning(
+                "Request no longer quarantined.", digest=digest, told_by=source
+            )
+        self._quarantined = set(quarantined)
 
     def _stop(self, digest: str) -> None:
-        """End the runs of a request: each would bring down one more endpoint."""
+        """Stop the runs of a request: each would crash one more endpoint."""
         now = asyncio.get_running_loop().time()
         for limit in self._runs.get(digest, ()):
             if not limit.expired():
                 limit.reschedule(now)
 
     @Service.task
-    async def _tell(self) -> None:
+    async def _send_reports(self) -> None:
         while not self.should_stop:
-            keys = await self._told.get()
+            keys = await self._unsent.get()
             addresses = self._parts.budget.hearers()
             if not addresses:
                 continue
@@ -191,68 +196,70 @@
                 node=self._parts.node,
                 crashes=self._parts.evidence.to_message(self._parts.clock.now(), keys),
             )
-            await asyncio.gather(*(self._call(a, message) for a in addresses))
+            await asyncio.gather(*(self._send_report(a, message) for a in addresses))
 
-    async def _call(self, address: str, message: CrashesMessage) -> None:
+    async def _send_report(self, address: str, message: CrashesMessage) -> None:
         try:
-            await self._parts.client.call(address, CRASHES_PATH, message, _CALL_S)
+            await self._parts.client.call(
+                address, CRASHES_PATH, message, _CALL_TIMEOUT_S
+            )
         except EbonydealError as exc:
-            logger.info("Crash not told.", peer=address, reason=str(exc))
+            logger.info("Crash report not delivered.", peer=address, reason=str(exc))
 
     @Service.task
     async def _expire(self) -> None:
         while not self.should_stop:
-            await self._parts.clock.sleep(_EXPIRY_S)
+            await self._parts.clock.sleep(_EXPIRY_INTERVAL_S)
             self._parts.evidence.expire(self._parts.clock.now())
-            self._changed("time")
+            self._on_change("time")
 
-    # --- with other messages -----------------------------------------------------
+    # --- exchange with other relays ------------------------------------------------
     @property
     def fingerprint(self) -> str:
-        """Tells whether another relay remembers the same."""
+        """A short text that is equal on relays that remember the same crashes."""
         return self._parts.evidence.fingerprint
 
     def to_message(self) -> EvidenceMessage:
-        """Return all that this relay remembers."""
+        """Return all evidence of this relay."""
         return self._parts.evidence.to_message(self._parts.clock.now())
 
-    def to_message_if_differs(self, mark: str) -> EvidenceMessage | None:
-        """Return all, or None for a relay that remembers the same."""
-        return None if mark == self.fingerprint else self.to_message()
+    def to_message_if_differs(self, fingerprint: str) -> EvidenceMessage | None:
+        """Return all evidence, or None for a relay that has the same."""
+        return None if fingerprint == self.fingerprint else self.to_message()
 
     def exchange_evidence(
-        self, word: ExchangeMessage
+        self, report: ExchangeMessage
     ) -> tuple[str, EvidenceMessage | None]:
-        """Take a relay's memory; return the mark of ours, and ours where it differs."""
-        self.merge(word.get("crashes"), word["node"])
-        # One of the release before tells no mark, and can't take a memory.
+        """Merge a relay's evidence; return our fingerprint, and ours if it differs."""
+        self.merge(report.get("crashes"), report["node"])
+        # A relay of the previous release sends no fingerprint, and reads no evidence.
         return self.fingerprint, self.to_message_if_differs(
-            word.get("crashes_mark", self.fingerprint)
+            report.get("crashes_mark", self.fingerprint)
         )
 
     def evidence_for_coordinator(self) -> EvidenceMessage | None:
-        """Return what the coordinator is told: all, where it has something else."""
-        return self.to_message_if_differs(self._coordinators_mark)
+        """Return all evidence, or None if the coordinator has the same."""
+        return self.to_message_if_differs(self._coordinator_fingerprint)
 
-    def apply_reply(self, mark: str, message: Any, who: str) -> None:
-        """Take a relay's whole memory, or None; what can't be read is left out."""
-        self._coordinators_mark = mark
-        self.merge(message, who)
+    def apply_reply(self, fingerprint: str, message: Any, source: str) -> None:
+        """Merge the coordinator's evidence; None means that it is the same as ours."""
+        self._coordinator_fingerprint = fingerprint
+        self.merge(message, source)
 
-    def merge(self, message: Any, who: str) -> None:
-        """Take a relay's whole memory, or None; what can't be read is left out."""
+    def merge(self, message: Any, source: str) -> None:
+        """Merge a relay's evidence, or None; an unreadable message is ignored."""
         if message is None:
             return
         try:
-            news = self._parts.evidence.merge(message, self._parts.clock.now())
+            changed = self._parts.evidence.merge(message, self._parts.clock.now())
         except (KeyError, TypeError, ValueError, AttributeError) as exc:
-            logger.error("Crashes can't be read.", who=who, reason=repr(exc))
+            logger.error("Crash evidence is unreadable.", who=source, reason=repr(exc))
             return
-        if news:
-            self._changed(who)
+        if changed:
+            self._on_change(source)
 
     def report(self) -> list[dict[str, Any]]:
-        """Return the requests that are refused, for operators."""
+        """Return the quarantined requests, for operators."""
         return [
             {"digest": found.digest, "endpoints": list(found.endpoints)}
             for found in self._parts.evidence.quarantined()
