--- a/src/ebonydeal/_internal/relay/duties/rollout_registry.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_registry.py
@@ -1,10 +1,10 @@
-"""All roll-outs that the coordinator knows, and which versions are a service's own."""
+"""All roll-outs that the coordinator knows, and the current versions of services."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
-from ebonydeal._internal.relay.duties.rollout_run import RolloutRun, Totals
+from ebonydeal._internal.relay.duties.rollout_run import RequestTotals, RolloutRun
 from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
     RollBack,
@@ -16,95 +16,95 @@
 
 @dataclass
 class RolloutRegistry:
-    """Roll-outs by service.
+    """All roll-outs, by service.
 
     Attributes
     ----------
-    terms : Terms
-        Terms of verdict and exposure.
+    policy : RolloutPolicy
+        Thresholds of the verdict and plan of the exposure.
     runs : dict of str to RolloutRun
         Each service's last roll-out.
     barred : dict of str to set of str
-        Versions that get nothing: rolled back, or given up midway.
-    own : dict of str to set of str
-        Versions that are a service's own: there before its order, or completed.
+        Versions that get no requests: rolled back, or replaced by a newer order.
+    current : dict of str to set of str
+        A service's current versions: listed before its order, or completed.
     """
 
-    terms: RolloutPolicy
+    policy: RolloutPolicy
     runs: dict[str, RolloutRun] = field(default_factory=dict)
     barred: dict[str, set[str]] = field(default_factory=dict)
-    own: dict[str, set[str]] = field(default_factory=dict)
+    current: dict[str, set[str]] = field(default_factory=dict)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Forget all roll-outs."""
         self.runs.clear()
         self.barred.clear()
-        self.own.clear()
+        self.current.clear()
 
-    def barred_of(self, service: str) -> frozenset[str]:
-        """Return the versions of a service that get nothing."""
+    def barred_versions(self, service: str) -> frozenset[str]:
+        """Return the versions of a service that get no requests."""
         return frozenset(self.barred.get(service, ()))
 
-    def is_news(self, order: RolloutOrder) -> bool:
-        """Return whether an order isn't known yet."""
+    def is_new(self, order: RolloutOrder) -> bool:
+        """Return whether an order has no roll-out yet."""
         known = self.runs.get(order.service)
-        return known is None or known.course.order.revision < order.revision
+        return known is None or known.state.order.revision < order.revision
 
-    def begin(self, order: RolloutOrder, before: set[str], now: float) -> RolloutRun:
-        """Begin an order; one under way that it overtakes is given up.
+    def start(self, order: RolloutOrder, before: set[str], now: float) -> RolloutRun:
+        """Start a roll-out; one under way for the same service is abandoned.
 
-        ``before`` are the versions that were listed before it was given.
+        ``before`` are the versions that were listed before the order.
         """
         service = order.service
         known = self.runs.get(service)
         barred = self.barred.setdefault(service, set())
         if known is not None and known.is_running:
-            barred.add(known.course.order.to)
-        own = self.own.setdefault(service, set())
-        if not own:
-            own.update(before - {order.to} or before)
-        # The operator's newest word goes before an older verdict.
+            barred.add(known.state.order.to)
+        current = self.current.setdefault(service, set())
+        if not current:
+            current.update(before - {order.to} or before)
+        # A newer order overrides an older verdict.
         barred.discard(order.to)
-        run = RolloutRun(RolloutState(order, now + order.duration, self.terms))
+        run = RolloutRun(RolloutState(order, now + order.duration, self.policy))
         self.runs[service] = run
-        if order.to in own:
-            # Back to what the service runs: there is nothing to find out.
-            run.course.phase = Phase.COMPLETED
+        if order.to in current:
+            # The service runs this version already: there is nothing to test.
+            run.state.phase = Phase.COMPLETED
             run.verdict = Complete(0)
         return run
 
-    def end(self, run: RolloutRun, verdict: Verdict) -> None:
-        """Make a verdict final."""
+    def finish(self, run: RolloutRun, verdict: Verdict) -> None:
+        """Set a final verdict."""
         run.verdict = verdict
         run.status_due = True
-        order = run.course.order
+        order = run.state.order
         match verdict:
             case Complete():
-                run.course.phase = Phase.COMPLETED
-                self.own[order.service] = {order.to}
+                run.state.phase = Phase.COMPLETED
+                self.current[order.service] = {order.to}
             case RollBack():
-                run.course.phase = Phase.ROLLED_BACK
+                run.state.phase = Phase.ROLLED_BACK
                 self.barred.setdefault(order.service, set()).add(order.to)
 
     def gates(self) -> list[Gate]:
-        """Return what relays are told."""
+        """Return the gates that relays get."""
         return [
-            run.course.gate(run.verdict, tuple(sorted(self.barred_of(service))))
+            run.state.gate(run.verdict, tuple(sorted(self.barred_versions(service))))
             for service, run in self.runs.items()
         ]
 
-    # --- what outlasts a process -----------------------------------------------------
-    def to_memory(self, ahead: float) -> dict[str, Any]:
-        """Return what is kept; ``ahead`` is that of the store's clock, seconds."""
+    # --- persistence -----------------------------------------------------------------
+    def to_stored(self, clock_ahead_s: float) -> dict[str, Any]:
+        """Return what is persisted; the store's clock is ahead by ``clock_ahead_s``."""
         runs = {}
         for service, run in self.runs.items():
-            course = run.course
+            state = run.state
             runs[service] = {
-                "to": course.order.to,
-                "duration": course.order.duration,
-                "revision": course.order.revision,
-                "until": round(course.until + ahead, 3),
-                "phase": str(course.phase),
+                "to": state.order.to,
+                "duration": state.order.duration,
+                "revision": state.order.revision,
+                "until": round(state.deadline + clock_ahead_s, 3),
+                "phase": str(state.phase),
                 "spent": {n: list(t) for n, t in run.totals().items()}
                 if run.is_running
                 else {},
@@ -112,33 +112,35 @@
         return {
             "runs": runs,
             "barred": {s: sorted(v) for s, v in self.barred.items()},
-            "own": {s: sorted(v) for s, v in self.own.items()},
+            "own": {s: sorted(v) for s, v in self.current.items()},
         }
 
-    def take_memory(self, memory: Any, ahead: float, now: float) -> None:
-        """Take what the holder before kept.
+    def load_stored(self, stored: Any, clock_ahead_s: float, now: float) -> None:
+        """Load what the previous lease holder persisted.
 
-        Raises ValueError, TypeError, KeyError or AttributeError on garbage.
+        Raises ValueError, TypeError, KeyError or AttributeError for an invalid row.
         """
-        for service, kept in memory["runs"].items():
+        for service, item in stored["runs"].items():
             order = RolloutOrder(
                 str(service),
-                str(kept["to"]),
-                float(kept["duration"]),
-                int(kept["revision"]),
+                str(item["to"]),
+                float(item["duration"]),
+                int(item["revision"]),
             )
-            # By the store's clock, which all holders read alike.
-            until = min(float(kept["until"]) - ahead, now + order.duration)
-            run = RolloutRun(RolloutState(order, until, self.terms), status_due=False)
-            run.course.phase = Phase(kept["phase"])
-            run.kept = {
-                str(relay): Totals(int(counts[0]), int(counts[1]))
-                for relay, counts in kept["spent"].items()
+            # The stored deadline is in the store's clock, which all relays share.
+            deadline = min(float(item["until"]) - clock_ahead_s, now + order.duration)
+            run = RolloutRun(
+                RolloutState(order, deadline, self.policy), status_due=False
+            )
+            run.state.phase = Phase(item["phase"])
+            run.inherited = {
+                str(relay): RequestTotals(int(counts[0]), int(counts[1]))
+                for relay, counts in item["spent"].items()
             }
-            run.course.requests = sum(t.requests for t in run.kept.values())
-            run.course.exposed = sum(t.exposed for t in run.kept.values())
+            run.state.requests = sum(t.requests for t in run.inherited.values())
+            run.state.exposed = sum(t.exposed for t in run.inherited.values())
             self.runs[order.service] = run
-        for service, versions in memory["barred"].items():
+        for service, versions in stored["barred"].items():
             self.barred[str(service)] = set(map(str, versions))
-        for service, versions in memory["own"].items():
-            self.own[str(service)] = set(map(str, versions))
+        for service, versions in stored["own"].items():
+            self.current[str(service)] = set(map(str, versions))
--- a/src/ebonydeal/_internal/relay/duties/rollout_run.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_run.py
@@ -1,4 +1,4 @@
-"""One roll-out at the coordinator: its course, and what relays counted of it."""
+"""One roll-out at the coordinator: its state, and the counts of the relays."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -12,12 +12,17 @@
     RolloutState,
     Verdict,
 )
-from ebonydeal._internal.routing.rollout.tally import Counts, added, empty, less
+from ebonydeal._internal.routing.rollout.tally import (
+    Counts,
+    add_counts,
+    empty_counts,
+    subtract_counts,
+)
 from ebonydeal._internal.routing.rollout.traffic_split import TallyMessage
 
 
-class Counted(NamedTuple):
-    """What one relay told last: requests by route, exposed ones, and answers."""
+class RelayCounts(NamedTuple):
+    """What one relay counted: requests by route, exposed ones, and answers."""
 
     requests: dict[str, int]
     exposed: int
@@ -25,8 +30,8 @@
     new: dict[str, dict[str, Counts]]
 
     @classmethod
-    def from_message(cls, tally: TallyMessage) -> "Counted":
-        """Build from a relay's word."""
+    def from_message(cls, tally: TallyMessage) -> "RelayCounts":
+        """Build from a relay's report."""
         return cls(
             {str(route): int(count) for route, count in tally["requests"].items()},
             sum(int(count) for count in tally["exposed"].values()),
@@ -38,14 +43,14 @@
         )
 
 
-class Totals(NamedTuple):
+class RequestTotals(NamedTuple):
     """Requests that one relay counted since the order, and the exposed ones."""
 
     requests: int
     exposed: int
 
 
-_NOTHING = Counted({}, 0, {}, {})
+_NO_COUNTS = RelayCounts({}, 0, {}, {})
 
 
 @dataclass
@@ -54,116 +59,126 @@
 
     Attributes
     ----------
-    course : Course
-        The decision.
+    state : RolloutState
+        The state, and the decisions.
     verdict : Verdict
-        What was decided last.
-    told : dict of str to Counted
-        What relays told last, by name and incarnation.
-    kept : dict of str to Totals
-        What the holder before knew of relays that weren't heard here yet.
+        The last decision.
+    reported : dict of str to RelayCounts
+        Last report of each relay, by its name and incarnation.
+    inherited : dict of str to RequestTotals
+        Totals from the previous lease holder, of relays that haven't reported here.
     status_due : bool
-        Whether operators are still to be told of its phase.
+        Whether the status that operators read must still be written.
     """
 
-    course: RolloutState
+    state: RolloutState
     verdict: Verdict = field(default_factory=lambda: Continue({}, ()))
-    told: dict[str, Counted] = field(default_factory=dict)
-    kept: dict[str, Totals] = field(default_factory=dict)
+    reported: dict[str, RelayCounts] = field(default_factory=dict)
+    inherited: dict[str, RequestTotals] = field(default_factory=dict)
     status_due: bool = True
 
     @property
     def is_running(self) -> bool:
         """Whether there is no verdict yet."""
-        return self.course.phase is Phase.RUNNING
+        return self.state.phase is Phase.RUNNING
 
     @property
-    def standing(self) -> EvidenceSummary:
-        """How much speaks against the version."""
-        return self.course.evidence.standing()
+    def evidence_summary(self) -> EvidenceSummary:
+        """Evidence against the version."""
+        return self.state.evidence.summary()
 
-    def decided_before(self, words: Iterable[ExchangeMessage]) -> Phase | None:
-        """Return the verdict that relays act on already, or None.
+    def applied_verdict(self, reports: Iterable[ExchangeMessage]) -> Phase | None:
+        """Return the verdict that relays have applied already, or None.
 
-        The holder before may have told it to them and not written it.
+        The previous lease holder may have sent it to them and not written it.
         """
-        for _counter, tally in self._tallies(words):
+        for _relay, tally in self._tallies(reports):
             if tally["phase"] != str(Phase.RUNNING):
                 return Phase(tally["phase"])
         return None
 
-    def hear(self, words: Iterable[ExchangeMessage], alone: bool, now: float) -> None:
-        """Take what relays counted since they told last; ``alone`` as in `Evidence`."""
+    def add_reports(
+        self,
+        reports: Iterable[ExchangeMessage],
+        no_old_endpoints: bool,
+        now: float,
+    ) -> None:
+        """Add what relays counted since their last reports.
+
+        ``no_old_endpoints`` is as in `Evidence`.
+        """
         old: dict[str, Counts] = {}
         new: dict[str, dict[str, Counts]] = {}
-        for counter, tally in self._tallies(words):
-            told = Counted.from_message(tally)
-            last = self.told.get(counter, _NOTHING)
-            self.told[counter] = told
-            self._add_requests(counter, told, last)
-            _add_answers(told, last, old, new)
+        for relay, tally in self._tallies(reports):
+            counts = RelayCounts.from_message(tally)
+            last = self.reported.get(relay, _NO_COUNTS)
+            self.reported[relay] = counts
+            self._add_requests(relay, counts, last)
+            _add_answers(counts, last, old, new)
         if old or new:
-            self.course.evidence.add(old, new, now, alone)
+            self.state.evidence.add(old, new, now, no_old_endpoints)
 
     def _tallies(
-        self, words: Iterable[ExchangeMessage]
+        self, reports: Iterable[ExchangeMessage]
     ) -> Iterable[tuple[str, TallyMessage]]:
-        """Return what was told of this order, by relay and incarnation."""
-        order = self.course.order
-        for word in words:
-            # A relay of the release before doesn't tell of roll-outs.
-            tally = word.get("rollouts", {}).get(order.service)
+        """Return the tallies of this order, by relay and incarnation."""
+        order = self.state.order
+        for report in reports:
+            # A relay of the previous release doesn't report roll-outs.
+            tally = report.get("rollouts", {}).get(order.service)
             if tally is not None and tally["revision"] == order.revision:
-                yield f"{word['node']}/{word['incarnation']}", tally
+                yield f"{report['node']}/{report['incarnation']}", tally
 
-    def _add_requests(self, counter: str, told: Counted, last: Counted) -> None:
+    def _add_requests(self, relay: str, counts: RelayCounts, last: RelayCounts) -> None:
         requests = {
             route: max(0, count - last.requests.get(route, 0))
-            for route, count in told.requests.items()
+            for route, count in counts.requests.items()
         }
-        exposed = max(0, told.exposed - last.exposed)
-        if last is not _NOTHING:
-            self.course.add_requests(requests, exposed)
+        exposed = max(0, counts.exposed - last.exposed)
+        if last is not _NO_COUNTS:
+            self.state.add_requests(requests, exposed)
             return
-        # A relay's first word to this holder is of all the time since the order, and
-        # says nothing of the rate; the holder before may have counted most of it.
-        before = self.kept.pop(counter, Totals(0, 0))
+        # A relay's first report to this lease holder covers all the time since the
+        # order, so it gives no rate; the previous holder may have counted most of it.
+        before = self.inherited.pop(relay, RequestTotals(0, 0))
         more = max(0, sum(requests.values()) - before.requests)
-        self.course.requests += more
-        self.course.exposed += max(0, exposed - before.exposed)
+        self.state.requests += more
+        self.state.exposed += max(0, exposed - before.exposed)
 
-    def totals(self) -> dict[str, Totals]:
+    def totals(self) -> dict[str, RequestTotals]:
         """Return what each relay counted since the order."""
-        found = dict(self.kept)
-        for counter, told in self.told.items():
-            found[counter] = Totals(sum(told.requests.values()), told.exposed)
+        found = dict(self.inherited)
+        for relay, counts in self.reported.items():
+            found[relay] = RequestTotals(sum(counts.requests.values()), counts.exposed)
         return found
 
-    def spent(self) -> dict[str, int]:
-        """Return what lines and reports say of the requests so far."""
-        course = self.course
+    def counts(self) -> dict[str, int]:
+        """Return the counts so far, for log lines and reports."""
+        state = self.state
         return {
-            "requests": int(course.requests),
-            "exposed": int(course.exposed),
-            "answers": course.evidence.answers,
-            "failed": course.evidence.bad,
+            "requests": int(state.requests),
+            "exposed": int(state.exposed),
+            "answers": state.evidence.answers,
+            "failed": state.evidence.failures,
         }
 
 
 def _add_answers(
-    told: Counted,
-    last: Counted,
+    reported: RelayCounts,
+    last: RelayCounts,
     old: dict[str, Counts],
     new: dict[str, dict[str, Counts]],
 ) -> None:
-    """Add what one relay counted since it told last to ``old`` and ``new``."""
-    for route, counts in told.old.items():
-        fresh = less(counts, last.old.get(route, empty()))
-        old[route] = added(old.get(route, empty()), fresh)
-    for route, by_endpoint in told.new.items():
+    """Add what one relay counted since its last report to ``old`` and ``new``."""
+    for route, counts in reported.old.items():
+        fresh = subtract_counts(counts, last.old.get(route, empty_counts()))
+        old[route] = add_counts(old.get(route, empty_counts()), fresh)
+    for route, by_endpoint in reported.new.items():
         known = last.new.get(route, {})
         for endpoint_id, counts in by_endpoint.items():
-            fresh = less(counts, known.get(endpoint_id, empty()))
+            fresh = subtract_counts(counts, known.get(endpoint_id, empty_counts()))
             if any(fresh):
                 sums = new.setdefault(route, {})
-                sums[endpoint_id] = added(sums.get(endpoint_id, empty()), fresh)
+                sums[endpoint_id] = add_counts(
+                    sums.get(endpoint_id, empty_counts()), fresh
+                )
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -1,7 +1,8 @@
-"""Roll-outs in the platform's store.
+"""Persists roll-outs in the platform's store.
 
-They are written together with a renewal of the lease: so a holder that was replaced
-writes no verdict, and of two that believe to hold the lease one decides.
+They are written together with a renewal of the lease. So a lease holder that was
+replaced can't write a verdict, and if two relays believe that they hold the lease, only
+one of them decides.
 """
 
 from ebonydeal._internal.errors import EbonydealError
@@ -21,14 +22,14 @@
 
 
 class RolloutStore:
-    """Reads and writes what outlasts the coordinator of roll-outs.
+    """Reads and writes the roll-outs, so that they survive the coordinator.
 
     Parameters
     ----------
     store, wire : SharedStore, Wire
         The platform's store, and its formats.
-    book : RolloutBook
-        What is kept.
+    registry : RolloutRegistry
+        The roll-outs.
     view : RelayView
         The orders.
     clock : Clock
@@ -39,114 +40,112 @@
         self,
         store: SharedStore,
         wire: Wire,
-        book: RolloutRegistry,
+        registry: RolloutRegistry,
         view: RelayView,
         clock: Clock,
     ) -> None:
         self._store = store
         self._wire = wire
-        self._book = book
+        self._registry = registry
         self._view = view
         self._clock = clock
-        # Whether what the holder before kept was read.
+        # Whether the previous lease holder's roll-outs were read.
         self.known = False
-        # The store's version as that was read; None before.
+        # The store's version at that read; None before.
         self._read_at: int | None = None
-        # Changes so far, and those that lie in the store or are on the way there.
-        self._changes = 0
-        self._written = 0
-        self._sent = 0
-        self._writing: list[tuple[str, int, Phase]] = []
+        # Numbers of changes: so far, written, and in the write under way.
+        self._change_count = 0
+        self._written_count = 0
+        self._writing_count = 0
+        self._writing_status: list[tuple[str, int, Phase]] = []
 
     def changed(self) -> None:
-        """Note that something is to be written with the next renewal."""
-        self._changes += 1
+        """Request a write with the next renewal of the lease."""
+        self._change_count += 1
 
     def lost(self) -> None:
-        """Forget all: another holds the lease, and has what was written."""
+        """Forget all: another relay holds the lease, and reads what was written."""
         self.known = False
         self._read_at = None
-        self._book.clear()
+        self._registry.clear()
 
     async def read(self) -> None:
-        """Take what the holder before kept, once the orders are as new as that.
+        """Load the previous lease holder's roll-outs, once the orders are as new.
 
-        A relay that was told of the configuration by the holder before hasn't read
-        orders itself: it would take a roll-out under way for one that was withdrawn.
+        A relay that received the configuration from the previous holder hasn't read the
+        orders itself, and would treat a roll-out under way as withdrawn.
         """
         if self._read_at is None:
             rows, self._read_at = await self._store.rows(ROLLOUTS_TABLE)
-            self._take(rows)
+            self._load(rows)
         if self._view.has_orders(self._read_at):
             await self._read_status()
             self.known = True
 
-    def _take(self, rows: list[SharedRow]) -> None:
+    def _load(self, rows: list[SharedRow]) -> None:
         for row in rows:
             if row.key != _KEY or row.value is None:
                 continue
             try:
-                memory = unpack(row.value)
-                self._book.take_memory(memory, self._store.ahead, self._clock.now())
+                stored = unpack(row.value)
+                self._registry.load_stored(stored, self._store.ahead, self._clock.now())
             except UNREADABLE as exc:
-                logger.error("Stored roll-outs can't be read.", reason=repr(exc))
+                logger.error("Stored roll-outs are unreadable.", reason=repr(exc))
 
     async def _read_status(self) -> None:
-        """Take verdicts that operators were told of orders that nothing was kept of."""
+        """Load verdicts from the status table for orders without a stored roll-out."""
         orders = self._view.versions.orders.values()
-        unknown = {o.service: o for o in orders if self._book.is_news(o)}
+        unknown = {o.service: o for o in orders if self._registry.is_new(o)}
         if not unknown:
             return
         rows, _version = await self._store.rows(self._wire.status_table)
         for row in rows:
             order = unknown.get(self._wire.rollout_service(row.key) or "")
             if order is not None and row.version >= order.revision:
-                self._take_status(row, order)
+                self._load_status(row, order)
 
-    def _take_status(self, row: SharedRow, order: RolloutOrder) -> None:
+    def _load_status(self, row: SharedRow, order: RolloutOrder) -> None:
         if row.value is None:
             return
         try:
             phase, to = self._wire.status(row)
         except EbonydealError as exc:
-            logger.error("Status can't be read.", reason=str(exc))
+            logger.error("Roll-out status is unreadable.", reason=str(exc))
             return
         if to == order.to and phase is not Phase.RUNNING:
-            run = self._book.begin(order, set(), self._clock.now())
-            run.course.phase = phase
+            run = self._registry.start(order, set(), self._clock.now())
+            run.state.phase = phase
             run.status_due = False
 
     def changes(self) -> list[RowChange]:
         """Return the writes that are due with the next renewal of the lease."""
-        self._writing = []
+        self._writing_status = []
         if not self.known:
             return []
         changes = []
-        for service, run in self._book.runs.items():
+        for service, run in self._registry.runs.items():
             if run.status_due:
-                order, phase = run.course.order, run.course.phase
-                self._writing.append((service, order.revision, phase))
+                order, phase = run.state.order, run.state.phase
+                self._writing_status.append((service, order.revision, phase))
                 changes.append(self._wire.status_change(service, phase, order.to))
-        self._sent = self._changes
-        if changes or self._changes != self._written:
-            memory = self._book.to_memory(self._store.ahead)
-            value = pack(memory)
+        self._writing_count = self._change_count
+        if changes or self._change_count != self._written_count:
+            stored = self._registry.to_stored(self._store.ahead)
+            value = pack(stored)
             if len(value) <= MOST_BYTES:
                 changes.append(RowChange(ROLLOUTS_TABLE, _KEY, value))
             else:
-                logger.warning("Roll-outs are too large to keep.", size=len(value))
+                logger.warning("Roll-outs are too large to persist.", size=len(value))
         return changes
 
     def wrote(self) -> None:
-        """Note that the last changes lie in the store."""
-        self._written = self._sent
-        for service, revision, phase in self._writing:
-            run = self._book.runs.get(service)
-            if run is None or run.course.order.revision != revision:
+        """Note that the last changes took effect."""
+        self._written_count = self._writing_count
+        for service, revision, phase in self._writing_status:
+            run = self._registry.runs.get(service)
+            if run is None or run.state.order.revision != revision:
                 continue
-            if run.course.phase is phase:
+            if run.state.phase is phase:
                 run.status_due = False
-            logger.info(
-                "Status of a roll-out written.", service=service, phase=str(phase)
-            )
-        self._writing = []
+            logger.info("Roll-out status written.", service=service, phase=str(phase))
+        self._writing_status = []
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -1,7 +1,7 @@
-"""Roll-outs at the coordinator: orders taken, reports summed, relays told.
+"""Roll-outs at the coordinator: applies orders and reports, and sends gates to relays.
 
-The decision is `routing/rollout/course.py`; `rollout_store.py` keeps what must outlast
-this process.
+`routing/rollout/rollout_state.py` makes the decisions; `rollout_store.py` persists what
+must survive this process.
 """
 
 import asyncio
@@ -41,19 +41,19 @@
 
 logger = get_logger("relay.rollout")
 
-_STEP_S = 0.2
-_CALL_S = 0.4
-# A change reaches relays after this, besides the period of their reports, seconds.
-_WAY_S = 0.1
-# What is spent of the bound is written so often, seconds.
-_KEEP_S = 1.0
-# Endpoints that start slow get no request before that is over, but for this last part
-# of the order's time.
-_LAST_PART = 0.3
+_STEP_INTERVAL_S = 0.2
+_CALL_TIMEOUT_S = 0.4
+# Time until a change reaches relays, in addition to the period of their reports.
+_DELIVERY_S = 0.1
+# The requests counted so far are persisted at this interval.
+_PERSIST_INTERVAL_S = 1.0
+# Endpoints that are slow after their start get no requests until they are warm, except
+# in this last part of the order's time.
+_IGNORE_WARMING_PART = 0.3
 
 
 class RolloutParts(NamedTuple):
-    """What roll-outs are carried out with."""
+    """Dependencies of `Rollouts`."""
 
     coordinator: Coordinator
     view: RelayView
@@ -65,158 +65,160 @@
 
 
 class Rollouts(Service):
-    """All roll-outs, while this relay holds the lease.
+    """Runs all roll-outs while this relay holds the coordinator's lease.
 
     Parameters
     ----------
     parts : RolloutParts
-        The outside.
-    terms : Terms
-        Terms of verdict and exposure.
+        Dependencies.
+    policy : RolloutPolicy
+        Thresholds of the verdict and plan of the exposure.
     """
 
-    def __init__(self, parts: RolloutParts, terms: RolloutPolicy) -> None:
+    def __init__(self, parts: RolloutParts, policy: RolloutPolicy) -> None:
         super().__init__()
         self._parts = parts
-        self._book = RolloutRegistry(terms)
+        self._registry = RolloutRegistry(policy)
         self.store = RolloutStore(
-            parts.store, parts.wire, self._book, parts.view, parts.clock
+            parts.store, parts.wire, self._registry, parts.view, parts.clock
         )
         # When each new endpoint was first seen here.
-        self._seen: dict[str, float] = {}
-        self._kept_at = 0.0
-        # Called when something is to be written soon.
+        self._first_seen: dict[str, float] = {}
+        self._persisted_at = 0.0
+        # Makes the next renewal of the lease come soon, with the pending writes.
         self.write_soon: Callable[[], None] = lambda: None
-        # Takes gates at this relay itself.
+        # Applies gates at this relay itself.
         self.on_gates: Callable[[RolloutsMessage], object] = lambda _message: None
 
-    # --- what others are told -------------------------------------------------
+    # --- output -------------------------------------------------------------------
     def gates(self) -> list[Gate] | None:
-        """Return what relays are told; None while this relay doesn't decide."""
+        """Return the gates that relays get; None while this relay doesn't decide."""
         decides = self.store.known and self._parts.coordinator.holds
-        return self._book.gates() if decides else None
+        return self._registry.gates() if decides else None
 
     def message(self) -> RolloutsMessage | None:
-        """Return what a relay is told with its exchange."""
+        """Return the message to a relay with the reply to its report."""
         gates = self.gates()
         if gates is None:
             return None
         return encode_gates(gates, self._parts.view.versions.read_to)
 
     def target_version(self, service: str) -> str | None:
-        """Return the version that a service's roll-out under way is to, or None."""
-        run = self._book.runs.get(service)
-        return run.course.order.to if run is not None and run.is_running else None
+        """Return the target version of a service's roll-out under way, or None."""
+        run = self._registry.runs.get(service)
+        return run.state.order.to if run is not None and run.is_running else None
 
     def report(self) -> list[dict[str, Any]]:
-        """Return what operators are shown of roll-outs."""
-        return [self._report(service, run) for service, run in self._book.runs.items()]
+        """Return the state of all roll-outs, for operators."""
+        return [
+            self._report(service, run) for service, run in self._registry.runs.items()
+        ]
 
     def _report(self, service: str, run: RolloutRun) -> dict[str, Any]:
-        standing = run.standing
+        evidence = run.evidence_summary
         shares = {}
         match run.verdict:
             case Continue():
                 shares = run.verdict.shares
         return {
             "service": service,
-            "to": run.course.order.to,
-            "phase": str(run.course.phase),
-            "left_s": round(run.course.until - self._parts.clock.now(), 3),
-            "evidence": round(standing.total, 2),
-            "route": standing.route,
+            "to": run.state.order.to,
+            "phase": str(run.state.phase),
+            "left_s": round(run.state.deadline - self._parts.clock.now(), 3),
+            "evidence": round(evidence.total, 2),
+            "route": evidence.worst_route,
             "shares": shares,
-            "barred": sorted(self._book.barred_of(service)),
-            **run.spent(),
+            "barred": sorted(self._registry.barred_versions(service)),
+            **run.counts(),
         }
 
-    async def _push(self) -> None:
-        """Tell all relays now; who misses it hears it with its next exchange."""
+    async def _send_gates(self) -> None:
+        """Send gates to all relays now; a relay also gets them with its next reply."""
         message = self.message()
         if message is None:
             return
         self.on_gates(message)
-        listeners = self._parts.coordinator.listeners()
-        if listeners is not None:
-            await asyncio.gather(*(self._push_one(a, message) for a in listeners[0]))
+        targets = self._parts.coordinator.listeners()
+        if targets is not None:
+            await asyncio.gather(*(self._send_gates_to(a, message) for a in targets[0]))
 
-    async def _push_one(self, address: str, message: RolloutsMessage) -> None:
+    async def _send_gates_to(self, address: str, message: RolloutsMessage) -> None:
         try:
-            await self._parts.client.call(address, ROLLOUTS, message, _CALL_S)
+            await self._parts.client.call(address, ROLLOUTS, message, _CALL_TIMEOUT_S)
         except EbonydealError as exc:
-            logger.info("Roll-out not told.", peer=address, reason=str(exc))
+            logger.info("Gates not delivered.", peer=address, reason=str(exc))
 
-    # --- the steps -------------------------------------------------------------------
+    # --- steps -----------------------------------------------------------------------
     @Service.task
     async def _run(self) -> None:
         coordinator = self._parts.coordinator
         while not self.should_stop:
-            await self._parts.clock.sleep(_STEP_S)
+            await self._parts.clock.sleep(_STEP_INTERVAL_S)
             if not coordinator.holds:
                 if self.store.known and not coordinator.lease.mine:
                     self.store.lost()
             elif self.store.known and self.step():
-                await self._push()
+                await self._send_gates()
 
     def step(self) -> bool:
-        """Take orders and reports, and decide; return whether relays must know now."""
+        """Apply orders and reports, and decide; return whether any gate changed."""
         before = self.gates()
-        self._take_orders()
+        self._apply_orders()
         now = self._parts.clock.now()
-        running = [run for run in self._book.runs.values() if run.is_running]
+        running = [run for run in self._registry.runs.values() if run.is_running]
         for run in running:
             self._step_one(run, now)
-        if running and now - self._kept_at >= _KEEP_S:
-            self._kept_at = now
+        if running and now - self._persisted_at >= _PERSIST_INTERVAL_S:
+            self._persisted_at = now
             self.store.changed()
         return self.gates() != before
 
     def _step_one(self, run: RolloutRun, now: float) -> None:
-        """Take reports on one roll-out, and decide."""
-        words = self._parts.coordinator.heard_lately()
-        fleet = self._fleet(run.course, words, now)
-        match run.decided_before(words):
+        """Apply the reports on one roll-out, and decide."""
+        reports = self._parts.coordinator.heard_lately()
+        endpoints = self._endpoints(run.state, reports, now)
+        match run.applied_verdict(reports):
             case Phase.COMPLETED:
-                self._end(run, Complete(0))
+                self._finish(run, Complete(0))
                 return
             case Phase.ROLLED_BACK:
-                self._end(run, RollBack("decided before", run.standing))
+                self._finish(run, RollBack("decided before", run.evidence_summary))
                 return
-        run.hear(words, not fleet.old, now)
-        lag = self._parts.coordinator.period + _WAY_S
-        verdict = run.course.decide(fleet, lag, now)
+        run.add_reports(reports, not endpoints.old, now)
+        lag = self._parts.coordinator.period + _DELIVERY_S
+        verdict = run.state.decide(endpoints, lag, now)
         match verdict:
             case Continue():
-                self._go_on(run, verdict, fleet)
+                self._continue(run, verdict, endpoints)
             case Complete() | RollBack():
-                self._end(run, verdict)
+                self._finish(run, verdict)
 
-    def _take_orders(self) -> None:
-        """Begin what was ordered, and end what was withdrawn."""
+    def _apply_orders(self) -> None:
+        """Start new orders, and roll back withdrawn ones."""
         orders = self._parts.view.versions.orders
-        for service, run in self._book.runs.items():
+        for service, run in self._registry.runs.items():
             if service not in orders and run.is_running:
-                self._end(run, RollBack("withdrawn", run.standing))
+                self._finish(run, RollBack("withdrawn", run.evidence_summary))
         for order in orders.values():
-            if self._book.is_news(order):
-                self._begin(order)
+            if self._registry.is_new(order):
+                self._start(order)
 
-    def _begin(self, order: RolloutOrder) -> None:
-        # Endpoints come and go for long: those that are gone are forgotten.
+    def _start(self, order: RolloutOrder) -> None:
+        # Forget endpoints that aren't listed any more.
         members = self._parts.view.members
-        self._seen = {e: at for e, at in self._seen.items() if e in members}
+        self._first_seen = {e: at for e, at in self._first_seen.items() if e in members}
         before = self._versions_before(order)
-        self._book.begin(order, before, self._parts.clock.now())
+        self._registry.start(order, before, self._parts.clock.now())
         logger.info(
             "Roll-out ordered.",
             service=order.service,
             to=order.to,
             duration_s=order.duration,
             revision=order.revision,
-            own=sorted(self._book.own[order.service]),
-            barred=sorted(self._book.barred_of(order.service)),
+            own=sorted(self._registry.current[order.service]),
+            barred=sorted(self._registry.barred_versions(order.service)),
         )
-        self._note_write()
+        self._request_write()
 
     def _versions_before(self, order: RolloutOrder) -> set[str]:
         """Return the versions of endpoints that were listed before an order."""
@@ -228,80 +230,80 @@
             and view.versions.first_listed(member.endpoint_id) < order.revision
         }
 
-    def _fleet(
-        self, course: RolloutState, words: list[ExchangeMessage], now: float
+    def _endpoints(
+        self, state: RolloutState, reports: list[ExchangeMessage], now: float
     ) -> ServiceEndpoints:
-        """Return the endpoints that the decision rests on, and what runs there."""
-        order = course.order
-        barred = self._book.barred_of(order.service)
+        """Return the endpoints that may get requests, and what is in flight there."""
+        order = state.order
+        barred = self._registry.barred_versions(order.service)
         listed = self._parts.view.of_service(order.service)
         others = [m for m in listed if m.version != order.to]
         old = tuple(m.endpoint_id for m in others if m.version not in barred)
-        late = course.until - now < order.duration * _LAST_PART
+        late = state.deadline - now < order.duration * _IGNORE_WARMING_PART
         new = tuple(
             m.endpoint_id
             for m in listed
-            if m.version == order.to and (late or not self._starts_slow(m, now))
+            if m.version == order.to and (late or not self._is_warming(m, now))
         )
-        loads = [word["loads"] for word in words]
-        running = sum(int(load[e][0]) for load in loads for e in old if e in load)
-        return ServiceEndpoints(old, new, running)
+        loads = [report["loads"] for report in reports]
+        in_flight = sum(int(load[e][0]) for load in loads for e in old if e in load)
+        return ServiceEndpoints(old, new, in_flight)
 
-    def _starts_slow(self, member: Member, now: float) -> bool:
+    def _is_warming(self, member: Member, now: float) -> bool:
         """Return whether an endpoint is still slow after its start."""
-        seen = self._seen.setdefault(member.endpoint_id, now)
+        seen = self._first_seen.setdefault(member.endpoint_id, now)
         return now - seen < member.warming
 
-    def _go_on(
-        self, run: RolloutRun, verdict: Continue, fleet: ServiceEndpoints
+    def _continue(
+        self, run: RolloutRun, verdict: Continue, endpoints: ServiceEndpoints
     ) -> None:
-        """Take new shares; log where the last step begins or is taken back."""
+        """Set new shares; log where the last stage begins or is taken back."""
         was_full = isinstance(run.verdict, Continue) and run.verdict.full
         run.verdict = verdict
         if verdict.full == was_full:
             return
         logger.info(
-            "All requests to the new version."
+            "New version gets all requests."
             if verdict.full
-            else "Back to a part of the requests.",
-            service=run.course.order.service,
-            to=run.course.order.to,
-            evidence=round(run.standing.total, 2),
-            old=len(fleet.old),
-            new=len(fleet.new),
-            running=fleet.old_in_flight,
-            **run.spent(),
+            else "New version gets a part of the requests again.",
+            service=run.state.order.service,
+            to=run.state.order.to,
+            evidence=round(run.evidence_summary.total, 2),
+            old=len(endpoints.old),
+            new=len(endpoints.new),
+            running=endpoints.old_in_flight,
+            **run.counts(),
         )
 
-    def _end(self, run: RolloutRun, verdict: Verdict) -> None:
-        """Make a verdict final: for relays at once, for operators with the lease."""
-        order = run.course.order
-        self._book.end(run, verdict)
+    def _finish(self, run: RolloutRun, verdict: Verdict) -> None:
+        """Set a final verdict, and write the status with the next renewal."""
+        order = run.state.order
+        self._registry.finish(run, verdict)
         match verdict:
-            case Complete(old_in_flight=cut):
+            case Complete(old_in_flight=old_in_flight):
                 self._parts.metrics.count(Event.ROLLOUTS_COMPLETED)
                 logger.info(
                     "Roll-out completed.",
                     service=order.service,
                     to=order.to,
-                    left_s=round(run.course.until - self._parts.clock.now(), 3),
-                    cut=cut,
-                    **run.spent(),
+                    left_s=round(run.state.deadline - self._parts.clock.now(), 3),
+                    cut=old_in_flight,
+                    **run.counts(),
                 )
-            case RollBack(reason=reason, standing=standing):
+            case RollBack(reason=reason, evidence=evidence):
                 self._parts.metrics.count(Event.ROLLOUTS_ROLLED_BACK)
                 logger.warning(
                     "Roll-out rolled back.",
                     service=order.service,
                     to=order.to,
                     reason=reason,
-                    evidence=round(standing.total, 2),
-                    without_loudest=round(standing.without, 2),
-                    route=standing.route,
-                    **run.spent(),
+                    evidence=round(evidence.total, 2),
+                    without_loudest=round(evidence.total_without_worst, 2),
+                    route=evidence.worst_route,
+                    **run.counts(),
                 )
-        self._note_write()
+        self._request_write()
 
-    def _note_write(self) -> None:
+    def _request_write(self) -> None:
         self.store.changed()
         self.write_soon()
--- a/src/ebonydeal/_internal/relay/peers/rollouts.py
+++ b/src/ebonydeal/_internal/relay/peers/rollouts.py
@@ -1,4 +1,4 @@
-"""A relay's part in roll-outs: it hears gates, and tells bad answers at once."""
+"""A relay's part in roll-outs: applies gates, and reports bad answers at once."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,17 +14,17 @@
 
 logger = get_logger("relay.rollout")
 
-# Bad answers are told together so often at most, seconds.
-_TELL_S = 0.2
+# Shortest time between two extra reports of bad answers.
+_MIN_REPORT_INTERVAL_S = 0.2
 
 
 def encode_gates(gates: list[Gate], read_to: int) -> RolloutsMessage:
-    """Return gates as they are told, and how far orders were read."""
+    """Return the message with gates; orders were read up to ``read_to``."""
     return RolloutsMessage(read_to=read_to, gates=[list(gate) for gate in gates])
 
 
-def _gate(item: list[Any]) -> Gate:
-    """Return a gate as it was told; raises ValueError, TypeError or IndexError."""
+def _decode_gate(item: list[Any]) -> Gate:
+    """Return a gate from a message; raises ValueError, TypeError or IndexError."""
     service, to, revision, phase, shares, canaries, barred = item
     return Gate(
         str(service),
@@ -38,14 +38,14 @@
 
 
 class RolloutReceiver(Service):
-    """Takes gates, and has bad answers told before the next exchange.
+    """Applies gates, and has bad answers reported before the next regular report.
 
     Parameters
     ----------
-    split : Split
+    split : TrafficSplit
         Which version each request goes to.
     view : RelayView
-        Learns how far orders were read.
+        Gets the position up to which orders were read.
     clock : Clock
         Time.
     """
@@ -55,17 +55,17 @@
         self._split = split
         self._view = view
         self._clock = clock
-        # Makes an exchange with the coordinator now.
+        # Sends a report to the coordinator now.
         self.report_now: Callable[[], None] = lambda: None
 
     def receive(self, message: RolloutsMessage) -> dict[str, Any]:
-        """Take gates; they are in force before endpoints that waited for them."""
-        gates = [_gate(item) for item in message["gates"]]
+        """Apply gates, before the view admits endpoints that waited for them."""
+        gates = [_decode_gate(item) for item in message["gates"]]
         before = {gate.service: gate for gate in self._split.gates()}
         self._split.apply_gates(gates, self._clock.now())
         for gate in self._split.gates():
             known = before.get(gate.service)
-            if known is None or _differs(known, gate):
+            if known is None or _is_logged(known, gate):
                 logger.info(
                     "Roll-out told.",
                     service=gate.service,
@@ -80,19 +80,19 @@
         return {}
 
     def receive_verdicts(self, message: RolloutsMessage) -> None:
-        """Take verdicts from a relay that doesn't decide: its shares may be old."""
-        self._split.apply_verdicts([_gate(item) for item in message["gates"]])
+        """Apply verdicts from a relay that doesn't decide: its shares may be stale."""
+        self._split.apply_verdicts([_decode_gate(item) for item in message["gates"]])
 
     @Service.task
-    async def _tell_bad(self) -> None:
+    async def _report_bad_answers(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep(_TELL_S)
+            await self._clock.sleep(_MIN_REPORT_INTERVAL_S)
             if self._split.has_new_bad_answers(self._clock.now()):
                 self.report_now()
 
 
-def _differs(known: Gate, gate: Gate) -> bool:
-    """Return whether a gate is worth a line."""
+def _is_logged(known: Gate, gate: Gate) -> bool:
+    """Return whether the change of a gate is logged."""
     full = bool(known.shares) and min(known.shares.values()) >= 1.0
     is_full = bool(gate.shares) and min(gate.shares.values()) >= 1.0
     return (known.revision, known.phase, full) != (gate.revision, gate.phase, is_full)
--- a/src/ebonydeal/_internal/routing/rollout/exposure.py
+++ b/src/ebonydeal/_internal/routing/rollout/exposure.py
@@ -1,76 +1,77 @@
-"""What part of a service's requests a new version gets, and from when on all.
+"""What part of a service's requests a new version gets, and when it gets all of them.
 
-Of all requests between the order and its end a bad version may get a bounded part.
-Whether a version turns bad later, or under full load, is known only at the end, so the
-bound is kept as if it were bad until then: some requests all the time, as many on each
-route, and all of them only in a last step that is as long as the bound leaves.
+A bad version may get a bounded part of all requests between the order and its deadline.
+Whether a version turns bad later, or under full load, is known only at the deadline. So
+the exposure stays within the bound even if the version is bad until then: during the
+canary stage it gets some requests all the time, as many on each route; it gets all
+requests only in a last stage, which is as long as the rest of the bound allows.
 """
 
 from math import sqrt
 from typing import NamedTuple
 
-# Parts of the bound that are used before the last step; the rest is for that one.
-_EARLY_SHARE = 0.25
-_EARLY_SLACK = 0.4
-# The same while there is doubt: it is to be settled before the order's end.
-_DOUBT_SHARE = 0.6
-# Part of the bound that is never planned for: requests that aren't told yet.
-_KEPT_BACK = 0.05
-# Largest part of a route's requests before the last step.
-_MOST_OF_ROUTE = 0.5
-# Shortest rate that a route is taken to have, requests a second.
-_LEAST_RATE = 0.05
-# The early requests are given in less than the whole time, so that a roll-out whose
-# endpoints come late gets them, too.
-_EARLY_TIME = 0.8
+# Parts of the bound that are used in the canary stage; the rest is for the last stage.
+_CANARY_SHARE_PART = 0.25
+_CANARY_SLACK_PART = 0.4
+# The part of the share while there is doubt, which must be resolved by the deadline.
+_DOUBT_SHARE_PART = 0.6
+# Part of the bound that is never planned for, for requests that aren't reported yet.
+_RESERVED_PART = 0.05
+# Largest part of a route's requests in the canary stage.
+_MAX_ROUTE_SHARE = 0.5
+# Lowest rate that is assumed for a route, requests a second.
+_MIN_ROUTE_RATE = 0.05
+# The canary stage is planned for this part of the time to the deadline, so that a
+# roll-out whose endpoints start late gets its requests, too.
+_CANARY_TIME_PART = 0.8
 
 
 class ExposureBound(NamedTuple):
     """How many requests a bad version may get.
 
-    ``share`` of all requests for the service between the order and its end, and
-    ``slack`` besides.
+    ``share`` of all requests for the service between the order and its deadline, plus
+    ``slack`` requests.
     """
 
     share: float = 0.1
     slack: float = 50.0
 
-    def most(self, requests: float) -> float:
-        """Return the bound for so many requests, less what is kept back."""
-        return (self.share * requests + self.slack) * (1.0 - _KEPT_BACK)
+    def max_exposed(self, requests: float) -> float:
+        """Return the bound for so many requests, less the reserve."""
+        return (self.share * requests + self.slack) * (1.0 - _RESERVED_PART)
 
 
 class Exposure(NamedTuple):
-    """What was used of the bound.
+    """What a roll-out has used of its bound.
 
     Attributes
     ----------
     requests, exposed : float
-        For the service since the order, and those of them at the new version.
+        Requests for the service since the order, and those sent to the new version.
     rates : dict of str to float
-        Requests a second lately, by route.
-    left : float
-        Seconds to the order's end.
+        Recent requests a second, by route.
+    time_left : float
+        Seconds to the order's deadline.
     lag : float
-        Seconds until what relays did is known here and a change reaches them.
+        Seconds until reports of relays arrive here and a change reaches the relays.
     elapsed : float
         Seconds since the order.
-    doubt : bool
-        Whether something speaks against the version, but not enough.
+    in_doubt : bool
+        Whether there is evidence against the version, but too little.
     """
 
     requests: float
     exposed: float
     rates: dict[str, float]
-    left: float
+    time_left: float
     lag: float
     elapsed: float
-    doubt: bool = False
+    in_doubt: bool = False
 
     @property
     def duration(self) -> float:
-        """Seconds from the order to its end."""
-        return self.elapsed + self.left
+        """Seconds from the order to its deadline."""
+        return self.elapsed + self.time_left
 
     @property
     def rate(self) -> float:
@@ -79,7 +80,7 @@
 
 
 class CanaryTraffic(NamedTuple):
-    """What the new version gets before the last step.
+    """What the new version gets in the canary stage.
 
     ``shares`` are parts of routes' requests; ``canaries`` the endpoints that get them.
     """
@@ -91,105 +92,114 @@
 class SteadyPlan:
     """Gives two new endpoints an even part of the requests all the time.
 
-    Every route gets as many a second, so that each has its own verdict.
+    Every route gets as many a second, so that there is evidence for each of them.
     """
 
-    _CANARIES = 2
+    _MAX_CANARIES = 2
 
-    def early(
-        self, bound: ExposureBound, spent: Exposure, old: int, new: tuple[str, ...]
+    def canary_traffic(
+        self, bound: ExposureBound, exposure: Exposure, old: int, new: tuple[str, ...]
     ) -> CanaryTraffic:
-        """Return what goes to which of the ``new`` endpoints now.
+        """Return which of the ``new`` endpoints get what part of the requests now.
 
-        ``old`` is how many old ones there are; ``new`` in order of preference.
+        ``old`` is the number of old ones; ``new`` are in order of preference.
         """
-        wanted = min(_wanted(bound, spent), room(bound, spent))
-        return CanaryTraffic(_dealt(spent.rates, wanted), new[: self._CANARIES])
+        rate = min(_target_rate(bound, exposure), allowed_rate(bound, exposure))
+        return CanaryTraffic(
+            _shares_by_route(exposure.rates, rate), new[: self._MAX_CANARIES]
+        )
 
 
 class LoadedPlan:
-    """Lets one new endpoint after the other carry what an old one does.
+    """Gives the new endpoints, one after the other, the load of an old one.
 
-    A version may be bad only under load. Where few endpoints carry much, the bound
-    leaves this for short bursts; the pause between them follows from the bound.
+    A version may be bad only under load. Where few endpoints carry much load, the bound
+    allows this only in short bursts; the pause between them follows from the bound.
     """
 
-    _CANARIES = 3
-    # A little more than usual; and the length of a burst, seconds.
-    _LOAD = 1.15
+    _MAX_CANARIES = 3
+    # Load of a canary in terms of the load of an old endpoint.
+    _LOAD_FACTOR = 1.15
     _BURST_S = 0.8
 
-    def early(
-        self, bound: ExposureBound, spent: Exposure, old: int, new: tuple[str, ...]
+    def canary_traffic(
+        self, bound: ExposureBound, exposure: Exposure, old: int, new: tuple[str, ...]
     ) -> CanaryTraffic:
-        """Return what each of the ``new`` endpoints gets now, as in `SteadyPlan`."""
-        wanted = _wanted(bound, spent)
-        usual = spent.rate * self._LOAD / max(1, old)
-        if usual <= 0.0 or wanted <= 0.0:
+        """Return which endpoints get what part of the requests, as in `SteadyPlan`."""
+        target = _target_rate(bound, exposure)
+        full_load = exposure.rate * self._LOAD_FACTOR / max(1, old)
+        if full_load <= 0.0 or target <= 0.0:
             return CanaryTraffic({}, ())
-        if wanted >= usual:
-            # There is enough for several at a time.
-            count = max(1, min(len(new), int(wanted / usual)))
-            shares = _dealt(spent.rates, min(wanted, room(bound, spent)))
+        if target >= full_load:
+            # The bound allows several canaries at a time.
+            count = max(1, min(len(new), int(target / full_load)))
+            shares = _shares_by_route(
+                exposure.rates, min(target, allowed_rate(bound, exposure))
+            )
             return CanaryTraffic(shares, new[:count])
-        period = self._BURST_S * usual / wanted
-        turn = int(spent.elapsed / period)
-        # At the start of each period, one endpoint after the other.
-        if spent.elapsed - turn * period >= self._BURST_S:
+        period = self._BURST_S * full_load / target
+        number = int(exposure.elapsed / period)
+        # Each period starts with a burst, at one endpoint after the other.
+        if exposure.elapsed - number * period >= self._BURST_S:
             return CanaryTraffic({}, ())
-        shares = _dealt(spent.rates, min(usual, room(bound, spent)))
-        place = turn % min(len(new), self._CANARIES)
-        return CanaryTraffic(shares, new[place : place + 1])
-
-
-def _wanted(bound: ExposureBound, spent: Exposure) -> float:
-    """Return the requests a second that use up the early part evenly."""
-    whole = spent.requests + spent.rate * max(0.0, spent.left)
-    share = _DOUBT_SHARE if spent.doubt else _EARLY_SHARE
-    early = bound.share * whole * share + bound.slack * _EARLY_SLACK
-    rest = max(0.0, early - spent.exposed)
+        shares = _shares_by_route(
+            exposure.rates, min(full_load, allowed_rate(bound, exposure))
+        )
+        index = number % min(len(new), self._MAX_CANARIES)
+        return CanaryTraffic(shares, new[index : index + 1])
+
+
+def _target_rate(bound: ExposureBound, exposure: Exposure) -> float:
+    """Return the requests a second that use up the canary stage's part evenly."""
+    total = exposure.requests + exposure.rate * max(0.0, exposure.time_left)
+    share_part = _DOUBT_SHARE_PART if exposure.in_doubt else _CANARY_SHARE_PART
+    budget = bound.share * total * share_part + bound.slack * _CANARY_SLACK_PART
+    remaining = max(0.0, budget - exposure.exposed)
     return min(
-        rest / max(0.5, spent.left * _EARLY_TIME),
-        early / max(0.5, spent.duration * _EARLY_TIME) * 2.0,
+        remaining / max(0.5, exposure.time_left * _CANARY_TIME_PART),
+        budget / max(0.5, exposure.duration * _CANARY_TIME_PART) * 2.0,
     )
 
 
 ExposurePlan = SteadyPlan | LoadedPlan
 
 
-def room(bound: ExposureBound, spent: Exposure) -> float:
-    """Return the requests a second that may be given until the next look.
+def allowed_rate(bound: ExposureBound, exposure: Exposure) -> float:
+    """Return the requests a second that the bound allows until the next decision.
 
-    What was asked so far bounds it, not what is still expected: traffic may end.
+    Only the requests so far count, not those still expected, as traffic may end.
     """
-    most = bound.share * spent.requests * _DOUBT_SHARE + bound.slack * _EARLY_SLACK
-    return max(0.0, most - spent.exposed) / (2.0 * max(0.2, spent.lag))
+    budget = (
+        bound.share * exposure.requests * _DOUBT_SHARE_PART
+        + bound.slack * _CANARY_SLACK_PART
+    )
+    return max(0.0, budget - exposure.exposed) / (2.0 * max(0.2, exposure.lag))
 
 
-def _dealt(rates: dict[str, float], wanted: float) -> dict[str, float]:
-    """Deal so many requests a second out to routes, as many to each."""
+def _shares_by_route(rates: dict[str, float], target: float) -> dict[str, float]:
+    """Divide so many requests a second evenly among the routes."""
     shares = {}
-    left = wanted
+    left = target
     ranked = sorted(rates, key=lambda route: (rates[route], route))
-    for place, route in enumerate(ranked):
-        rate = max(_LEAST_RATE, rates[route])
-        part = left / (len(ranked) - place)
-        shares[route] = min(_MOST_OF_ROUTE, part / rate)
+    for index, route in enumerate(ranked):
+        rate = max(_MIN_ROUTE_RATE, rates[route])
+        part = left / (len(ranked) - index)
+        shares[route] = min(_MAX_ROUTE_SHARE, part / rate)
         left -= shares[route] * rate
     return shares
 
 
-def last_step(bound: ExposureBound, spent: Exposure) -> float:
-    """Return the seconds before the order's end for which all requests may go over.
+def last_stage_s(bound: ExposureBound, exposure: Exposure) -> float:
+    """Return the seconds before the deadline for which the version may get everything.
 
-    Even if every one of them fails, the bound holds.
+    The bound holds even if every one of these requests fails.
     """
-    whole = spent.requests + spent.rate * max(0.0, spent.left)
-    # Requests that were given over and aren't told yet.
-    known = spent.exposed + spent.rate * spent.lag * bound.share
-    rest = max(0.0, bound.most(whole) - known)
-    # Requests come in uneven numbers: twice the usual deviation is kept back, too.
-    rest = max(0.0, rest - 2.0 * sqrt(rest))
-    # Where the rates of late are low by accident, those of the whole time count.
-    mean = spent.requests / max(1.0, spent.elapsed)
-    return rest / max(1.0, spent.rate, mean)
+    total = exposure.requests + exposure.rate * max(0.0, exposure.time_left)
+    # Includes requests that were sent to the new version and aren't reported yet.
+    exposed = exposure.exposed + exposure.rate * exposure.lag * bound.share
+    remaining = max(0.0, bound.max_exposed(total) - exposed)
+    # Requests come in uneven numbers: reserve twice the standard deviation, too.
+    remaining = max(0.0, remaining - 2.0 * sqrt(remaining))
+    # The recent rates may be low by chance: at least the mean rate since the order.
+    mean = exposure.requests / max(1.0, exposure.elapsed)
+    return remaining / max(1.0, exposure.rate, mean)
--- a/src/ebonydeal/_internal/routing/rollout/rollout_state.py
+++ b/src/ebonydeal/_internal/routing/rollout/rollout_state.py
@@ -1,4 +1,4 @@
-"""One roll-out from its order to its verdict: the decision, pure."""
+"""The state of one roll-out, and the decisions from its order to its verdict."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -15,48 +15,50 @@
     ExposureBound,
     ExposurePlan,
     LoadedPlan,
-    last_step,
-    room,
+    allowed_rate,
+    last_stage_s,
 )
 
-# Longest last step: what runs on old endpoints ends in it, seconds.
-_LONGEST_STEP_S = 3.0
-# By so much the last step may prove too long before it is taken back.
-_STEP_SLACK = 2.0
-# Kept between the word that a roll-out is complete and its end, seconds: a slow store.
-_WRITE_S = 0.35
-# So long all requests go to the new version before it may be called good, seconds.
-_LEAST_FULL_S = 0.4
-# With less endpoints than this part of the old ones the new version can't carry all.
-_ENOUGH = 0.6
-# So long after the order's end a doubt may last, seconds.
-_DOUBT_S = 4.0
-# Answers after which a version that nothing speaks against may get all requests; a
-# service that is asked seldom is watched for this part of its order's time instead.
-_PROVED = 15
-_WATCHED = 0.5
-# As `_LEAST_FULL_S`, once the order's time is over: then judging longer costs nothing.
-_LATE_FULL_S = 1.5
-# Time over which the rates of routes are averaged, seconds.
+# Longest last stage: requests in flight on old endpoints end in it.
+_MAX_LAST_STAGE_S = 3.0
+# A last stage under way may be longer than the bound allows by this factor.
+_LAST_STAGE_TOLERANCE = 2.0
+# Reserved between the verdict that a roll-out is complete and its deadline, for a slow
+# store.
+_WRITE_RESERVE_S = 0.35
+# All requests go to the new version for at least this long before it is called good.
+_MIN_LAST_STAGE_S = 0.4
+# With fewer new endpoints than this part of the old ones the new version can't carry
+# all requests.
+_MIN_ENDPOINTS_PART = 0.6
+# A doubt may last for this long after the deadline.
+_MAX_DOUBT_AFTER_DEADLINE_S = 4.0
+# Answers after which a version without evidence against it may get all requests; a
+# service with few requests is observed for this part of its order's time instead.
+_MIN_ANSWERS = 15
+_MIN_OBSERVED_PART = 0.5
+# As `_MIN_LAST_STAGE_S`, after the deadline: a longer observation then costs nothing.
+_MIN_LATE_LAST_STAGE_S = 1.5
+# Time over which the rates of routes are averaged.
 _RATE_WINDOW_S = 2.0
-_RATE_STEP_S = 0.2
+_RATE_UPDATE_INTERVAL_S = 0.2
 
 
 class RolloutPolicy(NamedTuple):
-    """Terms of the verdict, natural logarithms of likelihood ratios.
+    """Thresholds of the verdict, as log-likelihood ratios, and plan of the exposure.
 
     Attributes
     ----------
     bad : float
-        From here on a version is bad: one in some thousands of good ones gets there.
-    alike : float
-        What the other endpoints must say, so that it isn't one that is ill.
+        From here on a version is bad; one in some thousands of good ones gets there.
+    others_bad : float
+        Minimum for the other endpoints, so that it isn't a single faulty one.
     doubt : float
         From here on a version isn't called good yet.
     """
 
     bad: float = 7.0
-    alike: float = 2.0
+    others_bad: float = 2.0
     doubt: float = 2.5
     bound: ExposureBound = ExposureBound()
     plan: ExposurePlan = LoadedPlan()
@@ -64,7 +66,10 @@
 
 @dataclass(frozen=True)
 class Continue:
-    """Go on, with these parts of the routes' requests at these endpoints."""
+    """The roll-out goes on, with these shares of requests by route for the canaries.
+
+    ``full`` says that the new version gets all requests.
+    """
 
     shares: dict[str, float]
     canaries: tuple[str, ...]
@@ -80,10 +85,10 @@
 
 @dataclass(frozen=True)
 class RollBack:
-    """Nothing goes to the new version any more."""
+    """No more requests go to the new version."""
 
     reason: str
-    standing: EvidenceSummary
+    evidence: EvidenceSummary
 
 
 Verdict = Continue | Complete | RollBack
@@ -92,7 +97,7 @@
 class ServiceEndpoints(NamedTuple):
     """The endpoints of a service that may get requests.
 
-    ``old`` and ``new`` are ids; ``old_in_flight`` requests at work on old ones.
+    ``old`` and ``new`` are ids; ``old_in_flight`` requests run on old ones.
     """
 
     old: tuple[str, ...]
@@ -107,24 +112,24 @@
     ----------
     order : RolloutOrder
         What the operator ordered.
-    until : float
-        When it is to be decided, monotonic seconds.
-    terms : Terms, optional
-        Terms of verdict and exposure.
-    test : Test, optional
-        What turns answers into evidence.
+    deadline : float
+        When it must be decided, monotonic seconds.
+    policy : RolloutPolicy, optional
+        Thresholds of the verdict and plan of the exposure.
+    test : LikelihoodTest, optional
+        Turns answers into evidence.
     """
 
     def __init__(
         self,
         order: RolloutOrder,
-        until: float,
-        terms: RolloutPolicy | None = None,
+        deadline: float,
+        policy: RolloutPolicy | None = None,
         test: LikelihoodTest | None = None,
     ) -> None:
         self.order = order
-        self.until = until
-        self.terms = terms or RolloutPolicy()
+        self.deadline = deadline
+        self.policy = policy or RolloutPolicy()
         self.evidence = Evidence(test or MixtureTest())
         self.phase = Phase.RUNNING
         self.requests = 0.0
@@ -134,154 +139,166 @@
         # Since when the new version has endpoints; None before.
         self._new_since: float | None = None
         self._rates: dict[str, float] = {}
-        self._unrated: dict[str, int] = {}
-        self._rated_at: float | None = None
+        # Requests by route since the last update of the rates.
+        self._new_requests: dict[str, int] = {}
+        self._rates_updated_at: float | None = None
 
     def add_requests(self, by_route: dict[str, int], exposed: int) -> None:
-        """Take requests for the service that relays told of, by route.
+        """Add reported requests for the service, by route.
 
         ``exposed`` of them went to the new version.
         """
         self.requests += sum(by_route.values())
         self.exposed += exposed
         for route, count in by_route.items():
-            self._unrated[route] = self._unrated.get(route, 0) + count
+            self._new_requests[route] = self._new_requests.get(route, 0) + count
 
-    def _rate(self, now: float) -> None:
-        """Bring the routes' rates up to date."""
-        if self._rated_at is None:
-            self._rated_at = now
+    def _update_rates(self, now: float) -> None:
+        if self._rates_updated_at is None:
+            self._rates_updated_at = now
             return
-        passed = now - self._rated_at
-        if passed < _RATE_STEP_S:
+        elapsed = now - self._rates_updated_at
+        if elapsed < _RATE_UPDATE_INTERVAL_S:
             return
-        weight = min(1.0, passed / _RATE_WINDOW_S)
-        for route in self._rates.keys() | self._unrated.keys():
-            rate = self._unrated.get(route, 0) / passed
+        weight = min(1.0, elapsed / _RATE_WINDOW_S)
+        for route in self._rates.keys() | self._new_requests.keys():
+            rate = self._new_requests.get(route, 0) / elapsed
             known = self._rates.get(route, rate)
             self._rates[route] = known + (rate - known) * weight
-        self._unrated.clear()
-        self._rated_at = now
+        self._new_requests.clear()
+        self._rates_updated_at = now
 
-    def decide(self, fleet: ServiceEndpoints, lag: float, now: float) -> Verdict:
-        """Return what is to be done now; a verdict is final.
+    def decide(self, endpoints: ServiceEndpoints, lag: float, now: float) -> Verdict:
+        """Return what to do now; `Complete` and `RollBack` are final.
 
         ``lag`` is as in `Exposure`.
         """
-        self._rate(now)
-        standing = self.evidence.standing()
-        if self._is_bad(standing, fleet) or self._stays_in_doubt(standing, now):
+        self._update_rates(now)
+        evidence = self.evidence.summary()
+        if self._is_bad(evidence, endpoints) or self._stays_in_doubt(evidence, now):
             self.phase = Phase.ROLLED_BACK
-            return RollBack(_reason(standing), standing)
-        if not fleet.new:
+            return RollBack(_reason(evidence), evidence)
+        if not endpoints.new:
             self.full_since = self._new_since = None
             return Continue({}, ())
         if self._new_since is None:
             self._new_since = now
-        left = self.until - now
-        spent = Exposure(
+        time_left = self.deadline - now
+        exposure = Exposure(
             requests=self.requests,
             exposed=self.exposed,
             rates=dict(self._rates),
-            left=left,
+            time_left=time_left,
             lag=lag,
-            elapsed=self.order.duration - left,
-            doubt=self._doubts(standing),
+            elapsed=self.order.duration - time_left,
+            in_doubt=self._is_in_doubt(evidence),
         )
-        if self._is_full(fleet, spent):
+        if self._may_get_all(endpoints, exposure):
             if self.full_since is None:
                 self.full_since = now
-            if self._is_complete(fleet, now):
+            if self._is_complete(endpoints, now):
                 self.phase = Phase.COMPLETED
-                return Complete(fleet.old_in_flight)
-            return Continue(dict.fromkeys(self._rates, 1.0), fleet.new, full=True)
+                return Complete(endpoints.old_in_flight)
+            return Continue(dict.fromkeys(self._rates, 1.0), endpoints.new, full=True)
         self.full_since = None
-        if not fleet.old:
-            return Continue(self._alone(spent), fleet.new)
-        early = self.terms.plan.early(
-            self.terms.bound,
-            spent,
-            len(fleet.old),
-            self._ranked(fleet, standing),
+        if not endpoints.old:
+            return Continue(self._shares_without_old(exposure), endpoints.new)
+        traffic = self.policy.plan.canary_traffic(
+            self.policy.bound,
+            exposure,
+            len(endpoints.old),
+            self._canary_order(endpoints, evidence),
         )
-        shares = {route: round(share, 4) for route, share in early.shares.items()}
-        return Continue(shares, early.canaries)
+        shares = {route: round(share, 4) for route, share in traffic.shares.items()}
+        return Continue(shares, traffic.canaries)
 
-    def _alone(self, spent: Exposure) -> dict[str, float]:
+    def _shares_without_old(self, exposure: Exposure) -> dict[str, float]:
         """Return the shares while no old endpoint is left.
 
-        Nobody else can serve, so all requests go over once some were answered well;
-        until then the bound limits what a bad version gets, and the rest is refused.
+        No other endpoint can serve, so the new version gets all requests once it gave
+        enough good answers. Until then the bound limits what a bad version gets, and
+        other requests are refused.
         """
-        if self.evidence.answers >= _PROVED and not spent.doubt:
-            return dict.fromkeys(spent.rates, 1.0)
-        part = room(self.terms.bound, spent) / max(1.0, spent.rate)
-        return dict.fromkeys(spent.rates, round(min(1.0, part), 4))
-
-    def _is_bad(self, standing: EvidenceSummary, fleet: ServiceEndpoints) -> bool:
-        """Return whether enough speaks against the version itself."""
-        if standing.total < self.terms.bad:
+        if self.evidence.answers >= _MIN_ANSWERS and not exposure.in_doubt:
+            return dict.fromkeys(exposure.rates, 1.0)
+        share = allowed_rate(self.policy.bound, exposure) / max(1.0, exposure.rate)
+        return dict.fromkeys(exposure.rates, round(min(1.0, share), 4))
+
+    def _is_bad(self, evidence: EvidenceSummary, endpoints: ServiceEndpoints) -> bool:
+        """Return whether there is enough evidence against the version itself."""
+        if evidence.total < self.policy.bad:
             return False
-        # Where no other endpoint can be asked, the one that there is speaks for all.
-        others = [e for e in fleet.new if e != standing.loudest]
-        return not others or standing.without >= self.terms.alike
-
-    def _stays_in_doubt(self, standing: EvidenceSummary, now: float) -> bool:
-        """Return whether a doubt outlasts the order: then the old version stays."""
-        return now - self.until > _DOUBT_S and self._doubts(standing)
+        # A single endpoint can't be compared with others of its version.
+        others = [e for e in endpoints.new if e != evidence.worst_endpoint]
+        return not others or evidence.total_without_worst >= self.policy.others_bad
+
+    def _stays_in_doubt(self, evidence: EvidenceSummary, now: float) -> bool:
+        """Return whether a doubt outlasts the deadline: then the old version stays."""
+        return now - self.deadline > _MAX_DOUBT_AFTER_DEADLINE_S and self._is_in_doubt(
+            evidence
+        )
 
-    def _doubts(self, standing: EvidenceSummary) -> bool:
-        """Return whether something speaks against the version itself.
+    def _is_in_doubt(self, evidence: EvidenceSummary) -> bool:
+        """Return whether there is some evidence against the version itself.
 
-        One ill endpoint doesn't, once the others answered well.
+        One faulty endpoint is none, once the others gave enough good answers.
         """
-        if standing.total < self.terms.doubt:
+        if evidence.total < self.policy.doubt:
             return False
-        return standing.others < _PROVED or standing.without >= self.terms.doubt / 2.0
+        return (
+            evidence.other_answers < _MIN_ANSWERS
+            or evidence.total_without_worst >= self.policy.doubt / 2.0
+        )
 
-    def _is_full(self, fleet: ServiceEndpoints, spent: Exposure) -> bool:
+    def _may_get_all(self, endpoints: ServiceEndpoints, exposure: Exposure) -> bool:
         """Return whether all requests go to the new version now."""
-        if len(fleet.new) < _ENOUGH * len(fleet.old):
+        if len(endpoints.new) < _MIN_ENDPOINTS_PART * len(endpoints.old):
             return False
-        if spent.doubt or not self._is_judged(spent):
+        if exposure.in_doubt or not self._is_observed_enough(exposure):
             return False
-        if spent.left <= 0.0:
+        if exposure.time_left <= 0.0:
             return True
-        step = min(_LONGEST_STEP_S, last_step(self.terms.bound, spent))
+        length = min(_MAX_LAST_STAGE_S, last_stage_s(self.policy.bound, exposure))
         if self.full_since is not None:
-            # More came than was expected: the rest waits until the bound is over.
-            step *= _STEP_SLACK
-        return spent.left <= step
+            # More requests than expected shorten the length: a stage under way isn't
+            # taken back at once.
+            length *= _LAST_STAGE_TOLERANCE
+        return exposure.time_left <= length
 
-    def _is_judged(self, spent: Exposure) -> bool:
+    def _is_observed_enough(self, exposure: Exposure) -> bool:
         """Return whether enough was seen of the version to give it all requests."""
-        if self.evidence.answers >= _PROVED:
+        if self.evidence.answers >= _MIN_ANSWERS:
             return True
         assert self._new_since is not None
-        watched = self.until - spent.left - self._new_since
-        return watched >= _WATCHED * self.order.duration
+        observed = self.deadline - exposure.time_left - self._new_since
+        return observed >= _MIN_OBSERVED_PART * self.order.duration
 
-    def _is_complete(self, fleet: ServiceEndpoints, now: float) -> bool:
+    def _is_complete(self, endpoints: ServiceEndpoints, now: float) -> bool:
         """Return whether the old endpoints may stop."""
         assert self.full_since is not None
-        left = self.until - now
-        if now - self.full_since < (_LEAST_FULL_S if left > 0.0 else _LATE_FULL_S):
+        time_left = self.deadline - now
+        if now - self.full_since < (
+            _MIN_LAST_STAGE_S if time_left > 0.0 else _MIN_LATE_LAST_STAGE_S
+        ):
             return False
-        # What comes after the word counts as exposed, too: no sooner than needed.
-        return left <= _WRITE_S or (fleet.old_in_flight == 0 and left <= 2.0 * _WRITE_S)
+        # Requests after the verdict count as exposed, too: it comes no sooner than
+        # needed.
+        return time_left <= _WRITE_RESERVE_S or (
+            endpoints.old_in_flight == 0 and time_left <= 2.0 * _WRITE_RESERVE_S
+        )
 
-    def _ranked(
-        self, fleet: ServiceEndpoints, standing: EvidenceSummary
+    def _canary_order(
+        self, endpoints: ServiceEndpoints, evidence: EvidenceSummary
     ) -> tuple[str, ...]:
-        """Return the new endpoints, those first that get the first requests.
+        """Return the new endpoints in the order in which they become canaries.
 
-        One that seems ill goes last: others tell whether it is the version.
+        One that seems faulty comes last: the others show whether it is the version.
         """
-        ill = standing.loudest if standing.total >= self.terms.doubt else ""
-        return tuple(sorted(fleet.new, key=lambda e: (e == ill, e)))
+        faulty = evidence.worst_endpoint if evidence.total >= self.policy.doubt else ""
+        return tuple(sorted(endpoints.new, key=lambda e: (e == faulty, e)))
 
     def gate(self, verdict: Verdict, barred: tuple[str, ...]) -> Gate:
-        """Return what relays are told."""
+        """Return the gate that relays get."""
         order = self.order
         shares: dict[str, float] = {}
         canaries: tuple[str, ...] = ()
@@ -299,5 +316,5 @@
         )
 
 
-def _reason(standing: EvidenceSummary) -> str:
-    return f"route {standing.route or 'none'}: evidence {standing.total:.1f}"
+def _reason(evidence: EvidenceSummary) -> str:
+    return f"route {evidence.worst_route or 'none'}: evidence {evidence.total:.1f}"
--- a/src/ebonydeal/_internal/routing/rollout/traffic_split.py
+++ b/src/ebonydeal/_internal/routing/rollout/traffic_split.py
@@ -1,8 +1,8 @@
-"""Which version of a service one relay's request goes to, and what it counts of that.
+"""Chooses the version for each request at one relay, and counts requests and answers.
 
-Shares are kept by counting, not by chance: with hundreds of relays that each see a few
-requests a second, chance would exceed the bound. Where a relay begins to count is
-spread by its name, so that the sum over all relays is even, too.
+Shares are kept by counting, not at random: with hundreds of relays that each see a few
+requests a second, random choices would exceed the bound. The initial count depends on
+the relay's name, so that the sum over all relays is even, too.
 """
 
 from collections.abc import Sequence
@@ -19,30 +19,31 @@
     FAILED,
     Counts,
     category_of,
-    empty,
+    empty_counts,
 )
 
-_WHOLE = float(2**64)
-# What is saved up for the new version where none of its endpoints could be asked.
-_MOST_CREDIT = 2.0
+_HASH_RANGE = float(2**64)
+# Requests that the new version may get later because its endpoints weren't available.
+_MAX_CREDIT = 2.0
 # Answers in this category and above are late.
-_SLOW = category_of(4.0, 1.0)
-# An answer that takes so many times the usual is late, before it has come.
-_LATE = 4.0
+_FIRST_LATE_CATEGORY = category_of(4.0, 1.0)
+# A pending answer is late after this many times the usual time.
+_LATE_FACTOR = 4.0
 # Weight of one answer in the usual time of a route.
-_LEARN = 0.05
-# Added to times before they are compared, seconds: what a new connection and a busy
-# instance add to a short answer isn't the version's.
-_GRAIN_S = 0.01
-# Sends that ended without a word, as of callers that left, are kept this long.
-_KEPT_S = 5.0
+_USUAL_TIME_WEIGHT = 0.05
+# Added to times before they are compared: a new connection and a busy instance lengthen
+# short answers, which says nothing of the version.
+_TIME_OFFSET_S = 0.01
+# Sends that ended without an answer, for example because the caller left, are kept for
+# this long.
+_ENDED_TTL_S = 5.0
 
 
 class TallyMessage(TypedDict):
-    """What one relay counted of one roll-out since it heard of it, in all.
+    """What one relay counted of one roll-out since it learned of it.
 
     ``requests`` and ``exposed`` by route; ``old`` by route, ``new`` by route and
-    endpoint: answers by category. ``phase`` is that of the gate it was told.
+    endpoint: answers by category. ``phase`` is that of the relay's gate.
     """
 
     revision: int
@@ -54,23 +55,23 @@
 
 
 class VersionChoice(NamedTuple):
-    """The endpoints that a request may go to, and whether they are new ones."""
+    """The endpoints that a request may go to, and if they are of the new version."""
 
     members: Sequence[Member]
     is_new: bool = False
 
 
 class AwaitedAnswer(NamedTuple):
-    """An answer, or a stream's first event, that is waited for.
+    """A pending answer, or a stream's first event.
 
     Attributes
     ----------
     expected : float or None
-        Seconds that it should take; None where only its kind is known.
+        Seconds that it should take; None where there is no estimate for the request.
     objective : float
-        Seconds that its route aims at.
+        The route's objective for this time, seconds.
     sent_at : float
-        When it was asked for.
+        When the request was sent, monotonic seconds.
     """
 
     service: str
@@ -82,26 +83,28 @@
 
 
 @dataclass
-class _Wait:
-    """One awaited answer: its usual time, whether it was counted, when it ended."""
+class _PendingAnswer:
+    """A pending answer: its usual time, whether it was counted, when its send ended."""
 
     answer: AwaitedAnswer
     usual: float
     counted: bool = False
-    over_at: float | None = None
+    ended_at: float | None = None
 
 
-class _Watch:
+class _RolloutAtRelay:
     """One roll-out at one relay."""
 
-    def __init__(self, order: RolloutOrder, before: "_Watch | None" = None) -> None:
+    def __init__(
+        self, order: RolloutOrder, previous: "_RolloutAtRelay | None" = None
+    ) -> None:
         self.order = order
         self.gate: Gate | None = None
-        # Versions that get nothing, as known before the coordinator speaks.
-        self.barred = () if before is None else before.barred_after(order)
-        self.told_at = 0.0
+        # Versions that get no requests, until the coordinator sends a gate.
+        self.barred = () if previous is None else previous.barred_after(order)
+        self.gate_received_at = 0.0
         self.credit: dict[str, float] = {}
-        self.told_bad = 0
+        self.reported_bad = 0
         self.tally = TallyMessage(
             revision=order.revision,
             phase=str(Phase.RUNNING),
@@ -112,9 +115,9 @@
         )
 
     def barred_after(self, order: RolloutOrder) -> tuple[str, ...]:
-        """Return the versions that get nothing once another order is given.
+        """Return the versions that get no requests once another order is given.
 
-        One that wasn't found good is given up, unless it is ordered again.
+        This order's version is among them, unless it was completed or is ordered again.
         """
         barred = set(self.barred if self.gate is None else self.gate.barred)
         if self.gate is None or self.gate.phase is not Phase.COMPLETED:
@@ -130,14 +133,14 @@
     def bad(self) -> int:
         """How many answers of the new version failed or were late."""
         return sum(
-            counts[FAILED] + sum(counts[_SLOW:])
+            counts[FAILED] + sum(counts[_FIRST_LATE_CATEGORY:])
             for by_endpoint in self.tally["new"].values()
             for counts in by_endpoint.values()
         )
 
 
 def _decided(tally: TallyMessage) -> TallyMessage:
-    """Return what is told of a roll-out with a verdict."""
+    """Return the tally of a roll-out with a verdict: only its phase."""
     return TallyMessage(
         revision=tally["revision"],
         phase=tally["phase"],
@@ -149,71 +152,71 @@
 
 
 class TrafficSplit:
-    """Roll-outs at one relay.
+    """All roll-outs at one relay.
 
     Parameters
     ----------
     name : str
         This relay's name.
     gate_ttl_s : float
-        Seconds without a word after which nothing new goes to a version that isn't
-        called good.
+        Seconds without a gate from the coordinator after which a version without a
+        verdict gets no more requests.
     """
 
     def __init__(self, name: str, gate_ttl_s: float) -> None:
         self._name = name
         self.gate_ttl_s = gate_ttl_s
-        self._watched: dict[str, _Watch] = {}
-        # Usual logarithm of the time by route, where no expectation is told.
-        self._usual: dict[str, float] = {}
+        self._rollouts: dict[str, _RolloutAtRelay] = {}
+        # Mean logarithm of the time by route, for requests without an estimate.
+        self._usual_log_times: dict[str, float] = {}
         self._numbers = count(1)
-        self._waits: dict[int, _Wait] = {}
+        self._pending: dict[int, _PendingAnswer] = {}
 
-    # --- what is known ---------------------------------------------------------
+    # --- orders and gates --------------------------------------------------------
     def set_orders(self, orders: dict[str, RolloutOrder]) -> None:
-        """Take all orders as the operator has them now, by service."""
+        """Apply all current orders of the operator, by service."""
         for service, order in orders.items():
-            known = self._watched.get(service)
+            known = self._rollouts.get(service)
             if known is None or known.order.revision < order.revision:
-                self._watched[service] = _Watch(order, known)
-        for service in self._watched.keys() - orders.keys():
-            # Withdrawn: what its version may get stays as it was told last, and
-            # nothing where it wasn't told.
-            watch = self._watched[service]
-            if watch.gate is None:
-                del self._watched[service]
+                self._rollouts[service] = _RolloutAtRelay(order, known)
+        for service in self._rollouts.keys() - orders.keys():
+            # A withdrawn order keeps its last gate; without one the roll-out is
+            # dropped.
+            rollout = self._rollouts[service]
+            if rollout.gate is None:
+                del self._rollouts[service]
 
     def apply_gates(self, gates: Sequence[Gate], now: float) -> None:
-        """Take what the coordinator says; a verdict is never turned back."""
+        """Apply the coordinator's gates; a verdict is never reverted."""
         for gate in gates:
-            watch = self._watched.get(gate.service)
-            if watch is None or watch.order.revision < gate.revision:
+            rollout = self._rollouts.get(gate.service)
+            if rollout is None or rollout.order.revision < gate.revision:
                 order = RolloutOrder(gate.service, gate.to, 0.0, gate.revision)
-                watch = self._watched[gate.service] = _Watch(order, watch)
-            if watch.order.revision > gate.revision:
+                rollout = self._rollouts[gate.service] = _RolloutAtRelay(order, rollout)
+            if rollout.order.revision > gate.revision:
                 continue
-            known = watch.gate
+            known = rollout.gate
             if known is not None and known.phase is not Phase.RUNNING:
                 gate = gate._replace(phase=known.phase)
-            watch.gate = gate
-            watch.told_at = now
-            watch.tally["phase"] = str(gate.phase)
-            if not watch.is_running:
-                # Nothing more is counted: endpoints come and go for long.
-                watch.tally = _decided(watch.tally)
+            rollout.gate = gate
+            rollout.gate_received_at = now
+            rollout.tally["phase"] = str(gate.phase)
+            if not rollout.is_running:
+                # Counting stops here, as the tally would grow with each new endpoint.
+                rollout.tally = _decided(rollout.tally)
 
     def apply_verdicts(self, gates: Sequence[Gate]) -> None:
-        """Take verdicts, not shares, of who only heard of them."""
+        """Apply the verdicts, not the shares, of a relay that isn't the coordinator."""
         for gate in gates:
-            watch = self._watched.get(gate.service)
+            rollout = self._rollouts.get(gate.service)
             if gate.phase is Phase.RUNNING:
                 continue
-            if watch is None or watch.order.revision <= gate.revision:
+            if rollout is None or rollout.order.revision <= gate.revision:
                 self.apply_gates([gate], 0.0)
 
     def has_rollout(self, service: str) -> bool:
         """Return whether the service has a roll-out."""
-        return service in self._watched
+        return service in self._rollouts
 
     # --- one request -------------------------------------------------------------
     def choose_version(
@@ -227,15 +230,16 @@
     ) -> VersionChoice:
         """Return the endpoints of one version that a request may go to.
 
-        ``again`` says that it was sent before: a repeat goes to the old version.
-        ``first`` is the request's first question, which earns the new version its part.
+        ``again`` says that it was sent before: a retry goes to the old version.
+        ``first`` says that this is the request's first choice, which adds the route's
+        share to the new version's credit.
         """
-        watch = self._watched.get(service)
-        if watch is None:
+        rollout = self._rollouts.get(service)
+        if rollout is None:
             return VersionChoice(members)
-        gate = watch.gate
-        to = watch.order.to
-        barred = watch.barred if gate is None else gate.barred
+        gate = rollout.gate
+        to = rollout.order.to
+        barred = rollout.barred if gate is None else gate.barred
         new = [m for m in members if m.version == to]
         old = [m for m in members if m.version != to and m.version not in barred]
         phase = Phase.RUNNING if gate is None else gate.phase
@@ -244,147 +248,155 @@
                 return VersionChoice(new, True) if new else VersionChoice(old)
             case Phase.ROLLED_BACK:
                 return VersionChoice(old)
-        if gate is None or now - watch.told_at > self.gate_ttl_s:
-            # Nothing says that the version is bad where nobody else can serve.
+        if gate is None or now - rollout.gate_received_at > self.gate_ttl_s:
+            # Without old endpoints the new version serves: it isn't known to be bad.
             return VersionChoice(old) if old else VersionChoice(new, True)
         if first:
-            saved = self._credit(watch, route) + gate.shares.get(route, 0.0)
-            watch.credit[route] = min(_MOST_CREDIT, saved)
-        if (again and old) or self._credit(watch, route) < 1.0:
+            credit = self._credit(rollout, route) + gate.shares.get(route, 0.0)
+            rollout.credit[route] = min(_MAX_CREDIT, credit)
+        if (again and old) or self._credit(rollout, route) < 1.0:
             return VersionChoice(old)
         canaries = [m for m in new if m.endpoint_id in gate.canaries]
         return VersionChoice(canaries, True) if canaries else VersionChoice(old)
 
-    def _credit(self, watch: _Watch, route: str) -> float:
-        credit = watch.credit.get(route)
+    def _credit(self, rollout: _RolloutAtRelay, route: str) -> float:
+        credit = rollout.credit.get(route)
         if credit is None:
-            key = f"{self._name}\0{route}\0{watch.order.revision}"
-            credit = xxh3_64_intdigest(key.encode()) / _WHOLE
-            watch.credit[route] = credit
+            key = f"{self._name}\0{route}\0{rollout.order.revision}"
+            credit = xxh3_64_intdigest(key.encode()) / _HASH_RANGE
+            rollout.credit[route] = credit
         return credit
 
-    # --- what is counted -----------------------------------------------------------
+    # --- counts ----------------------------------------------------------------------
     def record_send(
         self, service: str, route: str, member: Member, first: bool
     ) -> bool:
         """Count a send; return whether it goes to a new version.
 
-        ``first`` where it is the request's first one.
+        ``first`` says that it is the request's first one.
         """
-        watch = self._running(service)
-        if watch is None:
+        rollout = self._running(service)
+        if rollout is None:
             return False
-        tally = watch.tally
+        tally = rollout.tally
         if first:
             tally["requests"][route] = tally["requests"].get(route, 0) + 1
-        if member.version != watch.order.to:
+        if member.version != rollout.order.to:
             return False
         tally["exposed"][route] = tally["exposed"].get(route, 0) + 1
-        watch.credit[route] = max(0.0, self._credit(watch, route) - 1.0)
+        rollout.credit[route] = max(0.0, self._credit(rollout, route) - 1.0)
         return True
 
     def expect_answer(self, answer: AwaitedAnswer) -> int:
-        """Wait for an answer; returns the number by which it is told, or 0."""
+        """Register a pending answer; return its number, or 0 if it isn't counted."""
         if self._running(answer.service) is None:
             return 0
         usual = answer.expected
         if usual is None:
-            known = self._usual.get(answer.route)
+            known = self._usual_log_times.get(answer.route)
             usual = (
-                answer.objective if known is None else max(0.0, exp(known) - _GRAIN_S)
+                answer.objective
+                if known is None
+                else max(0.0, exp(known) - _TIME_OFFSET_S)
             )
         number = next(self._numbers)
-        self._waits[number] = _Wait(answer, usual)
+        self._pending[number] = _PendingAnswer(answer, usual)
         return number
 
     def record_answer(self, number: int, now: float) -> None:
-        """Count an answer, or a stream's first event, by the time it took."""
-        wait = self._waits.pop(number, None)
-        if wait is None:
+        """Count an answer, or a stream's first event, by the time that it took."""
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return
-        answer = wait.answer
-        took = (now if wait.over_at is None else wait.over_at) - answer.sent_at
+        answer = pending.answer
+        took = (now if pending.ended_at is None else pending.ended_at) - answer.sent_at
         if answer.expected is None and not self._is_new(answer):
-            self._learn(answer.route, max(0.0, took) + _GRAIN_S)
-        if not wait.counted:
-            self._count_wait(wait, took)
+            self._update_usual_time(answer.route, max(0.0, took) + _TIME_OFFSET_S)
+        if not pending.counted:
+            self._count_pending(pending, took)
 
     def record_end(self, number: int, now: float) -> None:
-        """Note that a send is over; what came of it may still be told."""
-        wait = self._waits.get(number)
-        if wait is not None and wait.over_at is None:
-            wait.over_at = now
+        """Record that a send ended; its answer may still be recorded."""
+        pending = self._pending.get(number)
+        if pending is not None and pending.ended_at is None:
+            pending.ended_at = now
 
     def cancel_answer(self, number: int) -> None:
-        """Wait for an answer no more, without a reason in the version."""
-        self._waits.pop(number, None)
+        """Forget a pending answer, which says nothing of the version."""
+        self._pending.pop(number, None)
 
     def record_failure(self, service: str, route: str, member: Member) -> bool:
-        """Count a failure that may be the version's; return whether it is a new one."""
-        watch = self._running(service)
-        if watch is None:
+        """Count a failure; return whether it is one of the new version."""
+        rollout = self._running(service)
+        if rollout is None:
             return False
         self._count(service, route, member, FAILED)
-        return member.version == watch.order.to
+        return member.version == rollout.order.to
 
-    def _learn(self, route: str, seconds: float) -> None:
-        known = self._usual.get(route, log(seconds))
-        self._usual[route] = known + (log(seconds) - known) * _LEARN
+    def _update_usual_time(self, route: str, seconds: float) -> None:
+        known = self._usual_log_times.get(route, log(seconds))
+        self._usual_log_times[route] = (
+            known + (log(seconds) - known) * _USUAL_TIME_WEIGHT
+        )
 
     def _is_new(self, answer: AwaitedAnswer) -> bool:
-        watch = self._watched.get(answer.service)
-        return watch is not None and answer.member.version == watch.order.to
+        rollout = self._rollouts.get(answer.service)
+        return rollout is not None and answer.member.version == rollout.order.to
 
-    def _count_wait(self, wait: _Wait, took: float) -> None:
-        answer = wait.answer
-        category = category_of(max(0.0, took) + _GRAIN_S, wait.usual + _GRAIN_S)
+    def _count_pending(self, pending: _PendingAnswer, took: float) -> None:
+        answer = pending.answer
+        category = category_of(
+            max(0.0, took) + _TIME_OFFSET_S, pending.usual + _TIME_OFFSET_S
+        )
         self._count(answer.service, answer.route, answer.member, category)
 
     def _count_late(self, now: float) -> None:
-        """Count answers that are late already, and forget those nobody waits for."""
-        for number, wait in list(self._waits.items()):
-            took = now - wait.answer.sent_at
-            if wait.over_at is not None:
-                if now - wait.over_at > _KEPT_S:
-                    del self._waits[number]
-            elif not wait.counted and took > _LATE * (wait.usual + _GRAIN_S):
-                wait.counted = True
-                self._count_wait(wait, took)
-
-    def _running(self, service: str) -> _Watch | None:
-        """Return the roll-out of a service that isn't decided, or None."""
-        watch = self._watched.get(service)
-        return watch if watch is not None and watch.is_running else None
+        """Count pending answers that are late, and drop those of ended sends."""
+        for number, pending in list(self._pending.items()):
+            took = now - pending.answer.sent_at
+            if pending.ended_at is not None:
+                if now - pending.ended_at > _ENDED_TTL_S:
+                    del self._pending[number]
+            elif not pending.counted and took > _LATE_FACTOR * (
+                pending.usual + _TIME_OFFSET_S
+            ):
+                pending.counted = True
+                self._count_pending(pending, took)
+
+    def _running(self, service: str) -> _RolloutAtRelay | None:
+        """Return the roll-out of a service without a verdict, or None."""
+        rollout = self._rollouts.get(service)
+        return rollout if rollout is not None and rollout.is_running else None
 
     def _count(self, service: str, route: str, member: Member, category: int) -> None:
-        watch = self._running(service)
-        if watch is None:
+        rollout = self._running(service)
+        if rollout is None:
             return
-        tally = watch.tally
-        if member.version == watch.order.to:
+        tally = rollout.tally
+        if member.version == rollout.order.to:
             by_endpoint = tally["new"].setdefault(route, {})
-            counts = by_endpoint.setdefault(member.endpoint_id, empty())
+            counts = by_endpoint.setdefault(member.endpoint_id, empty_counts())
         else:
-            counts = tally["old"].setdefault(route, empty())
+            counts = tally["old"].setdefault(route, empty_counts())
         counts[category] += 1
 
     def tallies(self, now: float) -> dict[str, TallyMessage]:
-        """Return what this relay counted; of decided roll-outs the phase only."""
+        """Return this relay's tallies by service; with a verdict, only the phase."""
         self._count_late(now)
-        return {service: watch.tally for service, watch in self._watched.items()}
+        return {service: rollout.tally for service, rollout in self._rollouts.items()}
 
     def has_new_bad_answers(self, now: float) -> bool:
-        """Return whether a new version failed or is late since this was asked last."""
+        """Return whether new versions failed or were late again since the last call."""
         self._count_late(now)
         found = False
-        for watch in self._watched.values():
-            if not watch.is_running:
+        for rollout in self._rollouts.values():
+            if not rollout.is_running:
                 continue
-            bad = watch.bad
-            found = found or bad > watch.told_bad
-            watch.told_bad = bad
+            bad = rollout.bad
+            found = found or bad > rollout.reported_bad
+            rollout.reported_bad = bad
         return found
 
     def gates(self) -> list[Gate]:
-        """Return what this relay was told, for one that asks it."""
-        return [w.gate for w in self._watched.values() if w.gate is not None]
+        """Return the gates of this relay, for others that start."""
+        return [r.gate for r in self._rollouts.values() if r.gate is not None]
--- a/tests/functional/relay/test_crashing_request.py
+++ b/tests/functional/relay/test_crashing_request.py
@@ -1,12 +1,12 @@
-"""One request brought down every endpoint that ran it, again and again.
+"""One request crashed every endpoint that ran it, again and again.
 
-Its caller sent it again after each failure, under a new id and through whichever relay
-the balancer picked. Each relay saw one broken connection, took it for the endpoint's
-fault, and forgot it: nothing tied the request to the endpoint's end, and no relay told
-another. Eight engines ended in thirteen seconds, and what else they ran failed.
+Its caller retried it after each failure, under a new id and through any relay. Each
+relay saw one broken connection, attributed it to the endpoint, and forgot it: no relay
+linked the crash to the request, or reported it to the others. Eight engines crashed in
+thirteen seconds, and all their other requests failed.
 
-What settled it are the lines of the ends, from all relays, with the requests' digests:
-one digest is in each of them, under another id and from another relay each time.
+The cause is visible in the log lines of the crashes, from all relays: one digest is in
+each of them, under another request id and from another relay each time.
 
     Connections broke amid requests. crashed=True digests=['66f5a4c1...'] endpoint=i0
     Connections broke amid requests. crashed=True digests=['66f5a4c1...'] endpoint=i1
@@ -27,11 +27,13 @@
 from tests.lib.relay_fakes import KEY, MemoryStore, ask, relay, until
 
 # The contact time is 3 s and more: all relays must know well before that.
-_KNOWN_S = 1.0
+_MAX_SPREAD_S = 1.0
 
 
-class TestRepeats:
-    async def test_a_fourth_endpoint_isnt_brought_down(self, path="/again/x"):
+class TestRetries:
+    async def test_a_retried_request_crashes_no_endpoint_once_quarantined(
+        self, path="/again/x"
+    ):
         async with cluster() as (relays, fleet):
             for number in range(12):
                 if fleet.crashed >= 3:
@@ -40,7 +42,7 @@
                 await fleet.fill()
                 await asyncio.sleep(0.05)
             assert fleet.crashed >= 3
-            await asyncio.sleep(_KNOWN_S)
+            await asyncio.sleep(_MAX_SPREAD_S)
             before = fleet.crashed
             for number in range(9):
                 await repeat(relays[number % 3], path, f"s{number}")
@@ -48,43 +50,45 @@
             assert fleet.crashed == before
 
 
-async def bring_down_three(relays, fleet, path="/again/x"):
-    """Repeat the fatal request until three endpoints crashed."""
+async def crash_three(relays, fleet, path="/again/x"):
+    """Send the fatal request until three endpoints crashed."""
     for number in range(12):
         if fleet.crashed >= 3:
             break
         await repeat(relays[number % len(relays)], path, f"r{number}")
-        # The next relay has heard of the crashes before: it is to bring down one more,
-        # not one more than that because it knows of fewer.
-        await until(lambda: all(heard(relay) >= fleet.crashed for relay in relays))
+        # The next relay must know the earlier crashes, or it would let one endpoint too
+        # many crash.
+        await until(
+            lambda: all(known_crashes(relay) >= fleet.crashed for relay in relays)
+        )
         await fleet.fill()
     assert fleet.crashed == 3
 
 
-def heard(relay):
+def known_crashes(relay):
     """Return how many crashes a relay remembers."""
     return len(relay._suspects.to_message()["crashes"])
 
 
-async def all_hold(relays, seconds=_KNOWN_S):
-    """Wait until every relay refuses something."""
+async def all_quarantine(relays, seconds=_MAX_SPREAD_S):
+    """Wait until every relay has a quarantined request."""
     await until(lambda: all(r._suspects.report() for r in relays), seconds)
 
 
 class TestKinds:
     @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/live/x"])
-    async def test_every_kind_of_route_is_bound(self, path):
+    async def test_requests_of_every_kind_of_route_are_quarantined(self, path):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet, path)
-            await all_hold(relays)
+            await crash_three(relays, fleet, path)
+            await all_quarantine(relays)
             for number in range(6):
                 status, _body = await repeat(relays[number % 3], path, f"s{number}")
                 assert status == 500
             assert fleet.crashed == 3
 
 
-class TestKnown:
-    async def test_repeats_at_all_relays_at_one_moment(self):
+class TestSpread:
+    async def test_simultaneous_retries_at_all_relays_are_bounded(self):
         async with cluster() as (relays, fleet):
             for number in range(4):
                 calls = [
@@ -93,10 +97,10 @@
                 await asyncio.gather(*calls)
                 await fleet.fill()
                 await asyncio.sleep(0.1)
-            # Each of the three of the first moment is sent on once at most.
+            # Each of the first three requests is sent once more at most.
             assert 3 <= fleet.crashed <= 6
 
-    async def test_runs_under_way_are_stopped(self):
+    async def test_runs_in_flight_are_stopped(self):
         paused = iter([0.0] * 3)
 
         def make(name):
@@ -115,61 +119,61 @@
             assert fleet.crashed == 3
             assert answers[-1][0] == 500
 
-    async def test_a_relay_that_starts_later_knows(self):
+    async def test_a_relay_that_starts_later_quarantines_the_request(self):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet)
+            await crash_three(relays, fleet)
             late = relay(fleet.store, node="late", seed=9, settle_s=0.0)
             async with started(late):
-                await all_hold([late])
+                await all_quarantine([late])
                 status, _body = await repeat(late, "/again/x", "s")
                 assert status == 500
                 assert fleet.crashed == 3
 
-    async def test_also_when_the_coordinator_is_lost_at_the_third(self):
+    async def test_relays_agree_when_the_coordinator_is_lost_at_the_third_crash(self):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet)
+            await crash_three(relays, fleet)
             holder = next(r for r in relays if r.coordinator.lease.mine)
             others = [r for r in relays if r is not holder]
             await holder.peers.stop()
-            await all_hold(others)
+            await all_quarantine(others)
 
-    async def test_also_while_the_store_is_down(self):
+    async def test_relays_agree_while_the_store_is_down(self):
         async with cluster() as (relays, fleet):
             await repeat(relays[0], "/once/x", "r0")
             await fleet.store.go_down()
             await repeat(relays[1], "/once/x", "r1")
             await repeat(relays[2], "/once/x", "r2")
             assert fleet.crashed == 3
-            await all_hold(relays)
+            await all_quarantine(relays)
 
-    async def test_also_after_all_relays_are_lost_at_once(self):
+    async def test_the_quarantine_survives_the_loss_of_all_relays(self):
         store = MemoryStore()
         async with cluster(store=store) as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            # Within the contact time; a row of fewer crashes may lie there before.
+            await crash_three(relays, fleet)
+            # Within the contact time; before, the row may hold fewer crashes.
             await until(lambda: stored_crashes(store) == 3, 3.0)
             for r in relays:
-                # None of them writes anything more.
+                # None of them writes the row again.
                 r.coordinator._keeper.crashes = None
         async with cluster(store=store, relays=1) as (relays, fleet):
-            await all_hold(relays, 5.0)
+            await all_quarantine(relays, 5.0)
             status, _body = await repeat(relays[0], "/again/x", "s")
             assert status == 500
             assert fleet.crashed == 0
 
-    async def test_also_after_a_planned_stop_of_all_at_once(self):
+    async def test_the_crashes_are_stored_at_a_planned_stop_of_all_relays(self):
         store = MemoryStore()
         async with cluster(store=store) as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            await all_hold(relays)
+            await crash_three(relays, fleet)
+            await all_quarantine(relays)
         assert stored_crashes(store) == 3
 
 
 class TestAnswer:
-    async def test_says_what_is_the_matter_and_invites_nobody(self):
+    async def test_gives_the_reason_and_invites_no_retry(self):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            await all_hold(relays)
+            await crash_three(relays, fleet)
+            await all_quarantine(relays)
             status, headers, body = await ask(
                 relays[0], "/again/x", rid="s", method="POST", body=FATAL
             )
@@ -182,39 +186,39 @@
             assert relays[0]._metrics.refusals()["request_quarantined"] == 1
 
 
-class TestEqual:
+class TestOtherRequests:
     @pytest.mark.parametrize(
         ("path", "body"), [("/again/y", FATAL[:-1]), ("/again/x", b"harmless")]
     )
     async def test_another_path_or_body_is_served(self, path, body):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            await all_hold(relays)
+            await crash_three(relays, fleet)
+            await all_quarantine(relays)
             status, _body = await repeat(relays[0], path, "s", body)
             assert status == 200
 
-    async def test_a_client_account_answers_for_none_other(self):
+    async def test_another_client_accounts_equal_request_is_served(self):
         accounts = [
             {"name": "acme", "api_keys": [KEY]},
             {"name": "other", "api_keys": ["key-2"]},
         ]
         async with cluster(tenants=accounts) as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            await all_hold(relays)
+            await crash_three(relays, fleet)
+            await all_quarantine(relays)
             answer = ask(
                 relays[0], "/once/x", rid="s", method="POST", body=FATAL, key="key-2"
             )
             with suppress(asyncio.IncompleteReadError, ConnectionError):
                 assert (await answer)[0] != 500
-            # It ran: what another account's request did isn't held against it.
+            # It ran: crashes of another account's request aren't attributed to it.
             assert fleet.crashed == 4
 
 
-class TestLimit:
-    async def test_a_refused_request_draws_on_no_limit(self):
+class TestQuota:
+    async def test_a_quarantined_request_uses_no_quota(self):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            await all_hold(relays)
+            await crash_three(relays, fleet)
+            await all_quarantine(relays)
             admitted = []
             for r in relays:
                 r._quota.admit = admitted.append
@@ -223,25 +227,25 @@
 
 
 class TestOperators:
-    async def test_see_what_is_refused_at_any_relay(self):
+    async def test_see_quarantined_requests_at_any_relay(self):
         async with cluster() as (relays, fleet):
-            await bring_down_three(relays, fleet)
-            await all_hold(relays)
+            await crash_three(relays, fleet)
+            await all_quarantine(relays)
             found = await ask_relay(f"127.0.0.1:{relays[2].peers.port}", "/quarantine")
             crashed = sorted(e.name for e in fleet.endpoints if e.crashed)
             assert [item["endpoints"] for item in found] == [crashed]
 
-    def test_are_told_of_a_relay_that_doesnt_answer(self):
+    def test_get_an_error_for_a_relay_that_doesnt_answer(self):
         result = CliRunner().invoke(quarantine_command, ["--relay", "127.0.0.1:1"])
         assert result.exit_code == 1
         assert "gives no readable answer" in result.stderr
 
 
 class TestOthers:
-    async def test_are_served_while_one_request_brings_endpoints_down(self):
-        """Equal requests that are harmless, and many that differ, all succeed."""
+    async def test_are_served_while_one_request_crashes_endpoints(self):
+        """Harmless requests, equal and different ones, all succeed."""
         async with cluster() as (relays, fleet):
-            harmful = asyncio.create_task(bring_down_three(relays, fleet, "/safe/x"))
+            harmful = asyncio.create_task(crash_three(relays, fleet, "/safe/x"))
             statuses = []
             for number in range(60):
                 body = b"equal" if number % 2 else b"%d" % number
@@ -251,7 +255,7 @@
             await harmful
             assert statuses.count(200) == 60
 
-    async def test_a_reset_link_counts_against_nobody(self):
+    async def test_a_reset_connection_is_no_crash(self):
         async def cut(_reader, writer, _headers):
             writer.transport.abort()
 
@@ -265,13 +269,13 @@
             assert [r._suspects.report() for r in relays] == [[], [], []]
             assert all(r._suspects.fingerprint == "" for r in relays)
 
-    async def test_an_endpoint_that_leaves_counts_against_nobody(self):
+    async def test_the_end_of_a_leaving_endpoint_is_no_crash(self):
         async with cluster() as (relays, fleet):
             for endpoint in fleet.endpoints[:3]:
                 row = endpoint.row(state="draining")
                 await fleet.store.put("servers", endpoint.name, row)
             leaving = fleet.endpoints[:3]
-            await until(lambda: all(known_leaving(r, leaving) for r in relays))
+            await until(lambda: all(sees_leaving(r, leaving) for r in relays))
             for n, r in pairs(relays):
                 member = r.view.members[leaving[n].name]
                 leaving[n].crash()
@@ -281,7 +285,7 @@
 
 
 def stored_crashes(store):
-    """Return how many crashes lie in the store."""
+    """Return how many crashes are in the store."""
     rows = store.tables.get("ebonydeal-crashes", {})
     return sum(
         len(json.loads(decompress(row.value))["memory"]["crashes"])
@@ -293,7 +297,7 @@
     return list(enumerate(relays))
 
 
-def known_leaving(program, endpoints):
+def sees_leaving(program, endpoints):
     members = program.view.members
     return all(members[e.name].leaving for e in endpoints)
 
--- a/tests/functional/relay/test_rollouts.py
+++ b/tests/functional/relay/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs through real relays: good and bad versions, and troubles meanwhile."""
+"""Roll-outs through real relays: good and bad versions, and faults meanwhile."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 from tests.lib.rollouts import NEW, OLD, deployment
 
 FAILS = b"500 Internal Server Error"
-# The bound that relays keep by default: a tenth of the requests, and fifty.
+# The relays' default bound: a tenth of the requests, and fifty.
 SHARE, SLACK = 0.1, 50
 
 
@@ -23,10 +23,10 @@
 
 
 def within_bound(found, begun, seconds):
-    """Return whether the new version got no more than the bound leaves it."""
-    over = [t for t in found.sends(NEW) if t <= begun + seconds]
-    whole = [t for t in found.sends(OLD) if begun <= t <= begun + seconds]
-    return len(over) <= SHARE * (len(over) + len(whole)) + SLACK
+    """Return whether the new version got no more requests than the bound allows."""
+    exposed = [t for t in found.sends(NEW) if t <= begun + seconds]
+    old = [t for t in found.sends(OLD) if begun <= t <= begun + seconds]
+    return len(exposed) <= SHARE * (len(exposed) + len(old)) + SLACK
 
 
 class TestGood:
@@ -43,7 +43,7 @@
             assert not [t for t in found.sends(OLD) if t > done]
             assert found.answers and {s for _p, s in found.answers} == {200}
 
-    async def test_waits_for_endpoints_that_come_late(self):
+    async def test_waits_for_endpoints_that_start_late(self):
         async with deployment() as found:
             await found.order(seconds=2.0)
             await asyncio.sleep(2.5)
@@ -51,7 +51,7 @@
             await found.add(NEW, 3)
             await verdict(found, "completed")
 
-    async def test_back_to_the_version_that_runs_is_done_at_once(self):
+    async def test_an_order_for_the_current_version_completes_at_once(self):
         async with deployment() as found:
             await found.order(to=OLD)
             await until(lambda: found.status() == ("completed", OLD))
@@ -80,7 +80,7 @@
             await asyncio.sleep(0.6)
             assert not [t for t in found.sends(NEW) if t > done]
 
-    async def test_one_that_turns_bad_is_rolled_back(self):
+    async def test_a_version_that_turns_bad_is_rolled_back(self):
         turned = []
         async with deployment() as found:
             begun = time.monotonic()
@@ -91,17 +91,17 @@
             await verdict(found, "rolled_back")
             assert within_bound(found, begun, 5.0)
 
-    async def test_a_trouble_of_both_is_not_held_against_it(self):
-        ill = []
+    async def test_a_disturbance_of_both_versions_is_no_evidence(self):
+        slow = []
         async with deployment() as found:
             for endpoint in found.endpoints:
-                endpoint.bad = lambda _path: 0.08 if ill else None
+                endpoint.bad = lambda _path: 0.08 if slow else None
             await found.order()
-            await found.add(NEW, 3, lambda _path: 0.08 if ill else None)
+            await found.add(NEW, 3, lambda _path: 0.08 if slow else None)
             await asyncio.sleep(2.0)
-            ill.append(True)
+            slow.append(True)
             await asyncio.sleep(1.0)
-            ill.clear()
+            slow.clear()
             await verdict(found, "completed")
 
 
@@ -110,7 +110,7 @@
         async with deployment() as found:
             await found.add(NEW, 2)
             for program in found.relays:
-                # Once orders are read up to their entries, and not before.
+                # They are admitted only once orders are read up to their entries.
                 await until(
                     lambda p=program: (
                         {m.version for m in p.view.of_service("s")} == {OLD, NEW}
@@ -123,7 +123,7 @@
                 part = program._split.choose_version("s", "/safe/", listed, 0.0)
                 assert {m.version for m in part.members} == {OLD}
 
-    async def test_an_unreadable_one_orders_nothing(self):
+    async def test_an_unreadable_order_is_ignored(self):
         async with deployment() as found:
             await found.store.put("op", "rollout/s", b'{"service": "s", "to": 7.5}')
             await asyncio.sleep(0.6)
@@ -135,7 +135,7 @@
             assert sum(counted) >= 1
             assert {s for _p, s in found.answers} == {200}
 
-    async def test_a_withdrawn_one_is_rolled_back(self):
+    async def test_a_withdrawn_order_is_rolled_back(self):
         async with deployment() as found:
             await found.order(seconds=8.0)
             await found.add(NEW, 3)
@@ -146,7 +146,7 @@
             await asyncio.sleep(0.5)
             assert not [t for t in found.sends(NEW) if t > done]
 
-    async def test_one_over_another_gives_the_first_version_up(self):
+    async def test_a_second_order_bars_the_first_orders_version(self):
         async with deployment() as found:
             await found.order(seconds=8.0)
             await found.add(NEW, 3)
@@ -160,18 +160,18 @@
             assert not [t for t in found.sends(NEW) if t > done]
 
     async def test_a_version_that_was_rolled_back_may_be_ordered_again(self):
-        ill = [True]
+        faulty = [True]
         async with deployment() as found:
             await found.order()
-            await found.add(NEW, 3, lambda _path: FAILS if ill else None)
+            await found.add(NEW, 3, lambda _path: FAILS if faulty else None)
             await verdict(found, "rolled_back")
-            ill.clear()
+            faulty.clear()
             await found.order(seconds=4.0)
             await verdict(found, "completed")
 
 
 class TestLoss:
-    async def test_another_coordinator_goes_on_with_what_was_spent(self):
+    async def test_another_coordinator_continues_within_the_bound(self):
         async with deployment(lease_ms=600) as found:
             begun = time.monotonic()
             await found.order(seconds=7.0)
@@ -184,7 +184,7 @@
             await verdict(found, "completed", 12.0)
             assert within_bound(found, begun, 7.0)
 
-    async def test_a_verdict_stands_when_all_relays_are_lost(self):
+    async def test_a_verdict_survives_the_loss_of_all_relays(self):
         async with deployment(lease_ms=600) as found:
             await found.order()
             await found.add(NEW, 3, lambda _path: FAILS)
@@ -199,29 +199,29 @@
                 assert again.status() == ("rolled_back", NEW)
                 again.endpoints.clear()
 
-    async def test_a_relay_that_hears_nobody_sends_to_the_old_version(self):
+    async def test_an_isolated_relay_sends_to_the_old_version(self):
         async with deployment() as found:
             await found.order(seconds=20.0)
             await found.add(NEW, 3)
             await until(lambda: found.sends(NEW))
-            deaf = next(r for r in found.relays if r is not found.coordinator())
+            isolated = next(r for r in found.relays if r is not found.coordinator())
 
             async def unreachable(*_args):
                 await asyncio.sleep(0.05)
                 raise EbonydealError(ErrorKind.CONNECT_FAILED, "cut off")
 
-            deaf._exchange._ask = unreachable
-            # Neither by an answer on its way nor by what is told without a question.
-            deaf._split.apply_gates = lambda _gates, _now: None
-            await asyncio.sleep(deaf._split.gate_ttl_s + 0.2)
-            now = deaf._clock.now()
-            members = deaf.view.of_service("s")
-            part = deaf._split.choose_version("s", "/safe/", members, now)
+            isolated._exchange._ask = unreachable
+            # Gates reach it neither in a late reply nor in a message from others.
+            isolated._split.apply_gates = lambda _gates, _now: None
+            await asyncio.sleep(isolated._split.gate_ttl_s + 0.2)
+            now = isolated._clock.now()
+            members = isolated.view.of_service("s")
+            part = isolated._split.choose_version("s", "/safe/", members, now)
             assert {m.version for m in part.members} == {OLD}
 
 
 class TestReport:
-    async def test_operators_are_shown_what_runs(self):
+    async def test_operators_see_a_roll_out_under_way(self):
         async with deployment() as found:
             await found.order(seconds=20.0)
             await found.add(NEW, 3)
@@ -233,11 +233,11 @@
             shown = await ask_relay(address, "/rollouts")
             assert shown[0]["service"] == "s" and shown[0]["exposed"] >= 1
 
-    def test_the_command_says_so_where_no_relay_is(self):
+    def test_the_command_reports_an_unreachable_relay(self):
         result = CliRunner().invoke(rollout_command, ["--relay", "127.0.0.1:1"])
         assert result.exit_code == 1 and "no readable answer" in result.output
 
-    def test_a_line_for_each_roll_out(self, monkeypatch):
+    def test_the_command_prints_a_line_for_each_roll_out(self, monkeypatch):
         def shown(_address, _path):
             return [
                 {
--- a/tests/lib/crashing.py
+++ b/tests/lib/crashing.py
@@ -1,4 +1,4 @@
-"""Several relays before endpoints that one request's body brings down."""
+"""Several relays in front of endpoints that one request body crashes."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -10,9 +10,9 @@
 
 
 class CrashingEndpoint(RawEndpoint):
-    """Ends as a killed process does when it reads `FATAL`.
+    """Behaves as a killed process once it reads `FATAL`.
 
-    All its connections are reset and its address refuses new ones; its entry stays
+    All its connections are reset and its address refuses new ones, but its entry stays
     listed. ``pause`` is the time before it ends, seconds.
     """
 
@@ -20,18 +20,18 @@
         super().__init__(name, script)
         self.pause = pause
         self.crashed = False
-        self.at_work = 0
+        self.in_flight = 0
         self._writers = set()
 
     async def _serve(self, reader, writer):
         self._writers.add(writer)
         try:
-            await super()._serve(_Watched(self, reader), writer)
+            await super()._serve(_BodyReader(self, reader), writer)
         finally:
             self._writers.discard(writer)
 
-    async def ran(self, body):
-        """Take a request's body; ends everything where it is fatal."""
+    async def run(self, body):
+        """Run a request's body; crash if it is fatal."""
         if body == FATAL:
             await asyncio.sleep(self.pause)
             self.crash()
@@ -44,8 +44,8 @@
             writer.transport.abort()
 
 
-class _Watched:
-    """A reader that shows its endpoint each body."""
+class _BodyReader:
+    """A reader that passes each body to its endpoint."""
 
     def __init__(self, endpoint, reader):
         self._endpoint = endpoint
@@ -59,12 +59,12 @@
 
     async def readexactly(self, size):
         body = await self._reader.readexactly(size)
-        await self._endpoint.ran(body)
+        await self._endpoint.run(body)
         return body
 
 
 class Fleet:
-    """Endpoints of one service, as many as are wanted at a time."""
+    """Endpoints of one service; `fill` replaces those that crashed."""
 
     def __init__(self, store, count, make=CrashingEndpoint):
         self.store = store
@@ -81,7 +81,7 @@
         return [e for e in self.endpoints if not e.crashed]
 
     async def fill(self):
-        """Start new endpoints for those that crashed, whose entries go."""
+        """Remove the entries of crashed endpoints, and start new ones."""
         for endpoint in self.endpoints:
             if endpoint.crashed and endpoint.name in self.store.tables["servers"]:
                 await self.store.put("servers", endpoint.name, None)
@@ -101,7 +101,7 @@
 async def cluster(
     relays=3, endpoints=6, make=CrashingEndpoint, store=None, tenants=None, **cfg
 ):
-    """Run relays before a fleet; yields (relays, fleet)."""
+    """Run relays in front of a fleet; yields (relays, fleet)."""
     store = store or MemoryStore()
     fleet = Fleet(store, endpoints, make)
     await fleet.fill()
@@ -115,7 +115,7 @@
         await program.start()
     for program in programs:
         await until(lambda program=program: program.ready)
-    await until(lambda: all(known(p, relays) for p in programs))
+    await until(lambda: all(knows_relays(p, relays) for p in programs))
     try:
         yield programs, fleet
     finally:
@@ -123,8 +123,8 @@
         await fleet.stop()
 
 
-def known(program, relays):
-    """Return whether a relay has heard of so many relays."""
+def knows_relays(program, relays):
+    """Return whether a relay knows so many relays."""
     return len(program._exchange.relays) >= relays
 
 
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -1,4 +1,4 @@
-"""Relays before endpoints of two versions, under an even load."""
+"""Relays in front of endpoints of two versions, under an even load."""
 
 import asyncio
 import json
@@ -14,10 +14,10 @@
 
 
 class VersionEndpoint(RawEndpoint):
-    """Answers as its version does, and notes when.
+    """Answers as its version does, and records when.
 
-    ``bad`` gets a request's path and returns what it does with it: ``None``, a status
-    line, or the seconds that it takes longer.
+    ``bad`` gets a request's path and returns what goes wrong: ``None``, a status line,
+    or a delay in seconds.
     """
 
     def __init__(self, name, version, bad=lambda _path: None):
@@ -52,7 +52,7 @@
 
 
 class Deployment:
-    """Relays, endpoints of both versions, and the callers."""
+    """Relays, endpoints of both versions, and callers."""
 
     def __init__(self, store, relays):
         self.store = store
@@ -71,13 +71,13 @@
             await self.store.put("servers", endpoint.name, endpoint.row(zone=zone))
 
     async def order(self, to=NEW, seconds=5.0, service="s"):
-        """Order a roll-out as the operator does."""
+        """Order a roll-out as an operator does."""
         message = {"service": service, "to": to, "duration_s": seconds}
         value = json.dumps(message).encode()
         await self.store.put("op", f"rollout/{service}", value)
 
     def status(self):
-        """Return what the operator reads: (state, version), or None."""
+        """Return the status that operators read, (state, version), or None."""
         row = self.store.tables.get("status", {}).get("rollout/s")
         if row is None:
             return None
@@ -91,7 +91,7 @@
         )
 
     async def load(self, rng, rate=30.0):
-        """Ask evenly, at any relay that runs."""
+        """Send requests at an even rate, to any running relay."""
         number = 0
         tasks = set()
         while True:
@@ -115,7 +115,7 @@
 
 @asynccontextmanager
 async def deployment(relays=3, old=3, store=None, load=True, **cfg):
-    """Run relays before endpoints of the old version."""
+    """Run relays in front of endpoints of the old version."""
     store = store or MemoryStore()
     programs = [
         relay(store, node=f"n{n}", seed=n + 1, settle_s=0.0, **cfg)
--- a/tests/unit/relay/crashes/test_crash_detector.py
+++ b/tests/unit/relay/crashes/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""What shows that an endpoint crashed, and what doesn't."""
+"""Which endpoints with a broken connection are detected as crashed."""
 
 import asyncio
 import socket
@@ -18,81 +18,82 @@
 
 
 @asynccontextmanager
-async def checking(*members):
+async def running_detector(*members):
     view = RelayView(2.0)
     for found in members:
         view.put(found)
-    check = CrashDetector(view, SystemClock(), 0.3)
+    detector = CrashDetector(view, SystemClock(), 0.3)
     seen = []
-    check.on_crash = seen.append
-    async with check:
-        yield check, seen
+    detector.on_crash = seen.append
+    async with detector:
+        yield detector, seen
 
 
 @pytest.fixture
 def closed_port():
-    """An address that refuses connections: bound, but nobody listens."""
+    """An address that refuses connections: bound, but not listening."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         yield f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-class TestEvidence:
-    async def test_an_address_that_refuses_is_a_crash(self, closed_port):
+class TestDetection:
+    async def test_a_refused_connection_is_a_crash(self, closed_port):
         one = member(closed_port)
-        async with checking(one) as (check, seen):
-            check.connection_broken(one, "a")
-            check.connection_broken(one, "b")
-            await check.wait_until_checked(one)
+        async with running_detector(one) as (detector, seen):
+            detector.connection_broken(one, "a")
+            detector.connection_broken(one, "b")
+            await detector.wait_until_checked(one)
             assert [(found.member, found.digests) for found in seen] == [
                 (one, frozenset("ab"))
             ]
 
-    async def test_one_that_takes_connections_lives(self):
+    async def test_an_endpoint_that_accepts_connections_is_no_crash(self):
         server = await asyncio.start_server(lambda _r, w: w.close(), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         one = member(f"{host}:{port}")
-        async with server, checking(one) as (check, seen):
-            check.connection_broken(one, "a")
-            await check.wait_until_checked(one)
+        async with server, running_detector(one) as (detector, seen):
+            detector.connection_broken(one, "a")
+            await detector.wait_until_checked(one)
             assert seen == []
 
-    async def test_one_that_cant_be_reached_tells_nothing(self, monkeypatch):
+    async def test_an_unreachable_endpoint_is_no_crash(self, monkeypatch):
         async def hang(*_args):
             await asyncio.sleep(30)
 
         monkeypatch.setattr(asyncio, "open_connection", hang)
         one = member("127.0.0.1:9")
-        async with checking(one) as (check, seen):
-            check.connection_broken(one, "a")
-            # The request that waits for it goes on meanwhile.
-            await asyncio.wait_for(check.wait_until_checked(one), 5.0)
+        async with running_detector(one) as (detector, seen):
+            detector.connection_broken(one, "a")
+            # The waiting request continues meanwhile.
+            await asyncio.wait_for(detector.wait_until_checked(one), 5.0)
             await asyncio.sleep(0.4)
             assert seen == []
 
-    async def test_one_that_leaves_ends_as_it_said(self, closed_port):
+    async def test_a_leaving_endpoint_is_no_crash(self, closed_port):
         one = member(closed_port, leaving=True)
-        async with checking(one) as (check, seen):
-            check.connection_broken(one, "a")
-            await check.wait_until_checked(one)
+        async with running_detector(one) as (detector, seen):
+            detector.connection_broken(one, "a")
+            await detector.wait_until_checked(one)
             assert seen == []
 
-    async def test_nor_one_that_is_listed_no_more(self, closed_port):
-        async with checking() as (check, seen):
-            check.connection_broken(member(closed_port), "a")
+    async def test_an_endpoint_that_isnt_listed_any_more_is_no_crash(self, closed_port):
+        async with running_detector() as (detector, seen):
+            detector.connection_broken(member(closed_port), "a")
             await asyncio.sleep(0.05)
             assert seen == []
 
-    async def test_nor_one_that_started_again_since(self, closed_port):
-        async with checking(member(closed_port, born=2)) as (check, seen):
-            check.connection_broken(member(closed_port, born=1), "a")
+    async def test_an_endpoint_that_restarted_since_is_no_crash(self, closed_port):
+        async with running_detector(member(closed_port, born=2)) as (detector, seen):
+            detector.connection_broken(member(closed_port, born=1), "a")
             await asyncio.sleep(0.05)
             assert seen == []
 
-    async def test_an_entry_that_changed_meanwhile_is_the_same_endpoint(
-        self, closed_port
-    ):
-        async with checking(member(closed_port, revision=5)) as (check, seen):
-            check.connection_broken(member(closed_port), "a")
-            await check.wait_until_checked(member(closed_port))
+    async def test_an_endpoint_with_a_changed_entry_is_still_checked(self, closed_port):
+        async with running_detector(member(closed_port, revision=5)) as (
+            detector,
+            seen,
+        ):
+            detector.connection_broken(member(closed_port), "a")
+            await detector.wait_until_checked(member(closed_port))
             assert len(seen) == 1
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -1,4 +1,4 @@
-"""A held request's runs are ended; words between relays are taken or refused."""
+"""Runs of a quarantined request are stopped; reports between relays are merged."""
 
 import asyncio
 from random import Random
@@ -20,11 +20,11 @@
 
 
 class Relay:
-    """The suspects of one relay; what it tells is in ``told``."""
+    """The suspects of one relay; its reports are in ``sent``."""
 
     def __init__(self, others=()):
         self.clock = ManualClock(100.0)
-        self.told = []
+        self.sent = []
         self.metrics = Metrics()
         client = SimpleNamespace(call=self.call)
         budget = CallBudget(lambda: list(others), self.clock, Random(1))
@@ -35,7 +35,7 @@
         )
 
     async def call(self, address, _path, message, _timeout):
-        self.told.append((address, message))
+        self.sent.append((address, message))
 
     def crash(self, number, *digests):
         self.clock._now += 1.0
@@ -43,7 +43,7 @@
 
 
 class TestRuns:
-    async def test_end_when_their_request_is_held(self):
+    async def test_runs_are_stopped_when_their_request_is_quarantined(self):
         relay = Relay()
         relay.crash(0, "fatal")
         relay.crash(1, "fatal")
@@ -65,7 +65,7 @@
         )
         assert relay.suspects.suspects_at("i3") == 0
 
-    async def test_one_whose_time_is_up_at_that_moment_ends_too(self):
+    async def test_a_run_that_times_out_at_that_moment_ends_too(self):
         relay = Relay()
         relay.crash(0, "fatal")
         relay.crash(1, "fatal")
@@ -79,7 +79,7 @@
                             relay.crash(2, "fatal")
                             raise
 
-    async def test_others_go_on(self):
+    async def test_runs_of_other_requests_continue(self):
         relay = Relay()
         for number in range(3):
             relay.crash(number, "fatal")
@@ -89,22 +89,22 @@
             relay.suspects.check("fatal")
 
 
-class TestWords:
-    async def test_a_crash_is_told_to_all_others_once(self):
+class TestReports:
+    async def test_a_crash_is_reported_to_each_relay_once(self):
         relay = Relay(["n1:1", "n2:1"])
         async with relay.suspects:
             relay.crash(0, "fatal")
             relay.crash(0, "fatal")
             await asyncio.sleep(0.01)
-        assert sorted(address for address, _message in relay.told) == ["n1:1", "n2:1"]
+        assert sorted(address for address, _message in relay.sent) == ["n1:1", "n2:1"]
 
-    def test_a_word_that_cant_be_read_is_refused_and_changes_nothing(self):
+    def test_an_unreadable_report_is_rejected_and_changes_nothing(self):
         relay = Relay()
         with pytest.raises((KeyError, TypeError, ValueError)):
             relay.suspects.receive({"node": "n1", "crashes": {"crashes": [{}]}})
         assert relay.suspects.fingerprint == ""
 
-    def test_a_memory_that_cant_be_read_is_left_out(self):
+    def test_unreadable_evidence_of_the_coordinator_is_ignored(self):
         relay = Relay()
         for wrong in (
             {},
@@ -116,16 +116,16 @@
             relay.suspects.merge(wrong, "n1")
         assert relay.suspects.fingerprint == ""
 
-    def test_the_coordinator_is_told_until_it_remembers_the_same(self):
+    def test_evidence_is_sent_until_the_coordinator_has_the_same(self):
         relay, other = Relay(), Relay()
         relay.crash(0, "fatal")
-        word = relay.suspects.evidence_for_coordinator()
-        assert word is not None
-        other.suspects.merge(word, "n0")
+        message = relay.suspects.evidence_for_coordinator()
+        assert message is not None
+        other.suspects.merge(message, "n0")
         relay.suspects.apply_reply(other.suspects.fingerprint, None, "coordinator")
         assert relay.suspects.evidence_for_coordinator() is None
 
-    async def test_each_request_is_counted_once(self):
+    async def test_each_quarantined_request_is_counted_once(self):
         relay = Relay()
         for number in range(4):
             relay.crash(number, "fatal")
@@ -134,7 +134,7 @@
 
 
 class TestSends:
-    """What a request's further sends do once something is held against it."""
+    """Further sends of a suspected or quarantined request."""
 
     def sends(self, relay, repeat=Repeat.IDEMPOTENT):
         made = parts()
@@ -143,7 +143,7 @@
         found = job(repeat, False)._replace(digest="fatal")
         return JobSends(made, found)
 
-    async def test_a_suspect_goes_where_fewest_are_at_work(self):
+    async def test_a_suspect_goes_to_the_endpoint_with_fewest_in_flight(self):
         relay = Relay()
         relay.crash(0, "fatal")
         sends = self.sends(relay)
@@ -153,7 +153,7 @@
                 sends._parts.choice.sent(ask, member, 0.0, 100.0)
         assert (await sends.choose()).endpoint_id == MEMBERS[2].endpoint_id
 
-    async def test_and_where_no_other_suspect_is(self):
+    async def test_a_suspect_avoids_endpoints_with_another_suspect(self):
         relay = Relay()
         relay.crash(0, "fatal", "other")
         async with asyncio.timeout(60.0) as limit:
@@ -161,14 +161,14 @@
                 member = await self.sends(relay).choose()
         assert member.endpoint_id != MEMBERS[0].endpoint_id
 
-    async def test_a_request_that_isnt_suspected_goes_by_the_usual_choice(self):
+    async def test_a_clear_request_goes_by_the_usual_choice(self):
         relay = Relay()
         relay.crash(0, "other")
         sends = self.sends(relay)
         sends.chooser._apart = lambda _allowed: pytest.fail("it isn't suspected")
         assert await sends.choose()
 
-    async def test_no_further_send_is_made_once_it_is_held(self):
+    async def test_a_quarantined_request_isnt_sent_again(self):
         relay = Relay()
         sends = self.sends(relay)
         await sends.choose()
@@ -181,7 +181,7 @@
         # An earlier send of this very request may have run.
         assert caught.value.outcome is Outcome.UNKNOWN
 
-    async def test_nor_does_a_stream_go_on_with_its_memory(self):
+    async def test_a_quarantined_stream_isnt_moved_with_its_state(self):
         relay = Relay()
         sends = self.sends(relay, Repeat.STREAM)
         await sends.choose()
@@ -191,7 +191,7 @@
             await sends.go_on(MOVED)
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
 
-    async def test_a_run_that_was_stopped_isnt_sent_again(self):
+    async def test_a_stopped_run_isnt_sent_again(self):
         relay = Relay()
         sends = self.sends(relay)
         await sends.choose()
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs at holders of the lease that come and go, and writes that get lost."""
+"""Roll-outs while the lease changes hands and answers to writes get lost."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.platform.wire import PlatformWire
 from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
-from ebonydeal._internal.relay.duties.rollout_run import RolloutRun, Totals
+from ebonydeal._internal.relay.duties.rollout_run import RequestTotals, RolloutRun
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.rollout.evidence import EvidenceSummary
@@ -31,7 +31,7 @@
     RolloutPolicy,
     RolloutState,
 )
-from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty
+from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty_counts
 from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryStore, word
@@ -46,8 +46,8 @@
     )
 
 
-class Seat:
-    """What a holder is as the coordinator."""
+class FakeCoordinator:
+    """The coordinator as a lease holder's roll-outs see it."""
 
     period = 0.5
     lease = SimpleNamespace(mine=True)
@@ -62,18 +62,18 @@
         return self._holder.holds
 
     def heard_lately(self):
-        return [relay.word(self._clock.now()) for relay in self._relays]
+        return [relay.report(self._clock.now()) for relay in self._relays]
 
 
-class Holder:
-    """One holder of the lease: its roll-outs, and its renewals by condition."""
+class LeaseHolder:
+    """A holder of the lease: its roll-outs, and its conditional renewals."""
 
     def __init__(self, store, clock, view, relays):
         self.store = store
         self.view = view
         self.holds = True
         self.lease_version = None
-        coordinator = Seat(self, relays, clock)
+        coordinator = FakeCoordinator(self, relays, clock)
         parts = RolloutParts(
             coordinator, view, PlatformWire(), store, None, Metrics(), clock
         )
@@ -81,7 +81,7 @@
         self._relays = relays
 
     def take_lease(self):
-        """Write the lease's row as a new holder does, then read what was kept."""
+        """Write the lease's row as a new holder does, then read the persisted rows."""
         asyncio.run(self._take())
 
     async def _take(self):
@@ -89,12 +89,12 @@
         self.lease_version = self.store.version
         await self.rollouts.store.read()
         if not self.rollouts.store.known:
-            # What the follower of orders does when it is asked for them.
+            # The follower of orders does this on request.
             self.view.orders_unchanged(self.store.version)
             await self.rollouts.store.read()
 
     def renew(self):
-        """Renew, with what is due; a holder that was replaced does nothing."""
+        """Renew, with the writes that are due; fails for a holder that was replaced."""
         changes = [RowChange(*LEASE, b"holder", self.lease_version)]
         changes += self.rollouts.store.changes()
         result = asyncio.run(self.store.transact(changes))
@@ -110,11 +110,11 @@
         self.rollouts.step()
         gates = self.rollouts.gates()
         for relay in self._relays:
-            relay.hears(gates)
+            relay.apply(gates)
 
 
 class Relay:
-    """A relay with the requests of a quarter second in each step."""
+    """A relay that serves the requests of a quarter second in each step."""
 
     def __init__(self, name, clock, order=ORDER):
         self.name = name
@@ -122,14 +122,14 @@
         self.split = TrafficSplit(name, 2.0)
         self.split.set_orders({"s": order})
 
-    def hears(self, gates):
+    def apply(self, gates):
         if gates is not None:
             self.split.apply_gates(gates, self.clock.now())
 
-    def word(self, now):
+    def report(self, now):
         return word(self.name, rollouts=self.split.tallies(now))
 
-    def serves(self, members, failing, count=20):
+    def serve(self, members, failing, count=20):
         """Serve requests; returns how many went to the new version."""
         over = 0
         now = self.clock.now()
@@ -168,182 +168,182 @@
 class TestTakeover:
     def play(self, failing=False):
         clock, view, listed, store, relays = world()
-        first = Holder(store, clock, view, relays)
+        first = LeaseHolder(store, clock, view, relays)
         first.take_lease()
         for _ in range(20):
             clock._now += 0.25
             for relay in relays:
-                relay.serves(listed, failing)
+                relay.serve(listed, failing)
             first.step()
             first.renew()
-        second = Holder(store, clock, view, relays)
+        second = LeaseHolder(store, clock, view, relays)
         return clock, listed, store, relays, first, second
 
-    def test_goes_on_with_what_was_spent_and_the_orders_end(self):
+    def test_continues_with_the_exposure_and_the_deadline(self):
         clock, _listed, _store, relays, first, second = self.play()
         second.take_lease()
-        before = first.rollouts._book.runs["s"].course
-        after = second.rollouts._book.runs["s"].course
-        assert after.until == before.until
-        # It is written once a second; relays tell the rest again.
-        a_second = 4 * 20 * len(relays)
-        assert 0 < before.requests - after.requests <= a_second
+        before = first.rollouts._registry.runs["s"].state
+        after = second.rollouts._registry.runs["s"].state
+        assert after.deadline == before.deadline
+        # Totals are written once a second; relays report the rest again.
+        per_second = 4 * 20 * len(relays)
+        assert 0 < before.requests - after.requests <= per_second
         for relay in relays:
-            assert f"{relay.name}/i" in second.rollouts._book.runs["s"].kept
+            assert f"{relay.name}/i" in second.rollouts._registry.runs["s"].inherited
 
-    def test_what_was_counted_before_isnt_counted_again_nor_a_rate(self):
+    def test_requests_counted_before_count_neither_again_nor_as_a_rate(self):
         clock, _listed, _store, _relays, first, second = self.play()
         second.take_lease()
         for _ in range(3):
             clock._now += 0.25
             second.step()
-        before = first.rollouts._book.runs["s"].course
-        after = second.rollouts._book.runs["s"].course
+        before = first.rollouts._registry.runs["s"].state
+        after = second.rollouts._registry.runs["s"].state
         assert (after.requests, after.exposed) == (before.requests, before.exposed)
         assert sum(after._rates.values()) == 0.0
 
-    def test_a_holder_that_was_replaced_writes_no_verdict(self):
+    def test_a_replaced_lease_holder_writes_no_verdict(self):
         clock, listed, store, relays, first, second = self.play()
         second.take_lease()
-        first.rollouts._end(
-            first.rollouts._book.runs["s"], RollBack("late", EvidenceSummary())
+        first.rollouts._finish(
+            first.rollouts._registry.runs["s"], RollBack("late", EvidenceSummary())
         )
         assert not first.renew()
         assert status(store) == "running"
 
-    def test_a_verdict_that_relays_act_on_stands(self):
+    def test_a_verdict_that_a_relay_applied_is_final(self):
         clock, listed, store, relays, first, second = self.play()
-        run = first.rollouts._book.runs["s"]
-        first.rollouts._end(run, RollBack("test", EvidenceSummary()))
-        # Told to one relay only, and never written.
-        relays[1].hears(first.rollouts.gates())
+        run = first.rollouts._registry.runs["s"]
+        first.rollouts._finish(run, RollBack("test", EvidenceSummary()))
+        # Sent to one relay only, and never written.
+        relays[1].apply(first.rollouts.gates())
         second.take_lease()
         second.step()
         second.renew()
         assert status(store) == "rolled_back"
 
-    def test_the_status_is_enough_where_nothing_else_was_kept(self):
+    def test_the_status_is_enough_if_the_row_is_missing(self):
         clock, listed, store, relays, first, second = self.play()
-        first.rollouts._end(first.rollouts._book.runs["s"], Complete(0))
+        first.rollouts._finish(first.rollouts._registry.runs["s"], Complete(0))
         first.renew()
         del store.tables["ebonydeal-rollouts"]
         for relay in relays:
             relay.split = TrafficSplit(relay.name, 2.0)
         second.take_lease()
         second.step()
-        assert second.rollouts._book.runs["s"].course.phase is Phase.COMPLETED
+        assert second.rollouts._registry.runs["s"].state.phase is Phase.COMPLETED
 
-    def test_what_wasnt_written_is_written_with_the_next_renewal(self):
+    def test_a_write_without_an_answer_is_repeated(self):
         clock, _listed, store, _relays, first, _second = self.play()
         first.rollouts.store.changed()
         assert first.rollouts.store.changes()
-        # No answer came.
+        # The write got no answer.
         assert first.rollouts.store.changes()
         first.rollouts.store.wrote()
         assert not first.rollouts.store.changes()
 
-    def test_orders_that_it_hasnt_read_are_not_taken_for_withdrawn(self):
+    def test_orders_that_it_hasnt_read_arent_treated_as_withdrawn(self):
         clock, _listed, store, relays, first, second = self.play()
-        told = RelayView(2.0)
-        asked = []
-        told.on_waiting = lambda: asked.append(True)
-        second = Holder(store, clock, told, relays)
+        behind = RelayView(2.0)
+        requests = []
+        behind.on_waiting = lambda: requests.append(True)
+        second = LeaseHolder(store, clock, behind, relays)
         asyncio.run(second.rollouts.store.read())
-        assert not second.rollouts.store.known and asked and told.waits_for_orders
+        assert not second.rollouts.store.known and requests and behind.waits_for_orders
         assert second.rollouts.gates() is None
-        told.take_orders({"s": ORDER}, store.version, "test")
+        behind.take_orders({"s": ORDER}, store.version, "test")
         asyncio.run(second.rollouts.store.read())
         second.step()
-        assert second.rollouts._book.runs["s"].course.phase is Phase.RUNNING
+        assert second.rollouts._registry.runs["s"].state.phase is Phase.RUNNING
 
-    def test_garbage_in_the_row_is_told_and_left(self):
+    def test_an_invalid_row_is_ignored(self):
         clock, listed, store, relays, first, second = self.play()
         asyncio.run(store.put("ebonydeal-rollouts", "memory", b"no row of ours"))
         second.take_lease()
         second.step()
         assert second.rollouts.store.known
-        assert second.rollouts._book.runs["s"].course.order == ORDER
+        assert second.rollouts._registry.runs["s"].state.order == ORDER
 
 
-class TestBook:
-    def book(self, **more):
+class TestRegistry:
+    def registry(self, **more):
         found = RolloutRegistry(RolloutPolicy())
-        found.begin(ORDER, {"v1"}, 0.0)
+        found.start(ORDER, {"v1"}, 0.0)
         return found
 
-    def test_a_version_given_up_midway_gets_nothing(self):
-        book = self.book()
-        book.begin(ORDER._replace(to="v3", revision=6), set(), 1.0)
-        assert book.barred_of("s") == {"v2"}
-
-    def test_one_that_is_ordered_again_may_get_requests(self):
-        book = self.book()
-        book.end(book.runs["s"], RollBack("bad", EvidenceSummary()))
-        assert book.barred_of("s") == {"v2"}
-        book.begin(ORDER._replace(revision=6), set(), 1.0)
-        assert not book.barred_of("s")
-
-    def test_back_to_the_services_own_version(self):
-        book = self.book()
-        run = book.begin(ORDER._replace(to="v1", revision=6), set(), 1.0)
-        assert run.course.phase is Phase.COMPLETED
-        assert book.barred_of("s") == {"v2"}
-
-    def test_memory_survives_the_way_to_the_store(self):
-        book = self.book()
-        book.runs["s"].kept["n1/i"] = Totals(100, 4)
-        kept = json.loads(json.dumps(book.to_memory(ahead=1000.0)))
+    def test_a_version_replaced_by_a_newer_order_is_barred(self):
+        registry = self.registry()
+        registry.start(ORDER._replace(to="v3", revision=6), set(), 1.0)
+        assert registry.barred_versions("s") == {"v2"}
+
+    def test_a_version_that_is_ordered_again_isnt_barred(self):
+        registry = self.registry()
+        registry.finish(registry.runs["s"], RollBack("bad", EvidenceSummary()))
+        assert registry.barred_versions("s") == {"v2"}
+        registry.start(ORDER._replace(revision=6), set(), 1.0)
+        assert not registry.barred_versions("s")
+
+    def test_an_order_for_the_current_version_completes_at_once(self):
+        registry = self.registry()
+        run = registry.start(ORDER._replace(to="v1", revision=6), set(), 1.0)
+        assert run.state.phase is Phase.COMPLETED
+        assert registry.barred_versions("s") == {"v2"}
+
+    def test_a_stored_roll_out_can_be_loaded(self):
+        registry = self.registry()
+        registry.runs["s"].inherited["n1/i"] = RequestTotals(100, 4)
+        stored = json.loads(json.dumps(registry.to_stored(clock_ahead_s=1000.0)))
         again = RolloutRegistry(RolloutPolicy())
-        again.take_memory(kept, ahead=990.0, now=15.0)
+        again.load_stored(stored, clock_ahead_s=990.0, now=15.0)
         run = again.runs["s"]
-        # The other process's clock is ten seconds ahead of the first one's.
-        assert run.course.until == 30.0 and run.course.requests == 100
-        assert again.own == {"s": {"v1"}} and not run.status_due
+        # The second process's clock is ten seconds ahead of the first one's.
+        assert run.state.deadline == 30.0 and run.state.requests == 100
+        assert again.current == {"s": {"v1"}} and not run.status_due
 
 
 class TestRun:
-    def test_words_of_another_order_are_left_out(self):
+    def test_reports_of_another_order_are_ignored(self):
         relay = Relay("n1", ManualClock(1.0), ORDER._replace(revision=4))
-        relay.serves([member("a", "v1")], False)
+        relay.serve([member("a", "v1")], False)
         run = RolloutRun(RolloutState(ORDER, 20.0))
-        run.hear([relay.word(1.0), word("n2"), {"node": "n3"}], False, 1.0)
-        assert run.course.requests == 0
+        run.add_reports([relay.report(1.0), word("n2"), {"node": "n3"}], False, 1.0)
+        assert run.state.requests == 0
 
-    def test_a_lost_relays_counts_stay(self):
+    def test_the_counts_of_a_lost_relay_stay(self):
         relay = Relay("n1", ManualClock(1.0))
-        relay.serves([member("a", "v1")], False)
+        relay.serve([member("a", "v1")], False)
         run = RolloutRun(RolloutState(ORDER, 20.0))
-        run.hear([relay.word(1.0)], False, 1.0)
-        run.hear([], False, 2.0)
-        assert run.course.requests == 20
-        assert run.totals() == {"n1/i": Totals(20, 0)}
+        run.add_reports([relay.report(1.0)], False, 1.0)
+        run.add_reports([], False, 2.0)
+        assert run.state.requests == 20
+        assert run.totals() == {"n1/i": RequestTotals(20, 0)}
 
     def test_answers_count_once(self):
         relay = Relay("n1", ManualClock(1.0))
         run = RolloutRun(RolloutState(ORDER, 20.0))
         relay.split._count("s", "r", member("b", "v2"), FAILED)
         for now in (1.0, 1.2, 1.4):
-            run.hear([relay.word(now)], False, now)
-        assert sum(run.told["n1/i"].new["r"]["b"]) == 1
-        assert run.course.evidence.answers <= 1
-        assert run.told["n1/i"].old.get("r", empty()) == empty()
+            run.add_reports([relay.report(now)], False, now)
+        assert sum(run.reported["n1/i"].new["r"]["b"]) == 1
+        assert run.state.evidence.answers <= 1
+        assert run.reported["n1/i"].old.get("r", empty_counts()) == empty_counts()
 
 
-class Holders(RuleBasedStateMachine):
-    """Holders are lost, paused and replaced, writes get lost, relays start anew.
+class LeaseChanges(RuleBasedStateMachine):
+    """Holders are lost, suspended and replaced, answers get lost, relays restart.
 
-    Whatever comes: one verdict, and a bad version within its bound.
+    In any order: one verdict, and a bad version stays within its bound.
     """
 
     @initialize(failing=st.booleans())
     def begin(self, failing):
         self.failing = failing
         self.clock, self.view, self.listed, self.store, self.relays = world()
-        self.holder = Holder(self.store, self.clock, self.view, self.relays)
+        self.holder = LeaseHolder(self.store, self.clock, self.view, self.relays)
         self.holder.take_lease()
         self.old_holders = []
         self.requests = self.exposed = 0
-        self.deaf = set()
+        self.cut_off = set()
 
     @rule(steps=st.integers(1, 8))
     def serve(self, steps):
@@ -351,15 +351,15 @@
             self.clock._now += 0.25
             for relay in self.relays:
                 self.requests += 20
-                over = relay.serves(self.listed, self.failing)
+                over = relay.serve(self.listed, self.failing)
                 if self.clock.now() <= 120.0:
                     self.exposed += over
             if self.holder.holds:
-                hearing = [r for r in self.relays if r.name not in self.deaf]
+                connected = [r for r in self.relays if r.name not in self.cut_off]
                 self.holder.rollouts.step()
                 gates = self.holder.rollouts.gates()
-                for relay in hearing:
-                    relay.hears(gates)
+                for relay in connected:
+                    relay.apply(gates)
 
     @precondition(lambda self: self.holder.holds)
     @rule()
@@ -368,7 +368,7 @@
 
     @precondition(lambda self: self.holder.holds)
     @rule()
-    def write_takes_effect_unheard(self):
+    def write_takes_effect_without_answer(self):
         changes = [RowChange(*LEASE, b"holder", self.holder.lease_version)]
         changes += self.holder.rollouts.store.changes()
         asyncio.run(self.store.transact(changes))
@@ -377,25 +377,25 @@
     @rule()
     def another_takes_over(self):
         self.old_holders.append(self.holder)
-        self.holder = Holder(self.store, self.clock, self.view, self.relays)
+        self.holder = LeaseHolder(self.store, self.clock, self.view, self.relays)
         self.holder.take_lease()
 
     @precondition(lambda self: self.old_holders)
     @rule()
-    def one_that_was_paused_wakes(self):
+    def a_suspended_holder_resumes(self):
         old = self.old_holders.pop()
         assert not old.renew()
 
     @rule(which=st.integers(0, 2))
     def a_relay_is_cut_off(self, which):
-        self.deaf = {f"n{which}"}
+        self.cut_off = {f"n{which}"}
 
     @rule()
-    def all_hear_again(self):
-        self.deaf = set()
+    def all_are_connected_again(self):
+        self.cut_off = set()
 
     @rule(which=st.integers(0, 2))
-    def a_relay_starts_anew(self, which):
+    def a_relay_restarts(self, which):
         name = f"n{which}"
         self.relays[which].split = TrafficSplit(name, 2.0)
         self.relays[which].split.set_orders({"s": ORDER})
@@ -413,25 +413,25 @@
             assert found.index(final[0]) + len(final) == len(found)
 
     @invariant()
-    def a_bad_version_gets_little(self):
+    def a_bad_version_stays_within_its_bound(self):
         if self.failing:
-            # What a relay that started anew counted before is known to nobody else.
+            # What a relay counted before its restart may be lost.
             assert self.exposed <= 0.1 * self.requests + 50
 
 
-TestHolders = Holders.TestCase
-TestHolders.settings = settings(
+TestLeaseChanges = LeaseChanges.TestCase
+TestLeaseChanges.settings = settings(
     derandomize=True, max_examples=60, stateful_step_count=30, deadline=None
 )
 
 
 class TestGates:
-    def test_nothing_is_told_before_what_was_kept_is_read(self):
+    def test_no_gate_is_sent_before_the_persisted_row_is_read(self):
         clock, view, _listed, store, relays = world()
-        holder = Holder(store, clock, view, relays)
+        holder = LeaseHolder(store, clock, view, relays)
         assert holder.rollouts.gates() is None
         holder.take_lease()
         holder.step()
         gate = holder.rollouts.gates()[0]
         assert (gate.service, gate.to, gate.phase) == ("s", "v2", Phase.RUNNING)
-        assert isinstance(holder.rollouts._book.runs["s"].verdict, Continue)
+        assert isinstance(holder.rollouts._registry.runs["s"].verdict, Continue)
--- a/tests/unit/routing/rollout/test_evidence.py
+++ b/tests/unit/routing/rollout/test_evidence.py
@@ -1,4 +1,4 @@
-"""What speaks against a new version, and what doesn't."""
+"""What counts as evidence against a new version, and what doesn't."""
 
 import random
 
@@ -12,18 +12,18 @@
 from ebonydeal._internal.routing.rollout.tally import (
     CATEGORIES,
     FAILED,
-    added,
+    add_counts,
     category_of,
-    empty,
-    less,
+    empty_counts,
+    subtract_counts,
 )
 
 TESTS = [MixtureTest, SingleEffectTest]
 
 
 def answers(rng, count, failing=0.0, slower=1.0, part=1.0):
-    """Return answers by category."""
-    counts = empty()
+    """Return random answers by category."""
+    counts = empty_counts()
     for _ in range(count):
         if rng.random() < failing:
             counts[FAILED] += 1
@@ -33,80 +33,81 @@
     return counts
 
 
-def watch(evidence, rng, steps, old, new, endpoints=("x", "y"), begin=0):
-    """Play steps of a quarter second; ``old`` and ``new`` are terms of answers."""
+def play(evidence, rng, steps, old, new, endpoints=("x", "y"), begin=0):
+    """Play quarter seconds; ``old`` and ``new`` are arguments of `answers`."""
     for step in range(begin, begin + steps):
         fresh = {e: answers(rng, 2, **new) for e in endpoints}
         evidence.add({"r": answers(rng, 40, **old)}, {"r": fresh}, step * 0.25)
-    return evidence.standing()
+    return evidence.summary()
 
 
 class TestTally:
-    def test_twice_as_slow_is_two_categories_more(self):
+    def test_twice_as_slow_is_two_categories_higher(self):
         assert category_of(0.2, 0.1) - category_of(0.1, 0.1) == 2
 
     @pytest.mark.parametrize("seconds", [0.0, -1.0, 1e-9, 1e9])
     def test_any_time_has_a_category(self, seconds):
         assert 1 <= category_of(seconds, 0.1) < CATEGORIES
 
-    def test_without_an_expectation_it_is_the_least(self):
+    def test_without_an_expected_time_it_is_the_lowest_category(self):
         assert category_of(1.0, 0.0) == 1
 
-    def test_counts_add_and_are_taken_off(self):
+    def test_counts_are_added_and_subtracted(self):
         one, two = answers(random.Random(1), 9), answers(random.Random(2), 5)
-        assert less(added(one, two), two) == one
+        assert subtract_counts(add_counts(one, two), two) == one
 
 
 class TestGoodVersion:
     @pytest.mark.parametrize("test", TESTS)
     @pytest.mark.parametrize("seed", range(5))
-    def test_nothing_speaks_against_it(self, test, seed):
-        standing = watch(Evidence(test()), random.Random(seed), 80, {}, {})
-        assert standing.total < 7.0
+    def test_it_stays_below_the_threshold(self, test, seed):
+        summary = play(Evidence(test()), random.Random(seed), 80, {}, {})
+        assert summary.total < 7.0
 
     @pytest.mark.parametrize(
-        "trouble", [{"failing": 0.4}, {"slower": 6.0}, {"failing": 0.1, "slower": 3.0}]
+        "disturbance",
+        [{"failing": 0.4}, {"slower": 6.0}, {"failing": 0.1, "slower": 3.0}],
     )
-    def test_a_trouble_of_both_versions_is_not_its_own(self, trouble):
+    def test_a_disturbance_of_both_versions_is_no_evidence(self, disturbance):
         evidence, rng = Evidence(MixtureTest()), random.Random(3)
-        watch(evidence, rng, 20, {}, {})
-        watch(evidence, rng, 16, trouble, trouble, begin=20)
-        assert watch(evidence, rng, 20, {}, {}, begin=36).total < 7.0
+        play(evidence, rng, 20, {}, {})
+        play(evidence, rng, 16, disturbance, disturbance, begin=20)
+        assert play(evidence, rng, 20, {}, {}, begin=36).total < 7.0
 
-    def test_one_ill_endpoint_is_told_apart(self):
+    def test_one_faulty_endpoint_is_identified(self):
         evidence, rng = Evidence(MixtureTest()), random.Random(4)
         for step in range(60):
             fresh = {"x": answers(rng, 2), "ill": answers(rng, 2, failing=0.6)}
             evidence.add({"r": answers(rng, 40)}, {"r": fresh}, step * 0.25)
-        standing = evidence.standing()
-        assert standing.loudest == "ill"
-        assert standing.total > 7.0 > 2.0 > standing.without
+        summary = evidence.summary()
+        assert summary.worst_endpoint == "ill"
+        assert summary.total > 7.0 > 2.0 > summary.total_without_worst
 
-    def test_without_an_endpoint_is_as_if_it_had_never_answered(self):
+    def test_the_total_without_an_endpoint_is_as_if_it_had_never_answered(self):
         whole, others = Evidence(MixtureTest()), Evidence(MixtureTest())
         rng = random.Random(6)
         for step in range(40):
             old = {"r": answers(rng, 40), "s": answers(rng, 20)}
-            ill = {e: answers(rng, 2, failing=0.7) for e in ("ill",)}
+            faulty = {e: answers(rng, 2, failing=0.7) for e in ("ill",)}
             sound = {e: answers(rng, 2) for e in "xy"}
-            whole.add(old, {"r": ill | sound, "s": sound}, step * 0.25)
+            whole.add(old, {"r": faulty | sound, "s": sound}, step * 0.25)
             others.add(old, {"r": sound, "s": sound}, step * 0.25)
-        found = whole.standing()
-        assert found.loudest == "ill"
-        assert found.without == pytest.approx(others.standing().total)
-        assert found.others == others.answers
+        found = whole.summary()
+        assert found.worst_endpoint == "ill"
+        assert found.total_without_worst == pytest.approx(others.summary().total)
+        assert found.other_answers == others.answers
 
-    def test_a_route_without_new_endpoints_says_nothing(self):
+    def test_a_route_without_new_endpoints_is_no_evidence(self):
         evidence, rng = Evidence(MixtureTest()), random.Random(1)
-        watch(evidence, rng, 8, {}, {})
-        before = evidence.standing()
+        play(evidence, rng, 8, {}, {})
+        before = evidence.summary()
         evidence.add({"s": answers(rng, 40)}, {"s": {}}, 3.0)
-        assert evidence.standing() == before
+        assert evidence.summary() == before
 
-    def test_before_the_old_version_answered_nothing_counts(self):
+    def test_without_a_baseline_nothing_counts(self):
         evidence = Evidence(MixtureTest())
         evidence.add({}, {"r": {"x": answers(random.Random(1), 30, failing=1.0)}}, 0.0)
-        assert evidence.standing().total <= 0.0
+        assert evidence.summary().total <= 0.0
 
 
 class TestBadVersion:
@@ -120,19 +121,19 @@
             {"slower": 8.0, "part": 0.5},
         ],
     )
-    def test_few_answers_are_enough_where_they_are_clear(self, bad, seed):
+    def test_few_answers_are_enough_if_the_difference_is_clear(self, bad, seed):
         evidence, rng = Evidence(MixtureTest()), random.Random(seed)
-        watch(evidence, rng, 12, {}, {}, endpoints=())
-        standing = watch(evidence, rng, 8, {}, bad, begin=12)
-        assert standing.total >= 7.0 and standing.without >= 2.0
+        play(evidence, rng, 12, {}, {}, endpoints=())
+        summary = play(evidence, rng, 8, {}, bad, begin=12)
+        assert summary.total >= 7.0 and summary.total_without_worst >= 2.0
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_one_that_turns_bad_is_found_as_soon(self, seed):
+    def test_a_version_that_turns_bad_later_is_detected_as_soon(self, seed):
         evidence, rng = Evidence(MixtureTest()), random.Random(seed)
-        watch(evidence, rng, 100, {}, {})
-        assert watch(evidence, rng, 8, {}, {"failing": 0.6}, begin=100).total >= 7.0
+        play(evidence, rng, 100, {}, {})
+        assert play(evidence, rng, 8, {}, {"failing": 0.6}, begin=100).total >= 7.0
 
-    def test_one_that_is_bad_on_one_route_names_it(self):
+    def test_the_route_is_named_if_only_one_is_bad(self):
         evidence, rng = Evidence(MixtureTest()), random.Random(7)
         for step in range(40):
             old = {"good": answers(rng, 40), "bad": answers(rng, 20)}
@@ -141,5 +142,5 @@
                 "bad": {e: answers(rng, 1, failing=0.7) for e in "xy"},
             }
             evidence.add(old, new, step * 0.25)
-        standing = evidence.standing()
-        assert standing.total >= 7.0 and standing.route == "bad"
+        summary = evidence.summary()
+        assert summary.total >= 7.0 and summary.worst_route == "bad"
--- a/tests/unit/routing/rollout/test_traffic_split.py
+++ b/tests/unit/routing/rollout/test_traffic_split.py
@@ -1,4 +1,4 @@
-"""Which version one relay's requests go to."""
+"""Which version one relay's requests go to, and what the relay counts."""
 
 import pytest
 from hypothesis import given
@@ -37,56 +37,56 @@
     return found
 
 
-def versions(part):
-    return {m.version for m in part.members}
+def versions(choice):
+    return {m.version for m in choice.members}
 
 
 class TestWithoutOrder:
-    def test_all_may_get_requests(self):
+    def test_all_endpoints_may_get_requests(self):
         found = TrafficSplit("n1", 2.0)
         assert not found.has_rollout("s")
         assert found.choose_version("s", "r", BOTH, 0.0).members == BOTH
 
 
 class TestRunning:
-    def test_nothing_goes_over_before_the_coordinator_spoke(self):
+    def test_nothing_goes_over_before_the_first_gate(self):
         assert versions(split().choose_version("s", "r", BOTH, 100.0)) == {"v1"}
 
-    def test_nothing_goes_over_once_it_is_silent(self):
+    def test_nothing_goes_over_once_the_gate_is_stale(self):
         found = split(gates=[gate(1.0)])
         assert versions(found.choose_version("s", "r", BOTH, 101.9)) == {"v2"}
         assert versions(found.choose_version("s", "r", BOTH, 102.1)) == {"v1"}
 
-    def test_a_repeat_goes_to_the_old_version(self):
+    def test_a_retry_goes_to_the_old_version(self):
         found = split(gates=[gate(1.0)])
         assert versions(found.choose_version("s", "r", BOTH, 100.0, again=True)) == {
             "v1"
         }
 
-    def test_only_the_canaries_get_them(self):
-        part = split(gates=[gate(1.0)]).choose_version("s", "r", BOTH, 100.0)
-        assert part.is_new and [m.endpoint_id for m in part.members] == ["b0", "b1"]
+    def test_only_canaries_get_requests(self):
+        choice = split(gates=[gate(1.0)]).choose_version("s", "r", BOTH, 100.0)
+        assert choice.is_new and [m.endpoint_id for m in choice.members] == ["b0", "b1"]
 
-    def test_where_only_new_ones_are_left_and_nobody_speaks_they_serve(self):
+    def test_new_endpoints_serve_without_a_gate_if_no_old_ones_are_left(self):
         assert versions(split().choose_version("s", "r", NEW, 100.0)) == {"v2"}
 
-    def test_where_only_new_ones_are_left_the_share_holds(self):
+    def test_the_share_is_kept_if_no_old_endpoints_are_left(self):
         found = split(gates=[gate(0.25)])
         served = 0
         for _ in range(40):
-            part = found.choose_version("s", "r", NEW, 100.0)
-            # Asked again while the request waits: that earns nothing.
-            part = (
-                part
-                if part.members
+            choice = found.choose_version("s", "r", NEW, 100.0)
+            # A second choice for the same request adds no credit.
+            choice = (
+                choice
+                if choice.members
                 else found.choose_version("s", "r", NEW, 100.0, first=0)
             )
-            if part.members:
-                found.record_send("s", "r", part.members[0], first=True)
+            if choice.members:
+                found.record_send("s", "r", choice.members[0], first=True)
                 served += 1
         assert 9 <= served <= 11
 
-    def test_a_version_given_up_before_gets_nothing(self):
+    def test_a_barred_version_gets_nothing(self):
         third = member("c", "v3")
         found = split(gates=[gate(barred=("v3",))])
         assert versions(found.choose_version("s", "r", [*OLD, third], 100.0)) == {"v1"}
@@ -97,45 +97,45 @@
         for number in range(relays):
             found = split(f"n{number}", [gate(share)])
             for _ in range(each):
-                part = found.choose_version("s", "r", BOTH, 100.0)
-                found.record_send("s", "r", part.members[0], first=True)
-                over += part.is_new
+                choice = found.choose_version("s", "r", BOTH, 100.0)
+                found.record_send("s", "r", choice.members[0], first=True)
+                over += choice.is_new
         # Each relay is off by less than one request.
         assert abs(over - share * relays * each) <= relays
         if relays >= 30 and share:
             assert abs(over - share * relays * each) <= relays / 2
 
-    def test_a_request_that_found_no_new_endpoint_is_made_up_for_once(self):
+    def test_credit_without_new_endpoints_is_limited(self):
         found = split(gates=[gate(0.5)])
         for _ in range(20):
             found.choose_version("s", "r", OLD, 100.0)
             found.record_send("s", "r", OLD[0], first=True)
         taken = 0
         for _ in range(4):
-            part = found.choose_version("s", "r", BOTH, 100.0)
-            found.record_send("s", "r", part.members[0], first=True)
-            taken += part.is_new
+            choice = found.choose_version("s", "r", BOTH, 100.0)
+            found.record_send("s", "r", choice.members[0], first=True)
+            taken += choice.is_new
         assert taken <= 3
 
 
 class TestVerdict:
-    def test_completed_leaves_the_old_version(self):
+    def test_completed_sends_nothing_to_the_old_version(self):
         found = split(gates=[gate(phase=Phase.COMPLETED)])
         assert versions(found.choose_version("s", "r", BOTH, 999.0)) == {"v2"}
 
-    def test_rolled_back_gets_nothing_even_where_nothing_else_is_left(self):
+    def test_a_rolled_back_version_gets_nothing_even_if_no_other_is_left(self):
         found = split(gates=[gate(phase=Phase.ROLLED_BACK)])
         assert versions(found.choose_version("s", "r", BOTH, 999.0)) == {"v1"}
         assert not found.choose_version("s", "r", NEW, 999.0).members
 
     @pytest.mark.parametrize("phase", [Phase.COMPLETED, Phase.ROLLED_BACK])
     @pytest.mark.parametrize("later", list(Phase))
-    def test_is_never_turned_back(self, phase, later):
+    def test_is_never_reverted(self, phase, later):
         found = split(gates=[gate(phase=phase)])
         found.apply_gates([gate(1.0, phase=later)], 101.0)
         assert found.gates()[0].phase is phase
 
-    def test_a_newer_order_begins_anew(self):
+    def test_a_newer_order_starts_a_new_roll_out(self):
         found = split(gates=[gate(phase=Phase.ROLLED_BACK)])
         found.set_orders({"s": ORDER._replace(revision=9)})
         assert versions(found.choose_version("s", "r", BOTH, 100.0)) == {"v1"}
@@ -143,7 +143,7 @@
         assert versions(found.choose_version("s", "r", BOTH, 100.0)) == {"v2"}
 
     @pytest.mark.parametrize("phase", [Phase.RUNNING, Phase.ROLLED_BACK])
-    def test_a_version_that_wasnt_found_good_gets_nothing_after_the_next_order(
+    def test_a_version_that_wasnt_completed_gets_nothing_after_the_next_order(
         self, phase
     ):
         found = split(gates=[gate(phase=phase, barred=("v0",))])
@@ -151,7 +151,7 @@
         listed = [*BOTH, member("c", "v3"), member("z", "v0")]
         assert versions(found.choose_version("s", "r", listed, 100.0)) == {"v1"}
 
-    def test_one_that_was_is_the_old_version_of_the_next_order(self):
+    def test_a_completed_version_is_the_old_one_of_the_next_order(self):
         found = split(gates=[gate(phase=Phase.COMPLETED)])
         found.set_orders({"s": ORDER._replace(to="v3", revision=9)})
         listed = [*NEW, member("c", "v3")]
@@ -165,19 +165,19 @@
         assert (
             found.expect_answer(AwaitedAnswer("s", "r", NEW[0], 0.1, 1.0, 100.0)) == 0
         )
-        assert not found.tallies(200.0)["s"]["new"] and not found._waits
+        assert not found.tallies(200.0)["s"]["new"] and not found._pending
 
-    def test_word_of_an_older_order_is_left_out(self):
+    def test_a_gate_of_an_older_order_is_ignored(self):
         found = split()
         found.apply_gates([gate(1.0, revision=6)], 100.0)
         assert versions(found.choose_version("s", "r", BOTH, 100.0)) == {"v1"}
 
-    def test_stands_after_the_order_is_withdrawn(self):
+    def test_stays_after_the_order_is_withdrawn(self):
         found = split(gates=[gate(phase=Phase.ROLLED_BACK)])
         found.set_orders({})
         assert versions(found.choose_version("s", "r", BOTH, 100.0)) == {"v1"}
 
-    def test_who_only_heard_of_it_tells_verdicts_and_no_shares(self):
+    def test_a_relay_that_isnt_the_coordinator_passes_on_verdicts_only(self):
         found = split()
         found.apply_verdicts([gate(1.0)])
         assert versions(found.choose_version("s", "r", BOTH, 100.0)) == {"v1"}
@@ -186,13 +186,13 @@
 
 
 class TestCounts:
-    def await_one(self, found, where, expected=0.1, at=100.0):
+    def expect_one(self, found, where, expected=0.1, at=100.0):
         return found.expect_answer(AwaitedAnswer("s", "r", where, expected, 1.0, at))
 
     def tally(self, found, now=100.0):
         return found.tallies(now)["s"]
 
-    def test_requests_and_exposed_ones(self):
+    def test_requests_and_exposed_requests_are_counted(self):
         found = split()
         assert not found.record_send("s", "r", OLD[0], first=True)
         assert found.record_send("s", "r", NEW[0], first=True)
@@ -202,46 +202,46 @@
 
     def test_an_answer_counts_by_its_time(self):
         found = split()
-        found.record_answer(self.await_one(found, NEW[0]), 100.2)
+        found.record_answer(self.expect_one(found, NEW[0]), 100.2)
         assert self.tally(found)["new"]["r"]["b0"][category_of(0.21, 0.11)] == 1
 
-    def test_what_was_over_before_it_was_told_counts_until_then(self):
+    def test_an_answer_recorded_after_its_send_ended_counts_until_the_end(self):
         found = split()
-        number = self.await_one(found, OLD[0])
+        number = self.expect_one(found, OLD[0])
         found.record_end(number, 100.15)
         found.record_answer(number, 105.0)
         assert self.tally(found)["old"]["r"][category_of(0.16, 0.11)] == 1
 
-    def test_a_late_answer_counts_before_it_comes_and_only_once(self):
+    def test_a_late_answer_counts_before_it_arrives_and_only_once(self):
         found = split()
-        number = self.await_one(found, NEW[0])
+        number = self.expect_one(found, NEW[0])
         assert found.has_new_bad_answers(100.5)
         assert not found.has_new_bad_answers(100.6)
         found.record_answer(number, 101.0)
         assert sum(self.tally(found, 101.0)["new"]["r"]["b0"]) == 1
 
-    def test_a_caller_that_left_says_nothing(self):
+    def test_a_caller_that_left_counts_for_nothing(self):
         found = split()
-        found.record_end(self.await_one(found, NEW[0]), 100.1)
+        found.record_end(self.expect_one(found, NEW[0]), 100.1)
         assert not found.has_new_bad_answers(103.0) and not self.tally(found)["new"]
-        assert not found.has_new_bad_answers(110.0) and not found._waits
+        assert not found.has_new_bad_answers(110.0) and not found._pending
 
-    def test_a_failure_is_told_at_once(self):
+    def test_a_failure_is_reported_at_once(self):
         found = split()
         assert found.record_failure("s", "r", NEW[0])
         assert not found.record_failure("s", "r", OLD[0])
         assert found.has_new_bad_answers(100.0)
         assert self.tally(found)["new"]["r"]["b0"][FAILED] == 1
 
-    def test_times_without_expectation_are_put_against_old_ones(self):
+    def test_times_without_an_estimate_are_compared_with_old_ones(self):
         found = split()
         for _ in range(50):
-            found.record_answer(self.await_one(found, OLD[0], expected=None), 100.02)
-        found.record_answer(self.await_one(found, NEW[0], expected=None), 100.2)
+            found.record_answer(self.expect_one(found, OLD[0], expected=None), 100.02)
+        found.record_answer(self.expect_one(found, NEW[0], expected=None), 100.2)
         counts = self.tally(found)["new"]["r"]["b0"]
         assert sum(counts[category_of(0.16, 0.03) :]) == 1
 
-    def test_of_a_decided_roll_out_the_phase_only_is_told(self):
+    def test_after_the_verdict_only_the_phase_is_reported(self):
         found = split(gates=[gate(phase=Phase.ROLLED_BACK)])
         found.record_send("s", "r", OLD[0], first=True)
         tally = self.tally(found)
