--- a/src/ebonydeal/_internal/benchmarks/rollouts/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/suite.py
@@ -30,7 +30,7 @@
     Complete,
     Continue,
     RollBack,
-    RolloutPolicy,
+    RolloutConfig,
     RolloutState,
     ServiceEndpoints,
 )
@@ -83,7 +83,7 @@
     """Play one roll-out."""
     world = World(case)
     order = RolloutOrder("s", "v2", case.duration, 1)
-    terms = RolloutPolicy(plan=ways.build_plan())
+    terms = RolloutConfig(plan=ways.build_plan())
     course = RolloutState(order, case.duration, terms, ways.build_test())
     period = Pace.of(case.relays, 0.5, 1.0).period
     lag = period + _WAY_S
--- a/src/ebonydeal/_internal/relay/duties/rollout_registry.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_registry.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
     RollBack,
-    RolloutPolicy,
+    RolloutConfig,
     RolloutState,
     Verdict,
 )
@@ -20,7 +20,7 @@
 
     Attributes
     ----------
-    policy : RolloutPolicy
+    config : RolloutConfig
         Thresholds of the verdict and plan of the exposure.
     runs : dict of str to RolloutRun
         Each service's last roll-out.
@@ -30,7 +30,7 @@
         A service's current versions: listed before its order, or completed.
     """
 
-    policy: RolloutPolicy
+    config: RolloutConfig
     runs: dict[str, RolloutRun] = field(default_factory=dict)
     barred: dict[str, set[str]] = field(default_factory=dict)
     current: dict[str, set[str]] = field(default_factory=dict)
@@ -65,7 +65,7 @@
             current.update(before - {order.to} or before)
         # A newer order overrides an older verdict.
         barred.discard(order.to)
-        run = RolloutRun(RolloutState(order, now + order.duration, self.policy))
+        run = RolloutRun(RolloutState(order, now + order.duration, self.config))
         self.runs[service] = run
         if order.to in current:
             # The service runs this version already: there is nothing to test.
@@ -130,7 +130,7 @@
             # The stored deadline is in the store's clock, which all relays share.
             deadline = min(float(item["until"]) - clock_ahead_s, now + order.duration)
             run = RolloutRun(
-                RolloutState(order, deadline, self.policy), status_due=False
+                RolloutState(order, deadline, self.config), status_due=False
             )
             run.state.phase = Phase(item["phase"])
             run.inherited = {
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -31,7 +31,7 @@
     Complete,
     Continue,
     RollBack,
-    RolloutPolicy,
+    RolloutConfig,
     RolloutState,
     ServiceEndpoints,
     Verdict,
@@ -71,14 +71,14 @@
     ----------
     parts : RolloutParts
         Dependencies.
-    policy : RolloutPolicy
+    config : RolloutConfig
         Thresholds of the verdict and plan of the exposure.
     """
 
-    def __init__(self, parts: RolloutParts, policy: RolloutPolicy) -> None:
+    def __init__(self, parts: RolloutParts, config: RolloutConfig) -> None:
         super().__init__()
         self._parts = parts
-        self._registry = RolloutRegistry(policy)
+        self._registry = RolloutRegistry(config)
         self.store = RolloutStore(
             parts.store, parts.wire, self._registry, parts.view, parts.clock
         )
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -56,7 +56,7 @@
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
 from ebonydeal._internal.routing.crashes.crash_evidence import (
     CrashEvidence,
-    QuarantinePolicy,
+    QuarantineConfig,
 )
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
 from ebonydeal._internal.routing.duties.pace import Pace
@@ -73,7 +73,7 @@
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.routing.rollout.exposure import ExposureBound
-from ebonydeal._internal.routing.rollout.rollout_state import RolloutPolicy
+from ebonydeal._internal.routing.rollout.rollout_state import RolloutConfig
 from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.settings.relay import RelaySettings
@@ -150,7 +150,7 @@
         self._crashes = CrashDetector(self.view, clock, self._cfg.connect_ms / 1000.0)
         self._suspects = Suspects(
             SuspectParts(
-                CrashEvidence(QuarantinePolicy.from_config(self._policy)),
+                CrashEvidence(QuarantineConfig.from_config(self._policy)),
                 self._client,
                 CallBudget(self._other_relays, clock, rng),
                 metrics,
@@ -338,7 +338,7 @@
                 self._metrics,
                 self._clock,
             ),
-            RolloutPolicy(
+            RolloutConfig(
                 bound=ExposureBound(self._cfg.expose_share, self._cfg.expose_slack)
             ),
         )
--- a/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
@@ -60,7 +60,7 @@
     endpoints: tuple[str, ...]
 
 
-class QuarantinePolicy(NamedTuple):
+class QuarantineConfig(NamedTuple):
     """When a request is quarantined, and for how long.
 
     Attributes
@@ -75,7 +75,7 @@
     retention_s: float = 1800.0
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "QuarantinePolicy":
+    def from_config(cls, cfg: PolicySettings) -> "QuarantineConfig":
         """Build from settings."""
         return cls(cfg.quarantine_crashes, cfg.quarantine_s)
 
@@ -85,12 +85,12 @@
 
     Parameters
     ----------
-    policy : QuarantinePolicy, optional
+    config : QuarantineConfig, optional
         When a request is quarantined.
     """
 
-    def __init__(self, policy: QuarantinePolicy | None = None) -> None:
-        self._policy = policy or QuarantinePolicy()
+    def __init__(self, config: QuarantineConfig | None = None) -> None:
+        self._config = config or QuarantineConfig()
         self._crashes: dict[CrashKey, Crash] = {}
         # Last successes of requests that were in flight in a crash.
         self._successes: dict[str, float] = {}
@@ -112,7 +112,7 @@
         self, observed: ObservedCrash, digests: Iterable[str]
     ) -> CrashKey | None:
         """Record a crash and requests in flight; return its key if any of it is new."""
-        if not self._policy.crash_threshold:
+        if not self._config.crash_threshold:
             return None
         key = self._add_crash(observed, digests)
         if key is not None:
@@ -198,7 +198,7 @@
 
     def expire(self, now: float) -> None:
         """Forget crashes older than the retention time."""
-        oldest = now - self._policy.retention_s
+        oldest = now - self._config.retention_s
         kept = {k: c for k, c in self._crashes.items() if c.at >= oldest}
         if len(kept) < len(self._crashes):
             self._crashes = kept
@@ -239,7 +239,7 @@
     def _update_attribution(self) -> None:
         self.fingerprint = self._compute_fingerprint()
         attributor = CrashAttributor(
-            self._crashes, self._successes, self._policy.crash_threshold
+            self._crashes, self._successes, self._config.crash_threshold
         )
         self._quarantined, self._suspected = attributor.attribute()
 
@@ -287,11 +287,11 @@
         Raises ValueError, KeyError or TypeError for an invalid message.
         """
         reported = parse_evidence(message, now)
-        if not self._policy.crash_threshold:
+        if not self._config.crash_threshold:
             return False
         changed = False
         for item in reported.crashes[-_MAX_CRASHES:]:
-            if now - item.observed.at >= self._policy.retention_s:
+            if now - item.observed.at >= self._config.retention_s:
                 continue
             changed |= self._add_crash(item.observed, item.digests) is not None
             crash = self._crashes.get(self._key_of(item.observed))
--- a/src/ebonydeal/_internal/routing/crashes/crash_messages.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_messages.py
@@ -9,8 +9,8 @@
 class CrashMessage(TypedDict):
     """One crash: the endpoint, its age in seconds, and the requests in flight.
 
-    ``born`` identifies the endpoint's start. ``alive`` says that the endpoint was active
-    afterwards, so that it didn't crash.
+    ``born`` identifies the endpoint's start. ``alive`` says that the endpoint was
+    active afterwards, so that it didn't crash.
     """
 
     endpoint: str
--- a/src/ebonydeal/_internal/routing/rollout/rollout_state.py
+++ b/src/ebonydeal/_internal/routing/rollout/rollout_state.py
@@ -44,7 +44,7 @@
 _RATE_UPDATE_INTERVAL_S = 0.2
 
 
-class RolloutPolicy(NamedTuple):
+class RolloutConfig(NamedTuple):
     """Thresholds of the verdict, as log-likelihood ratios, and plan of the exposure.
 
     Attributes
@@ -114,7 +114,7 @@
         What the operator ordered.
     deadline : float
         When it must be decided, monotonic seconds.
-    policy : RolloutPolicy, optional
+    config : RolloutConfig, optional
         Thresholds of the verdict and plan of the exposure.
     test : LikelihoodTest, optional
         Turns answers into evidence.
@@ -124,12 +124,12 @@
         self,
         order: RolloutOrder,
         deadline: float,
-        policy: RolloutPolicy | None = None,
+        config: RolloutConfig | None = None,
         test: LikelihoodTest | None = None,
     ) -> None:
         self.order = order
         self.deadline = deadline
-        self.policy = policy or RolloutPolicy()
+        self.config = config or RolloutConfig()
         self.evidence = Evidence(test or MixtureTest())
         self.phase = Phase.RUNNING
         self.requests = 0.0
@@ -203,8 +203,8 @@
         self.full_since = None
         if not endpoints.old:
             return Continue(self._shares_without_old(exposure), endpoints.new)
-        traffic = self.policy.plan.canary_traffic(
-            self.policy.bound,
+        traffic = self.config.plan.canary_traffic(
+            self.config.bound,
             exposure,
             len(endpoints.old),
             self._canary_order(endpoints, evidence),
@@ -221,16 +221,16 @@
         """
         if self.evidence.answers >= _MIN_ANSWERS and not exposure.in_doubt:
             return dict.fromkeys(exposure.rates, 1.0)
-        share = allowed_rate(self.policy.bound, exposure) / max(1.0, exposure.rate)
+        share = allowed_rate(self.config.bound, exposure) / max(1.0, exposure.rate)
         return dict.fromkeys(exposure.rates, round(min(1.0, share), 4))
 
     def _is_bad(self, evidence: EvidenceSummary, endpoints: ServiceEndpoints) -> bool:
         """Return whether there is enough evidence against the version itself."""
-        if evidence.total < self.policy.bad:
+        if evidence.total < self.config.bad:
             return False
         # A single endpoint can't be compared with others of its version.
         others = [e for e in endpoints.new if e != evidence.worst_endpoint]
-        return not others or evidence.total_without_worst >= self.policy.others_bad
+        return not others or evidence.total_without_worst >= self.config.others_bad
 
     def _stays_in_doubt(self, evidence: EvidenceSummary, now: float) -> bool:
         """Return whether a doubt outlasts the deadline: then the old version stays."""
@@ -243,11 +243,11 @@
 
         One faulty endpoint is none, once the others gave enough good answers.
         """
-        if evidence.total < self.policy.doubt:
+        if evidence.total < self.config.doubt:
             return False
         return (
             evidence.other_answers < _MIN_ANSWERS
-            or evidence.total_without_worst >= self.policy.doubt / 2.0
+            or evidence.total_without_worst >= self.config.doubt / 2.0
         )
 
     def _may_get_all(self, endpoints: ServiceEndpoints, exposure: Exposure) -> bool:
@@ -258,7 +258,7 @@
             return False
         if exposure.time_left <= 0.0:
             return True
-        length = min(_MAX_LAST_STAGE_S, last_stage_s(self.policy.bound, exposure))
+        length = min(_MAX_LAST_STAGE_S, last_stage_s(self.config.bound, exposure))
         if self.full_since is not None:
             # More requests than expected shorten the length: a stage under way isn't
             # taken back at once.
@@ -294,7 +294,7 @@
 
         One that seems faulty comes last: the others show whether it is the version.
         """
-        faulty = evidence.worst_endpoint if evidence.total >= self.policy.doubt else ""
+        faulty = evidence.worst_endpoint if evidence.total >= self.config.doubt else ""
         return tuple(sorted(endpoints.new, key=lambda e: (e == faulty, e)))
 
     def gate(self, verdict: Verdict, barred: tuple[str, ...]) -> Gate:
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -28,7 +28,7 @@
     Complete,
     Continue,
     RollBack,
-    RolloutPolicy,
+    RolloutConfig,
     RolloutState,
 )
 from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty_counts
@@ -77,7 +77,7 @@
         parts = RolloutParts(
             coordinator, view, PlatformWire(), store, None, Metrics(), clock
         )
-        self.rollouts = Rollouts(parts, RolloutPolicy())
+        self.rollouts = Rollouts(parts, RolloutConfig())
         self._relays = relays
 
     def take_lease(self):
@@ -267,7 +267,7 @@
 
 class TestRegistry:
     def registry(self, **more):
-        found = RolloutRegistry(RolloutPolicy())
+        found = RolloutRegistry(RolloutConfig())
         found.start(ORDER, {"v1"}, 0.0)
         return found
 
@@ -293,7 +293,7 @@
         registry = self.registry()
         registry.runs["s"].inherited["n1/i"] = RequestTotals(100, 4)
         stored = json.loads(json.dumps(registry.to_stored(clock_ahead_s=1000.0)))
-        again = RolloutRegistry(RolloutPolicy())
+        again = RolloutRegistry(RolloutConfig())
         again.load_stored(stored, clock_ahead_s=990.0, now=15.0)
         run = again.runs["s"]
         # The second process's clock is ten seconds ahead of the first one's.
--- a/tests/unit/routing/crashes/test_crash_evidence.py
+++ b/tests/unit/routing/crashes/test_crash_evidence.py
@@ -9,7 +9,7 @@
 
 from ebonydeal._internal.routing.crashes.crash_evidence import (
     CrashEvidence,
-    QuarantinePolicy,
+    QuarantineConfig,
     QuarantineStatus,
 )
 from ebonydeal._internal.routing.crashes.crash_messages import ObservedCrash
@@ -23,7 +23,7 @@
 
 
 def evidence(*crashes, **terms):
-    found = CrashEvidence(QuarantinePolicy(**terms))
+    found = CrashEvidence(QuarantineConfig(**terms))
     for number, digests in enumerate(crashes):
         crash(found, f"i{number}", 100.0 + number, *digests)
     return found
