--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -9,7 +9,7 @@
 
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
+from ebonydeal._internal.relay.crashes.crash_detector import CrashDetector
 from ebonydeal._internal.relay.crashes.crash_store import CrashStore
 from ebonydeal._internal.relay.crashes.suspects import SuspectParts, Suspects
 from ebonydeal._internal.relay.derived_settings import (
@@ -38,7 +38,7 @@
     ROLLOUTS,
     ExchangeReply,
 )
-from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
+from ebonydeal._internal.relay.peers.rollouts import RolloutReceiver
 from ebonydeal._internal.relay.peers.word import RelayWord, WordParts
 from ebonydeal._internal.relay.ports import RelayPorts
 from ebonydeal._internal.relay.requests.connections import EndpointPools
@@ -56,7 +56,7 @@
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
 from ebonydeal._internal.routing.crashes.crash_evidence import (
     CrashEvidence,
-    EvidenceTerms,
+    QuarantineConfig,
 )
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
@@ -72,9 +72,9 @@
 )
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
-from ebonydeal._internal.routing.rollout.course import Terms as RolloutTerms
-from ebonydeal._internal.routing.rollout.exposure import Bound
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.exposure import ExposureBound
+from ebonydeal._internal.routing.rollout.rollout_state import RolloutConfig
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.settings.relay import RelaySettings
 from ebonydeal._internal.utils.clock import Clock
@@ -147,10 +147,10 @@
         self._long_reads = LongReads(
             self._client, clock, rng, self._other_relays, self._policy.tell_long_s
         )
-        self._crashes = CrashCheck(self.view, clock, self._cfg.connect_ms / 1000.0)
+        self._crashes = CrashDetector(self.view, clock, self._cfg.connect_ms / 1000.0)
         self._suspects = Suspects(
             SuspectParts(
-                CrashEvidence(EvidenceTerms.from_config(self._policy)),
+                CrashEvidence(QuarantineConfig.from_config(self._policy)),
                 self._client,
                 CallBudget(self._other_relays, clock, rng),
                 metrics,
@@ -158,12 +158,12 @@
                 self._node.id,
             )
         )
-        self._crashes.on_crash = self._suspects.crashed
-        self._split = Split(
+        self._crashes.on_crash = self._suspects.record_crash
+        self._split = TrafficSplit(
             self._node.id, ReportPacing(self._policy.exchange_s).isolation_timeout
         )
-        self.view.on_orders = self._split.ordered
-        self._rollout_hearer = RolloutHearer(self._split, self.view, clock)
+        self.view.on_orders = self._split.set_orders
+        self._rollout_hearer = RolloutReceiver(self._split, self.view, clock)
         bounds = QuotaBounds(
             self._cfg.quota_window_s,
             self._cfg.quota_overshoot,
@@ -262,8 +262,8 @@
             seeds,
         )
         handler.serve(HOLDER, self._exchange.take_holder)
-        handler.serve(ROLLOUTS, self._rollout_hearer.take)
-        self._rollout_hearer.hasten = self._exchange.hasten
+        handler.serve(ROLLOUTS, self._rollout_hearer.receive)
+        self._rollout_hearer.report_now = self._exchange.hasten
         self.coordinator.on_begin = self._announce
         self._limits.coordinator = self._exchange
         self._limits.address = lambda: self._word.address
@@ -279,7 +279,7 @@
         self.coordinator.keep(CrashStore(ports.store, self._suspects, clock))
         self._rollouts = self._build_rollouts(ports)
         handler.rollouts = self._rollouts.report
-        self.coordinator.compare_crashes = self._suspects.compare
+        self.coordinator.compare_crashes = self._suspects.exchange_evidence
         self.coordinator.hears_store = lambda: members.fresh
         self.coordinator.hears_config = lambda: config.fresh
         self._news = NewsFeed(
@@ -305,7 +305,7 @@
             clock,
             FleetTerms.from_config(self._policy),
         )
-        self._fleet.rolling = self._rollouts.rolling
+        self._fleet.rolling = self._rollouts.target_version
 
     def _build_coordinator(
         self, ports: RelayPorts, bounds: QuotaBounds, incarnation: str
@@ -338,12 +338,14 @@
                 self._metrics,
                 self._clock,
             ),
-            RolloutTerms(bound=Bound(self._cfg.expose_share, self._cfg.expose_slack)),
+            RolloutConfig(
+                bound=ExposureBound(self._cfg.expose_share, self._cfg.expose_slack)
+            ),
         )
         rollouts.write_soon = self.coordinator.write_soon
-        rollouts.on_gates = self._rollout_hearer.take
+        rollouts.on_gates = self._rollout_hearer.receive
         self.coordinator.rollouts = rollouts.message
-        self.coordinator.keep(rollouts.kept)
+        self.coordinator.keep(rollouts.store)
         return rollouts
 
     def on_init_dependencies(self) -> Iterable[Service]:
@@ -406,7 +408,7 @@
         """Take the coordinator's answer to what was told at ``asked_at``."""
         if self._word.heard(reply, asked_at):
             self._sync.behind = True
-        self._split.patience = self._exchange.patience
+        self._split.gate_ttl_s = self._exchange.patience
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
         mine = self.coordinator.lease.is_mine
         config = self._followers[0]
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -10,7 +10,7 @@
     Route,
 )
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
+from ebonydeal._internal.relay.crashes.crash_detector import CrashDetector
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
 from ebonydeal._internal.relay.peers.long_reads import LongReads
@@ -26,7 +26,7 @@
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.utils.clock import Clock
 
@@ -103,9 +103,9 @@
     usage: UsageMeter
     moves: StreamMoves
     long_reads: LongReads
-    crashes: CrashCheck
+    crashes: CrashDetector
     suspects: Suspects
-    split: Split
+    split: TrafficSplit
     notices: NoticeReader
     permits: EndpointPermits
     metrics: Metrics
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -24,13 +24,13 @@
 from ebonydeal._internal.relay.requests.outcomes import Answered, MayHaveRun
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.crashes.crash_evidence import Standing
+from ebonydeal._internal.routing.crashes.crash_evidence import QuarantineStatus
 from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
-from ebonydeal._internal.routing.rollout.split import Split
+from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from ebonydeal._internal.settings.routing import RetrySettings, RoutingSettings
 from tests.lib.clock import ManualClock
 from tests.unit.relay.requests.test_outcomes import PROMISES, outcomes
@@ -62,14 +62,16 @@
         choice=MemberChoice(8.0),
         outliers=Outliers(RoutingSettings(), Random(1)),
         failing=FailureShares(0.15),
-        split=Split("n1", 2.0),
+        split=TrafficSplit("n1", 2.0),
         permits=EndpointPermits(EndpointNotices(), None, clock, Metrics()),
         retries=retries,
         metrics=Metrics(),
         long_reads=SimpleNamespace(sent=lambda *_read: None),
-        crashes=SimpleNamespace(broke=lambda *_broke: None, checked=at_once),
+        crashes=SimpleNamespace(
+            connection_broken=lambda *_broke: None, wait_until_checked=at_once
+        ),
         suspects=SimpleNamespace(
-            check=lambda _digest: None, standing=lambda _digest: Standing.CLEAR
+            check=lambda _digest: None, status=lambda _digest: QuarantineStatus.CLEAR
         ),
         pools=EndpointPools(clock, 1.0),
         clock=clock,
