--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -35,7 +35,7 @@
     NewsMessage,
     RolloutsMessage,
 )
-from ebonydeal._internal.relay.peers.roster import Roster
+from ebonydeal._internal.relay.peers.relay_reports import RelayReports
 from ebonydeal._internal.relay.ports import Duties, SharedStore
 from ebonydeal._internal.relay.view.news import news_since
 from ebonydeal._internal.relay.view.view import RelayView
@@ -180,7 +180,7 @@
         self.lease = lease
         self._checks_fence = checks_fence
         self._refused_fence = 0
-        self._roster = Roster(parts.clock, size.exchange_s, size.cores)
+        self._reports = RelayReports(parts.clock, size.exchange_s, size.cores)
         self.granter = Granter(
             lease, lambda: self._keeper.holds, parts.clock, bounds, terms
         )
@@ -193,7 +193,7 @@
                 self.granter,
                 lease,
                 parts.clock,
-                lambda: {relay.message["node"] for relay in self._roster.alive()},
+                lambda: {relay.message["node"] for relay in self._reports.alive()},
             )
         )
         self._tally = _GrantTally(self._granted_by)
@@ -227,7 +227,7 @@
     def _begin(self) -> None:
         """Start afresh: what was told before may be of long ago."""
         self.on_begin()
-        self._roster.begin(self.relays_before())
+        self._reports.begin(self.relays_before())
 
     def keep(self, kept: KeptRow) -> None:
         """Keep a row with the lease."""
@@ -240,7 +240,7 @@
     @property
     def period(self) -> float:
         """Seconds between two reports of a relay."""
-        return self._roster.pace.period
+        return self._reports.pace.period
 
     def start_duties(self) -> None:
         """Take part in the lease: other relays can reach this one now."""
@@ -264,7 +264,7 @@
     @property
     def feeds_config(self) -> bool:
         """Whether relays are to hear of the configuration from here alone."""
-        return self.holds and len(self._roster.alive()) >= _TELL_CONFIG_FROM
+        return self.holds and len(self._reports.alive()) >= _TELL_CONFIG_FROM
 
     @property
     def tells_config(self) -> bool:
@@ -300,21 +300,21 @@
 
     def callers(self) -> list[str]:
         """Return the addresses of relays that were heard lately."""
-        return [relay.address for relay in self._roster.alive()]
+        return [relay.address for relay in self._reports.alive()]
 
     def heard_lately(self) -> list[ExchangeMessage]:
         """Return the last word of each relay that is alive."""
-        return [relay.message for relay in self._roster.alive()]
+        return [relay.message for relay in self._reports.alive()]
 
     # --- talk with relays --------------------------------------------------------
     def exchange(self, message: ExchangeMessage) -> ExchangeReply:
         """Take a relay's word and tell it what it needs."""
         parts = self._parts
         node = message["node"]
-        self._roster.hear(message)
+        self._reports.record(message)
         # Silent relays' counts are waited for no longer.
-        self._roster.drop_silent(lambda word: self._ledger.forget(_counter(word)))
-        self.lease.relays = self._roster.count
+        self._reports.drop_silent(lambda word: self._ledger.forget(_counter(word)))
+        self.lease.relays = self._reports.count
         # Counts are running totals of one incarnation.
         self._ledger.heard(
             _counter(message),
@@ -324,16 +324,16 @@
         mark, crashes = self.compare_crashes(message)
         return ExchangeReply(
             holds=self.holds,
-            relays=self._roster.addresses_unless(message.get("known", "")),
+            relays=self._reports.addresses_unless(message.get("known", "")),
             config=parts.view.version,
             members=parts.view.last_change,
             reported=self._ledger.reported,
-            loads=self._roster.loads_without(node),
-            answers=self._roster.failures_without(node),
+            loads=self._reports.loads_without(node),
+            answers=self._reports.failures_without(node),
             # Relays of the release before look for amounts here.
             grants={},
             limits=self._hear_limits(message),
-            period=self._roster.pace.period,
+            period=self._reports.pace.period,
             tells_config=self.tells_config,
             fresh=self.fresh,
             news=self._news_of(node),
@@ -374,7 +374,7 @@
         """Return what a relay's list of endpoints lacks."""
         if not self.lease.mine or not self.fresh or self.is_self(node):
             return None
-        mark = self._roster.mark_of(node)
+        mark = self._reports.mark_of(node)
         now = self._parts.clock.now()
         return news_since(self._parts.view, mark, self.lease.fence, now)
 
@@ -387,7 +387,7 @@
         if not self.holds or not self.fresh:
             return None
         others = [
-            r for r in self._roster.alive() if not self.is_self(r.message["node"])
+            r for r in self._reports.alive() if not self.is_self(r.message["node"])
         ]
         return {relay.address: relay.mark for relay in others}, self.lease.fence
 
@@ -410,7 +410,7 @@
         if word is None or not self.lease.mine:
             return None
         granter = self.granter
-        seconds = self._roster.pace.patience
+        seconds = self._reports.pace.patience
         reply = granter.hear(node, message["incarnation"], word, seconds)
         now = self._parts.clock.now()
         for name, amount in (grants := granter.advances(message["demand"])).items():
@@ -437,7 +437,7 @@
                 relay.message["limits"]["zone"],
                 relay.message["limits"]["stands_back_s"],
             )
-            for relay in self._roster.alive()
+            for relay in self._reports.alive()
             if not relay.message["leaving"] and "limits" in relay.message
         ]
 
@@ -476,7 +476,7 @@
             if index is None or not self.warm or not self.holds:
                 continue
             accounts = [account.name for account in index.table.accounts]
-            wait = self._roster.pace.silent_after
+            wait = self._reports.pace.silent_after
             due = self._ledger.due(self._parts.clock.wall(), accounts, wait)
             if due is None:
                 continue
@@ -497,7 +497,7 @@
             window=due.window,
             accepted=answer.accepted,
             counts=counts,
-            relays=len(self._roster.alive()),
+            relays=len(self._reports.alive()),
             told_by=self._ledger.told_by(due.window),
             detail="" if answer.accepted else answer.detail,
         )
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -58,8 +58,8 @@
     client: PeerClient
     clock: Clock
     rng: Random
-    word: Callable[[list[str]], ExchangeMessage]
-    heard: Callable[[ExchangeReply, float], None]
+    build_report: Callable[[list[str]], ExchangeMessage]
+    on_reply: Callable[[ExchangeReply, float], None]
     period: float = 0.5
 
 
@@ -214,7 +214,7 @@
         self._pace = Pace(max(parts.period, reply.get("period", 0.0)))
         self._tells_config = reply.get("tells_config", False)
         lease.wanted = not reply["holds"]
-        parts.heard(reply, asked_at)
+        parts.on_reply(reply, asked_at)
         return True
 
     async def announce(self) -> None:
@@ -250,12 +250,12 @@
     async def _ask(self) -> ExchangeReply | None:
         parts = self._parts
         if parts.coordinator.lease.mine:
-            return parts.coordinator.exchange(parts.word(self.relays))
+            return parts.coordinator.exchange(parts.build_report(self.relays))
         address = self.coordinator_address
         if address is None:
             return None
         reply: Any = await parts.client.call(
-            address, EXCHANGE, parts.word(self.relays), _CALL_S
+            address, EXCHANGE, parts.build_report(self.relays), _CALL_S
         )
         return reply
 
--- a/src/ebonydeal/_internal/relay/peers/word.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reporter.py
@@ -5,8 +5,8 @@
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.limits.link import LimitsLink
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage, ExchangeReply
+from ebonydeal._internal.relay.peers.relay_reports import addresses_hash
 from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
-from ebonydeal._internal.relay.peers.roster import addresses_hash
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.view.news import NewsTaker
@@ -22,7 +22,7 @@
 _LEAST_WORK = 0.0005
 
 
-class WordParts(NamedTuple):
+class ReporterParts(NamedTuple):
     """Who speaks, and what it speaks of."""
 
     node: str
@@ -41,7 +41,7 @@
     clock: Clock
 
 
-class RelayWord:
+class RelayReporter:
     """Builds the word, and takes the answer.
 
     Attributes
@@ -52,14 +52,14 @@
         Whether this relay stops.
     """
 
-    def __init__(self, parts: WordParts, address: str) -> None:
+    def __init__(self, parts: ReporterParts, address: str) -> None:
         self._parts = parts
         self.address = address
         self.leaving = False
         self._reported = -1
         self._was_behind = False
 
-    def tell(self, relays: list[str]) -> ExchangeMessage:
+    def build_report(self, relays: list[str]) -> ExchangeMessage:
         """Return what the coordinator is told; ``relays`` are those known."""
         parts = self._parts
         now = parts.clock.now()
@@ -91,7 +91,7 @@
             said_leaving=parts.notices.leaving_reports(now),
         )
 
-    def heard(self, reply: ExchangeReply, asked_at: float) -> bool:
+    def apply_reply(self, reply: ExchangeReply, asked_at: float) -> bool:
         """Take the answer to what was told at ``asked_at``.
 
         Returns whether this relay's view is behind.
--- a/src/ebonydeal/_internal/relay/peers/roster.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reports.py
@@ -26,7 +26,7 @@
 Table = dict[str, list[float]]
 
 
-class HeardRelay(NamedTuple):
+class ReportedRelay(NamedTuple):
     """A relay as last heard; ``mark`` is of the last news that it has."""
 
     address: str
@@ -64,7 +64,7 @@
         self._until = 0.0
 
     def without(
-        self, node: str, alive: Callable[[], list[HeardRelay]], now: float
+        self, node: str, alive: Callable[[], list[ReportedRelay]], now: float
     ) -> Table:
         """Return the sum of all words but that of ``node``."""
         if now >= self._until:
@@ -80,7 +80,7 @@
                 left[name] = [round(value, 2) for value in rest]
         return left
 
-    def _add_up(self, relays: list[HeardRelay]) -> None:
+    def _add_up(self, relays: list[ReportedRelay]) -> None:
         words = {r.message["node"]: self._table_of(r.message) for r in relays}
         self._parts = words
         self._total = {}
@@ -92,7 +92,7 @@
         self._total = {n: sums for n, sums in self._total.items() if self._worth(sums)}
 
 
-class Roster:
+class RelayReports:
     """Every relay's last word at the coordinator.
 
     Parameters
@@ -109,7 +109,7 @@
         self._clock = clock
         self._least = least
         self._cores = cores
-        self._relays: dict[str, HeardRelay] = {}
+        self._relays: dict[str, ReportedRelay] = {}
         self._loads = _Sum(lambda word: word["loads"], lambda sums: True)
         # Of endpoints that failed nobody nothing needs to be known.
         self._answers = _Sum(
@@ -131,17 +131,17 @@
         """How often relays are to speak, with as many as there may be."""
         return Pace.of(len(self._relays), self._least, self._cores)
 
-    def hear(self, message: ExchangeMessage) -> None:
+    def record(self, message: ExchangeMessage) -> None:
         """Take a relay's word."""
         now, mark = self._clock.now(), list(message["seen"])
         node = message["node"]
-        self._relays[node] = HeardRelay(message["address"], now, message, mark)
+        self._relays[node] = ReportedRelay(message["address"], now, message, mark)
 
     def mark_of(self, node: str) -> list[int]:
         """Return the mark of the last news that a relay has."""
         return self._relays[node].mark
 
-    def alive(self) -> list[HeardRelay]:
+    def alive(self) -> list[ReportedRelay]:
         """Return the relays that were heard lately."""
         since = self._clock.now() - self.pace.silent_after
         return [r for r in self._relays.values() if r.at >= since]
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -31,8 +31,8 @@
     ROLLOUTS,
     ExchangeReply,
 )
+from ebonydeal._internal.relay.peers.relay_reporter import RelayReporter, ReporterParts
 from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
-from ebonydeal._internal.relay.peers.word import RelayWord, WordParts
 from ebonydeal._internal.relay.ports import RelayPorts
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.intake import Intake
@@ -214,8 +214,8 @@
         )
         taker = NewsTaker(self.view, clock)
         taker.on_behind = self._fall_behind
-        self._word = RelayWord(
-            WordParts(
+        self._reporter = RelayReporter(
+            ReporterParts(
                 self._node.id,
                 incarnation,
                 self.usage,
@@ -253,8 +253,8 @@
                 self._client,
                 clock,
                 rng,
-                self._word.tell,
-                self._heard,
+                self._reporter.build_report,
+                self._apply_reply,
                 self._policy.exchange_s,
             ),
             seeds,
@@ -264,7 +264,7 @@
         self._rollout_hearer.hasten = self._exchange.hasten
         self.coordinator.on_begin = self._announce
         self._limits.coordinator = self._exchange
-        self._limits.address = lambda: self._word.address
+        self._limits.address = lambda: self._reporter.address
         self.coordinator.is_stand_in = lambda: self._limits.is_stand_in
         self.coordinator.has_stand_in = lambda: self._limits.has_stand_in
         self.coordinator.relays_before = lambda: self._exchange.relays_before
@@ -371,7 +371,7 @@
         host = self._cfg.peer_address.rpartition(":")[0]
         address = f"{host}:{self.peers.port}"
         self._cfg = self._cfg._replace(peer_address=address)
-        self._word.address = address
+        self._reporter.address = address
         self.coordinator.lease.reachable_at(address)
         self.coordinator.start_duties()
         self._exchange.reachable.set()
@@ -397,12 +397,12 @@
     def _other_relays(self) -> list[str]:
         """Return the addresses of the relays that a coordinator told of."""
         relays = self._exchange.relays
-        return [address for address in relays if address != self._word.address]
+        return [address for address in relays if address != self._reporter.address]
 
     # --- talk with the coordinator -------------------------------------------
-    def _heard(self, reply: ExchangeReply, asked_at: float) -> None:
+    def _apply_reply(self, reply: ExchangeReply, asked_at: float) -> None:
         """Take the coordinator's answer to what was told at ``asked_at``."""
-        if self._word.heard(reply, asked_at):
+        if self._reporter.apply_reply(reply, asked_at):
             self._sync.behind = True
         self._split.patience = self._exchange.patience
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
@@ -418,7 +418,7 @@
     def ready(self) -> bool:
         """Whether new connections are welcome."""
         known = self.view.index is not None and self.view.members_known
-        return known and not self._word.leaving
+        return known and not self._reporter.leaving
 
     async def _answer_ready(self, _req: web.BaseRequest) -> web.Response:
         return web.Response(status=200 if self.ready else 503)
@@ -445,7 +445,7 @@
         connections still come, and each is served. Every answer ends its
         connection, so kept ones go away with their next use.
         """
-        self._word.leaving = True
+        self._reporter.leaving = True
         begun = self._clock.now()
         last = begun + self._cfg.grace_s - _EXIT_RESERVE_S
         self.intake.close_by(begun + self._cfg.settle_s, last)
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -20,7 +20,7 @@
 from ebonydeal._internal.relay.limits.messages import DELEGATE, RELEASE
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.peers.messages import EXCHANGE, GRANT, HOLDER
-from ebonydeal._internal.relay.peers.roster import addresses_hash
+from ebonydeal._internal.relay.peers.relay_reports import addresses_hash
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
--- a/tests/unit/routing/placement/test_failure_shares.py
+++ b/tests/unit/routing/placement/test_failure_shares.py
@@ -1,6 +1,6 @@
 from ebonydeal._internal.errors import ErrorKind
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.relay.peers.roster import Roster
+from ebonydeal._internal.relay.peers.relay_reports import RelayReports
 from ebonydeal._internal.routing.placement.failure_shares import FailureShares
 from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
 from tests.lib.clock import ManualClock
@@ -48,10 +48,10 @@
     def test_relays_that_each_saw_one_failure_know_it_together(self):
         relays = [seen(1, 1) for _ in range(4)]
         me = FailureShares(0.15)
-        roster = Roster(ManualClock(100.0))
+        reports = RelayReports(ManualClock(100.0))
         for number, relay in enumerate(relays):
-            roster.hear(word(f"n{number}", answers=relay.own(100.0)))
-        me.told(roster.failures_without("me"), 100.0)
+            reports.record(word(f"n{number}", answers=relay.own(100.0)))
+        me.told(reports.failures_without("me"), 100.0)
         assert me.share("i0", 100.0) > 0.8
         assert all(relay.share("i0", 100.0) == 0.0 for relay in relays)
 
