--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -181,7 +181,7 @@
     async def _tell(self) -> None:
         while not self.should_stop:
             keys = await self._told.get()
-            addresses = self._parts.budget.hearers()
+            addresses = self._parts.budget.pick_targets()
             if not addresses:
                 continue
             message = CrashesMessage(
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -32,12 +32,12 @@
     ExchangeReply,
     GrantMessage,
     GrantReply,
-    NewsMessage,
     RolloutsMessage,
+    ViewDelta,
 )
 from ebonydeal._internal.relay.peers.relay_reports import RelayReports
 from ebonydeal._internal.relay.ports import Duties, SharedStore
-from ebonydeal._internal.relay.view.news import news_since
+from ebonydeal._internal.relay.view.deltas import delta_since
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.crashes.crash_messages import EvidenceMessage
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
@@ -370,13 +370,13 @@
             )
         return notices.leaving_reports(now)
 
-    def _news_of(self, node: str) -> NewsMessage | None:
+    def _news_of(self, node: str) -> ViewDelta | None:
         """Return what a relay's list of endpoints lacks."""
         if not self.lease.mine or not self.fresh or self.is_self(node):
             return None
         mark = self._reports.mark_of(node)
         now = self._parts.clock.now()
-        return news_since(self._parts.view, mark, self.lease.fence, now)
+        return delta_since(self._parts.view, mark, self.lease.fence, now)
 
     def is_self(self, node: str) -> bool:
         """Return whether a relay's name is this one's."""
--- a/src/ebonydeal/_internal/relay/peers/call_budget.py
+++ b/src/ebonydeal/_internal/relay/peers/call_budget.py
@@ -30,7 +30,7 @@
         self._left = _CALLS_AT_ONCE
         self._counted_at = clock.now()
 
-    def hearers(self) -> list[str]:
+    def pick_targets(self) -> list[str]:
         """Return whom to tell now."""
         now = self._clock.now()
         gained = (now - self._counted_at) * _CALLS_PER_S
--- a/src/ebonydeal/_internal/relay/peers/handler.py
+++ b/src/ebonydeal/_internal/relay/peers/handler.py
@@ -13,7 +13,10 @@
 from ebonydeal._internal.relay.crashes.suspects import CRASHES, Suspects
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
 from ebonydeal._internal.relay.limits.messages import DELEGATE, PERMIT, RELEASE
-from ebonydeal._internal.relay.peers.long_reads import LONG_READ, LongReadTaker
+from ebonydeal._internal.relay.peers.long_prompts import (
+    LONG_PROMPT_PATH,
+    LongPromptReceiver,
+)
 from ebonydeal._internal.relay.peers.messages import (
     EXCHANGE,
     GRANT,
@@ -22,7 +25,7 @@
     ViewReply,
 )
 from ebonydeal._internal.relay.peers.rollouts import gates_message
-from ebonydeal._internal.relay.view.news import NEWS, NewsTaker
+from ebonydeal._internal.relay.view.deltas import DELTA_PATH, DeltaReceiver
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.utils.peerclient import COMPRESS_FROM_BYTES
@@ -49,8 +52,8 @@
         credential: str,
         coordinator: Coordinator,
         view: RelayView,
-        taker: NewsTaker,
-        long_reads: LongReadTaker,
+        taker: DeltaReceiver,
+        long_prompts: LongPromptReceiver,
         suspects: Suspects,
         split: Split,
         metrics: Metrics,
@@ -72,8 +75,8 @@
             RELEASE: coordinator.release_share,
             PERMIT: coordinator.permit,
             VIEW: self._news,
-            NEWS: taker.take,
-            LONG_READ: long_reads.take,
+            DELTA_PATH: taker.take,
+            LONG_PROMPT_PATH: long_prompts.take,
             CRASHES: suspects.take,
         }
 
--- a/src/ebonydeal/_internal/relay/peers/long_reads.py
+++ b/src/ebonydeal/_internal/relay/peers/long_prompts.py
@@ -16,14 +16,14 @@
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
-from ebonydeal._internal.relay.peers.messages import LongReadMessage
+from ebonydeal._internal.relay.peers.messages import LongPromptMessage
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
 logger = get_logger("relay.long_reads")
 
-LONG_READ = "/relay/v1/long-read"
+LONG_PROMPT_PATH = "/relay/v1/long-read"
 # Later than this the word is worth little, seconds.
 _CALL_S = 0.4
 # An expectation beyond this is not believed, seconds.
@@ -37,14 +37,14 @@
     until: float
 
 
-class LongReadTaker:
+class LongPromptReceiver:
     """Takes other relays' words into the choice of endpoints."""
 
     def __init__(self, choice: MemberChoice, clock: Clock) -> None:
         self._choice = choice
         self._clock = clock
 
-    def take(self, message: LongReadMessage) -> dict[str, Any]:
+    def take(self, message: LongPromptMessage) -> dict[str, Any]:
         """Take one word."""
         seconds = min(_MOST_S, max(0.0, float(message["seconds"])))
         until = self._clock.now() + seconds
@@ -52,7 +52,7 @@
         return {}
 
 
-class LongReads(Service):
+class LongPromptNotifier(Service):
     """Tells other relays of long prompts.
 
     Parameters
@@ -82,7 +82,7 @@
         self._budget = CallBudget(others, clock, rng)
         self._waiting: asyncio.Queue[_LongRead] = asyncio.Queue()
 
-    def sent(self, endpoint_id: str, reading: float, expected: float) -> None:
+    def note_sent(self, endpoint_id: str, reading: float, expected: float) -> None:
         """Note a prompt that was sent.
 
         Parameters
@@ -103,15 +103,17 @@
     async def _run(self) -> None:
         while not self.should_stop:
             read = await self._waiting.get()
-            addresses = self._budget.hearers()
+            addresses = self._budget.pick_targets()
             await asyncio.gather(*(self._tell(read, address) for address in addresses))
 
     async def _tell(self, read: _LongRead, address: str) -> None:
         seconds = read.until - self._clock.now()
         if seconds <= 0.0:
             return
-        message = LongReadMessage(endpoint=read.endpoint_id, seconds=round(seconds, 3))
+        message = LongPromptMessage(
+            endpoint=read.endpoint_id, seconds=round(seconds, 3)
+        )
         try:
-            await self._client.call(address, LONG_READ, message, _CALL_S)
+            await self._client.call(address, LONG_PROMPT_PATH, message, _CALL_S)
         except EbonydealError as exc:
             logger.info("Long prompt not told.", peer=address, reason=str(exc))
--- a/src/ebonydeal/_internal/relay/peers/messages.py
+++ b/src/ebonydeal/_internal/relay/peers/messages.py
@@ -59,7 +59,7 @@
     said_leaving: list[list]
 
 
-class NewsMessage(TypedDict):
+class ViewDelta(TypedDict):
     """Changes of the list of endpoints, from the coordinator.
 
     ``config`` is the version of the configuration that it knows; -1 for none.
@@ -107,7 +107,7 @@
     period: float
     tells_config: bool
     fresh: bool
-    news: NewsMessage | None
+    news: ViewDelta | None
     crashes_mark: str
     crashes: EvidenceMessage | None
     rollouts: RolloutsMessage | None
@@ -115,7 +115,7 @@
     said_leaving: list[list]
 
 
-class LongReadMessage(TypedDict):
+class LongPromptMessage(TypedDict):
     """A relay sent a long prompt: its endpoint reads for so many seconds from now."""
 
     endpoint: str
--- a/src/ebonydeal/_internal/relay/peers/relay_reporter.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reporter.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.requests.usage import UsageMeter
-from ebonydeal._internal.relay.view.news import NewsTaker
+from ebonydeal._internal.relay.view.deltas import DeltaReceiver
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
 from ebonydeal._internal.routing.placement.endpoint_load import Told
@@ -36,7 +36,7 @@
     split: Split
     rollouts: RolloutHearer
     notices: EndpointNotices
-    news: NewsTaker
+    news: DeltaReceiver
     view: RelayView
     clock: Clock
 
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -25,7 +25,10 @@
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.peers.handler import PeerHandler
-from ebonydeal._internal.relay.peers.long_reads import LongReads, LongReadTaker
+from ebonydeal._internal.relay.peers.long_prompts import (
+    LongPromptNotifier,
+    LongPromptReceiver,
+)
 from ebonydeal._internal.relay.peers.messages import (
     HOLDER,
     ROLLOUTS,
@@ -48,9 +51,9 @@
     retry_share,
     seed_addresses,
 )
+from ebonydeal._internal.relay.view.deltas import DeltaPublisher, DeltaReceiver
 from ebonydeal._internal.relay.view.follower import ConfigTableFollower, MembersFollower
 from ebonydeal._internal.relay.view.leaving import LeavingTimes
-from ebonydeal._internal.relay.view.news import NewsFeed, NewsTaker
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.relay.view.view_sync import ViewSync
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
@@ -144,7 +147,7 @@
         )
         peers = settings["peers"]
         self._client = PeerClient(peers.credential)
-        self._long_reads = LongReads(
+        self._long_prompts = LongPromptNotifier(
             self._client, clock, rng, self._other_relays, self._policy.tell_long_s
         )
         self._crashes = CrashCheck(self.view, clock, self._cfg.connect_ms / 1000.0)
@@ -190,7 +193,7 @@
             pools=self._pools,
             usage=self.usage,
             moves=self._moves,
-            long_reads=self._long_reads,
+            long_prompts=self._long_prompts,
             crashes=self._crashes,
             suspects=self._suspects,
             split=self._split,
@@ -212,7 +215,7 @@
             ),
             MembersFollower(ports.store, ports.wire, self.view, clock, rng, metrics),
         )
-        taker = NewsTaker(self.view, clock)
+        taker = DeltaReceiver(self.view, clock)
         taker.on_behind = self._fall_behind
         self._reporter = RelayReporter(
             ReporterParts(
@@ -238,7 +241,7 @@
             self.coordinator,
             self.view,
             taker,
-            LongReadTaker(self._choice, clock),
+            LongPromptReceiver(self._choice, clock),
             self._suspects,
             self._split,
             metrics,
@@ -280,7 +283,7 @@
         self.coordinator.compare_crashes = self._suspects.compare
         self.coordinator.hears_store = lambda: members.fresh
         self.coordinator.hears_config = lambda: config.fresh
-        self._news = NewsFeed(
+        self._news = DeltaPublisher(
             self.view, self._client, clock, self.coordinator.listeners
         )
         self._sync = ViewSync(
@@ -353,7 +356,7 @@
             self._exchange,
             self._limits,
             self._news,
-            self._long_reads,
+            self._long_prompts,
             self._suspects,
             self._crashes,
             self._sync,
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -13,7 +13,7 @@
 from ebonydeal._internal.relay.crashes.crash_check import CrashCheck
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
-from ebonydeal._internal.relay.peers.long_reads import LongReads
+from ebonydeal._internal.relay.peers.long_prompts import LongPromptNotifier
 from ebonydeal._internal.relay.ports import Wire
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.moves import StreamMoves
@@ -102,7 +102,7 @@
     pools: EndpointPools
     usage: UsageMeter
     moves: StreamMoves
-    long_reads: LongReads
+    long_prompts: LongPromptNotifier
     crashes: CrashCheck
     suspects: Suspects
     split: Split
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -159,7 +159,7 @@
         expected = self.expected = found.expected
         if expected is not None:
             reading = parts.choice.speed.reading(found.missed)
-            parts.long_reads.sent(member.endpoint_id, reading, expected)
+            parts.long_prompts.note_sent(member.endpoint_id, reading, expected)
         logger.info(
             "Sent.",
             request=job.req.request_id,
--- a/src/ebonydeal/_internal/relay/view/news.py
+++ b/src/ebonydeal/_internal/relay/view/deltas.py
@@ -15,14 +15,14 @@
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.peers.messages import NewsMessage
+from ebonydeal._internal.relay.peers.messages import ViewDelta
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
 logger = get_logger("relay.news")
 
-NEWS = "/relay/v1/news"
+DELTA_PATH = "/relay/v1/news"
 _CALL_S = 0.4
 # Changes come in groups: those of so long are told together. Many relays need longer
 # ones: each group is a call to all, and at 87 of them, in groups of 0.05 s, the calls
@@ -32,12 +32,12 @@
 _GROUP_S_BY_RELAY = 0.0025
 _MOST_GROUP_S = 0.2
 # Before any news: no coordinator has this fence.
-NOTHING_SEEN = (0, 0)
+NO_MARK = (0, 0)
 
 
-def news_since(
+def delta_since(
     view: RelayView, seen: list[int], fence: int, now: float
-) -> NewsMessage | None:
+) -> ViewDelta | None:
     """Return what a relay lacks that has seen the mark ``seen``, if anything."""
     changed = view.changed_since(seen[1]) if seen[0] == fence else None
     if changed == []:
@@ -45,7 +45,7 @@
     whole = changed is None
     ids = list(view.members) if changed is None else changed
     ages = {i: view.leaving_age(i, now) for i in ids}
-    return NewsMessage(
+    return ViewDelta(
         config=view.version,
         mark=[fence, view.changes],
         version=view.members_version,
@@ -56,9 +56,9 @@
     )
 
 
-def _only_config(view: RelayView, seen: list[int]) -> NewsMessage:
+def _only_config(view: RelayView, seen: list[int]) -> ViewDelta:
     """Return news of the configuration alone, for a relay that has seen ``seen``."""
-    return NewsMessage(
+    return ViewDelta(
         config=view.version,
         mark=list(seen),
         version=0,
@@ -69,12 +69,12 @@
     )
 
 
-def group_time(relays: int) -> float:
+def batch_interval(relays: int) -> float:
     """Return the seconds of which changes are told together to so many relays."""
     return min(_MOST_GROUP_S, max(_LEAST_GROUP_S, relays * _GROUP_S_BY_RELAY))
 
 
-class NewsTaker:
+class DeltaReceiver:
     """Takes news into this relay's view; remembers the last mark."""
 
     def __init__(self, view: RelayView, clock: Clock) -> None:
@@ -82,9 +82,9 @@
         self._clock = clock
         # Told that a newer configuration is to be had.
         self.on_behind: Callable[[], None] = lambda: None
-        self.seen: tuple[int, int] = NOTHING_SEEN
+        self.seen: tuple[int, int] = NO_MARK
 
-    def take(self, news: NewsMessage) -> dict[str, Any]:
+    def take(self, news: ViewDelta) -> dict[str, Any]:
         """Take news; those of an older coordinator are left out."""
         # A coordinator of the release before doesn't tell it.
         if int(news.get("config", -1)) > self._view.version:
@@ -121,7 +121,7 @@
         return {}
 
 
-class NewsFeed(Service):
+class DeltaPublisher(Service):
     """Tells news to all relays while this one is the coordinator.
 
     Parameters
@@ -156,7 +156,7 @@
     @Service.task
     async def _tell(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep(group_time(self._hearers))
+            await self._clock.sleep(batch_interval(self._hearers))
             changed = self._view.changes != self._told
             newer = self._view.version != self._told_config
             if not changed and not newer:
@@ -178,13 +178,13 @@
 
         ``newer`` says that there is a newer configuration than was told before.
         """
-        news = news_since(self._view, mark, fence, self._clock.now())
+        news = delta_since(self._view, mark, fence, self._clock.now())
         if news is None and newer:
             news = _only_config(self._view, mark)
         if news is None:
             return
         try:
-            await self._client.call(address, NEWS, news, _CALL_S)
+            await self._client.call(address, DELTA_PATH, news, _CALL_S)
         except EbonydealError as exc:
             logger.info("News not told.", peer=address, reason=str(exc))
             return
--- a/tests/functional/relay/test_news.py
+++ b/tests/functional/relay/test_news.py
@@ -130,7 +130,7 @@
         async with three(RawEndpoint("i1")) as (_store, _first, others):
             sender, hearer = others
             await until(lambda: len(sender._exchange.relays) == 3)
-            sender._long_reads.sent("i1", 0.8, 900.0)
+            sender._long_prompts.note_sent("i1", 0.8, 900.0)
 
             def until_read(program):
                 return program._choice._load("i1").reads_until
--- a/tests/unit/relay/peers/test_long_reads.py
+++ b/tests/unit/relay/peers/test_long_prompts.py
@@ -5,10 +5,10 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.relay.peers.long_reads import (
-    LONG_READ,
-    LongReads,
-    LongReadTaker,
+from ebonydeal._internal.relay.peers.long_prompts import (
+    LONG_PROMPT_PATH,
+    LongPromptNotifier,
+    LongPromptReceiver,
 )
 from ebonydeal._internal.routing.placement.endpoint_load import Told
 from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
@@ -41,10 +41,10 @@
     """Let prompts with reading times be sent, and return the calls made."""
     relays = Relays(away)
     clock = clock or ManualClock(10.0)
-    service = LongReads(relays, clock, Random(1), lambda: others, least)
+    service = LongPromptNotifier(relays, clock, Random(1), lambda: others, least)
     async with service:
         for endpoint_id, reading in reads:
-            service.sent(endpoint_id, reading, reading + WAIT)
+            service.note_sent(endpoint_id, reading, reading + WAIT)
         for _ in range(20):
             await asyncio.sleep(0)
     return relays.calls
@@ -54,7 +54,7 @@
     async def test_all_others_hear_of_a_long_one(self):
         calls = await told([("i1", 0.8)], ["r2", "r3"])
         assert sorted(address for address, _path, _message in calls) == ["r2", "r3"]
-        assert {path for _address, path, _message in calls} == {LONG_READ}
+        assert {path for _address, path, _message in calls} == {LONG_PROMPT_PATH}
         assert calls[0][2] == {"endpoint": "i1", "seconds": 0.8 + WAIT}
 
     async def test_nobody_hears_of_short_ones_however_long_they_wait(self):
@@ -84,7 +84,7 @@
         choice.told({"i2": Told(running=1, at=10.0)})
         assert self.chosen(choice, 10.0) == "i1"
         message = {"endpoint": "i1", "seconds": seconds}
-        assert LongReadTaker(choice, clock).take(message) == {}
+        assert LongPromptReceiver(choice, clock).take(message) == {}
         return choice
 
     def test_the_endpoint_is_avoided_until_it_was_read(self):
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -66,7 +66,7 @@
         permits=EndpointPermits(EndpointNotices(), None, clock, Metrics()),
         retries=retries,
         metrics=Metrics(),
-        long_reads=SimpleNamespace(sent=lambda *_read: None),
+        long_prompts=SimpleNamespace(note_sent=lambda *_read: None),
         crashes=SimpleNamespace(broke=lambda *_broke: None, checked=at_once),
         suspects=SimpleNamespace(
             check=lambda _digest: None, standing=lambda _digest: Standing.CLEAR
--- a/tests/unit/relay/view/test_news.py
+++ b/tests/unit/relay/view/test_deltas.py
@@ -5,7 +5,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.relay.view.news import NewsTaker, group_time, news_since
+from ebonydeal._internal.relay.view.deltas import (
+    DeltaReceiver,
+    batch_interval,
+    delta_since,
+)
 from ebonydeal._internal.relay.view.view import RelayView
 from tests.lib.clock import ManualClock
 
@@ -25,10 +29,10 @@
 
     def __init__(self):
         self.view = RelayView(2.0)
-        self.taker = NewsTaker(self.view, ManualClock(10.0))
+        self.taker = DeltaReceiver(self.view, ManualClock(10.0))
 
     def exchange(self, view, fence):
-        news = news_since(view, list(self.taker.seen), fence, 10.0)
+        news = delta_since(view, list(self.taker.seen), fence, 10.0)
         if news is not None:
             self.taker.take(news)
         return news
@@ -36,8 +40,8 @@
 
 class TestGroups:
     def test_few_relays_hear_at_once_and_many_in_longer_groups(self):
-        assert group_time(0) == group_time(9) == 0.05
-        assert group_time(9) < group_time(60) < group_time(350) == 0.2
+        assert batch_interval(0) == batch_interval(9) == 0.05
+        assert batch_interval(9) < batch_interval(60) < batch_interval(350) == 0.2
 
 
 class TestNews:
@@ -66,14 +70,14 @@
         new.put(member("i1", 2, leaving=True))
         relay.exchange(new, 2)
         old.put(member("i2", 9))
-        relay.taker.take(news_since(old, [1, 1], 1, 10.0))
+        relay.taker.take(delta_since(old, [1, 1], 1, 10.0))
         assert listed(relay.view) == {"i1": True}
 
     def test_pushed_changes_of_an_unknown_coordinator_wait_for_the_exchange(self):
         view, relay = RelayView(2.0), Listening()
         view.put(member("i1", 1))
         view.put(member("i2", 2))
-        relay.taker.take(news_since(view, [7, 1], 7, 10.0))
+        relay.taker.take(delta_since(view, [7, 1], 7, 10.0))
         assert listed(relay.view) == {}
         relay.exchange(view, 7)
         assert listed(relay.view) == {"i1": False, "i2": False}
@@ -159,7 +163,7 @@
 
     @rule(arrives=st.booleans())
     def push(self, arrives):
-        news = news_since(self.truth, list(self.relay.taker.seen), self.fence, 10.0)
+        news = delta_since(self.truth, list(self.relay.taker.seen), self.fence, 10.0)
         if arrives and news is not None:
             self.relay.taker.take(news)
 
