--- a/src/ebonydeal/_internal/relay/crashes/crash_store.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_store.py
@@ -40,12 +40,12 @@
         # Mark of the last changes, until it is known whether they took effect.
         self._writing = ""
         # Whether what lies in the store was read: before that it isn't written over.
-        self.known = False
+        self.loaded = False
 
     def changes(self) -> list[RowChange]:
         """Return the write that keeps what changed since the last one, if anything."""
         self._writing = ""
-        if not self.known or self._suspects.mark == self._written:
+        if not self.loaded or self._suspects.mark == self._written:
             return []
         message = {"wall": self._clock.wall(), "memory": self._suspects.memory()}
         value = pack(message)
@@ -73,7 +73,7 @@
                 self._suspects.learn(_aged(message["memory"], passed), "store")
             except UNREADABLE as exc:
                 logger.error("Stored crashes can't be read.", reason=repr(exc))
-        self.known = True
+        self.loaded = True
 
 
 def _aged(memory: Any, seconds: float) -> Any:
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -15,7 +15,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import ForwardAccount
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.duties.lease_keeper import KeptRow, LeaseKeeper
+from ebonydeal._internal.relay.duties.lease_keeper import LeaseKeeper, PersistedRow
 from ebonydeal._internal.relay.duties.usage_store import UsageStore
 from ebonydeal._internal.relay.limits.granter import Granter, Peer
 from ebonydeal._internal.relay.limits.messages import (
@@ -80,27 +80,27 @@
     rng: Random
 
 
-class CoordinatorSize(NamedTuple):
+class CoordinatorCapacity(NamedTuple):
     """What an instance can do as coordinator.
 
     Attributes
     ----------
     cores : float
         What it has of a core.
-    stands_back_s : float
+    acquire_delay_s : float
         Seconds for which it leaves a free lease to larger instances.
     exchange_s : float
         Shortest time between two words of a relay, seconds.
     """
 
     cores: float = 1.0
-    stands_back_s: float = 0.0
+    acquire_delay_s: float = 0.0
     exchange_s: float = 0.5
 
     @classmethod
     def from_config(
         cls, cfg: RelaySettings, policy: PolicySettings
-    ) -> "CoordinatorSize":
+    ) -> "CoordinatorCapacity":
         """Build from settings."""
         cores = cfg.cpu_share * cfg.cpu_cores
         large = cores >= _LARGE_CORES and cfg.link_mbps >= _LARGE_LINK_MBPS
@@ -149,7 +149,7 @@
         Whether the platform refuses calls with an old fencing number.
     terms : QuotaTerms, optional
         Which requests go first near an account's limit.
-    size : CoordinatorSize, optional
+    capacity : CoordinatorSize, optional
         What this instance can do as coordinator.
     """
 
@@ -161,11 +161,11 @@
         bounds: QuotaBounds,
         checks_fence: bool,
         terms: QuotaTerms | None = None,
-        size: CoordinatorSize | None = None,
+        capacity: CoordinatorCapacity | None = None,
     ) -> None:
         super().__init__()
         self._parts = parts
-        size = size or CoordinatorSize()
+        capacity = capacity or CoordinatorCapacity()
         self._ledger = ledger
         self._usage = UsageStore(parts.store, ledger)
         self._keeper = LeaseKeeper(
@@ -175,19 +175,19 @@
             parts.clock,
             parts.rng,
             self._begin,
-            size.stands_back_s,
+            capacity.acquire_delay_s,
         )
         self.lease = lease
         self._checks_fence = checks_fence
         self._refused_fence = 0
-        self._reports = RelayReports(parts.clock, size.exchange_s, size.cores)
+        self._reports = RelayReports(parts.clock, capacity.exchange_s, capacity.cores)
         self.granter = Granter(
             lease, lambda: self._keeper.holds, parts.clock, bounds, terms
         )
         self.granter.accounts = self._accounts
-        self.granter.least_period = size.exchange_s
-        self.stands_back_s = size.stands_back_s
-        self._keeper.kept.append(
+        self.granter.least_period = capacity.exchange_s
+        self.acquire_delay_s = capacity.acquire_delay_s
+        self._keeper.persisted_rows.append(
             RegistryStore(
                 parts.store,
                 self.granter,
@@ -202,18 +202,18 @@
         self._named_until = 0.0
         # Whether this relay is the first to stand in for the holder.
         self.is_stand_in: Callable[[], bool] = lambda: False
-        self._keeper.goes_first = lambda: self.is_stand_in()
+        self._keeper.takes_precedence = lambda: self.is_stand_in()
         # Whether another relay stands in, and takes the lease.
         self.has_stand_in: Callable[[], bool] = lambda: False
-        self._keeper.goes_last = lambda: self.has_stand_in()
+        self._keeper.yields_to_stand_in = lambda: self.has_stand_in()
         # How many relays the coordinator before told of.
-        self.relays_before: Callable[[], int] = lambda: 0
+        self.previous_relay_count: Callable[[], int] = lambda: 0
         # Told when this relay becomes the coordinator.
-        self.on_begin: Callable[[], None] = lambda: None
+        self.on_lease_gained: Callable[[], None] = lambda: None
         # Whether the store answers this relay: set by who follows it.
-        self.hears_store: Callable[[], bool] = lambda: True
+        self.store_is_fresh: Callable[[], bool] = lambda: True
         # The same of the configuration alone.
-        self.hears_config: Callable[[], bool] = lambda: True
+        self.config_is_fresh: Callable[[], bool] = lambda: True
         # Takes a relay's memory of crashes; returns the mark of ours, and ours where it
         # is another.
         self.compare_crashes: CompareCrashes = lambda _word: ("", None)
@@ -226,12 +226,12 @@
 
     def _begin(self) -> None:
         """Start afresh: what was told before may be of long ago."""
-        self.on_begin()
-        self._reports.begin(self.relays_before())
+        self.on_lease_gained()
+        self._reports.begin(self.previous_relay_count())
 
-    def keep(self, kept: KeptRow) -> None:
+    def persist_with_lease(self, row: PersistedRow) -> None:
         """Keep a row with the lease."""
-        self._keeper.kept.append(kept)
+        self._keeper.persisted_rows.append(row)
 
     def write_soon(self) -> None:
         """Renew the lease now, and write with it what is due."""
@@ -259,20 +259,20 @@
     @property
     def fresh(self) -> bool:
         """Whether what this relay knows of endpoints comes from the store."""
-        return self._parts.view.members_known and self.hears_store()
+        return self._parts.view.members_known and self.store_is_fresh()
 
     @property
-    def feeds_config(self) -> bool:
+    def should_push_config(self) -> bool:
         """Whether relays are to hear of the configuration from here alone."""
         return self.holds and len(self._reports.alive()) >= _TELL_CONFIG_FROM
 
     @property
-    def tells_config(self) -> bool:
+    def pushes_config(self) -> bool:
         """Whether they do: not while the store keeps it from this relay."""
-        return self.feeds_config and self.hears_config()
+        return self.should_push_config and self.config_is_fresh()
 
     @property
-    def warm(self) -> bool:
+    def warmed_up(self) -> bool:
         """Whether relays had time to tell what they know."""
         since = self._keeper.held_since
         return since is not None and self._parts.clock.now() - since >= _WARM_UP_S
@@ -286,7 +286,7 @@
         number makes the platform refuse it.
         """
         # The very first holder has nobody to hear of what was ordered before.
-        ready = self.warm or self.lease.fence == 1
+        ready = self.warmed_up or self.lease.fence == 1
         if not ready or not self.lease.mine:
             return False
         if self.holds:
@@ -298,11 +298,11 @@
         if not self.holds:
             self._refused_fence = self.lease.fence
 
-    def callers(self) -> list[str]:
+    def live_addresses(self) -> list[str]:
         """Return the addresses of relays that were heard lately."""
         return [relay.address for relay in self._reports.alive()]
 
-    def heard_lately(self) -> list[ExchangeMessage]:
+    def live_reports(self) -> list[ExchangeMessage]:
         """Return the last word of each relay that is alive."""
         return [relay.message for relay in self._reports.alive()]
 
@@ -334,7 +334,7 @@
             grants={},
             limits=self._hear_limits(message),
             period=self._reports.pace.period,
-            tells_config=self.tells_config,
+            tells_config=self.pushes_config,
             fresh=self.fresh,
             news=self._news_of(node),
             crashes_mark=mark,
@@ -382,7 +382,7 @@
         """Return whether a relay's name is this one's."""
         return node == self.lease.node
 
-    def listeners(self) -> tuple[dict[str, list[int]], int] | None:
+    def delta_targets(self) -> tuple[dict[str, list[int]], int] | None:
         """Return whom to tell news: addresses, their marks, and our fence."""
         if not self.holds or not self.fresh:
             return None
@@ -473,7 +473,7 @@
         while not self.should_stop:
             await self._parts.clock.sleep(_USAGE_STEP_S)
             index = self._parts.view.index
-            if index is None or not self.warm or not self.holds:
+            if index is None or not self.warmed_up or not self.holds:
                 continue
             accounts = [account.name for account in index.table.accounts]
             wait = self._reports.pace.silent_after
--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -228,7 +228,7 @@
 
     def _forecast(self, service: ForwardService, now: float) -> float:
         """Return the load to plan for, in endpoints kept busy."""
-        messages = self._coordinator.heard_lately()
+        messages = self._coordinator.live_reports()
         work = sum(message["work"].get(service.name, 0.0) for message in messages)
         slots = service.engine.slots if service.engine is not None else 0
         members = {
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -37,17 +37,17 @@
 _LAST_S = 1.5
 
 
-class KeptRow(Protocol):
+class PersistedRow(Protocol):
     """A row that is written with the lease, and outlives its holder.
 
     Attributes
     ----------
-    known : bool
+    loaded : bool
         Whether what lies in the store was read: nothing is written over before.
     """
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """See above."""
 
     def changes(self) -> list[RowChange]:
@@ -75,7 +75,7 @@
         Time; jitter.
     first : callable
         Called when the lease is gained for the first time.
-    stands_back : float
+    acquire_delay_s : float
         Seconds for which a free lease is left to others.
     """
 
@@ -87,7 +87,7 @@
         clock: Clock,
         rng: Random,
         first: Callable[[], None],
-        stands_back: float = 0.0,
+        acquire_delay_s: float = 0.0,
     ) -> None:
         super().__init__()
         self._store = store
@@ -97,13 +97,13 @@
         self._rng = rng
         self._first = first
         # Written with the renewals.
-        self.kept: list[KeptRow] = []
-        self._stands_back = stands_back
+        self.persisted_rows: list[PersistedRow] = []
+        self._acquire_delay_s = acquire_delay_s
         # Whether this relay takes a free lease before others, like one that was the
         # holder: it has the shares of the relays that missed the holder.
-        self.goes_first: Callable[[], bool] = lambda: False
+        self.takes_precedence: Callable[[], bool] = lambda: False
         # Whether another such relay is there, and is left time to.
-        self.goes_last: Callable[[], bool] = lambda: False
+        self.yields_to_stand_in: Callable[[], bool] = lambda: False
         self._stood_back = False
         self.held_since: float | None = None
         self._stopping = False
@@ -174,11 +174,11 @@
 
     async def _stand_back(self) -> None:
         """Leave a free lease to larger instances, and to who comes first."""
-        if self._was_holder or self.goes_first():
+        if self._was_holder or self.takes_precedence():
             self._stood_back = True
             return
         jitter = self._rng.uniform(0.0, _JITTER_S)
-        back = self._stands_back + (_LAST_S if self.goes_last() else 0.0)
+        back = self._acquire_delay_s + (_LAST_S if self.yields_to_stand_in() else 0.0)
         await self._clock.sleep(back + jitter)
         self._stood_back = True
         if back:
@@ -196,8 +196,8 @@
 
     async def _read_kept(self) -> None:
         """Read what the holder before kept, once this relay holds the lease."""
-        for kept in self.kept:
-            if self.holds and not kept.known:
+        for kept in self.persisted_rows:
+            if self.holds and not kept.loaded:
                 await kept.read()
 
     def _change(self, write: Write) -> RowChange:
@@ -209,7 +209,7 @@
         if self.lease.mine and write.row.fence == self.lease.fence:
             # With the renewal, what was told of usage outlives all processes.
             changes.append(self._usage.open_change())
-            changes.extend(c for kept in self.kept for c in kept.changes())
+            changes.extend(c for kept in self.persisted_rows for c in kept.changes())
             renews = True
         try:
             result = await self._store.transact(changes)
@@ -220,7 +220,7 @@
         if result.applied:
             self.lease.wrote(write.row, result.version)
             if renews:
-                for kept in self.kept:
+                for kept in self.persisted_rows:
                     kept.wrote()
             return
         now = self._clock.now()
@@ -253,7 +253,7 @@
         if write is None:
             return
         changes = [self._change(write), self._usage.open_change()]
-        changes.extend(c for kept in self.kept for c in kept.changes())
+        changes.extend(c for kept in self.persisted_rows for c in kept.changes())
         try:
             await self._store.transact(changes)
         except EbonydealError as exc:
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -49,7 +49,7 @@
         self._view = view
         self._clock = clock
         # Whether what the holder before kept was read.
-        self.known = False
+        self.loaded = False
         # The store's version as that was read; None before.
         self._read_at: int | None = None
         # Changes so far, and those that lie in the store or are on the way there.
@@ -64,7 +64,7 @@
 
     def lost(self) -> None:
         """Forget all: another holds the lease, and has what was written."""
-        self.known = False
+        self.loaded = False
         self._read_at = None
         self._book.clear()
 
@@ -79,7 +79,7 @@
             self._take(rows)
         if self._view.has_orders(self._read_at):
             await self._read_status()
-            self.known = True
+            self.loaded = True
 
     def _take(self, rows: list[SharedRow]) -> None:
         for row in rows:
@@ -119,7 +119,7 @@
     def changes(self) -> list[RowChange]:
         """Return the writes that are due with the next renewal of the lease."""
         self._writing = []
-        if not self.known:
+        if not self.loaded:
             return []
         changes = []
         for service, run in self._book.runs.items():
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -93,7 +93,7 @@
     # --- what others are told -------------------------------------------------
     def gates(self) -> list[Gate] | None:
         """Return what relays are told; None while this relay doesn't decide."""
-        decides = self.kept.known and self._parts.coordinator.holds
+        decides = self.kept.loaded and self._parts.coordinator.holds
         return self._book.gates() if decides else None
 
     def message(self) -> RolloutsMessage | None:
@@ -136,9 +136,9 @@
         if message is None:
             return
         self.on_gates(message)
-        listeners = self._parts.coordinator.listeners()
-        if listeners is not None:
-            await asyncio.gather(*(self._push_one(a, message) for a in listeners[0]))
+        targets = self._parts.coordinator.delta_targets()
+        if targets is not None:
+            await asyncio.gather(*(self._push_one(a, message) for a in targets[0]))
 
     async def _push_one(self, address: str, message: RolloutsMessage) -> None:
         try:
@@ -153,9 +153,9 @@
         while not self.should_stop:
             await self._parts.clock.sleep(_STEP_S)
             if not coordinator.holds:
-                if self.kept.known and not coordinator.lease.mine:
+                if self.kept.loaded and not coordinator.lease.mine:
                     self.kept.lost()
-            elif self.kept.known and self.step():
+            elif self.kept.loaded and self.step():
                 await self._push()
 
     def step(self) -> bool:
@@ -173,7 +173,7 @@
 
     def _step_one(self, run: RolloutRun, now: float) -> None:
         """Take reports on one roll-out, and decide."""
-        words = self._parts.coordinator.heard_lately()
+        words = self._parts.coordinator.live_reports()
         fleet = self._fleet(run.course, words, now)
         match run.decided_before(words):
             case Phase.COMPLETED:
--- a/src/ebonydeal/_internal/relay/limits/link.py
+++ b/src/ebonydeal/_internal/relay/limits/link.py
@@ -64,7 +64,7 @@
     async def permit(self, message: PermitMessage) -> PermitReply:
         """Ask to send to an endpoint that named a limit."""
 
-    def hasten(self) -> None:
+    def report_now(self) -> None:
         """Tell the coordinator now."""
 
 
@@ -139,7 +139,7 @@
         return self._stand_ins[:1] == [self.address()]
 
     @property
-    def in_touch(self) -> bool:
+    def coordinator_alive(self) -> bool:
         """Whether a holder of the lease answered lately."""
         return self._clock.now() < self._in_touch_until
 
@@ -221,8 +221,8 @@
         if taken:
             self._granter_address = address
         new = taken and (before is None or before.granter != word.granter)
-        if new and self.coordinator is not None and self.in_touch:
-            self.coordinator.hasten()
+        if new and self.coordinator is not None and self.coordinator_alive:
+            self.coordinator.report_now()
         return new
 
     @Service.task
@@ -234,10 +234,10 @@
             coordinator = self.coordinator
             if coordinator is None:
                 continue
-            if self.in_touch:
+            if self.coordinator_alive:
                 await self._take_back()
                 if self._waits_for_share():
-                    coordinator.hasten()
+                    coordinator.report_now()
                 continue
             address = self._stand_in()
             if address is not None:
@@ -330,7 +330,7 @@
         """Ask for an amount; raises LIMIT_UNAVAILABLE where nobody is reached."""
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.in_touch and self._is_due("", now):
+        if coordinator is not None and self.coordinator_alive and self._is_due("", now):
             # Until its time is over, a stand-in has the shares of this side.
             if self._stand_in_until > now:
                 got = await self._ask_stand_in(account, amount, False)
@@ -416,7 +416,7 @@
         message = PermitMessage(report=report.encode())
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.in_touch and self._is_due("", now):
+        if coordinator is not None and self.coordinator_alive and self._is_due("", now):
             try:
                 return await coordinator.permit(message)
             except EbonydealError as exc:
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -61,7 +61,7 @@
         self._writing = self._writing_startup = False
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """Whether the row was read since this relay holds the lease."""
         return self._granter.registry_fence == self._lease.fence
 
@@ -72,7 +72,7 @@
     def changes(self) -> list[RowChange]:
         """Return the write of names that have changed, if any."""
         self._writing = self._writing_startup = False
-        if not self.known:
+        if not self.loaded:
             return []
         return [*self._startup_changes(), *self._names_changes()]
 
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -70,18 +70,18 @@
         super().__init__()
         self._parts = parts
         self._last_ok = parts.clock.now()
-        self._fed = False
+        self._deltas_pushed = False
         self.relays: list[str] = list(seeds)
         self._count = max(FIRST_RELAYS, len(seeds))
         # Whether a coordinator told how many relays there are.
-        self.counted = False
+        self.count_known = False
         self._pace = Pace(parts.period)
-        self._tells_config = False
+        self._config_pushed = False
         # Set once other relays can reach this one.
         self.reachable = asyncio.Event()
         self._soon = asyncio.Event()
 
-    def take_seeds(self, seeds: tuple[str, ...]) -> None:
+    def add_seeds(self, seeds: tuple[str, ...]) -> None:
         """Ask other relays to begin with, beside those that are known."""
         self.relays.extend(seed for seed in seeds if seed not in self.relays)
 
@@ -92,20 +92,20 @@
         Before a coordinator told it, as many as the last one wrote with the lease.
         """
         row = self.lease.row
-        if self.counted or row is None:
+        if self.count_known or row is None:
             return self._count
         return max(self._count, row.relays)
 
     @property
-    def relays_before(self) -> int:
+    def previous_relay_count(self) -> int:
         """How many relays a coordinator before told of; 0 where none did."""
-        if self.counted:
+        if self.count_known:
             return self._count
         row = self.lease.row
         return 0 if row is None else row.relays
 
     @property
-    def in_touch(self) -> bool:
+    def coordinator_alive(self) -> bool:
         """Whether the coordinator answered lately."""
         silent = self._parts.clock.now() - self._last_ok
         return silent <= self._pace.patience
@@ -116,17 +116,17 @@
         return self._pace.patience
 
     @property
-    def fed(self) -> bool:
+    def receives_deltas(self) -> bool:
         """Whether another relay tells this one of changes: not while it is silent.
 
         After a suspension what was told before it says nothing: the store is asked.
         """
-        return self._fed and self.in_touch
+        return self._deltas_pushed and self.coordinator_alive
 
     @property
-    def fed_config(self) -> bool:
+    def receives_config(self) -> bool:
         """Whether another relay tells this one of each configuration."""
-        return self.fed and self._tells_config
+        return self.receives_deltas and self._config_pushed
 
     @property
     def lease(self) -> DutyLease:
@@ -155,7 +155,7 @@
         One that has just started has no share of limits until it is heard. Hundreds of
         them don't all ask a small instance that often.
         """
-        if self.counted:
+        if self.count_known:
             return self._pace.again
         crowd = self.relay_count / _FIRST_PER_S
         return min(self._pace.again, max(_FIRST_AGAIN_S, crowd))
@@ -173,7 +173,7 @@
             for wait in waits:
                 wait.cancel()
 
-    def hasten(self) -> None:
+    def report_now(self) -> None:
         """Tell the coordinator now."""
         self._soon.set()
 
@@ -192,27 +192,27 @@
         try:
             reply = await self._ask()
         except EbonydealError as exc:
-            self._fed = False
+            self._deltas_pushed = False
             silent = parts.clock.now() - self._last_ok
             if not lease.wanted and silent > self._pace.lost_after:
                 logger.warning("Coordinator lost.", reason=str(exc))
                 lease.wanted = True
             return False
         if reply is None:
-            self._fed = False
+            self._deltas_pushed = False
             lease.wanted = True
             return False
         # Our own list is told by nobody, and that of a coordinator which doesn't
         # hear the store may be old.
-        self._fed = reply["holds"] and reply["fresh"] and not lease.mine
+        self._deltas_pushed = reply["holds"] and reply["fresh"] and not lease.mine
         self._last_ok = parts.clock.now()
         if reply["relays"] is not None:
             self.relays = list(reply["relays"])
         self._count = max(1, len(self.relays))
-        self.counted = True
+        self.count_known = True
         # A coordinator of the release before doesn't tell these.
         self._pace = Pace(max(parts.period, reply.get("period", 0.0)))
-        self._tells_config = reply.get("tells_config", False)
+        self._config_pushed = reply.get("tells_config", False)
         lease.wanted = not reply["holds"]
         parts.on_reply(reply, asked_at)
         return True
@@ -227,7 +227,7 @@
             return
         message = HolderMessage(row=list(lease.row), version=lease.version)
         own = lease.row.address
-        known = {*self.relays, *self._parts.coordinator.callers()}
+        known = {*self.relays, *self._parts.coordinator.live_addresses()}
         others = sorted(known - {own})
         told = await asyncio.gather(*(self._tell_holder(a, message) for a in others))
         logger.info("Relays told of the holder.", asked=len(told), heard=sum(told))
@@ -240,11 +240,11 @@
             return False
         return True
 
-    def take_holder(self, message: HolderMessage) -> dict[str, Any]:
+    def receive_lease_holder(self, message: HolderMessage) -> dict[str, Any]:
         """Take another relay's word that it holds the lease."""
         self.lease.hear(LeaseRow(*message["row"]), int(message["version"]))
-        if not self.in_touch or not self.counted:
-            self.hasten()
+        if not self.coordinator_alive or not self.count_known:
+            self.report_now()
         return {}
 
     async def _ask(self) -> ExchangeReply | None:
--- a/src/ebonydeal/_internal/relay/peers/handler.py
+++ b/src/ebonydeal/_internal/relay/peers/handler.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
 from ebonydeal._internal.relay.limits.messages import DELEGATE, PERMIT, RELEASE
 from ebonydeal._internal.relay.peers.long_prompts import (
-    LONG_PROMPT_PATH,
+    LONG_PROMPT,
     LongPromptReceiver,
 )
 from ebonydeal._internal.relay.peers.messages import (
@@ -25,7 +25,7 @@
     ViewReply,
 )
 from ebonydeal._internal.relay.peers.rollouts import gates_message
-from ebonydeal._internal.relay.view.deltas import DELTA_PATH, DeltaReceiver
+from ebonydeal._internal.relay.view.deltas import DELTA, DeltaReceiver
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.utils.peerclient import COMPRESS_FROM_BYTES
@@ -75,8 +75,8 @@
             RELEASE: coordinator.release_share,
             PERMIT: coordinator.permit,
             VIEW: self._news,
-            DELTA_PATH: taker.take,
-            LONG_PROMPT_PATH: long_prompts.take,
+            DELTA: taker.take,
+            LONG_PROMPT: long_prompts.take,
             CRASHES: suspects.take,
         }
 
--- a/src/ebonydeal/_internal/relay/peers/long_prompts.py
+++ b/src/ebonydeal/_internal/relay/peers/long_prompts.py
@@ -23,7 +23,7 @@
 
 logger = get_logger("relay.long_reads")
 
-LONG_PROMPT_PATH = "/relay/v1/long-read"
+LONG_PROMPT = "/relay/v1/long-read"
 # Later than this the word is worth little, seconds.
 _CALL_S = 0.4
 # An expectation beyond this is not believed, seconds.
@@ -114,6 +114,6 @@
             endpoint=read.endpoint_id, seconds=round(seconds, 3)
         )
         try:
-            await self._client.call(address, LONG_PROMPT_PATH, message, _CALL_S)
+            await self._client.call(address, LONG_PROMPT, message, _CALL_S)
         except EbonydealError as exc:
             logger.info("Long prompt not told.", peer=address, reason=str(exc))
--- a/src/ebonydeal/_internal/relay/peers/rollouts.py
+++ b/src/ebonydeal/_internal/relay/peers/rollouts.py
@@ -56,7 +56,7 @@
         self._view = view
         self._clock = clock
         # Makes an exchange with the coordinator now.
-        self.hasten: Callable[[], None] = lambda: None
+        self.report_now: Callable[[], None] = lambda: None
 
     def take(self, message: RolloutsMessage) -> dict[str, Any]:
         """Take gates; they are in force before endpoints that waited for them."""
@@ -88,7 +88,7 @@
         while not self.should_stop:
             await self._clock.sleep(_TELL_S)
             if self._split.troubled(self._clock.now()):
-                self.hasten()
+                self.report_now()
 
 
 def _differs(known: Gate, gate: Gate) -> bool:
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -14,8 +14,8 @@
 from ebonydeal._internal.relay.crashes.suspects import SuspectParts, Suspects
 from ebonydeal._internal.relay.duties.coordinator import (
     Coordinator,
+    CoordinatorCapacity,
     CoordinatorParts,
-    CoordinatorSize,
 )
 from ebonydeal._internal.relay.duties.fleet import Fleet
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
@@ -180,7 +180,7 @@
             self._node.id,
             incarnation,
             metrics,
-            Place(self._node.zone, self.coordinator.stands_back_s),
+            Place(self._node.zone, self.coordinator.acquire_delay_s),
         )
         parts = SendParts(
             wire=ports.wire,
@@ -262,29 +262,33 @@
             ),
             seeds,
         )
-        handler.serve(HOLDER, self._exchange.take_holder)
+        handler.serve(HOLDER, self._exchange.receive_lease_holder)
         handler.serve(ROLLOUTS, self._rollout_hearer.take)
-        self._rollout_hearer.hasten = self._exchange.hasten
-        self.coordinator.on_begin = self._announce
+        self._rollout_hearer.report_now = self._exchange.report_now
+        self.coordinator.on_lease_gained = self._announce
         self._limits.coordinator = self._exchange
         self._limits.address = lambda: self._reporter.address
         self.coordinator.is_stand_in = lambda: self._limits.is_stand_in
         self.coordinator.has_stand_in = lambda: self._limits.has_stand_in
-        self.coordinator.relays_before = lambda: self._exchange.relays_before
+        self.coordinator.previous_relay_count = lambda: (
+            self._exchange.previous_relay_count
+        )
         config, members = self._followers
-        members.fed = lambda: self._exchange.fed
-        self.view.is_told = lambda: self._exchange.fed
-        config.fed = lambda: self._exchange.fed_config
-        config.feeding = lambda: self.coordinator.feeds_config
-        self.view.on_waiting = config.hasten
-        self.coordinator.keep(CrashStore(ports.store, self._suspects, clock))
+        members.receives_pushes = lambda: self._exchange.receives_deltas
+        self.view.is_told = lambda: self._exchange.receives_deltas
+        config.receives_pushes = lambda: self._exchange.receives_config
+        config.pushes_to_others = lambda: self.coordinator.should_push_config
+        self.view.on_waiting = config.restart_poll
+        self.coordinator.persist_with_lease(
+            CrashStore(ports.store, self._suspects, clock)
+        )
         self._rollouts = self._build_rollouts(ports)
         handler.rollouts = self._rollouts.report
         self.coordinator.compare_crashes = self._suspects.compare
-        self.coordinator.hears_store = lambda: members.fresh
-        self.coordinator.hears_config = lambda: config.fresh
+        self.coordinator.store_is_fresh = lambda: members.fresh
+        self.coordinator.config_is_fresh = lambda: config.fresh
         self._news = DeltaPublisher(
-            self.view, self._client, clock, self.coordinator.listeners
+            self.view, self._client, clock, self.coordinator.delta_targets
         )
         self._sync = ViewSync(
             self._exchange,
@@ -324,7 +328,7 @@
             bounds,
             cfg.checks_fence,
             QuotaTerms.from_config(self._policy),
-            CoordinatorSize.from_config(cfg, self._policy),
+            CoordinatorCapacity.from_config(cfg, self._policy),
         )
 
     def _build_rollouts(self, ports: RelayPorts) -> Rollouts:
@@ -344,7 +348,7 @@
         rollouts.write_soon = self.coordinator.write_soon
         rollouts.on_gates = self._rollout_hearer.take
         self.coordinator.rollouts = rollouts.message
-        self.coordinator.keep(rollouts.kept)
+        self.coordinator.persist_with_lease(rollouts.kept)
         return rollouts
 
     def on_init_dependencies(self) -> Iterable[Service]:
@@ -387,7 +391,7 @@
             ready_address=old.ready_address,
             peer_address=old.peer_address,
         )
-        self._exchange.take_seeds(seed_addresses(settings["peers"].seeds))
+        self._exchange.add_seeds(seed_addresses(settings["peers"].seeds))
 
     def _announce(self) -> None:
         """Tell all relays known that this one is the coordinator now."""
@@ -412,10 +416,10 @@
         mine = self.coordinator.lease.mine
         config = self._followers[0]
         for follower in self._followers:
-            follower.alone = mine
+            follower.on_coordinator = mine
         if mine:
             # A poll may have begun when no other relay depended on it.
-            config.hasten()
+            config.restart_poll()
 
     @property
     def ready(self) -> bool:
--- a/src/ebonydeal/_internal/relay/view/deltas.py
+++ b/src/ebonydeal/_internal/relay/view/deltas.py
@@ -22,7 +22,7 @@
 
 logger = get_logger("relay.news")
 
-DELTA_PATH = "/relay/v1/news"
+DELTA = "/relay/v1/news"
 _CALL_S = 0.4
 # Changes come in groups: those of so long are told together. Many relays need longer
 # ones: each group is a call to all, and at 87 of them, in groups of 0.05 s, the calls
@@ -184,7 +184,7 @@
         if news is None:
             return
         try:
-            await self._client.call(address, DELTA_PATH, news, _CALL_S)
+            await self._client.call(address, DELTA, news, _CALL_S)
         except EbonydealError as exc:
             logger.info("News not told.", peer=address, reason=str(exc))
             return
--- a/src/ebonydeal/_internal/relay/view/follower.py
+++ b/src/ebonydeal/_internal/relay/view/follower.py
@@ -70,9 +70,9 @@
         self._clock = clock
         self._rng = rng
         self.failing_since: float | None = None
-        self.alone = False
+        self.on_coordinator = False
         # While another relay tells us, nothing is asked of the store.
-        self.fed: Callable[[], bool] = lambda: False
+        self.receives_pushes: Callable[[], bool] = lambda: False
         self._answered_at: float | None = None
         self._poll: asyncio.Task[Changes | None] | None = None
         self._poll_wait = 0.0
@@ -86,7 +86,7 @@
     @property
     def wait(self) -> float:
         """Seconds for which a poll waits."""
-        return _WAIT_ALONE_S if self.alone else _WAIT_S
+        return _WAIT_ALONE_S if self.on_coordinator else _WAIT_S
 
     @property
     def fresh(self) -> bool:
@@ -116,8 +116,8 @@
         after: int | None = None
         backoff = _BACKOFF_FIRST_S
         while not self.should_stop:
-            if after is not None and self.fed():
-                self.note_fed()
+            if after is not None and self.receives_pushes():
+                self.note_pushed()
                 await self._clock.sleep(_FED_STEP_S)
                 after = max(after, self.known_version)
                 continue
@@ -172,13 +172,13 @@
     def note_read(self, version: int) -> None:
         """Note that the table hasn't changed up to a version."""
 
-    def hasten(self) -> None:
+    def restart_poll(self) -> None:
         """Begin the poll under way anew where a shorter one is wanted now."""
         if self._poll is not None and self._poll_wait > self.wait:
             self._hastened = True
             self._poll.cancel()
 
-    def note_fed(self) -> None:
+    def note_pushed(self) -> None:
         """Note that another relay, which hears the store, tells what is there.
 
         Own failures of before say nothing any more: what goes from now on has
@@ -207,12 +207,12 @@
 
     Attributes
     ----------
-    feeding : callable
+    pushes_to_others : callable
         Returns whether other relays hear of the configuration from this one alone:
         then it polls as often as for endpoints.
     """
 
-    feeding: Callable[[], bool] = staticmethod(lambda: False)
+    pushes_to_others: Callable[[], bool] = staticmethod(lambda: False)
 
     @property
     def wait(self) -> float:
@@ -220,7 +220,7 @@
         if self._view.waits_for_orders:
             # Whether there is an order for a version not seen before is asked now.
             return 0.0
-        return _WAIT_FEEDING_S if self.feeding() else super().wait
+        return _WAIT_FEEDING_S if self.pushes_to_others() else super().wait
 
     @property
     def table(self) -> str:
@@ -288,7 +288,7 @@
     @property
     def wait(self) -> float:
         """Seconds for which a poll waits; one that isn't fed may soon feed others."""
-        return _WAIT_FEEDING_S if self.alone else _WAIT_ALONE_S
+        return _WAIT_FEEDING_S if self.on_coordinator else _WAIT_ALONE_S
 
     @property
     def known_version(self) -> int:
--- a/tests/functional/relay/test_news.py
+++ b/tests/functional/relay/test_news.py
@@ -71,7 +71,7 @@
     for program in others:
         await program.start()
     try:
-        await until(lambda: all(p._exchange.fed for p in others))
+        await until(lambda: all(p._exchange.receives_deltas for p in others))
         yield store, first, others
     finally:
         for program in (*others, first):
@@ -98,7 +98,7 @@
         one = RawEndpoint("i1")
         async with three(one) as (store, first, others):
             first.peers.close_gently()
-            await until(lambda: not any(p._exchange.fed for p in others))
+            await until(lambda: not any(p._exchange.receives_deltas for p in others))
             await store.put("servers", "i1", one.row(state="draining"))
             await until(lambda: all(p.view.members["i1"].leaving for p in others))
 
@@ -110,7 +110,9 @@
             await until(lambda: all("i2" in p.view.members for p in others))
             first.ports.store.silent = True
             try:
-                await until(lambda: not any(p._exchange.fed for p in others))
+                await until(
+                    lambda: not any(p._exchange.receives_deltas for p in others)
+                )
                 assert first.coordinator.holds
                 await store.put("servers", "i1", one.row(state="draining"))
                 await until(lambda: all(p.view.members["i1"].leaving for p in others))
@@ -121,8 +123,8 @@
     async def test_a_coordinator_that_lost_the_store_feeds_nobody(self):
         one = RawEndpoint("i1")
         async with three(one) as (_store, first, others):
-            first.coordinator.hears_store = lambda: False
-            await until(lambda: not any(p._exchange.fed for p in others))
+            first.coordinator.store_is_fresh = lambda: False
+            await until(lambda: not any(p._exchange.receives_deltas for p in others))
 
 
 class TestLongReads:
@@ -152,7 +154,7 @@
 
     async def test_a_change_reaches_all_by_the_coordinators_polls(self):
         async with three(RawEndpoint("i1")) as (store, _first, others):
-            await until(lambda: all(p._exchange.fed_config for p in others))
+            await until(lambda: all(p._exchange.receives_config for p in others))
             # Polls that were under way when they became fed end with a change.
             await store.put("op", "config", document(2))
             await until(lambda: all(p.view.version == 2 for p in others))
@@ -166,22 +168,24 @@
 
     async def test_without_the_coordinator_each_follows_it_for_itself(self):
         async with three(RawEndpoint("i1")) as (store, first, others):
-            await until(lambda: all(p._exchange.fed_config for p in others))
+            await until(lambda: all(p._exchange.receives_config for p in others))
             await store.put("op", "config", document(2))
             await until(lambda: all(p.view.version == 2 for p in others))
             first.peers.close_gently()
-            await until(lambda: not any(p._exchange.fed for p in others))
+            await until(lambda: not any(p._exchange.receives_deltas for p in others))
             await store.put("op", "config", document(3))
             await until(lambda: all(p.view.version == 3 for p in others))
 
     async def test_a_coordinator_whose_own_poll_is_silent_feeds_nobody(self):
         async with three(RawEndpoint("i1")) as (store, first, others):
-            await until(lambda: all(p._exchange.fed_config for p in others))
+            await until(lambda: all(p._exchange.receives_config for p in others))
             await store.put("op", "config", document(2))
             await until(lambda: all(p.view.version == 2 for p in others))
             first.ports.store.silent = True
             try:
-                await until(lambda: not any(p._exchange.fed for p in others))
+                await until(
+                    lambda: not any(p._exchange.receives_deltas for p in others)
+                )
                 await store.put("op", "config", document(3))
                 await until(lambda: all(p.view.version == 3 for p in others))
             finally:
@@ -199,4 +203,4 @@
             other = third if holder is second else second
             address = holder.coordinator.lease.row.address
             await until(lambda: other._exchange.coordinator_address == address)
-            await until(lambda: other._exchange.fed)
+            await until(lambda: other._exchange.receives_deltas)
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -137,14 +137,16 @@
         self.limits.coordinator = self.exchange
         self.coordinator.is_stand_in = lambda: self.limits.is_stand_in
         self.coordinator.has_stand_in = lambda: self.limits.has_stand_in
-        self.coordinator.relays_before = lambda: self.exchange.relays_before
-        self.coordinator.on_begin = self._announce
+        self.coordinator.previous_relay_count = lambda: (
+            self.exchange.previous_relay_count
+        )
+        self.coordinator.on_lease_gained = self._announce
         self.calls = {
             EXCHANGE: self.coordinator.exchange,
             GRANT: self.coordinator.grant,
             DELEGATE: self.coordinator.delegate,
             RELEASE: self.coordinator.release_share,
-            HOLDER: self.exchange.take_holder,
+            HOLDER: self.exchange.receive_lease_holder,
         }
 
     def _word(self, relays):
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -129,7 +129,7 @@
     for program in programs:
         await until(lambda program=program: program.ready)
     await until(lambda: all(len(p._exchange.relays) >= relays for p in programs))
-    await until(lambda: any(p.coordinator.warm for p in programs))
+    await until(lambda: any(p.coordinator.warmed_up for p in programs))
     callers = asyncio.ensure_future(found.load(random.Random(5)))
     try:
         yield found
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -38,7 +38,7 @@
             return relay.name
         return relay.lease.row.address if relay.lease.row else None
 
-    def hasten(self):
+    def report_now(self):
         self._relay.hastened = True
 
 
@@ -151,7 +151,7 @@
                 return
         if now - self.last_ok > PACE.lost_after:
             self.lease.wanted = True
-        if not self.link.in_touch:
+        if not self.link.coordinator_alive:
             self._tell_stand_in()
 
     def _take_back(self):
--- a/tests/unit/relay/duties/test_coordinator.py
+++ b/tests/unit/relay/duties/test_coordinator.py
@@ -36,7 +36,7 @@
         QuotaBounds(8.0, 0.1, 110_000.0),
         True,
     )
-    coordinator.relays_before = lambda: 9
+    coordinator.previous_relay_count = lambda: 9
     coordinator._begin()
     return coordinator
 
@@ -45,12 +45,12 @@
     def test_a_relay_that_heard_of_nobody_takes_a_small_part(self):
         exchange = self.starting(None)
         assert exchange.relay_count >= 9
-        assert not exchange.counted
+        assert not exchange.count_known
 
     def test_one_that_starts_takes_its_part_of_as_many_as_there_were(self):
         exchange = self.starting(LeaseRow("n1", "i", "n1:1", 4, 195))
         assert exchange.relay_count == 195
-        assert exchange.relays_before == 195
+        assert exchange.previous_relay_count == 195
 
     def test_the_holder_writes_how_many_there_are(self, taken_over):
         for node in range(6):
--- a/tests/unit/relay/duties/test_fleet.py
+++ b/tests/unit/relay/duties/test_fleet.py
@@ -38,7 +38,7 @@
         coordinator = SimpleNamespace(
             may_order=True,
             lease=SimpleNamespace(mine=True, fence=3),
-            heard_lately=lambda: [{"work": {"s": self.work}, "loads": {}}],
+            live_reports=lambda: [{"work": {"s": self.work}, "loads": {}}],
             order_refused=lambda: None,
         )
         self.fleet = Fleet(
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -61,7 +61,7 @@
     def holds(self):
         return self._holder.holds
 
-    def heard_lately(self):
+    def live_reports(self):
         return [relay.word(self._clock.now()) for relay in self._relays]
 
 
@@ -88,7 +88,7 @@
         await self.store.put(*LEASE, b"holder")
         self.lease_version = self.store.version
         await self.rollouts.kept.read()
-        if not self.rollouts.kept.known:
+        if not self.rollouts.kept.loaded:
             # What the follower of orders does when it is asked for them.
             self.view.orders_unchanged(self.store.version)
             await self.rollouts.kept.read()
@@ -249,7 +249,7 @@
         told.on_waiting = lambda: asked.append(True)
         second = Holder(store, clock, told, relays)
         asyncio.run(second.rollouts.kept.read())
-        assert not second.rollouts.kept.known and asked and told.waits_for_orders
+        assert not second.rollouts.kept.loaded and asked and told.waits_for_orders
         assert second.rollouts.gates() is None
         told.take_orders({"s": ORDER}, store.version, "test")
         asyncio.run(second.rollouts.kept.read())
@@ -261,7 +261,7 @@
         asyncio.run(store.put("ebonydeal-rollouts", "memory", b"no row of ours"))
         second.take_lease()
         second.step()
-        assert second.rollouts.kept.known
+        assert second.rollouts.kept.loaded
         assert second.rollouts._book.runs["s"].course.order == ORDER
 
 
--- a/tests/unit/relay/peers/test_long_prompts.py
+++ b/tests/unit/relay/peers/test_long_prompts.py
@@ -6,7 +6,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.relay.peers.long_prompts import (
-    LONG_PROMPT_PATH,
+    LONG_PROMPT,
     LongPromptNotifier,
     LongPromptReceiver,
 )
@@ -54,7 +54,7 @@
     async def test_all_others_hear_of_a_long_one(self):
         calls = await told([("i1", 0.8)], ["r2", "r3"])
         assert sorted(address for address, _path, _message in calls) == ["r2", "r3"]
-        assert {path for _address, path, _message in calls} == {LONG_PROMPT_PATH}
+        assert {path for _address, path, _message in calls} == {LONG_PROMPT}
         assert calls[0][2] == {"endpoint": "i1", "seconds": 0.8 + WAIT}
 
     async def test_nobody_hears_of_short_ones_however_long_they_wait(self):
--- a/tests/unit/relay/test_limits_link.py
+++ b/tests/unit/relay/test_limits_link.py
@@ -36,7 +36,7 @@
             raise reply
         return reply
 
-    def hasten(self):
+    def report_now(self):
         self.hastened += 1
 
 
--- a/tests/unit/relay/test_registry_store.py
+++ b/tests/unit/relay/test_registry_store.py
@@ -57,14 +57,14 @@
 class TestFound:
     async def test_nothing_is_written_before_it_was_read(self, holder):
         assert holder.rows.changes() == []
-        assert not holder.rows.known
+        assert not holder.rows.loaded
         await holder.rows.read()
-        assert holder.rows.known
+        assert holder.rows.loaded
 
     async def test_it_is_read_again_under_another_fencing_number(self, holder):
         await holder.rows.read()
         holder.lease.wrote(LeaseRow("a", "i", "a:1", 9), 2)
-        assert not holder.rows.known
+        assert not holder.rows.loaded
         assert holder.rows.changes() == []
 
     @pytest.mark.parametrize(
--- a/tests/unit/relay/test_suspension.py
+++ b/tests/unit/relay/test_suspension.py
@@ -54,11 +54,11 @@
         exchange = Exchange(
             ExchangeParts(coordinator, None, clock, Random(1), dict, print), ()
         )
-        exchange._fed, exchange._tells_config = True, True
-        assert exchange.fed and exchange.fed_config
+        exchange._deltas_pushed, exchange._config_pushed = True, True
+        assert exchange.receives_deltas and exchange.receives_config
         clock._now += SUSPENDED_S
-        assert not exchange.fed
-        assert not exchange.fed_config
+        assert not exchange.receives_deltas
+        assert not exchange.receives_config
 
 
 class TestQuota:
--- a/tests/unit/relay/view/test_follower.py
+++ b/tests/unit/relay/view/test_follower.py
@@ -47,7 +47,9 @@
         view = RelayView(2.0)
         store = Store()
         follower = MembersFollower(store, WIRE, view, clock, Random(1), Metrics())
-        follower.fed = lambda: fed and store.polls == 1 and clock.now() < 101.0
+        follower.receives_pushes = lambda: (
+            fed and store.polls == 1 and clock.now() < 101.0
+        )
         async with asyncio.timeout(10):
             await follower.start()
             for _ in range(15):
