--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -94,7 +94,7 @@
     """
 
     cores: float = 1.0
-    acquire_delay_s: float = 0.0
+    takeover_delay_s: float = 0.0
     exchange_s: float = 0.5
 
     @classmethod
@@ -175,7 +175,7 @@
             parts.clock,
             parts.rng,
             self._begin,
-            capacity.acquire_delay_s,
+            capacity.takeover_delay_s,
         )
         self.lease = lease
         self._checks_fence = checks_fence
@@ -186,7 +186,7 @@
         )
         self.granter.accounts = self._accounts
         self.granter.least_period = capacity.exchange_s
-        self.acquire_delay_s = capacity.acquire_delay_s
+        self.takeover_delay_s = capacity.takeover_delay_s
         self._keeper.persisted_rows.append(
             RegistryStore(
                 parts.store,
@@ -201,11 +201,11 @@
         self._named: list[str] = []
         self._named_until = 0.0
         # Whether this relay is the first to stand in for the holder.
-        self.is_stand_in: Callable[[], bool] = lambda: False
-        self._keeper.takes_precedence = lambda: self.is_stand_in()
+        self.is_standby: Callable[[], bool] = lambda: False
+        self._keeper.takes_precedence = lambda: self.is_standby()
         # Whether another relay stands in, and takes the lease.
-        self.has_stand_in: Callable[[], bool] = lambda: False
-        self._keeper.yields_to_stand_in = lambda: self.has_stand_in()
+        self.has_standby: Callable[[], bool] = lambda: False
+        self._keeper.yields_to_standby = lambda: self.has_standby()
         # How many relays the coordinator before told of.
         self.previous_relay_count: Callable[[], int] = lambda: 0
         # Told when this relay becomes the coordinator.
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -87,7 +87,7 @@
         clock: Clock,
         rng: Random,
         first: Callable[[], None],
-        acquire_delay_s: float = 0.0,
+        takeover_delay_s: float = 0.0,
     ) -> None:
         super().__init__()
         self._store = store
@@ -98,12 +98,12 @@
         self._first = first
         # Written with the renewals.
         self.persisted_rows: list[PersistedRow] = []
-        self._acquire_delay_s = acquire_delay_s
+        self._acquire_delay_s = takeover_delay_s
         # Whether this relay takes a free lease before others, like one that was the
         # holder: it has the shares of the relays that missed the holder.
         self.takes_precedence: Callable[[], bool] = lambda: False
         # Whether another such relay is there, and is left time to.
-        self.yields_to_stand_in: Callable[[], bool] = lambda: False
+        self.yields_to_standby: Callable[[], bool] = lambda: False
         self._stood_back = False
         self.held_since: float | None = None
         self._stopping = False
@@ -178,7 +178,7 @@
             self._stood_back = True
             return
         jitter = self._rng.uniform(0.0, _JITTER_S)
-        back = self._acquire_delay_s + (_LAST_S if self.yields_to_stand_in() else 0.0)
+        back = self._acquire_delay_s + (_LAST_S if self.yields_to_standby() else 0.0)
         await self._clock.sleep(back + jitter)
         self._stood_back = True
         if back:
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -111,7 +111,7 @@
         return silent <= self._pace.patience
 
     @property
-    def patience(self) -> float:
+    def isolation_timeout(self) -> float:
         """Seconds of silence after which the coordinator's word is too old."""
         return self._pace.patience
 
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -180,7 +180,7 @@
             self._node.id,
             incarnation,
             metrics,
-            Place(self._node.zone, self.coordinator.acquire_delay_s),
+            Place(self._node.zone, self.coordinator.takeover_delay_s),
         )
         parts = SendParts(
             wire=ports.wire,
@@ -268,8 +268,8 @@
         self.coordinator.on_lease_gained = self._announce
         self._limits.coordinator = self._exchange
         self._limits.address = lambda: self._reporter.address
-        self.coordinator.is_stand_in = lambda: self._limits.is_stand_in
-        self.coordinator.has_stand_in = lambda: self._limits.has_stand_in
+        self.coordinator.is_standby = lambda: self._limits.is_stand_in
+        self.coordinator.has_standby = lambda: self._limits.has_stand_in
         self.coordinator.previous_relay_count = lambda: (
             self._exchange.previous_relay_count
         )
@@ -411,7 +411,7 @@
         """Take the coordinator's answer to what was told at ``asked_at``."""
         if self._reporter.apply_reply(reply, asked_at):
             self._sync.behind = True
-        self._split.patience = self._exchange.patience
+        self._split.patience = self._exchange.isolation_timeout
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
         mine = self.coordinator.lease.mine
         config = self._followers[0]
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -135,8 +135,8 @@
         self._incarnation = incarnation
         self._clock = clock
         self.limits.coordinator = self.exchange
-        self.coordinator.is_stand_in = lambda: self.limits.is_stand_in
-        self.coordinator.has_stand_in = lambda: self.limits.has_stand_in
+        self.coordinator.is_standby = lambda: self.limits.is_stand_in
+        self.coordinator.has_standby = lambda: self.limits.has_stand_in
         self.coordinator.previous_relay_count = lambda: (
             self.exchange.previous_relay_count
         )
--- a/tests/unit/relay/duties/test_lease_keeper.py
+++ b/tests/unit/relay/duties/test_lease_keeper.py
@@ -21,7 +21,7 @@
         self.store = MemoryStore()
         self.keepers = {}
 
-    async def add(self, name, acquire_delay_s):
+    async def add(self, name, takeover_delay_s):
         async def read_open():
             pass
 
@@ -35,7 +35,7 @@
             self.clock,
             Random(name),
             lambda: None,
-            acquire_delay_s,
+            takeover_delay_s,
         )
         keeper.reachable.set()
         self.keepers[name] = keeper
