--- a/src/ebonydeal/_internal/relay/duties/__init__.py
+++ b/src/ebonydeal/_internal/relay/duties/__init__.py
@@ -1,5 +1,5 @@
-"""What the coordinator does for all: lease, limits, usage reports, orders.
+"""The coordinator's duties for all relays: lease, limits, usage reports, orders.
 
-Called by timers, and by other relays' reports; writes the platform's store and calls
+Called by timers and by other relays' reports; writes the platform's store and calls
 its cloud.
 """
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -1,9 +1,9 @@
-"""What one relay does for all: it holds the lease of the duties.
+"""The coordinator: the relay that holds the duty lease and acts for all relays.
 
-It hears every relay several times a second, tells each what the others have at
-the endpoints, grants parts of client accounts' limits, reports usage and orders
-endpoints. When it is gone another takes the lease; what relays told it, they
-tell the next one again.
+Every relay reports to it several times a second. It replies with the load that the
+other relays put on the endpoints, grants parts of client accounts' limits, reports
+usage and orders endpoints. When it fails, another relay takes the lease, and the
+relays report the same again to that one.
 """
 
 from collections.abc import Callable, Iterable
@@ -53,25 +53,25 @@
 
 CompareCrashes = Callable[[ExchangeMessage], tuple[str, EvidenceMessage | None]]
 
-_USAGE_STEP_S = 0.25
-_TOLD_EVERY_S = 1.0
-# Stand-ins are chosen among all relays anew after this long.
-_NAMED_S = 0.1
-# After taking the lease, relays need this long to tell what they know.
+_USAGE_CHECK_INTERVAL_S = 0.25
+_GRANT_LOG_INTERVAL_S = 1.0
+# The standbys are chosen again among all relays after this long.
+_STANDBYS_TTL_S = 0.1
+# Time that relays need to report what they know after the lease was taken.
 _WARM_UP_S = 1.3
-# Instances that take the lease at once; smaller ones give them time to, since hundreds
-# of relays' words and their news fill half a core and a link of 20 Mbit/s.
-_LARGE_CORES = 1.0
-_LARGE_LINK_MBPS = 50.0
-# A larger one looks at the lease twice a second.
-_STAND_BACK_S = 0.6
-# From so many relays on, the coordinator's own frequent look at the configuration is
-# cheaper than a long poll of each.
-_TELL_CONFIG_FROM = 40
+# Instances of at least this size take a free lease at once. Smaller ones wait, since
+# the reports and deltas of hundreds of relays fill half a core and a link of 20 Mbit/s.
+_MIN_LARGE_CORES = 1.0
+_MIN_LARGE_LINK_MBPS = 50.0
+# A larger instance reads the lease twice a second.
+_TAKEOVER_DELAY_S = 0.6
+# With at least this many relays, frequent polls of the configuration by the coordinator
+# alone are cheaper than a long poll by each relay.
+_MIN_RELAYS_TO_PUSH_CONFIG = 40
 
 
 class CoordinatorParts(NamedTuple):
-    """What the coordinator works with."""
+    """The coordinator's dependencies."""
 
     store: SharedStore
     duties: Duties
@@ -86,11 +86,11 @@
     Attributes
     ----------
     cores : float
-        What it has of a core.
-    acquire_delay_s : float
+        CPU cores that it may use.
+    takeover_delay_s : float
         Seconds for which it leaves a free lease to larger instances.
     exchange_s : float
-        Shortest time between two words of a relay, seconds.
+        Shortest time between two reports of a relay, seconds.
     """
 
     cores: float = 1.0
@@ -103,27 +103,27 @@
     ) -> "CoordinatorCapacity":
         """Build from settings."""
         cores = cfg.cpu_share * cfg.cpu_cores
-        large = cores >= _LARGE_CORES and cfg.link_mbps >= _LARGE_LINK_MBPS
-        return cls(cores, 0.0 if large else _STAND_BACK_S, policy.exchange_s)
+        large = cores >= _MIN_LARGE_CORES and cfg.link_mbps >= _MIN_LARGE_LINK_MBPS
+        return cls(cores, 0.0 if large else _TAKEOVER_DELAY_S, policy.exchange_s)
 
 
-def _counter(word: ExchangeMessage) -> str:
-    """Return the name under which an incarnation's counts are kept."""
-    return f"{word['node']}/{word['incarnation']}"
+def _counter_name(report: ExchangeMessage) -> str:
+    """Return the name under which an incarnation's counts are stored."""
+    return f"{report['node']}/{report['incarnation']}"
 
 
-class _GrantTally:
-    """What was granted, told once a second by account with the share granted of."""
+class _GrantLog:
+    """Logs once a second what was granted to each account, and of which share."""
 
-    def __init__(self, by: Callable[[], tuple[int, float]]) -> None:
-        self._by = by
+    def __init__(self, fence_and_share: Callable[[], tuple[int, float]]) -> None:
+        self._fence_and_share = fence_and_share
         self._amounts: dict[str, float] = {}
         self._since = 0.0
 
     def add(self, account: str, amount: float, now: float) -> None:
-        """Count a grant, or a refusal as 0; log what came in the second before."""
-        if now - self._since >= _TOLD_EVERY_S:
-            fence, share = self._by()
+        """Count a grant, or a refusal as 0; log those of the previous second."""
+        if now - self._since >= _GRANT_LOG_INTERVAL_S:
+            fence, share = self._fence_and_share()
             amounts = {name: round(total) for name, total in self._amounts.items()}
             if amounts:
                 logger.info("Granted.", fence=fence, share=share, amounts=amounts)
@@ -133,18 +133,18 @@
 
 
 class Coordinator(Service):
-    """The lease, and what its holder does.
+    """Keeps the duty lease, and performs the duties while it holds it.
 
     Parameters
     ----------
     parts : CoordinatorParts
-        The outside and the view.
+        Platform interfaces and the view.
     lease : DutyLease
-        The protocol of the lease.
+        State machine of the lease.
     ledger : UsageLedger
         Usage windows.
     bounds : QuotaBounds
-        What limits tolerate.
+        By how much limits may be exceeded.
     checks_fence : bool
         Whether the platform refuses calls with an old fencing number.
     terms : QuotaTerms, optional
@@ -196,28 +196,28 @@
                 lambda: {relay.message["node"] for relay in self._reports.alive()},
             )
         )
-        self._tally = _GrantTally(self._granted_by)
-        # The stand-ins' addresses, and until when they are as good as new.
-        self._named: list[str] = []
-        self._named_until = 0.0
-        # Whether this relay is the first to stand in for the holder.
+        self._grant_log = _GrantLog(self._fence_and_share)
+        # The standbys' addresses, and until when they are used without a new choice.
+        self._standby_addresses: list[str] = []
+        self._standbys_until = 0.0
+        # Whether this relay is the first standby of the lease holder.
         self.is_standby: Callable[[], bool] = lambda: False
         self._keeper.takes_precedence = lambda: self.is_standby()
-        # Whether another relay stands in, and takes the lease.
+        # Whether another relay is a standby, and should take the lease.
         self.has_standby: Callable[[], bool] = lambda: False
         self._keeper.yields_to_standby = lambda: self.has_standby()
-        # How many relays the coordinator before told of.
+        # How many relays the previous coordinator reported.
         self.previous_relay_count: Callable[[], int] = lambda: 0
-        # Told when this relay becomes the coordinator.
+        # Called when this relay becomes the coordinator.
         self.on_lease_gained: Callable[[], None] = lambda: None
-        # Whether the store answers this relay: set by who follows it.
+        # Whether the store answered this relay just now; set by the program.
         self.store_is_fresh: Callable[[], bool] = lambda: True
-        # The same of the configuration alone.
+        # The same for polls of the configuration.
         self.config_is_fresh: Callable[[], bool] = lambda: True
-        # Takes a relay's memory of crashes; returns the mark of ours, and ours where it
-        # is another.
-        self.compare_crashes: CompareCrashes = lambda _word: ("", None)
-        # What relays are told of roll-outs.
+        # Merges a relay's crash evidence; returns the fingerprint of ours, and our
+        # evidence where the fingerprints differ.
+        self.compare_crashes: CompareCrashes = lambda _report: ("", None)
+        # The state of roll-outs for the replies to relays.
         self.rollouts: Callable[[], RolloutsMessage | None] = lambda: None
 
     def on_init_dependencies(self) -> Iterable[Service]:
@@ -225,16 +225,16 @@
         return [self._keeper]
 
     def _begin(self) -> None:
-        """Start afresh: what was told before may be of long ago."""
+        """Start with no reports: those of an earlier time may be stale."""
         self.on_lease_gained()
         self._reports.begin(self.previous_relay_count())
 
     def persist_with_lease(self, row: PersistedRow) -> None:
-        """Keep a row with the lease."""
+        """Write a row together with the lease from now on."""
         self._keeper.persisted_rows.append(row)
 
     def write_soon(self) -> None:
-        """Renew the lease now, and write with it what is due."""
+        """Renew the lease now, and write with it the rows that are due."""
         self.lease.renew_soon(self._parts.clock.now())
 
     @property
@@ -243,14 +243,14 @@
         return self._reports.pace.period
 
     def start_duties(self) -> None:
-        """Take part in the lease: other relays can reach this one now."""
+        """Compete for the lease, now that other relays can reach this one."""
         self._keeper.reachable.set()
 
     async def release(self) -> None:
-        """Free the lease at a planned stop, so that another takes it at once."""
+        """Free the lease at a planned stop, so that another relay takes it at once."""
         await self._keeper.release()
 
-    # --- what the holder knows ---------------------------------------------------
+    # --- state of the holder -----------------------------------------------------
     @property
     def holds(self) -> bool:
         """Whether this relay may act on the duties now."""
@@ -258,22 +258,22 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether what this relay knows of endpoints comes from the store."""
+        """Whether this relay's list of endpoints is up to date with the store."""
         return self._parts.view.members_known and self.store_is_fresh()
 
     @property
     def should_push_config(self) -> bool:
-        """Whether relays are to hear of the configuration from here alone."""
-        return self.holds and len(self._reports.alive()) >= _TELL_CONFIG_FROM
+        """Whether relays should get the configuration from this one only."""
+        return self.holds and len(self._reports.alive()) >= _MIN_RELAYS_TO_PUSH_CONFIG
 
     @property
     def pushes_config(self) -> bool:
-        """Whether they do: not while the store keeps it from this relay."""
+        """Whether they do; not while this relay's own polls of it fail."""
         return self.should_push_config and self.config_is_fresh()
 
     @property
     def warmed_up(self) -> bool:
-        """Whether relays had time to tell what they know."""
+        """Whether relays had time to report what they know."""
         since = self._keeper.held_since
         return since is not None and self._parts.clock.now() - since >= _WARM_UP_S
 
@@ -281,11 +281,11 @@
     def may_order(self) -> bool:
         """Whether endpoints may be ordered.
 
-        Where the platform checks fencing numbers, the last holder goes on
-        while the store is away and can renew nobody's lease: a newer holder's
-        number makes the platform refuse it.
+        Where the platform checks fencing numbers, the last holder continues
+        during an outage of the store, when no lease can be renewed: if there is a
+        newer holder, its number makes the platform refuse the older one.
         """
-        # The very first holder has nobody to hear of what was ordered before.
+        # Nothing was ordered before the first holder, so it waits for no reports.
         ready = self.warmed_up or self.lease.fence == 1
         if not ready or not self.lease.mine:
             return False
@@ -299,25 +299,27 @@
             self._refused_fence = self.lease.fence
 
     def live_addresses(self) -> list[str]:
-        """Return the addresses of relays that were heard lately."""
+        """Return the addresses of relays that reported recently."""
         return [relay.address for relay in self._reports.alive()]
 
     def live_reports(self) -> list[ExchangeMessage]:
-        """Return the last word of each relay that is alive."""
+        """Return the last report of each relay that is alive."""
         return [relay.message for relay in self._reports.alive()]
 
-    # --- talk with relays --------------------------------------------------------
+    # --- exchange with relays ----------------------------------------------------
     def exchange(self, message: ExchangeMessage) -> ExchangeReply:
-        """Take a relay's word and tell it what it needs."""
+        """Take a relay's report and return the reply."""
         parts = self._parts
         node = message["node"]
         self._reports.record(message)
-        # Silent relays' counts are waited for no longer.
-        self._reports.drop_silent(lambda word: self._ledger.forget(_counter(word)))
+        # Usage reports no longer wait for the counts of silent relays.
+        self._reports.drop_silent(
+            lambda report: self._ledger.forget(_counter_name(report))
+        )
         self.lease.relays = self._reports.count
         # Counts are running totals of one incarnation.
         self._ledger.heard(
-            _counter(message),
+            _counter_name(message),
             {int(number): counts for number, counts in message["windows"].items()},
             message["wall"],
         )
@@ -330,24 +332,24 @@
             reported=self._ledger.reported,
             loads=self._reports.loads_without(node),
             answers=self._reports.failures_without(node),
-            # Relays of the release before look for amounts here.
+            # Relays of the previous release expect amounts here.
             grants={},
-            limits=self._hear_limits(message),
+            limits=self._reply_on_limits(message),
             period=self._reports.pace.period,
             tells_config=self.pushes_config,
             fresh=self.fresh,
-            news=self._news_of(node),
+            news=self._delta_for(node),
             crashes_mark=mark,
             crashes=crashes,
             rollouts=self.rollouts(),
-            notices=self._hear_notices(message),
-            said_leaving=self._hear_leaving(message),
+            notices=self._merge_notices(message),
+            said_leaving=self._merge_leaving(message),
         )
 
-    def _hear_notices(self, message: ExchangeMessage) -> list[list]:
-        """Take the limits of endpoints that a relay heard of; return all known."""
+    def _merge_notices(self, message: ExchangeMessage) -> list[list]:
+        """Merge the endpoints' limits that a relay reports; return all known."""
         notices, now = self.granter.notices, self._parts.clock.now()
-        # A relay of the release before tells of none.
+        # A relay of the previous release reports none.
         for report in notices.take_limits(message.get("notices", []), now):
             logger.info(
                 "Endpoint's limit.",
@@ -358,8 +360,8 @@
             )
         return [report.encode() for report in notices.limit_reports(now)]
 
-    def _hear_leaving(self, message: ExchangeMessage) -> list[list]:
-        """Take which endpoints told a relay that they leave; return all known."""
+    def _merge_leaving(self, message: ExchangeMessage) -> list[list]:
+        """Merge the endpoints that told a relay that they leave; return all known."""
         notices, now = self.granter.notices, self._parts.clock.now()
         for process in notices.take_leaving(message.get("said_leaving", []), now):
             logger.info(
@@ -370,8 +372,8 @@
             )
         return notices.leaving_reports(now)
 
-    def _news_of(self, node: str) -> ViewDelta | None:
-        """Return what a relay's list of endpoints lacks."""
+    def _delta_for(self, node: str) -> ViewDelta | None:
+        """Return the changes that a relay's list of endpoints lacks."""
         if not self.lease.mine or not self.fresh or self.is_self(node):
             return None
         mark = self._reports.mark_of(node)
@@ -379,11 +381,11 @@
         return delta_since(self._parts.view, mark, self.lease.fence, now)
 
     def is_self(self, node: str) -> bool:
-        """Return whether a relay's name is this one's."""
+        """Return whether a node id is this relay's own."""
         return node == self.lease.node
 
     def delta_targets(self) -> tuple[dict[str, list[int]], int] | None:
-        """Return whom to tell news: addresses, their marks, and our fence."""
+        """Return the relays to push deltas to, with their marks, and our fence."""
         if not self.holds or not self.fresh:
             return None
         others = [
@@ -396,40 +398,40 @@
         index = self._parts.view.index
         return () if index is None else index.table.accounts
 
-    def _granted_by(self) -> tuple[int, float]:
+    def _fence_and_share(self) -> tuple[int, float]:
         return self.lease.fence, round(self.granter.share(self._parts.clock.now()), 3)
 
-    def _hear_limits(self, message: ExchangeMessage) -> LimitsReply | None:
-        """Take what a relay tells of its share, and grant it some in advance.
+    def _reply_on_limits(self, message: ExchangeMessage) -> LimitsReply | None:
+        """Take a relay's report on its share, and grant it amounts in advance.
 
-        One that isn't the holder, like a holder that was started anew, takes none.
+        A relay that doesn't hold the lease, as after its own restart, takes none.
         """
         node = message["node"]
-        # A relay of the release before knows nothing of shares.
-        word = message.get("limits")
-        if word is None or not self.lease.mine:
+        # A relay of the previous release doesn't know shares.
+        limits = message.get("limits")
+        if limits is None or not self.lease.mine:
             return None
         granter = self.granter
         seconds = self._reports.pace.patience
-        reply = granter.hear(node, message["incarnation"], word, seconds)
+        reply = granter.hear(node, message["incarnation"], limits, seconds)
         now = self._parts.clock.now()
         for name, amount in (grants := granter.advances(message["demand"])).items():
-            self._tally.add(name, amount, now)
+            self._grant_log.add(name, amount, now)
         reply["grants"] = grants
         if granter.decides:
-            reply["stand_ins"] = self._named_stand_ins(now)
-            reply["stand_in"] = granter.stand_in_grants(node, word["stand_in"])
+            reply["stand_ins"] = self._current_standbys(now)
+            reply["stand_in"] = granter.stand_in_grants(node, limits["stand_in"])
         return reply
 
-    def _named_stand_ins(self, now: float) -> list[str]:
-        """Return the addresses of the stand-ins: hundreds of words have the same."""
-        if now >= self._named_until:
-            stand_ins = self.granter.stand_ins(self._peers())
-            self._named = [peer.address for peer in stand_ins]
-            self._named_until = now + _NAMED_S
-        return self._named
+    def _current_standbys(self, now: float) -> list[str]:
+        """Return the standbys' addresses; one choice serves hundreds of replies."""
+        if now >= self._standbys_until:
+            standbys = self.granter.stand_ins(self._standby_candidates())
+            self._standby_addresses = [peer.address for peer in standbys]
+            self._standbys_until = now + _STANDBYS_TTL_S
+        return self._standby_addresses
 
-    def _peers(self) -> list[Peer]:
+    def _standby_candidates(self) -> list[Peer]:
         return [
             Peer(
                 relay.message["node"],
@@ -442,13 +444,13 @@
         ]
 
     def delegate(self, message: DelegateMessage) -> LimitsReply:
-        """Take the share of a relay that has lost the coordinator."""
+        """Take the share of a relay that can't reach the coordinator."""
         return self.granter.hear(
             message["node"], message["incarnation"], message["limits"]
         )
 
     def release_share(self, message: ReleaseMessage) -> ReleaseReply:
-        """Give a relay's share back, which goes to another granter."""
+        """Return a relay's share to it, which it delegates to another granter."""
         along = self.granter.release(message["node"], message["incarnation"])
         return ReleaseReply(along=along)
 
@@ -458,20 +460,20 @@
             if account.name == message["account"]:
                 got = self.granter.grant(account, message["amount"], message["spare"])
                 now = self._parts.clock.now()
-                self._tally.add(account.name, got.amount, now)
+                self._grant_log.add(account.name, got.amount, now)
                 return GrantReply(amount=got.amount, wait=got.wait, short=got.short)
-        # It lacks the configuration that the asking relay has.
-        raise EbonydealError(ErrorKind.WRONG_OWNER, "the account isn't known here")
+        # The relay that asks has a newer configuration than this one.
+        raise EbonydealError(ErrorKind.WRONG_OWNER, "account not configured here")
 
     def permit(self, message: PermitMessage) -> PermitReply:
-        """Grant one request to an endpoint that named a limit; raises WRONG_OWNER."""
+        """Permit one request to an endpoint that has a limit; raises WRONG_OWNER."""
         return self.granter.permit(LimitReport.decode(message["report"]))
 
     # --- usage -----------------------------------------------------------------
     @Service.task
     async def _report_usage(self) -> None:
         while not self.should_stop:
-            await self._parts.clock.sleep(_USAGE_STEP_S)
+            await self._parts.clock.sleep(_USAGE_CHECK_INTERVAL_S)
             index = self._parts.view.index
             if index is None or not self.warmed_up or not self.holds:
                 continue
@@ -483,10 +485,12 @@
             try:
                 await self._report(due)
             except EbonydealError as exc:
-                logger.warning("Usage waits.", window=due.window, reason=str(exc))
+                logger.warning(
+                    "Usage not reported yet.", window=due.window, reason=str(exc)
+                )
 
     async def _report(self, due: Due) -> None:
-        """Store a window once, then send what is stored."""
+        """Store a window's counts once, then report the stored ones."""
         fence = self.lease.fence
         counts = await self._usage.store_once(due)
         if counts is None or not self.holds:
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the lease of the duties: reads and writes its row as the protocol says."""
+"""Keeps the duty lease: reads and writes its row as the lease's state machine says."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,16 +25,16 @@
 
 LEASE_TABLE = "ebonydeal-lease"
 _LEASE_KEY = "duties"
-_LOOK_S = 0.5
-# So many relays read the row every half second; of more each reads it seldomer, so that
-# hundreds that miss their holder don't take the store's reads up.
-_LOOKERS = 30
-_REST_S = 0.1
-# Relays that start, or miss the holder, together write the row one after the other.
-_JITTER_S = 0.3
-# So long a free lease is left to the relay that stands in for its holder: it may have
-# missed the holder a little later.
-_LAST_S = 1.5
+_READ_INTERVAL_S = 0.5
+# Up to this many relays each read the row every half second. With more, each reads it
+# less often, so that hundreds that lost the holder don't use up the store's reads.
+_MAX_FREQUENT_READERS = 30
+_MAX_SLEEP_S = 0.1
+# Spreads the writes of relays that start, or lose the holder, at the same time.
+_MAX_JITTER_S = 0.3
+# Time for which other relays leave a free lease to the holder's standby, which may
+# have noticed the loss of the holder a little later.
+_STANDBY_HEAD_START_S = 1.5
 
 
 class PersistedRow(Protocol):
@@ -43,7 +43,7 @@
     Attributes
     ----------
     loaded : bool
-        Whether what lies in the store was read: nothing is written over before.
+        Whether the stored row was read; it isn't overwritten before that.
     """
 
     @property
@@ -57,11 +57,11 @@
         """Note that the last changes took effect."""
 
     async def read(self) -> None:
-        """Take what the holder before kept."""
+        """Load what the previous holder stored."""
 
 
 class LeaseKeeper(Service):
-    """The task that owns the lease's row at one relay.
+    """The task that reads and writes the lease's row at one relay.
 
     Parameters
     ----------
@@ -70,12 +70,12 @@
     usage : UsageStore
         Rows of usage that are written with a renewal.
     lease : DutyLease
-        The protocol of the lease.
+        State machine of the lease.
     clock, rng
         Time; jitter.
-    first : callable
+    on_first_gain : callable
         Called when the lease is gained for the first time.
-    acquire_delay_s : float
+    takeover_delay_s : float
         Seconds for which a free lease is left to others.
     """
 
@@ -86,7 +86,7 @@
         lease: DutyLease,
         clock: Clock,
         rng: Random,
-        first: Callable[[], None],
+        on_first_gain: Callable[[], None],
         takeover_delay_s: float = 0.0,
     ) -> None:
         super().__init__()
@@ -95,16 +95,16 @@
         self.lease = lease
         self._clock = clock
         self._rng = rng
-        self._first = first
-        # Written with the renewals.
+        self._on_first_gain = on_first_gain
+        # Written with each renewal.
         self.persisted_rows: list[PersistedRow] = []
-        self._acquire_delay_s = takeover_delay_s
-        # Whether this relay takes a free lease before others, like one that was the
-        # holder: it has the shares of the relays that missed the holder.
+        self._takeover_delay_s = takeover_delay_s
+        # Whether this relay takes a free lease without delay, like the last holder: the
+        # relays that lost the holder have delegated their shares to it.
         self.takes_precedence: Callable[[], bool] = lambda: False
-        # Whether another such relay is there, and is left time to.
+        # Whether another relay takes precedence, so that this one waits longer.
         self.yields_to_standby: Callable[[], bool] = lambda: False
-        self._stood_back = False
+        self._takeover_delayed = False
         self.held_since: float | None = None
         self._stopping = False
         # Set once other relays can reach this one.
@@ -124,81 +124,83 @@
                 await self._lease_step()
                 if self.holds and self.held_since is None:
                     await self._usage.read_open()
-                await self._read_kept()
+                await self._read_persisted_rows()
             except EbonydealError as exc:
                 self._lease_failed(exc)
-                await self._clock.sleep(_LOOK_S * self._rng.uniform(0.5, 1))
-            self._note_change(held)
+                await self._clock.sleep(_READ_INTERVAL_S * self._rng.uniform(0.5, 1))
+            self._log_change(held)
 
     async def _lease_step(self) -> None:
         """Take one step of the lease's protocol."""
         lease = self.lease
         if self._stopping:
-            # It takes no lease, but still has to tell the holder its counts.
+            # It takes no lease, but still has to report its counts to the holder.
             if lease.wanted:
-                await self._look()
-            await self._clock.sleep(_LOOK_S * self._rng.uniform(0.6, 1.4))
+                await self._read()
+            await self._clock.sleep(_READ_INTERVAL_S * self._rng.uniform(0.6, 1.4))
             return
         match lease.next_step(self._clock.now()):
             case Rest(seconds=seconds):
-                # Another holds it: the next time that it is free is another time.
-                self._stood_back = False
-                await self._clock.sleep(min(_REST_S, seconds))
+                # Another relay holds it: the delay applies anew when it is free again.
+                self._takeover_delayed = False
+                await self._clock.sleep(min(_MAX_SLEEP_S, seconds))
             case Look():
-                await self._look()
-                if not lease.mine and not self._was_holder:
-                    await self._clock.sleep(self._look_pause())
+                await self._read()
+                if not lease.mine and not self._previous_process_held:
+                    await self._clock.sleep(self._read_pause())
             case Write() as write:
-                if not lease.mine and not self._stood_back:
-                    await self._stand_back()
+                if not lease.mine and not self._takeover_delayed:
+                    await self._delay_takeover()
                     return
-                self._stood_back = False
+                self._takeover_delayed = False
                 await self._write(write)
 
     @property
-    def _was_holder(self) -> bool:
-        """Whether the process before this one held the lease: nobody holds it now."""
+    def _previous_process_held(self) -> bool:
+        """Whether this node's previous process held the lease: nobody holds it now."""
         row = self.lease.row
         return row is not None and row.holder == self.lease.node
 
-    def _look_pause(self) -> float:
+    def _read_pause(self) -> float:
         """Return the seconds until the row is read again.
 
-        All that miss their holder read it: beyond some tens each reads it seldomer, and
-        hears of a new holder from that one itself.
+        All relays that lost the holder read it. Beyond some tens, each reads it less
+        often, and a new holder announces itself to them.
         """
         row = self.lease.row
         relays = 0 if row is None else row.relays
-        crowd = max(1.0, relays / _LOOKERS)
-        return _LOOK_S * crowd * self._rng.uniform(0.6, 1.4)
+        slowdown = max(1.0, relays / _MAX_FREQUENT_READERS)
+        return _READ_INTERVAL_S * slowdown * self._rng.uniform(0.6, 1.4)
 
-    async def _stand_back(self) -> None:
-        """Leave a free lease to larger instances, and to who comes first."""
-        if self._was_holder or self.takes_precedence():
-            self._stood_back = True
+    async def _delay_takeover(self) -> None:
+        """Leave a free lease to larger instances and to the standby for a while."""
+        if self._previous_process_held or self.takes_precedence():
+            self._takeover_delayed = True
             return
-        jitter = self._rng.uniform(0.0, _JITTER_S)
-        back = self._acquire_delay_s + (_LAST_S if self.yields_to_standby() else 0.0)
-        await self._clock.sleep(back + jitter)
-        self._stood_back = True
-        if back:
-            # Another may have it by now.
+        jitter = self._rng.uniform(0.0, _MAX_JITTER_S)
+        delay = self._takeover_delay_s + (
+            _STANDBY_HEAD_START_S if self.yields_to_standby() else 0.0
+        )
+        await self._clock.sleep(delay + jitter)
+        self._takeover_delayed = True
+        if delay:
+            # Another relay may have taken it meanwhile.
             self.lease.in_doubt()
 
-    async def _look(self) -> None:
+    async def _read(self) -> None:
         rows, _version = await self._store.rows(LEASE_TABLE)
         now = self._clock.now()
         for row in rows:
             if row.key == _LEASE_KEY and row.value is not None:
-                self.lease.saw(_decoded(row.value), row.version, now)
+                self.lease.saw(_decode_row(row.value), row.version, now)
                 return
         self.lease.saw(None, NO_ROW, now)
 
-    async def _read_kept(self) -> None:
-        """Read what the holder before kept, once this relay holds the lease."""
-        for kept in self.persisted_rows:
-            if self.holds and not kept.loaded:
-                await kept.read()
+    async def _read_persisted_rows(self) -> None:
+        """Read the rows of the previous holder, once this relay holds the lease."""
+        for row in self.persisted_rows:
+            if self.holds and not row.loaded:
+                await row.read()
 
     def _change(self, write: Write) -> RowChange:
         return RowChange(LEASE_TABLE, _LEASE_KEY, write.row.encode(), write.expected)
@@ -207,9 +209,9 @@
         changes = [self._change(write)]
         renews = False
         if self.lease.mine and write.row.fence == self.lease.fence:
-            # With the renewal, what was told of usage outlives all processes.
+            # So that reported usage survives the loss of all processes.
             changes.append(self._usage.open_change())
-            changes.extend(c for kept in self.persisted_rows for c in kept.changes())
+            changes.extend(c for row in self.persisted_rows for c in row.changes())
             renews = True
         try:
             result = await self._store.transact(changes)
@@ -220,20 +222,20 @@
         if result.applied:
             self.lease.wrote(write.row, result.version)
             if renews:
-                for kept in self.persisted_rows:
-                    kept.wrote()
+                for persisted in self.persisted_rows:
+                    persisted.wrote()
             return
         now = self._clock.now()
         row = result.rows[0] if result.rows else None
-        value = None if row is None or row.value is None else _decoded(row.value)
+        value = None if row is None or row.value is None else _decode_row(row.value)
         self.lease.saw(value, NO_ROW if row is None else row.version, now)
 
     def _lease_failed(self, exc: EbonydealError) -> None:
-        logger.warning("Lease: store call failed.", reason=str(exc))
+        logger.warning("Store call for the lease failed.", reason=str(exc))
         self.lease.failed(self._clock.now())
 
-    def _note_change(self, held: bool) -> None:
-        """Log the lease gained or lost, and start afresh."""
+    def _log_change(self, held: bool) -> None:
+        """Log that the lease was gained or lost, and note since when it is held."""
         holds = self.holds
         if holds == held:
             return
@@ -243,17 +245,17 @@
             return
         logger.info("Lease gained.", fence=fence)
         if self.held_since is None:
-            self._first()
+            self._on_first_gain()
         self.held_since = self._clock.now()
 
     async def release(self) -> None:
-        """Free the lease at a planned stop, so that another takes it at once."""
+        """Free the lease at a planned stop, so that another relay takes it at once."""
         self._stopping = True
         write = self.lease.release()
         if write is None:
             return
         changes = [self._change(write), self._usage.open_change()]
-        changes.extend(c for kept in self.persisted_rows for c in kept.changes())
+        changes.extend(c for row in self.persisted_rows for c in row.changes())
         try:
             await self._store.transact(changes)
         except EbonydealError as exc:
@@ -262,10 +264,10 @@
         logger.info("Lease released.", fence=write.row.fence)
 
 
-def _decoded(value: bytes) -> LeaseRow | None:
-    """Return the lease's row; one that can't be read counts as none."""
+def _decode_row(value: bytes) -> LeaseRow | None:
+    """Return the lease's row, or None where it can't be decoded."""
     try:
         return LeaseRow.decode(value)
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as exc:
-        logger.error("The lease's row can't be read.", reason=repr(exc))
+        logger.error("Lease row can't be decoded.", reason=repr(exc))
         return None
--- a/src/ebonydeal/_internal/relay/duties/usage_store.py
+++ b/src/ebonydeal/_internal/relay/duties/usage_store.py
@@ -1,9 +1,9 @@
 """Usage windows in the platform's store.
 
-A window's counts are written once, under the condition that no row is there,
-before they are sent: whoever holds the lease sends only what lies in the store,
+A window's counts are written once, on condition that the row doesn't exist yet,
+before they are reported. The holder of the lease reports only what is in the store,
 so no two reports of a window differ. Windows that are still open are stored with
-each renewal of the lease, so that they outlive all processes.
+each renewal of the lease, so that they survive the loss of all processes.
 """
 
 import json
@@ -24,7 +24,7 @@
 USAGE_TABLE = "ebonydeal-usage"
 _OPEN_KEY = "open"
 # Windows whose rows are kept: more than may still be reported.
-_ROWS_KEPT = 6
+_MAX_STORED_WINDOWS = 6
 
 
 def _key(window: int) -> str:
@@ -39,7 +39,7 @@
     store : SharedStore
         The platform's store.
     ledger : UsageLedger
-        What relays told.
+        Counts that relays reported.
     """
 
     def __init__(self, store: SharedStore, ledger: UsageLedger) -> None:
@@ -47,15 +47,17 @@
         self._ledger = ledger
 
     def open_change(self) -> RowChange:
-        """Return the write that keeps windows not reported yet."""
-        told = pack(self._ledger.open_windows())
-        if len(told) > MAX_PACKED_BYTES:
-            logger.warning("Open windows are too large to keep.", size=len(told))
-            told = pack({})
-        return RowChange(USAGE_TABLE, _OPEN_KEY, told)
+        """Return the write that stores windows not reported yet."""
+        value = pack(self._ledger.open_windows())
+        if len(value) > MAX_PACKED_BYTES:
+            logger.warning(
+                "Open usage windows are too large to store.", size=len(value)
+            )
+            value = pack({})
+        return RowChange(USAGE_TABLE, _OPEN_KEY, value)
 
     async def read_open(self) -> None:
-        """Take what the holder before kept of windows not reported yet."""
+        """Load the previous holder's windows that aren't reported yet."""
         rows, _version = await self._store.rows(USAGE_TABLE, _OPEN_KEY)
         for row in rows:
             if row.key != _OPEN_KEY or row.value is None:
@@ -65,19 +67,19 @@
                     counts = {int(n): dict(c) for n, c in windows.items()}
                     self._ledger.stored(relay, counts)
             except UNPACK_ERRORS as exc:
-                logger.error("Stored usage can't be read.", reason=repr(exc))
+                logger.error("Stored usage can't be decoded.", reason=repr(exc))
 
     async def store_once(self, due: Due) -> dict[str, int] | None:
-        """Return what lies in the store for a window, ours where none was there.
+        """Store a window's counts unless the store has some; return the stored ones.
 
-        None where it can't be known now.
+        Returns None where they can't be read.
         """
         body = json.dumps(due.counts, sort_keys=True).encode()
         change = RowChange(USAGE_TABLE, _key(due.window), body, NO_ROW)
-        old = RowChange(USAGE_TABLE, _key(due.window - _ROWS_KEPT), None)
+        old = RowChange(USAGE_TABLE, _key(due.window - _MAX_STORED_WINDOWS), None)
         result = await self._store.transact([change, old])
         if not result.applied:
-            # Another holder, or a write without answer, was before us.
+            # Another holder, or an earlier write without a reply, stored counts before.
             stored = [row.value for row in result.rows if row.value is not None]
             if not stored:
                 return None
@@ -85,5 +87,5 @@
         try:
             return {str(k): int(v) for k, v in json.loads(body).items()}
         except UNPACK_ERRORS as exc:
-            logger.error("Stored usage can't be read.", reason=repr(exc))
+            logger.error("Stored usage can't be decoded.", reason=repr(exc))
             return None
--- a/tests/functional/relay/test_news.py
+++ b/tests/functional/relay/test_news.py
@@ -150,7 +150,7 @@
 
     @pytest.fixture(autouse=True)
     def three_are_many(self, monkeypatch):
-        monkeypatch.setattr(coordinator, "_TELL_CONFIG_FROM", 3)
+        monkeypatch.setattr(coordinator, "_MIN_RELAYS_TO_PUSH_CONFIG", 3)
 
     async def test_a_change_reaches_all_by_the_coordinators_polls(self):
         async with three(RawEndpoint("i1")) as (store, _first, others):
