--- a/src/ebonydeal/_internal/relay/listener.py
+++ b/src/ebonydeal/_internal/relay/listener.py
@@ -10,13 +10,13 @@
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-# Far above what operators let clients be idle, so that it is always the client
-# who closes, and no request crosses our close.
-_KEEPALIVE_S = 300.0
-_MAX_FIELD = 32768
-_LINGER_S = 2.0
-# What is still open at the end has had its time.
-_CLOSE_S = 0.01
+# Far above the idle time that operators allow clients, so that always the client closes
+# a connection, and no request arrives while this side closes it.
+_KEEPALIVE_TIMEOUT_S = 300.0
+_MAX_FIELD_BYTES = 32768
+_LINGER_TIMEOUT_S = 2.0
+# Connections that are still open at the stop had their time to drain.
+_CLOSE_TIMEOUT_S = 0.01
 
 
 class RawListener(Service):
@@ -29,9 +29,9 @@
     address : str
         ``host:port``; port 0 picks a free one, then read `port`.
     opened : sequence of int
-        Sockets that listen already; the one on ``address`` is taken over.
+        Sockets that already listen; the one on ``address`` is used.
     decompresses : bool
-        Whether handlers get bodies decompressed. Clients' pass as they are.
+        Whether bodies are decompressed for the handler; clients' bodies are not.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         decompresses: bool = False,
     ) -> None:
         super().__init__()
-        self._early = early_socket(opened, address)
+        self._early_socket = early_socket(opened, address)
         host, _sep, port = address.rpartition(":")
         self.host = host
         self.port = int(port)
@@ -57,16 +57,16 @@
             self._handler,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=_KEEPALIVE_S,
-            lingering_time=_LINGER_S,
-            max_line_size=_MAX_FIELD,
-            max_field_size=_MAX_FIELD,
+            keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
+            lingering_time=_LINGER_TIMEOUT_S,
+            max_line_size=_MAX_FIELD_BYTES,
+            max_field_size=_MAX_FIELD_BYTES,
             auto_decompress=self._decompresses,
         )
         loop = asyncio.get_running_loop()
-        if self._early is not None:
+        if self._early_socket is not None:
             self._socket = await loop.create_server(
-                self._server, sock=self._early, backlog=BACKLOG
+                self._server, sock=self._early_socket, backlog=BACKLOG
             )
         else:
             self._socket = await loop.create_server(
@@ -75,9 +75,9 @@
         self.port = self._socket.sockets[0].getsockname()[1]
 
     def close_gracefully(self) -> None:
-        """Take no connection and read no request any more.
+        """Accept no more connections, and read no more requests.
 
-        What was read already is answered. Idle connections stay open unread
+        Requests already read are answered. Idle connections stay open, but unread,
         until the stop, which must follow at once.
         """
         if self._socket is not None:
@@ -90,5 +90,5 @@
         if self._socket is not None:
             self._socket.close()
         if self._server is not None:
-            # Not zero: the library takes that for no limit at all.
-            await self._server.shutdown(_CLOSE_S)
+            # Not zero, which the library takes for no time limit.
+            await self._server.shutdown(_CLOSE_TIMEOUT_S)
--- a/src/ebonydeal/_internal/relay/packed_row.py
+++ b/src/ebonydeal/_internal/relay/packed_row.py
@@ -1,13 +1,13 @@
-"""Values of rows that are written with the lease: JSON, compressed."""
+"""Values of rows that are written with the lease: compressed JSON."""
 
 import json
 from typing import Any
 from zlib import compress, decompress
 from zlib import error as BadCompression
 
-# Well below what a row may hold; who has more to keep says what then.
+# Well below the size limit of a row; writers define what happens to larger values.
 MAX_PACKED_BYTES = 48_000
-# What reading a row may raise that another writer made.
+# Errors of decoding a row that another writer may have corrupted.
 UNPACK_ERRORS = (
     ValueError,
     TypeError,
--- a/src/ebonydeal/_internal/relay/ports.py
+++ b/src/ebonydeal/_internal/relay/ports.py
@@ -1,4 +1,4 @@
-"""What the relay needs of the platform, as narrow interfaces."""
+"""Interfaces through which the relay uses the platform."""
 
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
@@ -24,7 +24,7 @@
 
 
 class Wire(Protocol):
-    """Header blocks and rows as the platform writes them."""
+    """Encoding of header blocks and rows, as the platform writes them."""
 
     config_table: str
     config_key: str
@@ -35,7 +35,7 @@
         """Return a client's request; raises BAD_REQUEST."""
 
     def outgoing(self, req: Forwarded, send: Sending) -> list[tuple[str, str]]:
-        """Return the header block of one send."""
+        """Return the header block of one request to an endpoint."""
 
     def read_answer(self, status: int, pairs: Pairs) -> AnswerHead:
         """Return the head of an endpoint's answer."""
@@ -47,7 +47,7 @@
         """Return a listed endpoint; raises BAD_DOCUMENT."""
 
     def rollout_service(self, key: str) -> str | None:
-        """Return the service whose roll-out a row is about, None for other rows."""
+        """Return the service whose roll-out order a row holds, None for other rows."""
 
     def order(self, row: SharedRow) -> RolloutOrder:
         """Return an operator's order of a roll-out; raises BAD_DOCUMENT."""
@@ -56,20 +56,20 @@
         """Return a roll-out's phase and version; raises BAD_DOCUMENT."""
 
     def status_change(self, service: str, phase: Phase, to: str) -> RowChange:
-        """Return the write by which operators learn of a roll-out."""
+        """Return the write that shows operators the phase of a roll-out."""
 
 
 class SharedStore(Protocol):
     """The platform's store.
 
-    Raises `EbonydealError`: STORE_UNAVAILABLE where nothing was done,
-    STORE_IN_DOUBT where a write may have been, or may still be.
+    Raises `EbonydealError`: STORE_UNAVAILABLE if nothing was done,
+    STORE_IN_DOUBT if a write may have been applied, or may still be.
 
     Attributes
     ----------
     clock_ahead_s : float
-        By how much the store's steady clock is ahead of this process's, as last
-        heard, seconds; 0 before. All relays read the same clock there.
+        By how much the store's monotonic clock is ahead of this process's, by the last
+        reply, seconds; 0 before. All relays share that clock.
     """
 
     clock_ahead_s: float
@@ -78,7 +78,7 @@
         """Return all rows from a key on, and the newest version."""
 
     async def changes(self, table: str, after: int, wait: float) -> Changes | None:
-        """Wait for changes after a version; None where history is gone."""
+        """Wait for changes after a version; None if the history has expired."""
 
     async def transact(self, changes: list[RowChange]) -> TransactResult:
         """Apply all changes if each row has its expected version, or none."""
@@ -88,33 +88,33 @@
 
 
 class Duties(Protocol):
-    """Calls that one node at a time makes; raises as `SharedStore`."""
+    """Calls of the lease holder to the platform; raises as `SharedStore`."""
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fence: int
     ) -> DutyAnswer:
-        """Report requests begun in a window, by account."""
+        """Report the requests that began in a window, by account."""
 
     async def order(
         self, service: str, zone: str, count: int, reclaimable: bool, fence: int
     ) -> DutyAnswer:
-        """Order that many endpoints of one kind."""
+        """Set the wanted number of endpoints of one kind."""
 
     async def close(self) -> None:
         """Close connections."""
 
 
 class Engines(Protocol):
-    """Orders to model engines."""
+    """Calls to model engines."""
 
     async def move_run(self, source: str, request_id: str, target: str) -> MoveAnswer:
-        """Stop a run at one address and pass its memory to another.
+        """Stop a run at one address and transfer its KV cache to another.
 
-        Raises ENDPOINT_FAILED where no answer came: it may be stopped or not.
+        Raises ENDPOINT_FAILED without an answer: the run may be stopped or not.
         """
 
     async def leaves_in(self, address: str) -> float | None:
-        """Return how soon an endpoint goes, seconds; None where it doesn't say.
+        """Return the seconds until an endpoint is gone; None if it doesn't say.
 
         Raises ENDPOINT_FAILED without a readable answer.
         """
@@ -124,7 +124,7 @@
 
 
 class RelayPorts(NamedTuple):
-    """The outside as one relay sees it."""
+    """All interfaces that one relay uses."""
 
     wire: Wire
     store: SharedStore
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -86,9 +86,9 @@
 
 logger = get_logger("relay")
 
-_SWEEP_S = 1.0
-_DRAIN_STEP_S = 0.02
-# Kept back of the grace time for closing sockets and ending the process.
+_SWEEP_INTERVAL_S = 1.0
+_DRAIN_CHECK_INTERVAL_S = 0.02
+# Part of the grace time that is left for closing sockets and ending the process.
 _EXIT_RESERVE_S = 0.4
 
 
@@ -216,7 +216,7 @@
             MembersFollower(ports.store, ports.wire, self.view, clock, rng, metrics),
         )
         deltas = DeltaReceiver(self.view, clock)
-        deltas.on_newer_config = self._fall_behind
+        deltas.on_newer_config = self._request_config
         self._reporter = RelayReporter(
             ReporterParts(
                 self._node.id,
@@ -287,10 +287,10 @@
         self.coordinator.compare_crashes = self._suspects.compare
         self.coordinator.store_is_fresh = lambda: members.fresh
         self.coordinator.config_is_fresh = lambda: config.fresh
-        self._news = DeltaPublisher(
+        self._delta_publisher = DeltaPublisher(
             self.view, self._client, clock, self.coordinator.delta_targets
         )
-        self._sync = ViewSync(
+        self._view_sync = ViewSync(
             self._exchange,
             self._client,
             ports.wire,
@@ -301,7 +301,9 @@
             clock,
             rng,
         )
-        self._leaving = LeavingTimes(self.coordinator, ports.engines, self.view, clock)
+        self._leaving_times = LeavingTimes(
+            self.coordinator, ports.engines, self.view, clock
+        )
         self._fleet = Fleet(
             self.coordinator,
             ports.duties,
@@ -315,7 +317,7 @@
     def _build_coordinator(
         self, ports: RelayPorts, bounds: QuotaBounds, incarnation: str
     ) -> Coordinator:
-        """Return what this relay does for all while it holds the lease."""
+        """Return the coordinator, which is active while this relay holds the lease."""
         cfg = self._cfg
         return Coordinator(
             CoordinatorParts(
@@ -332,7 +334,7 @@
         )
 
     def _build_rollouts(self, ports: RelayPorts) -> Rollouts:
-        """Return what decides on roll-outs while this relay is the coordinator."""
+        """Return the service that decides on roll-outs while this relay coordinates."""
         rollouts = Rollouts(
             RolloutParts(
                 self.coordinator,
@@ -359,12 +361,12 @@
             self.coordinator,
             self._exchange,
             self._limits,
-            self._news,
+            self._delta_publisher,
             self._long_prompts,
             self._suspects,
             self._crashes,
-            self._sync,
-            self._leaving,
+            self._view_sync,
+            self._leaving_times,
             self._rollouts,
             self._rollout_hearer,
             self._fleet,
@@ -374,7 +376,7 @@
         ]
 
     async def on_started(self) -> None:
-        """Tell others the port that was picked, where the settings name none."""
+        """Publish the picked port, where the settings name none, and start duties."""
         host = self._cfg.peer_address.rpartition(":")[0]
         address = f"{host}:{self.peers.port}"
         self._cfg = self._cfg._replace(peer_address=address)
@@ -384,7 +386,7 @@
         self._exchange.reachable.set()
 
     def reload(self, settings: dict[str, Any]) -> None:
-        """Take changed bounds and seeds; addresses stay until the next start."""
+        """Apply changed settings and seeds; addresses stay until the next start."""
         old = self._cfg
         self._cfg = settings["relay"]._replace(
             address=old.address,
@@ -394,23 +396,23 @@
         self._exchange.add_seeds(seed_addresses(settings["peers"].seeds))
 
     def _announce(self) -> None:
-        """Tell all relays known that this one is the coordinator now."""
+        """Tell all known relays that this one is the coordinator now."""
         self.add_future(self._exchange.announce())
 
-    def _fall_behind(self) -> None:
-        """Ask for a configuration that another relay has."""
-        self._sync.behind_config = True
+    def _request_config(self) -> None:
+        """Request the newer configuration that another relay has."""
+        self._view_sync.behind_config = True
 
     def _other_relays(self) -> list[str]:
-        """Return the addresses of the relays that a coordinator told of."""
+        """Return the addresses of the other known relays."""
         relays = self._exchange.relays
         return [address for address in relays if address != self._reporter.address]
 
-    # --- talk with the coordinator -------------------------------------------
+    # --- exchange with the coordinator ---------------------------------------
     def _apply_reply(self, reply: ExchangeReply, asked_at: float) -> None:
-        """Take the coordinator's answer to what was told at ``asked_at``."""
+        """Apply the coordinator's reply to the report sent at ``asked_at``."""
         if self._reporter.apply_reply(reply, asked_at):
-            self._sync.behind = True
+            self._view_sync.behind = True
         self._split.patience = self._exchange.isolation_timeout
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
         mine = self.coordinator.lease.mine
@@ -418,12 +420,12 @@
         for follower in self._followers:
             follower.on_coordinator = mine
         if mine:
-            # A poll may have begun when no other relay depended on it.
+            # The current poll may have begun when no other relay depended on it.
             config.restart_poll()
 
     @property
     def ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether this relay can serve new connections."""
         known = self.view.index is not None and self.view.members_known
         return known and not self._reporter.leaving
 
@@ -431,59 +433,59 @@
         return web.Response(status=200 if self.ready else 503)
 
     def _forget_endpoint(self, endpoint_id: str) -> None:
-        """Drop all that was learned of an endpoint before it started again."""
+        """Drop all that was learned of an endpoint before it restarted."""
         self._choice.forget(endpoint_id)
         self._failing.forget(endpoint_id)
         self._outliers.forget(endpoint_id)
         self._pools.forget(endpoint_id)
 
     @Service.task
-    async def _sweep(self) -> None:
-        """Forget endpoints that are gone."""
+    async def _forget_removed_endpoints(self) -> None:
+        """Drop the connections and load of endpoints that are no longer listed."""
         while not self.should_stop:
-            await self._clock.sleep(_SWEEP_S)
+            await self._clock.sleep(_SWEEP_INTERVAL_S)
             self._pools.keep_only(self.view.members)
             self._choice.keep_only(self.view.members)
 
     async def drain(self) -> None:
-        """Let the balancer take us out, and finish what is in flight.
+        """Let the load balancer remove this relay, and finish requests in flight.
 
-        The listener stays open: until the balancer has noticed, new
-        connections still come, and each is served. Every answer ends its
-        connection, so kept ones go away with their next use.
+        The listener stays open: until the balancer notices, new connections
+        still arrive, and each is served. Every answer closes its connection,
+        so kept-alive ones end with their next request.
         """
         self._reporter.leaving = True
-        begun = self._clock.now()
-        last = begun + self._cfg.grace_s - _EXIT_RESERVE_S
-        self.intake.close_by(begun + self._cfg.settle_s, last)
+        started_at = self._clock.now()
+        deadline = started_at + self._cfg.grace_s - _EXIT_RESERVE_S
+        self.intake.close_by(started_at + self._cfg.settle_s, deadline)
         logger.info("Draining.", in_flight=self.intake.in_flight)
         await self.coordinator.release()
         await self._clock.sleep(self._cfg.settle_s)
-        await self._finish_by(last)
+        await self._finish_by(deadline)
         await self._exchange.flush()
-        # Requests came while the last word was told.
-        await self._finish_by(last)
+        # More requests may have arrived during the last report.
+        await self._finish_by(deadline)
         self.clients.close_gracefully()
-        # One that was read at that moment is in flight after a turn of the loop.
-        await self._clock.sleep(_DRAIN_STEP_S)
-        await self._finish_by(last)
+        # A request read at that moment is in flight after one turn of the event loop.
+        await self._clock.sleep(_DRAIN_CHECK_INTERVAL_S)
+        await self._finish_by(deadline)
         logger.info(
             "Drained.",
             in_flight=self.intake.in_flight,
-            took_s=round(self._clock.now() - begun, 3),
+            took_s=round(self._clock.now() - started_at, 3),
         )
 
-    async def _finish_by(self, last: float) -> None:
-        """Wait until nothing is in flight, at most until ``last``."""
-        while self.intake.in_flight and self._clock.now() < last:
-            await self._clock.sleep(_DRAIN_STEP_S)
+    async def _finish_by(self, deadline: float) -> None:
+        """Wait until nothing is in flight, at most until ``deadline``."""
+        while self.intake.in_flight and self._clock.now() < deadline:
+            await self._clock.sleep(_DRAIN_CHECK_INTERVAL_S)
 
     async def on_stop(self) -> None:
         """Drain while all children still work."""
         await self.drain()
 
     async def on_shutdown(self) -> None:
-        """Close what children used until their end."""
+        """Close the connections that children used until they stopped."""
         self._pools.close()
         await self._client.close()
         await self.ports.store.close()
--- a/src/ebonydeal/_internal/relay/view/follower.py
+++ b/src/ebonydeal/_internal/relay/view/follower.py
@@ -239,15 +239,15 @@
         self, rows: list[SharedRow], version: int, after_outage: bool
     ) -> None:
         """Apply the configuration's row, if there is one, and all orders."""
-        self._take(tuple(rows), version, {})
+        self._apply_rows(tuple(rows), version, {})
 
     async def apply_changes(
         self, rows: tuple[SharedRow, ...], version: int, after_outage: bool
     ) -> None:
         """Apply the configuration's row and orders; unreadable ones are ignored."""
-        self._take(rows, version, self._view.versions.orders)
+        self._apply_rows(rows, version, self._view.versions.orders)
 
-    def _take(
+    def _apply_rows(
         self,
         rows: tuple[SharedRow, ...],
         version: int,
