--- a/tests/functional/relay/test_news.py
+++ b/tests/functional/relay/test_deltas.py
@@ -1,4 +1,4 @@
-"""One relay follows the list of endpoints for all others."""
+"""One relay polls the store for all, and others take over if it or the store fails."""
 
 import asyncio
 from collections import Counter
@@ -11,46 +11,46 @@
 from tests.lib.relay_fakes import MemoryStore, document, relay, until
 
 
-class OwnWay:
-    """One relay's way to the store, which can fall silent."""
+class BlockableStore:
+    """One relay's access to the store, whose replies can be blocked."""
 
     def __init__(self, store, node="n1"):
         self._store = store
         self._node = node
-        self.silent = False
-        self._heard = asyncio.Event()
+        self.blocked = False
+        self._unblocked = asyncio.Event()
 
-    def hear_again(self):
-        """End the silence, also for calls that wait in it."""
-        self.silent = False
-        self._heard.set()
+    def unblock(self):
+        """Stop blocking, also for calls that are waiting."""
+        self.blocked = False
+        self._unblocked.set()
 
     def __getattr__(self, name):
         call = getattr(self._store, name)
         if not callable(call):
-            # Its clock.
+            # The offset of its clock.
             return call
 
-        async def through(*args):
+        async def forward(*args):
             if name == "changes" and args[0] == "op":
-                self._store.asked[self._node] += 1
-            if self.silent:
-                await self._heard.wait()
+                self._store.config_polls[self._node] += 1
+            if self.blocked:
+                await self._unblocked.wait()
             answer = await call(*args)
-            if self.silent:
-                await self._heard.wait()
+            if self.blocked:
+                await self._unblocked.wait()
             return answer
 
-        return through
+        return forward
 
 
 class CountingStore(MemoryStore):
-    """Counts the polls of the endpoints' table, and each relay's of the other."""
+    """Counts all polls of the endpoints, and each relay's of the configuration."""
 
     def __init__(self):
         super().__init__()
         self.polls = 0
-        self.asked = Counter()
+        self.config_polls = Counter()
 
     async def changes(self, table, after, wait):
         self.polls += table == "servers"
@@ -58,16 +58,18 @@
 
 
 @asynccontextmanager
-async def three(one):
-    """Three relays on one store, all in touch with the coordinator."""
+async def three_relays(one):
+    """Three relays on one store, two of which receive deltas from the first."""
     store = CountingStore()
     await one.start()
     await store.put("servers", one.name, one.row())
     await store.put("op", "config", document())
-    first = relay(OwnWay(store), node="n1", seed=1)
+    first = relay(BlockableStore(store), node="n1", seed=1)
     await first.start()
     await until(lambda: first.coordinator.holds)
-    others = [relay(OwnWay(store, f"n{n}"), node=f"n{n}", seed=n) for n in (2, 3)]
+    others = [
+        relay(BlockableStore(store, f"n{n}"), node=f"n{n}", seed=n) for n in (2, 3)
+    ]
     for program in others:
         await program.start()
     try:
@@ -79,11 +81,11 @@
         await one.stop()
 
 
-class TestFed:
-    async def test_a_change_reaches_all_by_one_poll_of_the_store(self):
+class TestEndpoints:
+    async def test_a_change_reaches_all_relays_by_one_poll_of_the_store(self):
         one = RawEndpoint("i1")
-        async with three(one) as (store, first, others):
-            # Polls that were under way when they became fed end with a change.
+        async with three_relays(one) as (store, first, others):
+            # Polls that began before deltas were pushed end with a change.
             await store.put("servers", "i2", one.row())
             await until(lambda: all("i2" in p.view.members for p in others))
             await asyncio.sleep(0.3)
@@ -94,21 +96,21 @@
             assert store.polls - polls <= 2
             assert first.view.members["i1"].leaving
 
-    async def test_without_the_coordinator_each_polls_for_itself(self):
+    async def test_without_the_coordinator_each_relay_polls_the_store(self):
         one = RawEndpoint("i1")
-        async with three(one) as (store, first, others):
+        async with three_relays(one) as (store, first, others):
             first.peers.close_gracefully()
             await until(lambda: not any(p._exchange.receives_deltas for p in others))
             await store.put("servers", "i1", one.row(state="draining"))
             await until(lambda: all(p.view.members["i1"].leaving for p in others))
 
-    async def test_a_store_that_falls_silent_shows_before_the_lease_runs_out(self):
+    async def test_an_unresponsive_store_is_noticed_before_the_lease_expires(self):
         one = RawEndpoint("i1")
-        async with three(one) as (store, first, others):
-            # Polls that were under way when they became fed end with a change.
+        async with three_relays(one) as (store, first, others):
+            # Polls that began before deltas were pushed end with a change.
             await store.put("servers", "i2", one.row())
             await until(lambda: all("i2" in p.view.members for p in others))
-            first.ports.store.silent = True
+            first.ports.store.blocked = True
             try:
                 await until(
                     lambda: not any(p._exchange.receives_deltas for p in others)
@@ -118,56 +120,56 @@
                 await until(lambda: all(p.view.members["i1"].leaving for p in others))
                 assert not first.view.members["i1"].leaving
             finally:
-                first.ports.store.hear_again()
+                first.ports.store.unblock()
 
-    async def test_a_coordinator_that_lost_the_store_feeds_nobody(self):
+    async def test_a_coordinator_without_the_store_pushes_no_deltas(self):
         one = RawEndpoint("i1")
-        async with three(one) as (_store, first, others):
+        async with three_relays(one) as (_store, first, others):
             first.coordinator.store_is_fresh = lambda: False
             await until(lambda: not any(p._exchange.receives_deltas for p in others))
 
 
-class TestLongReads:
-    async def test_all_other_relays_avoid_an_endpoint_that_reads_a_long_prompt(self):
-        async with three(RawEndpoint("i1")) as (_store, _first, others):
-            sender, hearer = others
+class TestLongPrompts:
+    async def test_other_relays_avoid_an_endpoint_that_prefills_a_long_prompt(self):
+        async with three_relays(RawEndpoint("i1")) as (_store, _first, others):
+            sender, receiver = others
             await until(lambda: len(sender._exchange.relays) == 3)
             sender._long_prompts.note_sent("i1", 0.8, 900.0)
 
             def until_read(program):
                 return program._choice._load("i1").reads_until
 
-            await until(lambda: until_read(hearer) > program_now(hearer))
+            await until(lambda: until_read(receiver) > now(receiver))
             assert until_read(sender) == 0.0
 
 
-def program_now(program):
+def now(program):
     return program._clock.now()
 
 
 class TestConfiguration:
-    """Where there are many relays, one follows the configuration for all others."""
+    """With many relays, only the coordinator polls the configuration."""
 
     @pytest.fixture(autouse=True)
-    def three_are_many(self, monkeypatch):
+    def push_config_to_three_relays(self, monkeypatch):
         monkeypatch.setattr(coordinator, "_MIN_RELAYS_TO_PUSH_CONFIG", 3)
 
-    async def test_a_change_reaches_all_by_the_coordinators_polls(self):
-        async with three(RawEndpoint("i1")) as (store, _first, others):
+    async def test_a_change_reaches_all_relays_by_the_coordinators_polls(self):
+        async with three_relays(RawEndpoint("i1")) as (store, _first, others):
             await until(lambda: all(p._exchange.receives_config for p in others))
-            # Polls that were under way when they became fed end with a change.
+            # Polls that began before deltas were pushed end with a change.
             await store.put("op", "config", document(2))
             await until(lambda: all(p.view.version == 2 for p in others))
             await asyncio.sleep(0.3)
-            polls = dict(store.asked)
+            polls = dict(store.config_polls)
             await store.put("op", "config", document(3))
             await until(lambda: all(p.view.version == 3 for p in others))
-            assert {n: c for n, c in store.asked.items() if n != "n1"} == {
+            assert {n: c for n, c in store.config_polls.items() if n != "n1"} == {
                 n: c for n, c in polls.items() if n != "n1"
             }
 
-    async def test_without_the_coordinator_each_follows_it_for_itself(self):
-        async with three(RawEndpoint("i1")) as (store, first, others):
+    async def test_without_the_coordinator_each_relay_polls_it(self):
+        async with three_relays(RawEndpoint("i1")) as (store, first, others):
             await until(lambda: all(p._exchange.receives_config for p in others))
             await store.put("op", "config", document(2))
             await until(lambda: all(p.view.version == 2 for p in others))
@@ -176,12 +178,12 @@
             await store.put("op", "config", document(3))
             await until(lambda: all(p.view.version == 3 for p in others))
 
-    async def test_a_coordinator_whose_own_poll_is_silent_feeds_nobody(self):
-        async with three(RawEndpoint("i1")) as (store, first, others):
+    async def test_a_coordinator_whose_poll_gets_no_reply_pushes_nothing(self):
+        async with three_relays(RawEndpoint("i1")) as (store, first, others):
             await until(lambda: all(p._exchange.receives_config for p in others))
             await store.put("op", "config", document(2))
             await until(lambda: all(p.view.version == 2 for p in others))
-            first.ports.store.silent = True
+            first.ports.store.blocked = True
             try:
                 await until(
                     lambda: not any(p._exchange.receives_deltas for p in others)
@@ -189,12 +191,12 @@
                 await store.put("op", "config", document(3))
                 await until(lambda: all(p.view.version == 3 for p in others))
             finally:
-                first.ports.store.hear_again()
+                first.ports.store.unblock()
 
 
-class TestHolder:
-    async def test_a_new_one_tells_the_relays_that_it_knows(self):
-        async with three(RawEndpoint("i1")) as (store, first, others):
+class TestLeaseHolder:
+    async def test_a_new_holder_announces_itself_to_the_known_relays(self):
+        async with three_relays(RawEndpoint("i1")) as (store, first, others):
             second, third = others
             await until(lambda: all(len(p._exchange.relays) == 3 for p in others))
             await first.coordinator.release()
--- a/tests/functional/relay/test_entry.py
+++ b/tests/functional/relay/test_entry.py
@@ -27,8 +27,8 @@
 """
 
 
-async def started(file):
-    """Start the program; return it once it says so."""
+async def start_program(file):
+    """Start the program; return it once it has started."""
     proc = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -39,32 +39,32 @@
         stderr=asyncio.subprocess.STDOUT,
         env={**os.environ, "PYTHONUNBUFFERED": "1"},
     )
-    await said(proc, b"Started.")
+    await wait_for_line(proc, b"Started.")
     return proc
 
 
-async def said(proc, words):
-    """Read lines until one holds ``words``."""
+async def wait_for_line(proc, text):
+    """Read lines until one contains ``text``."""
     while line := await asyncio.wait_for(proc.stdout.readline(), 20):
-        if words in line:
+        if text in line:
             return line
-    raise AssertionError(f"it ended without {words!r}")
+    raise AssertionError(f"the program ended without logging {text!r}")
 
 
 class TestSignals:
-    async def test_hang_up_reads_settings_again_and_ends_nothing(self, tmp_path):
+    async def test_a_hang_up_signal_rereads_settings_without_a_stop(self, tmp_path):
         file = tmp_path / "relay.ini"
         file.write_text(FILE)
-        proc = await started(file)
+        proc = await start_program(file)
         try:
             proc.send_signal(signal.SIGHUP)
-            await said(proc, b"Settings read again.")
+            await wait_for_line(proc, b"Settings read again.")
             file.write_text(FILE + "[relai]\n")
             proc.send_signal(signal.SIGHUP)
-            assert b"relai" in await said(proc, b"Settings are wrong.")
-            await said(proc, b"the last good ones stay")
+            assert b"relai" in await wait_for_line(proc, b"Settings are wrong.")
+            await wait_for_line(proc, b"the last good ones stay")
             proc.send_signal(signal.SIGTERM)
-            await said(proc, b"Drained.")
+            await wait_for_line(proc, b"Drained.")
             assert await asyncio.wait_for(proc.wait(), 10) == 0
         finally:
             if proc.returncode is None:
@@ -72,10 +72,10 @@
 
 
 class TestReload:
-    def test_file_that_is_gone_is_refused(self, tmp_path):
+    def test_a_missing_file_is_rejected(self, tmp_path):
         assert reread_settings(tmp_path / "none.ini") is None
 
-    async def test_bounds_change_and_addresses_stay(self):
+    async def test_other_settings_change_and_addresses_stay(self):
         async with running() as (program, _store):
             changed = settings(grace_s=3.0, address="127.0.0.1:1")
             changed["peers"] = changed["peers"]._replace(seeds="10.0.0.1:1, 10.0.0.2:1")
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("text", ["[relay]\naddress\n", "[relay]\ngrace_s = soon\n"])
-def test_wrong_settings_are_named(tmp_path, text):
+def test_wrong_settings_are_rejected(tmp_path, text):
     file = tmp_path / "relay.ini"
     file.write_text(text)
     assert reread_settings(file) is None
@@ -102,19 +102,19 @@
         file.write_text(
             FILE.replace("address = 127.0.0.1:0", f"address = 127.0.0.1:{port}", 1)
         )
-        starting = asyncio.ensure_future(started(file))
+        starting = asyncio.ensure_future(start_program(file))
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 break
             except ConnectionRefusedError:
                 await asyncio.sleep(0.005)
-        begun_before = not starting.done()
+        connected_before_start = not starting.done()
         writer.write(b"GET /x/ HTTP/1.1\r\nHost: h\r\nEbonydeal-Request-Id: r1\r\n\r\n")
         head = await asyncio.wait_for(reader.readline(), 20)
         writer.close()
         proc = await starting
         proc.terminate()
         await proc.wait()
-        # It knows no configuration yet, and says so.
-        assert (begun_before, head.split()[1]) == (True, b"503")
+        # It has no configuration yet, so it answers 503.
+        assert (connected_before_start, head.split()[1]) == (True, b"503")
--- a/tests/functional/relay/test_life.py
+++ b/tests/functional/relay/test_life.py
@@ -21,7 +21,7 @@
 
 
 class TestConfiguration:
-    async def test_newer_one_is_in_force_and_older_is_not(self):
+    async def test_a_newer_one_takes_effect_and_an_older_one_is_ignored(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             added = route("/new/", "idempotent")
@@ -33,7 +33,7 @@
             await asyncio.sleep(0.05)
             assert program.view.version == 5
 
-    async def test_one_that_cannot_be_read_keeps_the_last_good_one(self):
+    async def test_an_unreadable_one_leaves_the_last_valid_one_in_force(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("op", "config", b'{"version": 9, "routes": 3}')
@@ -41,7 +41,7 @@
             await until(lambda: program.view.version == 6)
             assert (await ask(program, "/safe/"))[0] == 200
 
-    async def test_without_one_it_is_not_ready_and_answers_503(self):
+    async def test_without_one_the_relay_is_not_ready_and_answers_503(self):
         program = relay(MemoryStore())
         await program.start()
         try:
@@ -51,16 +51,16 @@
         finally:
             await program.stop()
 
-    async def test_forgotten_history_is_read_anew(self):
+    async def test_the_whole_table_is_read_when_the_change_history_expired(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
-            store.forgotten = store.version + 10
+            store.history_start = store.version + 10
             await store.put("op", "config", document(8))
             await until(lambda: program.view.version == 8)
 
 
 class TestOutage:
-    async def test_serves_with_what_it_knows(self):
+    async def test_requests_are_served_with_the_last_known_state(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.go_down()
@@ -68,7 +68,7 @@
             assert (await ask(program, "/safe/"))[0] == 200
             assert program.ready
 
-    async def test_entry_that_lapsed_meanwhile_is_kept_a_while(self):
+    async def test_an_entry_that_expired_meanwhile_is_kept_for_the_grace_time(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.go_down()
@@ -80,14 +80,14 @@
             )
             assert (await ask(program, "/safe/"))[0] == 200
 
-    async def test_entry_that_goes_while_the_store_answers_has_left(self):
+    async def test_an_entry_removed_while_the_store_answers_is_dropped(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", None)
             await until(lambda: not program.view.members)
             assert (await ask(program, "/once/", method="POST"))[0] == 503
 
-    async def test_store_that_turns_one_relay_away_is_asked_through_another(self):
+    async def test_a_relay_refused_by_the_store_gets_its_view_from_another(self):
         one = RawEndpoint("i1")
         store = MemoryStore()
         async with running(one, store=store, seed=1) as (first, _store):
@@ -101,7 +101,7 @@
             try:
                 await until(lambda: second.ready)
                 assert (await ask(second, "/safe/"))[0] == 200
-                # It learns who holds the duties too.
+                # It learns from the other relay who holds the lease, too.
                 await until(lambda: second.coordinator.lease.fence == 1)
                 await store.put("op", "config", document(9))
                 await until(lambda: second.view.version == 9)
@@ -133,7 +133,7 @@
         assert (status, body) == (200, b"hello")
         assert headers["connection"] == "close"
 
-    async def test_kept_connections_are_served_while_it_settles(self):
+    async def test_kept_alive_connections_are_served_during_the_settle_time(self):
         one = RawEndpoint("i1")
         async with running(one, settle_s=0.3) as (program, _store):
             async with Client(program) as client:
@@ -144,15 +144,15 @@
                 await stop
         assert (status, headers["connection"]) == (200, "close")
 
-    async def test_a_request_that_comes_while_the_last_word_is_told(self):
-        telling, told = asyncio.Event(), asyncio.Event()
+    async def test_a_request_that_arrives_during_the_last_report_is_answered(self):
+        report_begun, request_seen = asyncio.Event(), asyncio.Event()
 
         async def flush():
-            telling.set()
-            await told.wait()
+            report_begun.set()
+            await request_seen.wait()
 
         async def slow(_reader, writer, headers):
-            told.set()
+            request_seen.set()
             await asyncio.sleep(0.2)
             writer.write(answer(headers))
 
@@ -161,12 +161,12 @@
             await client.ask("/safe/")
             program._exchange.flush = flush
             stop = asyncio.create_task(program.stop())
-            await telling.wait()
+            await report_begun.wait()
             status, _headers, body = await client.ask("/safe/", rid="r2")
             await stop
         assert (status, body) == (200, b"hello")
 
-    async def test_idle_connections_do_not_keep_it_up(self):
+    async def test_idle_connections_do_not_delay_the_stop(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, _store), Client(program) as client:
             await client.ask("/safe/")
@@ -175,7 +175,7 @@
 
 
 class TestDuties:
-    async def test_usage_is_stored_once_and_then_sent(self):
+    async def test_usage_is_stored_once_and_then_reported(self):
         one = RawEndpoint("i1")
         duties = MemoryDuties()
         async with running(one, duties=duties, usage_window_s=0.5, usage_late_s=5) as (
@@ -195,7 +195,7 @@
         sent = {window: counts for window, counts, _fence in duties.usage}
         assert all(sent[w] == counts for w, counts in stored.items() if w in sent)
 
-    async def test_a_successor_sends_what_lies_in_the_store(self):
+    async def test_a_new_holder_reports_the_stored_counts(self):
         store, duties = MemoryStore(), MemoryDuties()
         one = RawEndpoint("i1")
         async with running(one, store=store, usage_window_s=0.5, usage_late_s=5) as (
@@ -212,7 +212,7 @@
         (sent,) = [counts for w, counts, _f in duties.usage if w == window]
         assert sent == {"acme": 77}
 
-    async def test_lease_goes_on_at_once_after_a_planned_stop(self):
+    async def test_another_relay_takes_the_lease_at_once_after_a_planned_stop(self):
         store = MemoryStore()
         first, second = relay(store, seed=1), relay(store, node="n2", seed=2)
         await first.start()
@@ -226,7 +226,7 @@
         finally:
             await second.stop()
 
-    async def test_lost_answer_of_a_lease_write_is_read_back(self):
+    async def test_a_lease_write_without_a_reply_is_read_back(self):
         store = MemoryStore()
         store.lose_answers = 1
         program = relay(store)
@@ -240,7 +240,7 @@
 
 
 class TestMetrics:
-    async def test_are_served_on_the_peers_address(self):
+    async def test_they_are_served_on_the_peer_address(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, _store):
             await ask(program, "/none/")
@@ -252,7 +252,7 @@
             writer.close()
         assert b'reason="not_found"} 1.0' in text
 
-    async def test_peers_without_the_credential_are_turned_away(self):
+    async def test_peers_without_the_credential_are_rejected(self):
         async with running() as (program, _store):
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", program.peers.port
--- a/tests/functional/relay/test_peers.py
+++ b/tests/functional/relay/test_peers.py
@@ -1,4 +1,4 @@
-"""Large messages between relays are compressed on the wire, small ones are not."""
+"""Large messages between relays must be compressed, small ones not."""
 
 from contextlib import asynccontextmanager
 
@@ -13,7 +13,7 @@
 
 @asynccontextmanager
 async def echo():
-    """A peer that answers with what it got, and notes how that was encoded."""
+    """A peer that echoes messages, and records their encoding."""
     seen = []
 
     async def handle(req: web.BaseRequest) -> web.Response:
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -1,4 +1,4 @@
-"""An endpoint that starts again under its id, amid what it was at work on."""
+"""An endpoint restarts under its id while requests are in flight there."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 from tests.lib.relay_fakes import ask, running, until
 
 
-def restarts(store, endpoint, began):
-    """Answer the beginning of a stream, then be gone and listed anew."""
+def restart_while_answering(store, endpoint, partial_answer):
+    """Answer the beginning of a stream, then disconnect and be listed anew."""
 
     async def step(_reader, writer, headers):
         rid = headers["ebonydeal-request-id"].encode()
-        if began:
+        if partial_answer:
             writer.write(stream_head().replace(b"{id}", rid) + chunk(events(1, 2)))
             await writer.drain()
             await asyncio.sleep(0.02)
@@ -23,30 +23,33 @@
 
 
 class TestRestart:
-    async def test_a_stream_goes_on_after_its_last_event(self):
+    async def test_a_stream_is_resumed_after_its_last_event(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
             await until(lambda: program.view.members["i1"].born == 1_000)
-            again = whole(3, 4)
-            one.script = [restarts(store, one, began=True), again]
+            rest = whole(3, 4)
+            one.script = [
+                restart_while_answering(store, one, partial_answer=True),
+                rest,
+            ]
             status, _headers, body = await ask(program, "/again/", method="POST")
             await until(lambda: program.view.members["i1"].born == 2_000)
         assert (status, body) == (200, events(1, 4))
         assert "Last-Event-Id: 2" in one.seen[1]
 
-    async def test_what_may_run_once_is_not_sent_again(self):
+    async def test_a_non_idempotent_request_is_not_sent_again(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
             await until(lambda: program.view.members["i1"].born == 1_000)
-            one.script = [restarts(store, one, began=False)]
+            one.script = [restart_while_answering(store, one, partial_answer=False)]
             status, _headers, _body = await ask(program, "/once/", method="POST")
             await until(lambda: program.view.members["i1"].born == 2_000)
         assert status == 502
         assert len(one.seen) == 1
 
-    async def test_what_was_learned_of_the_one_before_goes(self):
+    async def test_connections_and_load_of_the_previous_process_are_dropped(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
--- a/tests/lib/relay_fakes.py
+++ b/tests/lib/relay_fakes.py
@@ -1,4 +1,4 @@
-"""A relay with stand-ins of the store and the duties, and its clients."""
+"""A relay with in-memory fakes of the store and the duties, and its clients."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
         self.version = 0
         self.down = False
         self.lose_answers = 0
-        self.forgotten = 0
+        self.history_start = 0
         self.clock_ahead_s = 0.0
         self._changed = asyncio.Condition()
 
@@ -62,17 +62,17 @@
         self._check()
         try:
             async with asyncio.timeout(wait):
-                while not (found := self._since(table, after)):
+                while not (found := self._changed_since(table, after)):
                     async with self._changed:
                         await self._changed.wait()
                     self._check()
         except TimeoutError:
             return Changes((), self.version)
-        if after < self.forgotten:
+        if after < self.history_start:
             return None
         return Changes(tuple(found), found[-1].version)
 
-    def _since(self, table, after):
+    def _changed_since(self, table, after):
         return [r for t, r in self.log if t == table and r.version > after]
 
     async def transact(self, changes):
@@ -100,7 +100,7 @@
 
 
 class MemoryDuties:
-    """Remembers the calls of the duties."""
+    """Records the calls of the duties."""
 
     def __init__(self):
         self.usage = []
@@ -122,11 +122,11 @@
 
 
 class MemoryEngines:
-    """Answers orders to pass memory on, and remembers them.
+    """Answers calls to transfer a run's KV cache, and records them.
 
-    ``left`` holds by address how soon an endpoint goes, or what is raised.
-    ``on_move`` is called with the order's addresses and request before the
-    answer; ``handle`` is answered, empty for a refusal.
+    ``left`` holds, by address, the seconds until an endpoint is gone, or an exception
+    to raise. ``on_move`` is called with the addresses and the request before the
+    answer; ``handle`` is the answer, empty for a refusal.
     """
 
     def __init__(self):
@@ -188,7 +188,7 @@
 
 
 def relay_report(node, **more):
-    """Return a relay's word to the coordinator, with little in it."""
+    """Return a relay's report to the coordinator, with minimal content."""
     return {
         "node": node,
         "incarnation": "i",
@@ -249,7 +249,7 @@
 
 @asynccontextmanager
 async def running(*endpoints, doc=None, store=None, **cfg):
-    """Run a relay before endpoints; yields (relay, store)."""
+    """Run a relay in front of endpoints; yields (relay, store)."""
     store = store or MemoryStore()
     for endpoint in endpoints:
         await endpoint.start()
@@ -272,11 +272,11 @@
         if check():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("it never came true")
+    raise AssertionError("condition not met in time")
 
 
 class Client:
-    """One client connection that shows every byte."""
+    """One client connection with access to the raw bytes."""
 
     def __init__(self, program):
         self._port = program.clients.port
@@ -330,6 +330,6 @@
 
 
 async def ask(program, path, **kwargs):
-    """Ask on a connection of its own."""
+    """Send a request on a new connection, and return the answer."""
     async with Client(program) as client:
         return await client.ask(path, **kwargs)
--- a/tests/unit/relay/duties/test_coordinator.py
+++ b/tests/unit/relay/duties/test_coordinator.py
@@ -1,4 +1,4 @@
-"""What a new coordinator grants while some relays never asked it."""
+"""A new coordinator must not grant shares that relays may still use themselves."""
 
 from random import Random
 from types import SimpleNamespace
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture
-def taken_over():
-    """A coordinator that has just taken over, one of nine relays."""
+def new_coordinator():
+    """A coordinator that has just taken the lease, one of nine relays."""
     parts = CoordinatorParts(
         SimpleNamespace(),
         SimpleNamespace(),
@@ -42,24 +42,26 @@
 
 
 class TestCount:
-    def test_a_relay_that_heard_of_nobody_takes_a_small_part(self):
-        exchange = self.starting(None)
+    def test_without_a_reply_and_a_lease_a_relay_assumes_many_relays(self):
+        exchange = self.exchange_before_first_reply(None)
         assert exchange.relay_count >= 9
         assert not exchange.count_known
 
-    def test_one_that_starts_takes_its_part_of_as_many_as_there_were(self):
-        exchange = self.starting(LeaseRow("n1", "i", "n1:1", 4, 195))
+    def test_without_a_reply_a_relay_uses_the_count_in_the_lease(self):
+        exchange = self.exchange_before_first_reply(LeaseRow("n1", "i", "n1:1", 4, 195))
         assert exchange.relay_count == 195
         assert exchange.previous_relay_count == 195
 
-    def test_the_holder_writes_how_many_there_are(self, taken_over):
+    def test_the_count_in_the_lease_includes_relays_not_yet_reporting(
+        self, new_coordinator
+    ):
         for node in range(6):
-            taken_over.exchange(relay_report(f"n{node}"))
-        # Three more were told of by the one before, and may still serve.
-        assert taken_over.lease.relays == 9
+            new_coordinator.exchange(relay_report(f"n{node}"))
+        # Three more are known from the previous coordinator, and may still serve.
+        assert new_coordinator.lease.relays == 9
 
-    def starting(self, row):
-        """Return the exchange of a relay that has read the lease and heard nobody."""
+    def exchange_before_first_reply(self, row):
+        """Return the exchange of a relay that has read the lease but got no reply."""
         coordinator = SimpleNamespace(lease=SimpleNamespace(row=row))
         parts = ExchangeParts(
             coordinator, None, ManualClock(100.0), Random(1), dict, print
@@ -70,59 +72,59 @@
 NAMES = frozenset(f"n{number}" for number in range(9))
 
 
-class TestPart:
-    """Nine relays had shares under the coordinator before."""
+class TestShares:
+    """Nine relays had shares under the previous coordinator."""
 
     @pytest.fixture
-    def holder(self, taken_over):
-        lease, granter = taken_over.lease, taken_over.granter
+    def holder(self, new_coordinator):
+        lease, granter = new_coordinator.lease, new_coordinator.granter
         lease.saw(LeaseRow("n8", "i", "n8:1", 4, 9), 1, 100.0)
         lease.wrote(LeaseRow("n0", "i", "n0:1", 5), 2)
-        taken_over._keeper.lease._until = 1e9
+        new_coordinator._keeper.lease._until = 1e9
         granter.registry.load(RegistryRow(9, NAMES), 100.0)
         granter.begin()
-        return taken_over
+        return new_coordinator
 
-    def tell(self, holder, count):
-        """Let relays delegate their shares: the second word is on the first answer."""
+    def delegate_shares(self, holder, count):
+        """Let relays delegate their shares: each accepts the reply to its report."""
         for node in [f"n{number}" for number in range(count)]:
-            reply = holder.exchange(self.word(node))["limits"]
+            reply = holder.exchange(self.report_with_share(node))["limits"]
             promised = {key: reply[key] for key in ("granter", "until", "seconds")}
-            holder.exchange(self.word(node, free=False, **promised))
+            holder.exchange(self.report_with_share(node, free=False, **promised))
 
-    def word(self, node, **limits):
-        told = relay_report(node)
-        return {**told, "limits": {**told["limits"], "weight": 1 / 9, **limits}}
+    def report_with_share(self, node, **limits):
+        report = relay_report(node)
+        return {**report, "limits": {**report["limits"], "weight": 1 / 9, **limits}}
 
     def share(self, holder):
         return holder.granter.share(holder._parts.clock.now())
 
-    def test_relays_that_went_with_the_last_coordinator_keep_theirs(self, holder):
-        self.tell(holder, 6)
+    def test_shares_of_relays_that_do_not_report_are_not_granted(self, holder):
+        self.delegate_shares(holder, 6)
         assert self.share(holder) == pytest.approx(6 / 9)
 
-    def test_one_counts_when_it_has_promised(self, holder):
-        holder.exchange(self.word("n1"))
+    def test_a_share_counts_only_once_it_is_delegated(self, holder):
+        holder.exchange(self.report_with_share("n1"))
         assert self.share(holder) == 0.0
 
-    async def test_until_their_shares_are_over(self, holder):
-        self.tell(holder, 6)
+    async def test_shares_of_silent_relays_are_granted_once_they_expire(self, holder):
+        self.delegate_shares(holder, 6)
         await holder._parts.clock.advance(SHARE_KEPT_S - 0.1)
-        self.tell(holder, 6)
+        self.delegate_shares(holder, 6)
         assert self.share(holder) == pytest.approx(6 / 9)
         await holder._parts.clock.advance(0.2)
         assert self.share(holder) == 1.0
 
-    def test_all_that_delegate_make_the_whole(self, holder):
-        self.tell(holder, 9)
+    def test_the_shares_of_all_relays_add_up_to_one(self, holder):
+        self.delegate_shares(holder, 9)
         assert self.share(holder) == pytest.approx(1.0)
 
-    def test_who_holds_no_lease_takes_no_shares(self, taken_over):
-        assert taken_over.exchange(relay_report("n1"))["limits"] is None
+    def test_a_relay_without_the_lease_takes_no_shares(self, new_coordinator):
+        assert new_coordinator.exchange(relay_report("n1"))["limits"] is None
 
-    def test_a_relay_of_the_release_before_is_heard_without(self, holder):
-        told = relay_report("n1")
-        del told["limits"]
-        reply = holder.exchange(told)
+    def test_a_report_of_the_previous_release_without_shares_is_accepted(self, holder):
+        report = relay_report("n1")
+        del report["limits"]
+        reply = holder.exchange(report)
         assert reply["limits"] is None
         assert reply["grants"] == {}
--- a/tests/unit/relay/duties/test_lease_keeper.py
+++ b/tests/unit/relay/duties/test_lease_keeper.py
@@ -14,7 +14,7 @@
 
 
 class Relays:
-    """Keepers of one lease, with a clock of ours."""
+    """Keepers of one lease on a manual clock."""
 
     def __init__(self):
         self.clock = ManualClock(100.0)
@@ -54,8 +54,8 @@
             await keeper.stop()
 
 
-class TestStandingBack:
-    async def test_a_larger_instance_takes_it_first(self):
+class TestTakeoverDelay:
+    async def test_a_larger_instance_takes_a_free_lease_before_smaller_ones(self):
         relays = Relays()
         async with asyncio.timeout(20):
             for number in range(6):
@@ -65,7 +65,7 @@
             assert relays.holders() == ["large"]
             await relays.stop()
 
-    async def test_where_there_is_none_a_smaller_one_takes_it(self):
+    async def test_a_smaller_instance_takes_it_if_there_is_no_larger_one(self):
         relays = Relays()
         async with asyncio.timeout(20):
             for number in range(3):
@@ -74,7 +74,7 @@
             assert len(relays.holders()) == 1
             await relays.stop()
 
-    async def test_again_the_next_time_that_it_is_free(self):
+    async def test_the_delay_applies_again_when_the_lease_is_free_again(self):
         relays = Relays()
         async with asyncio.timeout(20):
             smalls = [await relays.add(f"small{n}", 0.6) for n in range(6)]
@@ -93,9 +93,9 @@
             await relays.stop()
 
 
-class TestLooks:
+class TestReads:
     async def reads(self, count):
-        """Return how often ``count`` relays read the row of a holder that is lost."""
+        """Return how often ``count`` relays read the row after they lost the holder."""
         relays = Relays()
         row = LeaseRow("gone", "i", "gone:1", 4, count)
         async with asyncio.timeout(60):
@@ -103,19 +103,19 @@
             for number in range(count):
                 await relays.add(f"n{number}", 0.6)
             await relays.play(0.5)
-            looked = []
+            calls = []
             rows = relays.store.rows
 
             async def counted(*args):
-                looked.append(args)
+                calls.append(args)
                 return await rows(*args)
 
             relays.store.rows = counted
             await relays.play(2.0)
             await relays.stop()
-        return len(looked)
+        return len(calls)
 
-    async def test_of_many_relays_are_no_more_than_of_some_tens(self):
+    async def test_many_relays_do_not_overload_the_store_with_reads(self):
         few, many = await self.reads(9), await self.reads(90)
         assert few >= 9 * 2
         assert many <= 90 * 2
--- a/tests/unit/relay/peers/test_long_prompts.py
+++ b/tests/unit/relay/peers/test_long_prompts.py
@@ -1,4 +1,4 @@
-"""Long prompts are told to all relays at once, and kept in mind by each."""
+"""Relays must not send short prompts to an endpoint that prefills a long one."""
 
 import asyncio
 from random import Random
@@ -18,13 +18,13 @@
     Member(name, "s", f"{name}:1", "z", 8, False, None, False, 0.0, 1)
     for name in ("i1", "i2")
 ]
-# Seconds that each prompt waits before it is read.
-WAIT = 0.5
+# Seconds that each prompt waits before its prefill.
+QUEUE_S = 0.5
 ASK = Ask((), 1000, "z")
 
 
 class Relays:
-    """Takes calls to other relays; one of them may be away."""
+    """Records calls to other relays, of which one may be unreachable."""
 
     def __init__(self, away=""):
         self.calls = []
@@ -37,48 +37,48 @@
         return {}
 
 
-async def told(reads, others, clock=None, least=0.25, away=""):
-    """Let prompts with reading times be sent, and return the calls made."""
+async def notices_of(prompts, others, clock=None, least=0.25, away=""):
+    """Let prompts with prefill times be sent, and return the calls made."""
     relays = Relays(away)
     clock = clock or ManualClock(10.0)
     service = LongPromptNotifier(relays, clock, Random(1), lambda: others, least)
     async with service:
-        for endpoint_id, reading in reads:
-            service.note_sent(endpoint_id, reading, reading + WAIT)
+        for endpoint_id, prefill in prompts:
+            service.note_sent(endpoint_id, prefill, prefill + QUEUE_S)
         for _ in range(20):
             await asyncio.sleep(0)
     return relays.calls
 
 
-class TestTelling:
-    async def test_all_others_hear_of_a_long_one(self):
-        calls = await told([("i1", 0.8)], ["r2", "r3"])
+class TestNotifying:
+    async def test_all_others_are_notified_of_a_long_prompt(self):
+        calls = await notices_of([("i1", 0.8)], ["r2", "r3"])
         assert sorted(address for address, _path, _message in calls) == ["r2", "r3"]
         assert {path for _address, path, _message in calls} == {LONG_PROMPT}
-        assert calls[0][2] == {"endpoint": "i1", "seconds": 0.8 + WAIT}
+        assert calls[0][2] == {"endpoint": "i1", "seconds": 0.8 + QUEUE_S}
 
-    async def test_nobody_hears_of_short_ones_however_long_they_wait(self):
-        assert await told([("i1", 0.2)], ["r2"]) == []
+    async def test_no_relay_is_notified_of_short_prompts_that_wait_long(self):
+        assert await notices_of([("i1", 0.2)], ["r2"]) == []
 
-    async def test_zero_switches_it_off(self):
-        assert await told([("i1", 3.0)], ["r2"], least=0.0) == []
+    async def test_zero_switches_notices_off(self):
+        assert await notices_of([("i1", 3.0)], ["r2"], least=0.0) == []
 
-    async def test_one_that_is_away_keeps_no_other_from_hearing(self):
-        calls = await told([("i1", 0.8), ("i2", 0.9)], ["r2", "r3"], away="r2")
+    async def test_an_unreachable_relay_does_not_stop_the_other_notices(self):
+        calls = await notices_of([("i1", 0.8), ("i2", 0.9)], ["r2", "r3"], away="r2")
         assert [message["endpoint"] for _a, _p, message in calls] == ["i1", "i2"]
 
     async def test_calls_are_bounded_whatever_the_number_of_relays(self):
         others = [f"r{n}" for n in range(350)]
-        calls = await told([("i1", 0.8), ("i2", 0.8)], others)
+        calls = await notices_of([("i1", 0.8), ("i2", 0.8)], others)
         assert len(calls) == 100
 
 
-class TestTaking:
+class TestReceiving:
     def chosen(self, choice, now):
         return choice.engine(ASK, MEMBERS, now).endpoint_id
 
-    def heard(self, seconds):
-        """Return a choice that preferred i1, after a word on it at 10 s."""
+    def choice_after_notice(self, seconds):
+        """Return a choice that preferred i1, after a notice for i1 at 10 s."""
         clock = ManualClock(10.0)
         choice = MemberChoice(8.0)
         choice.told({"i2": Told(running=1, at=10.0)})
@@ -87,18 +87,18 @@
         assert LongPromptReceiver(choice, clock).receive(message) == {}
         return choice
 
-    def test_the_endpoint_is_avoided_until_it_was_read(self):
-        choice = self.heard(0.8)
+    def test_the_endpoint_is_avoided_until_the_prefill_ends(self):
+        choice = self.choice_after_notice(0.8)
         assert self.chosen(choice, 10.1) == "i2"
         assert self.chosen(choice, 10.9) == "i1"
 
-    def test_the_next_exchange_does_not_count_it_twice(self):
-        choice = self.heard(0.8)
+    def test_the_next_reply_does_not_count_the_prompt_twice(self):
+        choice = self.choice_after_notice(0.8)
         before = choice.engine(ASK, MEMBERS[:1], 10.0).wait
         unread = 0.5 * choice.speed.rate
         choice.told({"i1": Told(running=1, unread=unread, at=10.0)})
         assert choice.engine(ASK, MEMBERS[:1], 10.0).wait == before
 
-    def test_what_can_not_be_is_not_believed(self):
-        choice = self.heard(1e9)
+    def test_an_impossible_prefill_time_is_limited(self):
+        choice = self.choice_after_notice(1e9)
         assert self.chosen(choice, 16.0) == "i1"
--- a/tests/unit/relay/peers/test_relay_reports.py
+++ b/tests/unit/relay/peers/test_relay_reports.py
@@ -1,4 +1,4 @@
-"""What the coordinator tells each relay of all others, and what it leaves out."""
+"""Replies must contain the reports of all other relays, and nothing needless."""
 
 import pytest
 from hypothesis import given, settings
@@ -22,7 +22,7 @@
 class TestSums:
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(tables=st.lists(LOADS, min_size=1, max_size=6))
-    def test_are_those_of_all_others(self, tables):
+    def test_loads_are_summed_over_all_other_relays(self, tables):
         reports = RelayReports(ManualClock(100.0))
         for number, loads in enumerate(tables):
             reports.record(relay_report(f"n{number}", loads=loads))
@@ -34,7 +34,7 @@
                 sums[1] += unread
         assert reports.loads_without("n0") == expected
 
-    async def test_of_few_relays_are_as_new_as_their_words(self, clock):
+    async def test_with_few_relays_sums_include_the_latest_reports(self, clock):
         reports = RelayReports(clock)
         for number in range(9):
             reports.record(relay_report(f"n{number}", loads={"i1": [1, 0]}))
@@ -43,7 +43,7 @@
         await clock.advance(0.01)
         assert reports.loads_without("n0") == {"i1": [12, 0]}
 
-    async def test_one_that_spoke_since_is_not_counted_against_itself(self, clock):
+    async def test_a_newer_own_report_is_not_subtracted_from_a_cached_sum(self, clock):
         reports = RelayReports(clock)
         for number in range(87):
             reports.record(relay_report(f"n{number}", loads={"i1": [1, 100]}))
@@ -51,7 +51,7 @@
         reports.record(relay_report("n0", loads={"i1": [9, 900]}))
         assert reports.loads_without("n0") == {"i1": [86, 8600]}
 
-    async def test_silent_relays_are_left_out(self, clock):
+    async def test_relays_without_recent_reports_are_left_out(self, clock):
         reports = RelayReports(clock)
         reports.record(relay_report("n1", loads={"i1": [4, 0]}))
         await clock.advance(4.0)
@@ -60,12 +60,12 @@
 
 
 class TestFailures:
-    def test_nothing_is_told_of_endpoints_that_failed_nobody(self, clock):
+    def test_endpoints_without_failures_are_left_out(self, clock):
         reports = RelayReports(clock)
         reports.record(relay_report("n1", answers={"i1": [7.0, 0.0], "i2": [5.0, 2.0]}))
         assert reports.failures_without("n0") == {"i2": [5.0, 2.0]}
 
-    def test_what_others_got_well_is_told_to_the_one_that_saw_it_fail(self, clock):
+    def test_successes_of_others_are_sent_to_the_relay_that_saw_failures(self, clock):
         reports = RelayReports(clock)
         reports.record(relay_report("n0", answers={"i1": [3.0, 3.0]}))
         reports.record(relay_report("n1", answers={"i1": [20.0, 0.0]}))
@@ -73,15 +73,15 @@
 
 
 class TestAddresses:
-    def test_are_told_once(self, clock):
+    def test_they_are_sent_only_if_the_relay_lacks_them(self, clock):
         reports = RelayReports(clock)
         for node in ("n1", "n2"):
             reports.record(relay_report(node))
-        told = reports.addresses_unless("")
-        assert sorted(told) == ["n1:1", "n2:1"]
-        assert reports.addresses_unless(addresses_hash(told[::-1])) is None
+        addresses = reports.addresses_unless("")
+        assert sorted(addresses) == ["n1:1", "n2:1"]
+        assert reports.addresses_unless(addresses_hash(addresses[::-1])) is None
 
-    async def test_and_again_when_one_comes_or_goes(self, clock):
+    async def test_they_are_sent_again_when_a_relay_comes_or_goes(self, clock):
         reports = RelayReports(clock)
         reports.record(relay_report("n1"))
         known = addresses_hash(reports.addresses_unless(""))
--- a/tests/unit/relay/test_start.py
+++ b/tests/unit/relay/test_start.py
@@ -1,4 +1,4 @@
-"""A killed relay is away for as long as its start takes: it loads what it uses."""
+"""The start of a relay must be short, so it loads only modules that it uses."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 
 SOURCES = Path(ebonydeal.__file__).parent.parent
 
-# Forms, pages, validation of documents and keys belong to other programs.
+# Only other programs use forms, pages, validation of documents, and keys.
 NEEDLESS = (
     "jsonschema",
     "jinja2",
@@ -16,7 +16,7 @@
     "itsdangerous",
     "cryptography",
     "openai",
-    # Loaded when they are first used.
+    # Loaded on first use.
     "click",
     "croniter",
     "prometheus_client",
@@ -31,7 +31,7 @@
 
 
 class TestImports:
-    def test_sockets_are_open_before_anything_heavy_is_loaded(self):
+    def test_sockets_are_open_before_large_modules_are_loaded(self):
         early = "import sys, ebonydeal._internal.cli.relay;" + LIST.rpartition(";")[2]
         done = subprocess.run(
             [sys.executable, "-S", "-c", early],
@@ -43,13 +43,13 @@
         heavy = {"asyncio", "aiohttp", "mode", "structlog", "click", "returns"}
         assert set(done.stdout.split()).isdisjoint(heavy)
 
-    def test_a_relay_loads_nothing_that_only_other_programs_use(self):
+    def test_a_relay_loads_no_packages_of_other_programs(self):
         done = subprocess.run(
             [sys.executable, "-c", LIST], capture_output=True, text=True, check=True
         )
         assert set(done.stdout.split()).isdisjoint(NEEDLESS)
 
-    def test_nor_any_other_program(self):
+    def test_a_relay_loads_no_modules_of_other_programs(self):
         names = LIST.replace("m.partition('.')[0]", "m")
         done = subprocess.run(
             [sys.executable, "-c", names], capture_output=True, text=True, check=True
--- a/tests/unit/relay/test_suspension.py
+++ b/tests/unit/relay/test_suspension.py
@@ -1,6 +1,6 @@
-"""A relay whose machine was suspended goes on with nothing that lapsed meanwhile.
+"""A relay whose machine was suspended must not use what expired meanwhile.
 
-The injected clock counts the suspension, as the program's own does.
+The injected clock includes the suspension, as the program's own does.
 """
 
 from random import Random
@@ -23,7 +23,7 @@
 
 
 def holder(clock):
-    """Return the keeper of a lease that was renewed just now."""
+    """Return the keeper of a lease that was just renewed."""
     lease = DutyLease("n0", "i", "n0:1", 3.0)
     lease.wanted = True
     lease.saw(None, 0, clock.now())
@@ -36,17 +36,17 @@
 
 
 class TestLease:
-    async def test_is_held_no_more(self):
+    async def test_it_is_no_longer_held(self):
         clock = ManualClock(100.0)
         keeper = holder(clock)
         assert keeper.holds
         clock._now += SUSPENDED_S
-        # Nothing has run since: who asks before acting is told.
+        # No task has run since then, but a check before acting shows it.
         assert not keeper.holds
 
 
 class TestView:
-    async def test_is_taken_for_old_until_the_coordinator_is_heard(self):
+    async def test_it_is_stale_until_the_coordinator_replies(self):
         clock = ManualClock(100.0)
         coordinator = SimpleNamespace(
             lease=SimpleNamespace(mine=False, wanted=False, row=None)
@@ -62,7 +62,7 @@
 
 
 class TestQuota:
-    def test_what_was_granted_before_is_used_no_more(self):
+    def test_earlier_grants_are_no_longer_used(self):
         clock, quota = ManualClock(100.0), Balances()
         quota.add("acme", 50.0, clock.now())
         assert quota.left("acme", clock.now()) == 50.0
@@ -71,7 +71,7 @@
 
 
 class TestDeadline:
-    async def test_a_request_whose_time_is_over_is_sent_nowhere(self):
+    async def test_a_request_past_its_deadline_is_not_sent(self):
         made = parts()
         found = job(Repeat.IDEMPOTENT, False)
         sends = JobSends(made, found)
--- a/tests/unit/relay/view/test_deltas.py
+++ b/tests/unit/relay/view/test_deltas.py
@@ -1,4 +1,4 @@
-"""News of endpoints: whatever is lost, the next exchange brings a relay up to date."""
+"""Whatever deltas are lost, the next reply must bring a relay up to date."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -24,74 +24,74 @@
     return {m.endpoint_id: m.leaving for m in view.members.values()}
 
 
-class Listening:
-    """A relay that hears news, and what it tells the coordinator of them."""
+class ReceivingRelay:
+    """A relay that receives deltas, and reports its mark to the coordinator."""
 
     def __init__(self):
         self.view = RelayView(2.0)
-        self.taker = DeltaReceiver(self.view, ManualClock(10.0))
+        self.receiver = DeltaReceiver(self.view, ManualClock(10.0))
 
     def exchange(self, view, fence):
-        news = delta_since(view, list(self.taker.last_mark), fence, 10.0)
-        if news is not None:
-            self.taker.receive(news)
-        return news
+        delta = delta_since(view, list(self.receiver.last_mark), fence, 10.0)
+        if delta is not None:
+            self.receiver.receive(delta)
+        return delta
 
 
-class TestGroups:
-    def test_few_relays_hear_at_once_and_many_in_longer_groups(self):
+class TestBatches:
+    def test_the_interval_grows_with_the_number_of_relays(self):
         assert batch_interval(0) == batch_interval(9) == 0.05
         assert batch_interval(9) < batch_interval(60) < batch_interval(350) == 0.2
 
 
-class TestNews:
-    def test_first_word_of_a_coordinator_is_the_whole_list(self):
-        view, relay = RelayView(2.0), Listening()
+class TestDeltas:
+    def test_the_first_delta_of_a_coordinator_is_a_snapshot(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         relay.view.put(member("old", 0))
         assert relay.exchange(view, 1)["whole"]
         assert listed(relay.view) == {"i1": False}
 
-    def test_then_only_what_changed(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_later_deltas_have_only_what_changed(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         view.put(member("i2", 2))
         relay.exchange(view, 1)
         view.put(member("i1", 3, leaving=True))
-        news = relay.exchange(view, 1)
-        assert [item[0] for item in news["put"]] == ["i1"]
+        delta = relay.exchange(view, 1)
+        assert [item[0] for item in delta["put"]] == ["i1"]
         assert listed(relay.view) == {"i1": True, "i2": False}
         assert relay.exchange(view, 1) is None
 
-    def test_news_of_a_coordinator_of_before_are_left_out(self):
-        old, new, relay = RelayView(2.0), RelayView(2.0), Listening()
+    def test_deltas_of_a_previous_coordinator_are_ignored(self):
+        old, new, relay = RelayView(2.0), RelayView(2.0), ReceivingRelay()
         old.put(member("i1", 1))
         relay.exchange(old, 1)
         new.put(member("i1", 2, leaving=True))
         relay.exchange(new, 2)
         old.put(member("i2", 9))
-        relay.taker.receive(delta_since(old, [1, 1], 1, 10.0))
+        relay.receiver.receive(delta_since(old, [1, 1], 1, 10.0))
         assert listed(relay.view) == {"i1": True}
 
-    def test_pushed_changes_of_an_unknown_coordinator_wait_for_the_exchange(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_a_pushed_delta_of_a_new_coordinator_waits_for_a_snapshot(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         view.put(member("i2", 2))
-        relay.taker.receive(delta_since(view, [7, 1], 7, 10.0))
+        relay.receiver.receive(delta_since(view, [7, 1], 7, 10.0))
         assert listed(relay.view) == {}
         relay.exchange(view, 7)
         assert listed(relay.view) == {"i1": False, "i2": False}
 
-    def test_a_list_that_is_older_than_what_is_known_removes_nothing(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_a_snapshot_older_than_the_known_list_removes_nothing(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         relay.view.put(member("i2", 50))
         relay.view.members_version = 60
         relay.exchange(view, 1)
         assert listed(relay.view) == {"i1": False, "i2": False}
 
-    def test_when_too_much_changed_the_whole_list_is_told(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_after_too_many_changes_a_snapshot_is_sent(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         relay.exchange(view, 1)
         for revision in range(2, 1200):
@@ -101,8 +101,8 @@
 
 
 class TestLeaving:
-    def test_when_an_endpoint_goes_is_told_as_time_left(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_the_leave_time_is_sent_as_time_left(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         relay.exchange(view, 1)
         view.put(member("i1", 2, leaving=True))
@@ -110,8 +110,8 @@
         relay.exchange(view, 1)
         assert relay.view.leaves_at("i1") == 11.25
 
-    def test_new_work_ends_by_the_word_not_by_the_news_of_it(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_new_work_ends_by_the_endpoints_report_not_by_the_delta(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         relay.exchange(view, 1)
         view.put(member("i1", 2, leaving=True), observed_at=9.0)
@@ -120,16 +120,16 @@
         assert here == view.recently_leaving("s", 10.0) != []
         assert relay.view.recently_leaving("s", 10.4) == []
 
-    def test_without_the_time_of_its_word_it_gets_none(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_a_leaving_endpoint_of_unknown_age_gets_no_new_work(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1))
         relay.exchange(view, 1)
         view.put(member("i1", 2, leaving=True))
         relay.exchange(view, 1)
         assert relay.view.recently_leaving("s", 10.0) == []
 
-    def test_also_when_that_becomes_known_later(self):
-        view, relay = RelayView(2.0), Listening()
+    def test_a_leave_time_learned_later_is_sent_too(self):
+        view, relay = RelayView(2.0), ReceivingRelay()
         view.put(member("i1", 1, leaving=True))
         relay.exchange(view, 1)
         assert relay.view.leaves_at("i1") is None
@@ -138,15 +138,15 @@
         assert relay.view.leaves_at("i1") == 11.25
 
 
-class NewsMachine(RuleBasedStateMachine):
-    """The list changes, news are pushed or lost, coordinators come and go."""
+class DeltaMachine(RuleBasedStateMachine):
+    """The list changes, deltas are pushed or lost, coordinators come and go."""
 
     def __init__(self):
         super().__init__()
         self.revision = 0
         self.fence = 1
         self.truth = RelayView(2.0)
-        self.relay = Listening()
+        self.relay = ReceivingRelay()
 
     def _next(self):
         self.revision += 1
@@ -163,15 +163,15 @@
 
     @rule(arrives=st.booleans())
     def push(self, arrives):
-        news = delta_since(
-            self.truth, list(self.relay.taker.last_mark), self.fence, 10.0
+        delta = delta_since(
+            self.truth, list(self.relay.receiver.last_mark), self.fence, 10.0
         )
-        if arrives and news is not None:
-            self.relay.taker.receive(news)
+        if arrives and delta is not None:
+            self.relay.receiver.receive(delta)
 
     @rule()
     def coordinator_changes(self):
-        """Another relay, with the same list but a count of its own."""
+        """Another relay, with the same list but its own count of changes."""
         other = RelayView(2.0)
         other.replace(self.truth.members.values(), self.revision, 10.0, False)
         self.truth = other
@@ -187,7 +187,7 @@
         assert self.relay.view.members_version <= self.revision
 
 
-TestNewsMachine = NewsMachine.TestCase
-TestNewsMachine.settings = settings(
+TestDeltaMachine = DeltaMachine.TestCase
+TestDeltaMachine.settings = settings(
     max_examples=150, stateful_step_count=30, derandomize=True, deadline=None
 )
--- a/tests/unit/relay/view/test_follower.py
+++ b/tests/unit/relay/view/test_follower.py
@@ -1,4 +1,4 @@
-"""A follower that is told by another relay while its own polls fail."""
+"""Followers of the endpoint list: pushes during failed polls, unreadable entries."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """Lists one endpoint, fails once, then tells that it is gone."""
+    """Lists one endpoint, fails once, then returns its removal."""
 
     def __init__(self):
         self.polls = 0
@@ -37,18 +37,18 @@
         await asyncio.Future()
 
 
-class TestFed:
-    async def play(self, fed):
-        """Return what is known after a poll failed and a later one told of a leave.
+class TestPushes:
+    async def play(self, pushed):
+        """Return the members after a poll failed and a later one returned a removal.
 
-        Where ``fed``, another relay tells this one for a second in between.
+        If ``pushed``, the coordinator pushes changes for a second in between.
         """
         clock = ManualClock(100.0)
         view = RelayView(2.0)
         store = Store()
         follower = MembersFollower(store, WIRE, view, clock, Random(1), Metrics())
         follower.receives_pushes = lambda: (
-            fed and store.polls == 1 and clock.now() < 101.0
+            pushed and store.polls == 1 and clock.now() < 101.0
         )
         async with asyncio.timeout(10):
             await follower.start()
@@ -58,11 +58,11 @@
         assert store.polls >= 2
         return view.members
 
-    async def test_what_leaves_after_another_relay_told_us_has_left(self):
-        assert "i1" not in await self.play(fed=True)
+    async def test_an_endpoint_removed_after_pushes_is_dropped_at_once(self):
+        assert "i1" not in await self.play(pushed=True)
 
-    async def test_what_is_missing_right_after_an_outage_may_have_lapsed(self):
-        assert "i1" in await self.play(fed=False)
+    async def test_an_endpoint_removed_right_after_an_outage_is_kept_for_now(self):
+        assert "i1" in await self.play(pushed=False)
 
 
 def entry(key, version, **fields):
@@ -78,7 +78,7 @@
 
 
 class TestUnreadable:
-    """Entries of other writers: they name no endpoint, and all others hold."""
+    """An entry that can't be decoded must not affect other endpoints."""
 
     def setup_method(self):
         self.view = RelayView(2.0)
@@ -91,7 +91,7 @@
     def ready(self):
         return sorted(m.endpoint_id for m in self.view.of_service("s"))
 
-    async def test_one_over_an_entry_in_use_gets_no_new_work_until_it_reads(self):
+    async def test_its_known_endpoint_gets_no_new_work_until_it_is_readable(self):
         await self.follower.apply_snapshot([entry("i1", 1), entry("i2", 2)], 2, False)
         await self.follower.apply_changes((entry("i1", 3, state="odd"),), 3, False)
         assert self.ready() == ["i2"]
@@ -99,14 +99,14 @@
         assert self.ready() == ["i1", "i2"]
         assert self.metrics.events()[Event.ENTRIES_UNREADABLE] == 1
 
-    async def test_a_whole_list_with_one_keeps_its_endpoint_but_for_new_work(self):
+    async def test_in_a_whole_list_its_endpoint_is_kept_without_new_work(self):
         await self.follower.apply_snapshot([entry("i1", 1), entry("i2", 2)], 2, False)
         rows = [entry("i1", 3, max_slots=1e999), entry("i2", 2)]
         await self.follower.apply_snapshot(rows, 3, False)
         assert self.ready() == ["i2"]
         assert "i1" in self.view.members
 
-    async def test_one_that_names_nobody_known_is_left_out(self):
+    async def test_one_of_an_unknown_endpoint_is_ignored(self):
         rows = [entry("i1", 1), SharedRow("x", b"\xff\x00", 2), entry("i3", 3)]
         await self.follower.apply_snapshot(rows, 3, False)
         assert self.ready() == ["i1", "i3"]
--- a/tests/unit/relay/view/test_leaving.py
+++ b/tests/unit/relay/view/test_leaving.py
@@ -33,7 +33,7 @@
 
 
 class TestAsked:
-    async def test_an_endpoint_that_is_taken_back_says_when(self):
+    async def test_a_reclaimed_endpoint_is_asked_when_it_will_be_gone(self):
         case = Case()
         case.view.put(member("i1", leaving=True))
         case.engines.left["i1:1"] = 2.5
@@ -41,21 +41,21 @@
         assert abs(case.view.leaves_at("i1") - 102.6) < 0.01
         assert case.engines.asked == ["i1:1"]
 
-    async def test_is_asked_again_a_few_times_until_it_does(self):
+    async def test_an_endpoint_without_an_answer_is_asked_a_few_times(self):
         case = Case()
         case.view.put(member("i1", leaving=True))
         await case.play(2.0)
         assert case.view.leaves_at("i1") is None
         assert 2 <= len(case.engines.asked) <= 4
 
-    async def test_a_failure_is_no_end(self):
+    async def test_a_failed_call_is_repeated(self):
         case = Case()
         case.view.put(member("i1", leaving=True))
         case.engines.left["i1:1"] = EbonydealError(ErrorKind.ENDPOINT_FAILED, "x")
         await case.play(0.5)
         assert len(case.engines.asked) >= 2
 
-    async def test_others_are_not_asked(self):
+    async def test_endpoints_that_stay_or_are_not_reclaimable_are_not_asked(self):
         case = Case()
         case.view.put(member("i1"))
         case.view.put(member("i2", leaving=True, reclaimable=False))
--- a/tests/unit/relay/view/test_versions.py
+++ b/tests/unit/relay/view/test_versions.py
@@ -1,4 +1,4 @@
-"""Which versions may get requests before their orders are known."""
+"""Endpoints of a new version must get no requests before its orders are read."""
 
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.models.rollouts import RolloutOrder
@@ -12,12 +12,12 @@
     )
 
 
-class TestFamiliar:
-    def test_the_first_that_are_listed_serve_at_once(self):
+class TestKnownVersions:
+    def test_the_first_listed_version_is_admitted_at_once(self):
         known = KnownVersions()
         assert not known.update_withheld([member("a", "v1", 50), member("b", "v1", 51)])
 
-    def test_another_one_waits_for_orders_up_to_its_entry(self):
+    def test_a_new_version_waits_for_orders_up_to_its_first_entry(self):
         known = KnownVersions()
         listed = [member("a", "v1", 50), member("b", "v1", 51)]
         known.update_withheld(listed)
@@ -28,7 +28,7 @@
         known.read_up_to(60)
         assert not known.update_withheld(listed)
 
-    def test_a_later_heartbeat_changes_nothing(self):
+    def test_a_later_heartbeat_does_not_extend_the_wait(self):
         known = KnownVersions()
         listed = [member("a", "v1", 50), member("c", "v1", 50)]
         known.update_withheld(listed)
@@ -38,19 +38,19 @@
         known.read_up_to(70)
         assert not known.update_withheld(listed)
 
-    def test_services_are_told_apart(self):
+    def test_versions_are_admitted_for_each_service_separately(self):
         known = KnownVersions()
         listed = [member("a", "v1", 1), member("b", "v2", 2, service="t")]
         assert not known.update_withheld(listed)
 
-    def test_orders_of_an_older_read_are_left_out(self):
+    def test_orders_of_an_older_read_are_ignored(self):
         known = KnownVersions()
         order = RolloutOrder("s", "v2", 10.0, 5)
         known.apply_orders({"s": order}, 9)
         known.apply_orders({}, 8)
         assert known.orders == {"s": order}
 
-    def test_others_word_admits_endpoints_but_tells_no_orders(self):
+    def test_another_relays_progress_admits_endpoints_without_orders(self):
         known = KnownVersions()
         listed = [member("a", "v1", 50), member("b", "v1", 51)]
         known.update_withheld(listed)
@@ -67,7 +67,7 @@
         view.put(member("c", "v1", 51))
         return view
 
-    def test_an_unknown_version_isnt_offered_until_orders_are_read(self):
+    def test_a_new_version_gets_no_work_until_orders_are_read(self):
         view, asked = self.build(), []
         view.on_orders_needed = lambda: asked.append(True)
         view.put(member("b", "v2", 60))
@@ -77,25 +77,25 @@
         assert {m.endpoint_id for m in view.of_service("s")} == {"a", "b", "c"}
         assert not view.waits_for_orders
 
-    def test_many_of_one_version_cost_one_look_at_all(self):
-        view, looks = RelayView(2.0), []
+    def test_many_endpoints_of_one_version_cost_one_check(self):
+        view, checks = RelayView(2.0), []
         update_withheld = view.versions.update_withheld
         view.versions.update_withheld = lambda listed: (
-            looks.append(1) or update_withheld(listed)
+            checks.append(1) or update_withheld(listed)
         )
         for number in range(500):
             view.put(member(f"e{number}", "v1", 50 + number))
         for number in range(100):
             view.remove(f"e{number}", 1000 + number)
-        assert len(looks) == 1 and len(view.of_service("s")) == 400
+        assert len(checks) == 1 and len(view.of_service("s")) == 400
         view.put(member("new", "v2", 2000))
-        assert len(looks) == 2 and view.versions.first_listed("new") == 2000
+        assert len(checks) == 2 and view.versions.first_listed("new") == 2000
 
-    def test_orders_are_told_when_they_change(self):
-        view, told = self.build(), []
-        view.on_orders = told.append
+    def test_orders_are_passed_on_only_when_they_change(self):
+        view, notified = self.build(), []
+        view.on_orders = notified.append
         order = RolloutOrder("s", "v2", 10.0, 58)
         view.apply_orders({"s": order}, 61, "store")
         view.apply_orders({"s": order}, 62, "store")
         view.apply_orders({}, 63, "store")
-        assert told == [{"s": order}, {}]
+        assert notified == [{"s": order}, {}]
--- a/tests/unit/relay/view/test_view.py
+++ b/tests/unit/relay/view/test_view.py
@@ -22,7 +22,7 @@
 
 
 class TestConfiguration:
-    def test_never_goes_back(self):
+    def test_it_is_never_replaced_by_an_older_version(self):
         view = RelayView(DRAIN_S)
         assert view.apply_table(table(5), b"5", "store")
         assert not view.apply_table(table(3), b"3", "peer")
@@ -31,13 +31,13 @@
 
 
 class TestMembers:
-    def test_one_that_leaves_gets_no_new_work(self):
+    def test_a_leaving_endpoint_gets_no_new_work(self):
         view = RelayView(DRAIN_S)
         view.put(member())
         view.put(member(revision=2, leaving=True))
         assert ids(view) == []
 
-    def test_older_news_of_a_peer_change_nothing(self):
+    def test_an_older_entry_from_a_peer_is_ignored(self):
         view = RelayView(DRAIN_S)
         view.put(member(revision=2, leaving=True))
         view.put(member(revision=1))
@@ -46,13 +46,13 @@
         view.put(member(revision=2))
         assert view.members == {}
 
-    def test_a_removal_that_is_older_than_the_entry_is_ignored(self):
+    def test_a_removal_older_than_the_entry_is_ignored(self):
         view = RelayView(DRAIN_S)
         view.put(member(revision=5))
         view.remove("i1", 4)
         assert ids(view) == ["i1"]
 
-    def test_a_lapse_is_forgiven_when_the_entry_returns(self):
+    def test_a_missing_entry_that_returns_is_kept(self):
         view = RelayView(DRAIN_S)
         view.put(member())
         view.mark_missing("i1", 2, 10.0)
@@ -60,7 +60,7 @@
         view.expire(10.0 + MISSING_GRACE_S + 1)
         assert ids(view) == ["i1"]
 
-    def test_a_lapsed_entry_that_stays_away_is_gone(self):
+    def test_an_entry_missing_beyond_the_grace_time_is_removed(self):
         view = RelayView(DRAIN_S)
         view.put(member())
         view.members_version = 2
@@ -70,7 +70,7 @@
         view.expire(10.0 + MISSING_GRACE_S)
         assert ids(view) == []
 
-    def test_a_lapse_of_one_that_leaves_is_its_end(self):
+    def test_a_missing_entry_of_a_leaving_endpoint_is_removed_at_once(self):
         view = RelayView(DRAIN_S)
         view.put(member(leaving=True))
         view.mark_missing("i1", 2, 10.0)
@@ -86,7 +86,7 @@
 
 
 class TestLastResort:
-    def test_only_shortly_after_its_word_and_only_when_heard_live(self):
+    def test_new_work_only_shortly_after_a_report_of_known_time(self):
         view = RelayView(DRAIN_S)
         view.put(member("i1"))
         view.put(member("i2"))
@@ -98,14 +98,14 @@
         assert view.recently_leaving("s", 10.1 + LAST_RESORT_S) == []
         assert view.recently_leaving("other", 10.0) == []
 
-    def test_not_after_it_is_gone(self):
+    def test_no_work_after_it_is_removed(self):
         view = RelayView(DRAIN_S)
         view.put(member("i1"))
         view.put(member("i1", 2, leaving=True), observed_at=10.0)
         view.remove("i1", 3)
         assert view.recently_leaving("s", 10.1) == []
 
-    def test_not_in_the_last_moments_of_one_that_said_when_it_goes(self):
+    def test_no_work_in_the_last_moments_before_a_known_leave_time(self):
         view = RelayView(DRAIN_S)
         view.put(member("i1"))
         view.put(member("i1", 2, leaving=True), observed_at=10.0)
@@ -114,10 +114,10 @@
         assert view.recently_leaving("s", 10.91) == []
 
 
-class TestStartedAgain:
-    """An endpoint that starts again under its id is another endpoint."""
+class TestRestart:
+    """A restarted endpoint must not inherit the state of its previous process."""
 
-    def test_what_was_known_of_the_one_before_goes(self):
+    def test_the_state_of_the_previous_process_is_dropped(self):
         view, restarted = RelayView(DRAIN_S), []
         view.on_restart = restarted.append
         view.put(member(born=10))
@@ -129,7 +129,7 @@
         assert view.leaves_at("i1") is None
         assert view.leaving_age("i1", 5.5) is None
 
-    def test_a_late_word_of_the_one_before_changes_nothing(self):
+    def test_a_late_entry_of_the_previous_process_is_ignored(self):
         view = RelayView(DRAIN_S)
         view.put(member(born=20))
         view.put(member(revision=2, leaving=True, born=10), 5.0)
@@ -140,7 +140,7 @@
         view.put(member(revision=5, born=20))
         assert ids(view) == ["i1"]
 
-    def test_one_that_stays_after_all_has_no_time_to_go(self):
+    def test_an_endpoint_that_no_longer_leaves_has_no_leave_time(self):
         view = RelayView(DRAIN_S)
         view.put(member())
         view.put(member(revision=2, leaving=True), 5.0)
@@ -151,20 +151,20 @@
         assert ids(view) == ["i1"]
 
 
-class TestWithheld:
-    """An entry that can't be read stands over one that is in use."""
+class TestUnreadable:
+    """An entry that can't be decoded replaces that of an endpoint in use."""
 
-    def test_no_new_work_until_it_can_be_read_again(self):
+    def test_no_new_work_until_the_entry_is_readable_again(self):
         view = RelayView(DRAIN_S)
         view.put(member())
         view.mark_unreadable("i1", 2)
         assert ids(view) == []
-        # What runs there goes on.
+        # Its running requests continue.
         assert "i1" in view.members
         view.put(member(revision=3))
         assert ids(view) == ["i1"]
 
-    def test_no_last_work_either_while_it_leaves(self):
+    def test_no_new_work_while_it_leaves_either(self):
         view = RelayView(DRAIN_S)
         view.put(member())
         view.put(member(revision=2, leaving=True), 5.0)
@@ -172,14 +172,14 @@
         view.mark_unreadable("i1", 3)
         assert view.recently_leaving("s", 5.1) == []
 
-    def test_one_that_nobody_knows_is_none(self):
+    def test_an_unreadable_entry_of_an_unknown_endpoint_adds_none(self):
         view = RelayView(DRAIN_S)
         view.mark_unreadable("i1", 2)
         assert view.members == {}
 
 
-class Endpoint(RuleBasedStateMachine):
-    """One id that is started again, with words that come late and an outage."""
+class EndpointMachine(RuleBasedStateMachine):
+    """An endpoint that restarts, with late entries and outages of the store."""
 
     def __init__(self):
         super().__init__()
@@ -190,86 +190,86 @@
         self.revision = 0
         self.born = 1
         self.newest = 0
-        self.told = []
+        self.written_entries = []
 
     def _write(self, born, leaving):
         self.revision += 1
         written = member("i1", self.revision, leaving, born)
-        self.told.append(written)
+        self.written_entries.append(written)
         return written
 
     @rule()
-    def starts_again(self):
+    def endpoint_restarts(self):
         self.born += 1
         self.view.put(self._write(self.born, False), self.now)
         self.newest = self.born
 
     @rule(leaving=st.booleans())
-    def tells(self, leaving):
+    def is_listed(self, leaving):
         self.view.put(self._write(self.born, leaving), self.now)
         self.newest = max(self.newest, self.born)
 
     @rule(back=st.integers(1, 3), leaving=st.booleans())
-    def an_old_word_comes_late(self, back, leaving):
+    def a_late_entry_of_an_older_start(self, back, leaving):
         if self.born - back >= 1:
             self.view.put(self._write(self.born - back, leaving), self.now)
             self.newest = max(self.newest, self.born - back)
 
     @rule(data=st.data())
-    def a_peer_tells_what_was(self, data):
-        if self.told:
-            self.view.put(data.draw(st.sampled_from(self.told)), self.now)
+    def a_peer_sends_an_old_entry(self, data):
+        if self.written_entries:
+            self.view.put(data.draw(st.sampled_from(self.written_entries)), self.now)
 
     @rule()
-    def can_not_be_read(self):
+    def entry_is_unreadable(self):
         self.revision += 1
         self.view.mark_unreadable("i1", self.revision)
 
     @rule(grace=st.booleans())
-    def the_list_lacks_it(self, grace):
+    def list_without_it(self, grace):
         self.revision += 1
         self.view.replace([], self.revision, self.now, grace)
 
     @rule(seconds=st.floats(0.0, 3.0))
-    def time_goes_on(self, seconds):
+    def time_passes(self, seconds):
         self.now += seconds
         self.view.expire(self.now)
 
     @invariant()
-    def none_before_the_newest_is_known(self):
+    def only_the_newest_start_is_known(self):
         known = self.view.members.get("i1")
         if known is not None:
             assert known.born == self.newest
             assert known.revision <= self.revision
 
     @invariant()
-    def marks_of_leaving_are_of_one_that_leaves(self):
+    def only_a_leaving_endpoint_has_leave_times(self):
         known = self.view.members.get("i1")
         if known is None or not known.leaving:
             assert self.view.leaving_age("i1", self.now) is None
             assert self.view.leaves_at("i1") is None
 
 
-TestEndpointMachine = Endpoint.TestCase
+TestEndpointMachine = EndpointMachine.TestCase
 
 
-class TestSaidItself:
-    """A process that says that it leaves does, whatever the list has."""
+class TestOwnReport:
+    """A process that reports that it leaves gets no work, whatever the list says."""
 
     @pytest.fixture
-    def said(self):
-        """What was said, by process, with when."""
+    def own_reports(self):
+        """When processes reported that they leave, by process."""
         return {}
 
     @pytest.fixture
-    def view(self, said):
+    def view(self, own_reports):
         view = RelayView(2.0)
-        view.own_leaving_since = said.get
+        view.own_leaving_since = own_reports.get
         view.put(member())
         return view
 
-    def test_it_gets_no_new_work_but_at_first(self, view, said):
-        said[member().process] = 10.0
+    def test_it_gets_new_work_only_at_first(self, view, own_reports):
+        own_reports[member().process] = 10.0
         view.process_leaving(member().process)
         assert not view.of_service("s")
         assert [m.endpoint_id for m, _left in view.recently_leaving("s", 10.5)] == [
@@ -277,34 +277,36 @@
         ]
         assert not view.recently_leaving("s", 11.5)
 
-    def test_a_newer_word_of_the_list_doesnt_bring_it_back(self, view, said):
-        said[member().process] = 10.0
+    def test_a_newer_entry_of_the_list_does_not_undo_the_report(
+        self, view, own_reports
+    ):
+        own_reports[member().process] = 10.0
         view.process_leaving(member().process)
         view.put(member(revision=2))
         assert not view.of_service("s")
 
-    def test_the_earlier_of_both_words_counts(self, view, said):
+    def test_the_earlier_of_both_reports_counts(self, view, own_reports):
         view.put(member(revision=2, leaving=True), observed_at=9.5)
-        said[member().process] = 10.0
+        own_reports[member().process] = 10.0
         view.process_leaving(member().process)
         assert view.leaving_age("i1", 10.5) == 1.0
 
-    def test_one_whose_leaving_is_of_unknown_age_gets_nothing(self, view, said):
+    def test_a_leaving_endpoint_of_unknown_age_gets_no_work(self, view, own_reports):
         view.put(member("i2", leaving=True))
-        said[member("i2").process] = 10.0
+        own_reports[member("i2").process] = 10.0
         view.process_leaving(member("i2").process)
         assert not view.recently_leaving("s", 10.1)
         view.put(member("i2", revision=2, leaving=True))
         assert not view.recently_leaving("s", 10.1)
 
-    def test_it_counts_also_before_it_is_listed(self, view, said):
-        said[member("i2").process] = 10.0
+    def test_a_report_before_the_first_entry_counts(self, view, own_reports):
+        own_reports[member("i2").process] = 10.0
         view.process_leaving(member("i2").process)
         view.put(member("i2"))
         assert [m.endpoint_id for m in view.of_service("s")] == ["i1"]
 
-    def test_not_for_a_process_that_starts_anew(self, view, said):
-        said[member().process] = 10.0
+    def test_the_report_does_not_apply_to_a_restarted_process(self, view, own_reports):
+        own_reports[member().process] = 10.0
         view.process_leaving(member().process)
         view.put(member(revision=2, born=5))
         assert len(view.of_service("s")) == 1
