--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -148,7 +148,7 @@
     checks_fence : bool
         Whether the platform refuses calls with an old fencing number.
     terms : QuotaTerms, optional
-        Which requests go first near an account's limit.
+        Which requests are granted first near an account's limit.
     capacity : CoordinatorSize, optional
         What this instance can do as coordinator.
     """
@@ -312,10 +312,8 @@
         parts = self._parts
         node = message["node"]
         self._reports.record(message)
-        # Usage reports no longer wait for the counts of silent relays.
-        self._reports.drop_silent(
-            lambda report: self._ledger.forget(_counter_name(report))
-        )
+        # Usage reports no longer wait for the counts of relays that stopped reporting.
+        self._reports.expire(lambda report: self._ledger.forget(_counter_name(report)))
         self.lease.relays = self._reports.count
         # Counts are running totals of one incarnation.
         self._ledger.heard(
@@ -334,7 +332,7 @@
             answers=self._reports.failures_without(node),
             # Relays of the previous release expect amounts here.
             grants={},
-            limits=self._reply_on_limits(message),
+            limits=self._handle_share_report(message),
             period=self._reports.pace.period,
             tells_config=self.pushes_config,
             fresh=self.fresh,
@@ -361,7 +359,7 @@
         return [report.encode() for report in notices.limit_reports(now)]
 
     def _merge_leaving(self, message: ExchangeMessage) -> list[list]:
-        """Merge the endpoints that told a relay that they leave; return all known."""
+        """Merge the leaving endpoints that a relay reports; return all known."""
         notices, now = self.granter.notices, self._parts.clock.now()
         for process in notices.take_leaving(message.get("said_leaving", []), now):
             logger.info(
@@ -401,7 +399,7 @@
     def _fence_and_share(self) -> tuple[int, float]:
         return self.lease.fence, round(self.granter.share(self._parts.clock.now()), 3)
 
-    def _reply_on_limits(self, message: ExchangeMessage) -> LimitsReply | None:
+    def _handle_share_report(self, message: ExchangeMessage) -> LimitsReply | None:
         """Take a relay's report on its share, and grant it amounts in advance.
 
         A relay that doesn't hold the lease, as after its own restart, takes none.
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -141,7 +141,7 @@
             return
         match lease.next_step(self._clock.now()):
             case Rest(seconds=seconds):
-                # Another relay holds it: the delay applies anew when it is free again.
+                # Another relay holds it: the delay applies again when it is free.
                 self._takeover_delayed = False
                 await self._clock.sleep(min(_MAX_SLEEP_S, seconds))
             case Look():
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -106,8 +106,8 @@
     @property
     def coordinator_alive(self) -> bool:
         """Whether the coordinator replied recently."""
-        silent = self._parts.clock.now() - self._last_reply_at
-        return silent <= self._pace.patience
+        elapsed = self._parts.clock.now() - self._last_reply_at
+        return elapsed <= self._pace.patience
 
     @property
     def isolation_timeout(self) -> float:
@@ -124,7 +124,7 @@
 
     @property
     def receives_config(self) -> bool:
-        """Whether the coordinator tells this relay of each configuration."""
+        """Whether the coordinator pushes each configuration, and is alive."""
         return self.receives_deltas and self._config_pushed
 
     @property
@@ -194,8 +194,8 @@
             reply = await self._send_report()
         except EbonydealError as exc:
             self._deltas_pushed = False
-            silent = parts.clock.now() - self._last_reply_at
-            if not lease.wanted and silent > self._pace.lost_after:
+            elapsed = parts.clock.now() - self._last_reply_at
+            if not lease.wanted and elapsed > self._pace.lost_after:
                 logger.warning("Coordinator lost.", reason=str(exc))
                 lease.wanted = True
             return False
--- a/src/ebonydeal/_internal/relay/peers/relay_reports.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reports.py
@@ -154,21 +154,21 @@
         addresses = [relay.address for relay in self.alive()]
         return None if addresses_hash(addresses) == known else addresses
 
-    def drop_silent(self, silent: Callable[[ExchangeMessage], None]) -> None:
-        """Call ``silent`` for each silent relay, and drop those that can't serve."""
+    def expire(self, on_timeout: Callable[[ExchangeMessage], None]) -> None:
+        """Call ``on_timeout`` for relays that stopped reporting; drop old ones."""
         now = self._clock.now()
-        longest = self.pace.silent_after
+        timeout = self.pace.silent_after
         for node, relay in list(self._relays.items()):
-            if now - relay.at > longest:
-                silent(relay.message)
+            if now - relay.at > timeout:
+                on_timeout(relay.message)
             if now - relay.at > _MAX_SERVING_WITHOUT_REPORT_S:
                 del self._relays[node]
 
     @property
     def count(self) -> int:
         """How many relays there are: those alive, or as many as are expected."""
-        waits = self._clock.now() < self._expected_until
-        return max(len(self.alive()), self._expected if waits else 0)
+        expecting = self._clock.now() < self._expected_until
+        return max(len(self.alive()), self._expected if expecting else 0)
 
     def loads_without(self, node: str) -> Table:
         """Return the load of all other relays at each endpoint."""
--- a/src/ebonydeal/_internal/relay/view/follower.py
+++ b/src/ebonydeal/_internal/relay/view/follower.py
@@ -200,8 +200,8 @@
         """Note an answer; return whether the store had failed before it."""
         if self.failing_since is None:
             return False
-        away = round(self._clock.now() - self.failing_since, 3)
-        logger.info("Store available again.", table=self.table, away_s=away)
+        outage_s = round(self._clock.now() - self.failing_since, 3)
+        logger.info("Store available again.", table=self.table, away_s=outage_s)
         self.failing_since = None
         return True
 
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -224,8 +224,10 @@
             self._missing_until.pop(member.endpoint_id, None)
             return
         # The process's own report that it leaves is often earlier than the list's.
-        said_at = None if member.leaving else self.own_leaving_since(member.process)
-        if said_at is not None:
+        own_report_at = (
+            None if member.leaving else self.own_leaving_since(member.process)
+        )
+        if own_report_at is not None:
             member = member._replace(leaving=True)
         removal = self._removed.get(member.endpoint_id, _NEVER_REMOVED)
         if removal.version >= member.revision:
@@ -240,8 +242,8 @@
         self.members[member.endpoint_id] = member
         self.last_change = max(self.last_change, member.revision)
         self._note_leaving(known, member, observed_at)
-        if said_at is not None:
-            self._leaving_since.setdefault(member.endpoint_id, said_at)
+        if own_report_at is not None:
+            self._leaving_since.setdefault(member.endpoint_id, own_report_at)
         self._missing_until.pop(member.endpoint_id, None)
         if known is None or _differs(known, member):
             self._log(
--- a/src/ebonydeal/_internal/relay/view/view_sync.py
+++ b/src/ebonydeal/_internal/relay/view/view_sync.py
@@ -27,7 +27,7 @@
 
 _CALL_TIMEOUT_S = 0.5
 _CHECK_INTERVAL_S = 0.4
-# After an outage of the store of this length, other relays are asked instead.
+# After an outage of the store of this length, other relays are addresses instead.
 _STORE_OUTAGE_TIMEOUT_S = 0.6
 _DECODE_ERRORS = (EbonydealError, KeyError, TypeError, ValueError, BadCompression)
 
@@ -64,32 +64,32 @@
     async def _run(self) -> None:
         while not self.should_stop:
             await self._clock.sleep(_CHECK_INTERVAL_S * self._rng.uniform(0.8, 1.2))
-            away = self._store_is_away()
-            if self.behind or self.behind_config or away:
-                members = self.behind or away
+            store_down = self._store_is_down()
+            if self.behind or self.behind_config or store_down:
+                members = self.behind or store_down
                 self.behind = self.behind_config = False
-                await self._sync(members, away)
+                await self._sync(members, store_down)
 
-    def _store_is_away(self) -> bool:
+    def _store_is_down(self) -> bool:
         now = self._clock.now()
         since = [f.failing_since for f in self._followers]
         return any(
             at is not None and now - at > _STORE_OUTAGE_TIMEOUT_S for at in since
         )
 
-    async def _sync(self, members: bool, away: bool) -> None:
+    async def _sync(self, members: bool, store_down: bool) -> None:
         """Ask the coordinator, or another relay if it doesn't reply, for their view.
 
-        It includes the endpoints if ``members``. If the store is ``away``, both relays
-        are asked, since either may know more.
+        With ``members`` it includes the endpoints. With ``store_down`` both relays are
+        asked, since either may know more.
         """
-        asked = []
+        addresses = []
         if self._exchange.coordinator_address:
-            asked.append(self._exchange.coordinator_address)
-        others = [a for a in self._exchange.relays if a not in asked]
+            addresses.append(self._exchange.coordinator_address)
+        others = [a for a in self._exchange.relays if a not in addresses]
         if others:
-            asked.append(self._rng.choice(others))
-        for address in asked:
+            addresses.append(self._rng.choice(others))
+        for address in addresses:
             view = self._view
             since = view.members_version if members else None
             message = ViewMessage(
@@ -102,7 +102,7 @@
                 continue
             self._apply(reply, address)
             self._suspects.learn(reply.get("crashes"), address)
-            if not away:
+            if not store_down:
                 return
 
     def _apply(self, reply: dict[str, Any], address: str) -> None:
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -8,7 +8,7 @@
 
 
 def restart_while_answering(store, endpoint, partial_answer):
-    """Answer the beginning of a stream, then disconnect and be listed anew."""
+    """Answer the beginning of a stream, then disconnect and be listed as restarted."""
 
     async def step(_reader, writer, headers):
         rid = headers["ebonydeal-request-id"].encode()
--- a/tests/unit/relay/peers/test_long_prompts.py
+++ b/tests/unit/relay/peers/test_long_prompts.py
@@ -26,22 +26,24 @@
 class Relays:
     """Records calls to other relays, of which one may be unreachable."""
 
-    def __init__(self, away=""):
+    def __init__(self, unreachable=""):
         self.calls = []
-        self._away = away
+        self._unreachable = unreachable
 
     async def call(self, address, path, message, timeout):
-        if address == self._away:
+        if address == self._unreachable:
             raise EbonydealError(ErrorKind.CONNECT_FAILED, address)
         self.calls.append((address, path, message))
         return {}
 
 
-async def notices_of(prompts, others, clock=None, least=0.25, away=""):
+async def notices_of(prompts, others, clock=None, min_prefill_s=0.25, unreachable=""):
     """Let prompts with prefill times be sent, and return the calls made."""
-    relays = Relays(away)
+    relays = Relays(unreachable)
     clock = clock or ManualClock(10.0)
-    service = LongPromptNotifier(relays, clock, Random(1), lambda: others, least)
+    service = LongPromptNotifier(
+        relays, clock, Random(1), lambda: others, min_prefill_s
+    )
     async with service:
         for endpoint_id, prefill in prompts:
             service.note_sent(endpoint_id, prefill, prefill + QUEUE_S)
@@ -61,10 +63,12 @@
         assert await notices_of([("i1", 0.2)], ["r2"]) == []
 
     async def test_zero_switches_notices_off(self):
-        assert await notices_of([("i1", 3.0)], ["r2"], least=0.0) == []
+        assert await notices_of([("i1", 3.0)], ["r2"], min_prefill_s=0.0) == []
 
     async def test_an_unreachable_relay_does_not_stop_the_other_notices(self):
-        calls = await notices_of([("i1", 0.8), ("i2", 0.9)], ["r2", "r3"], away="r2")
+        calls = await notices_of(
+            [("i1", 0.8), ("i2", 0.9)], ["r2", "r3"], unreachable="r2"
+        )
         assert [message["endpoint"] for _a, _p, message in calls] == ["i1", "i2"]
 
     async def test_calls_are_bounded_whatever_the_number_of_relays(self):
