--- a/src/ebonydeal/_internal/relay/limits/link.py
+++ b/src/ebonydeal/_internal/relay/limits/link.py
@@ -139,7 +139,7 @@
         return self._stand_ins[:1] == [self.address()]
 
     @property
-    def coordinator_alive(self) -> bool:
+    def in_touch(self) -> bool:
         """Whether a holder of the lease answered lately."""
         return self._clock.now() < self._in_touch_until
 
@@ -221,7 +221,7 @@
         if taken:
             self._granter_address = address
         new = taken and (before is None or before.granter != word.granter)
-        if new and self.coordinator is not None and self.coordinator_alive:
+        if new and self.coordinator is not None and self.in_touch:
             self.coordinator.report_now()
         return new
 
@@ -234,7 +234,7 @@
             coordinator = self.coordinator
             if coordinator is None:
                 continue
-            if self.coordinator_alive:
+            if self.in_touch:
                 await self._take_back()
                 if self._waits_for_share():
                     coordinator.report_now()
@@ -330,7 +330,7 @@
         """Ask for an amount; raises LIMIT_UNAVAILABLE where nobody is reached."""
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.coordinator_alive and self._is_due("", now):
+        if coordinator is not None and self.in_touch and self._is_due("", now):
             # Until its time is over, a stand-in has the shares of this side.
             if self._stand_in_until > now:
                 got = await self._ask_stand_in(account, amount, False)
@@ -416,7 +416,7 @@
         message = PermitMessage(report=report.encode())
         now = self._clock.now()
         coordinator = self.coordinator
-        if coordinator is not None and self.coordinator_alive and self._is_due("", now):
+        if coordinator is not None and self.in_touch and self._is_due("", now):
             try:
                 return await coordinator.permit(message)
             except EbonydealError as exc:
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -151,7 +151,7 @@
                 return
         if now - self.last_ok > PACE.lost_after:
             self.lease.wanted = True
-        if not self.link.coordinator_alive:
+        if not self.link.in_touch:
             self._tell_stand_in()
 
     def _take_back(self):
