--- a/src/ebonydeal/_internal/relay/crashes/crash_store.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_store.py
@@ -10,7 +10,12 @@
 from ebonydeal._internal.models.shared import RowChange
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.crashes.suspects import Suspects
-from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
+from ebonydeal._internal.relay.packed_row import (
+    MAX_PACKED_BYTES,
+    UNPACK_ERRORS,
+    pack,
+    unpack,
+)
 from ebonydeal._internal.relay.ports import SharedStore
 from ebonydeal._internal.utils.clock import Clock
 
@@ -42,16 +47,16 @@
         # Fingerprint of the last changes, until it is known whether they took effect.
         self._writing = ""
         # Whether the row was read: it isn't overwritten before.
-        self.known = False
+        self.loaded = False
 
     def changes(self) -> list[RowChange]:
         """Return the write that persists the evidence, if it has changed."""
         self._writing = ""
-        if not self.known or self._suspects.fingerprint == self._written:
+        if not self.loaded or self._suspects.fingerprint == self._written:
             return []
         message = {"wall": self._clock.wall(), "memory": self._suspects.to_message()}
         value = pack(message)
-        if len(value) > MOST_BYTES:
+        if len(value) > MAX_PACKED_BYTES:
             # All relays still know the quarantined requests; they aren't persisted.
             logger.warning("Crash evidence is too large to persist.", size=len(value))
             return []
@@ -73,9 +78,9 @@
                 message = unpack(row.value)
                 elapsed = max(0.0, self._clock.wall() - float(message["wall"]))
                 self._suspects.merge(_aged(message["memory"], elapsed), "store")
-            except UNREADABLE as exc:
+            except UNPACK_ERRORS as exc:
                 logger.error("Stored crash evidence is unreadable.", reason=repr(exc))
-        self.known = True
+        self.loaded = True
 
 
 def _aged(evidence: Any, seconds: float) -> Any:
--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -189,7 +189,7 @@
     async def _send_reports(self) -> None:
         while not self.should_stop:
             keys = await self._unsent.get()
-            addresses = self._parts.budget.hearers()
+            addresses = self._parts.budget.pick_targets()
             if not addresses:
                 continue
             message = CrashesMessage(
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -10,7 +10,12 @@
 from ebonydeal._internal.models.shared import RowChange, SharedRow
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
-from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
+from ebonydeal._internal.relay.packed_row import (
+    MAX_PACKED_BYTES,
+    UNPACK_ERRORS,
+    pack,
+    unpack,
+)
 from ebonydeal._internal.relay.ports import SharedStore, Wire
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.utils.clock import Clock
@@ -50,7 +55,7 @@
         self._view = view
         self._clock = clock
         # Whether the previous lease holder's roll-outs were read.
-        self.known = False
+        self.loaded = False
         # The store's version at that read; None before.
         self._read_at: int | None = None
         # Numbers of changes: so far, written, and in the write under way.
@@ -65,7 +70,7 @@
 
     def lost(self) -> None:
         """Forget all: another relay holds the lease, and reads what was written."""
-        self.known = False
+        self.loaded = False
         self._read_at = None
         self._registry.clear()
 
@@ -80,7 +85,7 @@
             self._load(rows)
         if self._view.has_orders(self._read_at):
             await self._read_status()
-            self.known = True
+            self.loaded = True
 
     def _load(self, rows: list[SharedRow]) -> None:
         for row in rows:
@@ -88,8 +93,9 @@
                 continue
             try:
                 stored = unpack(row.value)
-                self._registry.load_stored(stored, self._store.ahead, self._clock.now())
-            except UNREADABLE as exc:
+                self._registry.load_stored(stored, self._store.clock_ahead_s, self._clock.now()
+                )
+            except UNPACK_ERRORS as exc:
                 logger.error("Stored roll-outs are unreadable.", reason=repr(exc))
 
     async def _read_status(self) -> None:
@@ -120,7 +126,7 @@
     def changes(self) -> list[RowChange]:
         """Return the writes that are due with the next renewal of the lease."""
         self._writing_status = []
-        if not self.known:
+        if not self.loaded:
             return []
         changes = []
         for service, run in self._registry.runs.items():
@@ -130,9 +136,9 @@
                 changes.append(self._wire.status_change(service, phase, order.to))
         self._writing_count = self._change_count
         if changes or self._change_count != self._written_count:
-            stored = self._registry.to_stored(self._store.ahead)
+            stored = self._registry.to_stored(self._store.clock_ahead_s)
             value = pack(stored)
-            if len(value) <= MOST_BYTES:
+            if len(value) <= MAX_PACKED_BYTES:
                 changes.append(RowChange(ROLLOUTS_TABLE, _KEY, value))
             else:
                 logger.warning("Roll-outs are too large to persist.", size=len(value))
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -93,7 +93,7 @@
     # --- output -------------------------------------------------------------------
     def gates(self) -> list[Gate] | None:
         """Return the gates that relays get; None while this relay doesn't decide."""
-        decides = self.store.known and self._parts.coordinator.holds
+        decides = self.store.loaded and self._parts.coordinator.holds
         return self._registry.gates() if decides else None
 
     def message(self) -> RolloutsMessage | None:
@@ -138,7 +138,7 @@
         if message is None:
             return
         self.on_gates(message)
-        targets = self._parts.coordinator.listeners()
+        targets = self._parts.coordinator.delta_targets()
         if targets is not None:
             await asyncio.gather(*(self._send_gates_to(a, message) for a in targets[0]))
 
@@ -155,9 +155,9 @@
         while not self.should_stop:
             await self._parts.clock.sleep(_STEP_INTERVAL_S)
             if not coordinator.holds:
-                if self.store.known and not coordinator.lease.is_mine:
+                if self.store.loaded and not coordinator.lease.is_mine:
                     self.store.lost()
-            elif self.store.known and self.step():
+            elif self.store.loaded and self.step():
                 await self._send_gates()
 
     def step(self) -> bool:
@@ -175,7 +175,7 @@
 
     def _step_one(self, run: RolloutRun, now: float) -> None:
         """Apply the reports on one roll-out, and decide."""
-        reports = self._parts.coordinator.heard_lately()
+        reports = self._parts.coordinator.live_reports()
         endpoints = self._endpoints(run.state, reports, now)
         match run.applied_verdict(reports):
             case Phase.COMPLETED:
--- a/src/ebonydeal/_internal/relay/limits/client.py
+++ b/src/ebonydeal/_internal/relay/limits/client.py
@@ -65,7 +65,7 @@
     async def permit(self, message: PermitMessage) -> PermitReply:
         """Request to send to an endpoint with a limit."""
 
-    def hasten(self) -> None:
+    def report_now(self) -> None:
         """Report to the coordinator now."""
 
 
@@ -226,7 +226,7 @@
             self._granter_address = address
         is_new = accepted and (previous is None or previous.granter != offer.granter)
         if is_new and self.coordinator is not None and self.has_coordinator:
-            self.coordinator.hasten()
+            self.coordinator.report_now()
         return is_new
 
     @Service.task
@@ -241,7 +241,7 @@
             if self.has_coordinator:
                 await self._reclaim_share()
                 if self._waits_for_share():
-                    coordinator.hasten()
+                    coordinator.report_now()
                 continue
             address = self._standby_address()
             if address is not None:
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -61,7 +61,7 @@
         self._writing_registry = self._writing_startup = False
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """Whether the rows were read under the current fencing token."""
         return self._granter.registry_fence == self._lease.fence
 
@@ -72,7 +72,7 @@
     def changes(self) -> list[RowChange]:
         """Return the writes of rows that have changed."""
         self._writing_registry = self._writing_startup = False
-        if not self.known:
+        if not self.loaded:
             return []
         return [*self._startup_changes(), *self._registry_changes()]
 
@@ -81,7 +81,7 @@
         if not startup.is_requested:
             return []
         self._writing_startup = True
-        started_at = startup.begin_write(self._clock.now(), self._store.ahead)
+        started_at = startup.begin_write(self._clock.now(), self._store.clock_ahead_s)
         return [RowChange(SHARES_TABLE, _STARTUP_KEY, json.dumps(started_at).encode())]
 
     def _registry_changes(self) -> list[RowChange]:
@@ -120,12 +120,12 @@
             if row.key == _KEY:
                 found = _decode_registry(row.value)
             elif row.key == _STARTUP_KEY:
-                started_at = _decode_startup(row.value, now + self._store.ahead)
+                started_at = _decode_startup(row.value, now + self._store.clock_ahead_s)
         self._granter.refresh()
         self._registry.load(found, self._clock.now())
         self._granter.on_registry_loaded()
         self._granter.refresh()
-        self._granter.startup.load(started_at, now + self._store.ahead)
+        self._granter.startup.load(started_at, now + self._store.clock_ahead_s)
         self._granter.request_startup_grant()
 
 
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -21,8 +21,8 @@
 )
 from ebonydeal._internal.relay.duties.coordinator import (
     Coordinator,
+    CoordinatorCapacity,
     CoordinatorParts,
-    CoordinatorSize,
 )
 from ebonydeal._internal.relay.duties.fleet import Fleet
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
@@ -32,14 +32,17 @@
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.peers.handler import PeerHandler
-from ebonydeal._internal.relay.peers.long_reads import LongReads, LongReadTaker
+from ebonydeal._internal.relay.peers.long_prompts import (
+    LongPromptNotifier,
+    LongPromptReceiver,
+)
 from ebonydeal._internal.relay.peers.messages import (
     HOLDER,
     ROLLOUTS,
     ExchangeReply,
 )
+from ebonydeal._internal.relay.peers.relay_reporter import RelayReporter, ReporterParts
 from ebonydeal._internal.relay.peers.rollouts import RolloutReceiver
-from ebonydeal._internal.relay.peers.word import RelayWord, WordParts
 from ebonydeal._internal.relay.ports import RelayPorts
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.intake import Intake
@@ -48,9 +51,9 @@
 from ebonydeal._internal.relay.requests.notices import NoticeReader
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.requests.usage import UsageMeter
+from ebonydeal._internal.relay.view.deltas import DeltaPublisher, DeltaReceiver
 from ebonydeal._internal.relay.view.follower import ConfigTableFollower, MembersFollower
 from ebonydeal._internal.relay.view.leaving import LeavingTimes
-from ebonydeal._internal.relay.view.news import NewsFeed, NewsTaker
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.relay.view.view_sync import ViewSync
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
@@ -83,9 +86,9 @@
 
 logger = get_logger("relay")
 
-_SWEEP_S = 1.0
-_DRAIN_STEP_S = 0.02
-# Kept back of the grace time for closing sockets and ending the process.
+_SWEEP_INTERVAL_S = 1.0
+_DRAIN_CHECK_INTERVAL_S = 0.02
+# Part of the grace time that is left for closing sockets and ending the process.
 _EXIT_RESERVE_S = 0.4
 
 
@@ -125,8 +128,8 @@
         self._outliers = outliers
         self.view.on_restart = self._forget_endpoint
         self._notices = EndpointNotices()
-        self._notices.on_leaving = self.view.leaves
-        self.view.said_leaving = self._notices.leaving_since
+        self._notices.on_leaving = self.view.process_leaving
+        self.view.own_leaving_since = self._notices.leaving_since
         self._moves = StreamMoves(
             MovesParts(
                 view=self.view,
@@ -144,7 +147,7 @@
         )
         peers = settings["peers"]
         self._client = PeerClient(peers.credential)
-        self._long_reads = LongReads(
+        self._long_prompts = LongPromptNotifier(
             self._client, clock, rng, self._other_relays, self._policy.tell_long_s
         )
         self._crashes = CrashDetector(self.view, clock, self._cfg.connect_ms / 1000.0)
@@ -179,7 +182,7 @@
             self._node.id,
             incarnation,
             metrics,
-            RelayPlacement(self._node.zone, self.coordinator.stands_back_s),
+            RelayPlacement(self._node.zone, self.coordinator.takeover_delay_s),
         )
         parts = SendParts(
             wire=ports.wire,
@@ -192,7 +195,7 @@
             pools=self._pools,
             usage=self.usage,
             moves=self._moves,
-            long_reads=self._long_reads,
+            long_prompts=self._long_prompts,
             crashes=self._crashes,
             suspects=self._suspects,
             split=self._split,
@@ -214,10 +217,10 @@
             ),
             MembersFollower(ports.store, ports.wire, self.view, clock, rng, metrics),
         )
-        taker = NewsTaker(self.view, clock)
-        taker.on_behind = self._fall_behind
-        self._word = RelayWord(
-            WordParts(
+        deltas = DeltaReceiver(self.view, clock)
+        deltas.on_newer_config = self._request_config
+        self._reporter = RelayReporter(
+            ReporterParts(
                 self._node.id,
                 incarnation,
                 self.usage,
@@ -229,7 +232,7 @@
                 self._split,
                 self._rollout_hearer,
                 self._notices,
-                taker,
+                deltas,
                 self.view,
                 clock,
             ),
@@ -239,8 +242,8 @@
             peers.credential,
             self.coordinator,
             self.view,
-            taker,
-            LongReadTaker(self._choice, clock),
+            deltas,
+            LongPromptReceiver(self._choice, clock),
             self._suspects,
             self._split,
             metrics,
@@ -255,37 +258,41 @@
                 self._client,
                 clock,
                 rng,
-                self._word.tell,
-                self._heard,
+                self._reporter.build_report,
+                self._apply_reply,
                 self._policy.exchange_s,
             ),
             seeds,
         )
-        handler.serve(HOLDER, self._exchange.take_holder)
+        handler.serve(HOLDER, self._exchange.receive_lease_holder)
         handler.serve(ROLLOUTS, self._rollout_hearer.receive)
-        self._rollout_hearer.report_now = self._exchange.hasten
-        self.coordinator.on_begin = self._announce
+        self._rollout_hearer.report_now = self._exchange.report_now
+        self.coordinator.on_lease_gained = self._announce
         self._limits.coordinator = self._exchange
-        self._limits.address = lambda: self._word.address
-        self.coordinator.is_stand_in = lambda: self._limits.is_standby
-        self.coordinator.has_stand_in = lambda: self._limits.is_delegated_to_standby
-        self.coordinator.relays_before = lambda: self._exchange.relays_before
+        self._limits.address = lambda: self._reporter.address
+        self.coordinator.is_standby = lambda: self._limits.is_standby
+        self.coordinator.has_standby = lambda: self._limits.is_delegated_to_standby
+        self.coordinator.previous_relay_count = lambda: (
+            self._exchange.previous_relay_count
+        )
         config, members = self._followers
-        members.fed = lambda: self._exchange.fed
-        self.view.is_told = lambda: self._exchange.fed
-        config.fed = lambda: self._exchange.fed_config
-        config.feeding = lambda: self.coordinator.feeds_config
-        self.view.on_waiting = config.hasten
-        self.coordinator.keep(CrashStore(ports.store, self._suspects, clock))
+        members.receives_pushes = lambda: self._exchange.receives_deltas
+        self.view.receives_deltas = lambda: self._exchange.receives_deltas
+        config.receives_pushes = lambda: self._exchange.receives_config
+        config.pushes_to_others = lambda: self.coordinator.should_push_config
+        self.view.on_orders_needed = config.restart_poll
+        self.coordinator.persist_with_lease(
+            CrashStore(ports.store, self._suspects, clock)
+        )
         self._rollouts = self._build_rollouts(ports)
         handler.rollouts = self._rollouts.report
         self.coordinator.compare_crashes = self._suspects.exchange_evidence
-        self.coordinator.hears_store = lambda: members.fresh
-        self.coordinator.hears_config = lambda: config.fresh
-        self._news = NewsFeed(
-            self.view, self._client, clock, self.coordinator.listeners
+        self.coordinator.store_is_fresh = lambda: members.fresh
+        self.coordinator.config_is_fresh = lambda: config.fresh
+        self._delta_publisher = DeltaPublisher(
+            self.view, self._client, clock, self.coordinator.delta_targets
         )
-        self._sync = ViewSync(
+        self._view_sync = ViewSync(
             self._exchange,
             self._client,
             ports.wire,
@@ -296,7 +303,9 @@
             clock,
             rng,
         )
-        self._leaving = LeavingTimes(self.coordinator, ports.engines, self.view, clock)
+        self._leaving_times = LeavingTimes(
+            self.coordinator, ports.engines, self.view, clock
+        )
         self._fleet = Fleet(
             self.coordinator,
             ports.duties,
@@ -310,7 +319,7 @@
     def _build_coordinator(
         self, ports: RelayPorts, bounds: QuotaBounds, incarnation: str
     ) -> Coordinator:
-        """Return what this relay does for all while it holds the lease."""
+        """Return the coordinator, which is active while this relay holds the lease."""
         cfg = self._cfg
         return Coordinator(
             CoordinatorParts(
@@ -323,11 +332,11 @@
             bounds,
             cfg.checks_fence,
             QuotaPolicy.from_config(self._policy),
-            CoordinatorSize.from_config(cfg, self._policy),
+            CoordinatorCapacity.from_config(cfg, self._policy),
         )
 
     def _build_rollouts(self, ports: RelayPorts) -> Rollouts:
-        """Return what decides on roll-outs while this relay is the coordinator."""
+        """Return the service that decides on roll-outs while this relay coordinates."""
         rollouts = Rollouts(
             RolloutParts(
                 self.coordinator,
@@ -345,7 +354,7 @@
         rollouts.write_soon = self.coordinator.write_soon
         rollouts.on_gates = self._rollout_hearer.receive
         self.coordinator.rollouts = rollouts.message
-        self.coordinator.keep(rollouts.store)
+        self.coordinator.persist_with_lease(rollouts.store)
         return rollouts
 
     def on_init_dependencies(self) -> Iterable[Service]:
@@ -356,12 +365,12 @@
             self.coordinator,
             self._exchange,
             self._limits,
-            self._news,
-            self._long_reads,
+            self._delta_publisher,
+            self._long_prompts,
             self._suspects,
             self._crashes,
-            self._sync,
-            self._leaving,
+            self._view_sync,
+            self._leaving_times,
             self._rollouts,
             self._rollout_hearer,
             self._fleet,
@@ -371,116 +380,116 @@
         ]
 
     async def on_started(self) -> None:
-        """Tell others the port that was picked, where the settings name none."""
+        """Publish the picked port, where the settings name none, and start duties."""
         host = self._cfg.peer_address.rpartition(":")[0]
         address = f"{host}:{self.peers.port}"
         self._cfg = self._cfg._replace(peer_address=address)
-        self._word.address = address
+        self._reporter.address = address
         self.coordinator.lease.set_address(address)
         self.coordinator.start_duties()
         self._exchange.reachable.set()
 
     def reload(self, settings: dict[str, Any]) -> None:
-        """Take changed bounds and seeds; addresses stay until the next start."""
+        """Apply changed settings and seeds; addresses stay until the next start."""
         old = self._cfg
         self._cfg = settings["relay"]._replace(
             address=old.address,
             ready_address=old.ready_address,
             peer_address=old.peer_address,
         )
-        self._exchange.take_seeds(seed_addresses(settings["peers"].seeds))
+        self._exchange.add_seeds(seed_addresses(settings["peers"].seeds))
 
     def _announce(self) -> None:
-        """Tell all relays known that this one is the coordinator now."""
+        """Tell all known relays that this one is the coordinator now."""
         self.add_future(self._exchange.announce())
 
-    def _fall_behind(self) -> None:
-        """Ask for a configuration that another relay has."""
-        self._sync.behind_config = True
+    def _request_config(self) -> None:
+        """Request the newer configuration that another relay has."""
+        self._view_sync.behind_config = True
 
     def _other_relays(self) -> list[str]:
-        """Return the addresses of the relays that a coordinator told of."""
+        """Return the addresses of the other known relays."""
         relays = self._exchange.relays
-        return [address for address in relays if address != self._word.address]
+        return [address for address in relays if address != self._reporter.address]
 
-    # --- talk with the coordinator -------------------------------------------
-    def _heard(self, reply: ExchangeReply, asked_at: float) -> None:
-        """Take the coordinator's answer to what was told at ``asked_at``."""
-        if self._word.heard(reply, asked_at):
-            self._sync.behind = True
-        self._split.gate_ttl_s = self._exchange.patience
+    # --- exchange with the coordinator ---------------------------------------
+    def _apply_reply(self, reply: ExchangeReply, asked_at: float) -> None:
+        """Apply the coordinator's reply to the report sent at ``asked_at``."""
+        if self._reporter.apply_reply(reply, asked_at):
+            self._view_sync.behind = True
+        self._split.gate_ttl_s = self._exchange.isolation_timeout
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
         mine = self.coordinator.lease.is_mine
         config = self._followers[0]
         for follower in self._followers:
-            follower.alone = mine
+            follower.on_coordinator = mine
         if mine:
-            # A poll may have begun when no other relay depended on it.
-            config.hasten()
+            # The current poll may have begun when no other relay depended on it.
+            config.restart_poll()
 
     @property
     def ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether this relay can serve new connections."""
         known = self.view.index is not None and self.view.members_known
-        return known and not self._word.leaving
+        return known and not self._reporter.leaving
 
     async def _answer_ready(self, _req: web.BaseRequest) -> web.Response:
         return web.Response(status=200 if self.ready else 503)
 
     def _forget_endpoint(self, endpoint_id: str) -> None:
-        """Drop all that was learned of an endpoint before it started again."""
+        """Drop all that was learned of an endpoint before it restarted."""
         self._choice.forget(endpoint_id)
         self._failing.forget(endpoint_id)
         self._outliers.forget(endpoint_id)
         self._pools.forget(endpoint_id)
 
     @Service.task
-    async def _sweep(self) -> None:
-        """Forget endpoints that are gone."""
+    async def _forget_removed_endpoints(self) -> None:
+        """Drop the connections and load of endpoints that are no longer listed."""
         while not self.should_stop:
-            await self._clock.sleep(_SWEEP_S)
+            await self._clock.sleep(_SWEEP_INTERVAL_S)
             self._pools.keep_only(self.view.members)
             self._choice.keep_only(self.view.members)
 
     async def drain(self) -> None:
-        """Let the balancer take us out, and finish what is in flight.
+        """Let the load balancer remove this relay, and finish requests in flight.
 
-        The listener stays open: until the balancer has noticed, new
-        connections still come, and each is served. Every answer ends its
-        connection, so kept ones go away with their next use.
+        The listener stays open: until the balancer notices, new connections
+        still arrive, and each is served. Every answer closes its connection,
+        so kept-alive ones end with their next request.
         """
-        self._word.leaving = True
-        begun = self._clock.now()
-        last = begun + self._cfg.grace_s - _EXIT_RESERVE_S
-        self.intake.close_by(begun + self._cfg.settle_s, last)
+        self._reporter.leaving = True
+        started_at = self._clock.now()
+        deadline = started_at + self._cfg.grace_s - _EXIT_RESERVE_S
+        self.intake.close_by(started_at + self._cfg.settle_s, deadline)
         logger.info("Draining.", in_flight=self.intake.in_flight)
         await self.coordinator.release()
         await self._clock.sleep(self._cfg.settle_s)
-        await self._finish_by(last)
+        await self._finish_by(deadline)
         await self._exchange.flush()
-        # Requests came while the last word was told.
-        await self._finish_by(last)
-        self.clients.close_gently()
-        # One that was read at that moment is in flight after a turn of the loop.
-        await self._clock.sleep(_DRAIN_STEP_S)
-        await self._finish_by(last)
+        # More requests may have arrived during the last report.
+        await self._finish_by(deadline)
+        self.clients.close_gracefully()
+        # A request read at that moment is in flight after one turn of the event loop.
+        await self._clock.sleep(_DRAIN_CHECK_INTERVAL_S)
+        await self._finish_by(deadline)
         logger.info(
             "Drained.",
             in_flight=self.intake.in_flight,
-            took_s=round(self._clock.now() - begun, 3),
+            took_s=round(self._clock.now() - started_at, 3),
         )
 
-    async def _finish_by(self, last: float) -> None:
-        """Wait until nothing is in flight, at most until ``last``."""
-        while self.intake.in_flight and self._clock.now() < last:
-            await self._clock.sleep(_DRAIN_STEP_S)
+    async def _finish_by(self, deadline: float) -> None:
+        """Wait until nothing is in flight, at most until ``deadline``."""
+        while self.intake.in_flight and self._clock.now() < deadline:
+            await self._clock.sleep(_DRAIN_CHECK_INTERVAL_S)
 
     async def on_stop(self) -> None:
         """Drain while all children still work."""
         await self.drain()
 
     async def on_shutdown(self) -> None:
-        """Close what children used until their end."""
+        """Close the connections that children used until they stopped."""
         self._pools.close()
         await self._client.close()
         await self.ports.store.close()
--- a/tests/functional/relay/test_peers.py
+++ b/tests/functional/relay/test_peers.py
@@ -1,4 +1,4 @@
-"""Large messages between relays are compressed on the wire, small ones are not."""
+"""Large messages between relays must be compressed, small ones not."""
 
 from contextlib import asynccontextmanager
 
@@ -6,19 +6,19 @@
 from aiohttp import web
 
 from ebonydeal._internal.relay.listener import RawListener
-from ebonydeal._internal.relay.peers.handler import peer_answer
+from ebonydeal._internal.relay.peers.handler import peer_response
 from ebonydeal._internal.utils.peerclient import COMPRESS_FROM_BYTES, PeerClient
 from ebonydeal._internal.utils.web import read_json
 
 
 @asynccontextmanager
 async def echo():
-    """A peer that answers with what it got, and notes how that was encoded."""
+    """A peer that echoes messages, and records their encoding."""
     seen = []
 
     async def handle(req: web.BaseRequest) -> web.Response:
         seen.append(req.headers.get("Content-Encoding", ""))
-        resp = peer_answer(await read_json(req))
+        resp = peer_response(await read_json(req))
         seen.append("deflate" if resp.compression else "")
         return resp
 
--- a/tests/functional/relay/test_rollouts.py
+++ b/tests/functional/relay/test_rollouts.py
@@ -210,7 +210,7 @@
                 await asyncio.sleep(0.05)
                 raise EbonydealError(ErrorKind.CONNECT_FAILED, "cut off")
 
-            isolated._exchange._ask = unreachable
+            isolated._exchange._send_report = unreachable
             # Gates reach it neither in a late reply nor in a message from others.
             isolated._split.apply_gates = lambda _gates, _now: None
             await asyncio.sleep(isolated._split.gate_ttl_s + 0.2)
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -20,7 +20,7 @@
 from ebonydeal._internal.relay.limits.messages import DELEGATE, RELEASE
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.peers.messages import EXCHANGE, GRANT, HOLDER
-from ebonydeal._internal.relay.peers.roster import addresses_hash
+from ebonydeal._internal.relay.peers.relay_reports import addresses_hash
 from ebonydeal._internal.relay.requests.quota import QuotaGate
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
@@ -28,7 +28,7 @@
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.placement.route_index import RouteIndex
 from tests.lib.clock import ManualClock, settle
-from tests.lib.relay_fakes import MemoryDuties, MemoryStore, word
+from tests.lib.relay_fakes import MemoryDuties, MemoryStore, relay_report
 
 LEASE_S = 3.0
 
@@ -74,8 +74,8 @@
         self._name = name
 
     @property
-    def ahead(self):
-        return self._store.ahead
+    def clock_ahead_s(self):
+        return self._store.clock_ahead_s
 
     def _check(self):
         if self._name in self._network.partitioned:
@@ -135,20 +135,22 @@
         self._incarnation = incarnation
         self._clock = clock
         self.limits.coordinator = self.exchange
-        self.coordinator.is_stand_in = lambda: self.limits.is_standby
-        self.coordinator.has_stand_in = lambda: self.limits.is_delegated_to_standby
-        self.coordinator.relays_before = lambda: self.exchange.relays_before
-        self.coordinator.on_begin = self._announce_holder
+        self.coordinator.is_standby = lambda: self.limits.is_standby
+        self.coordinator.has_standby = lambda: self.limits.is_delegated_to_standby
+        self.coordinator.previous_relay_count = lambda: (
+            self.exchange.previous_relay_count
+        )
+        self.coordinator.on_lease_gained = self._announce_holder
         self.calls = {
             EXCHANGE: self.coordinator.exchange,
             GRANT: self.coordinator.grant,
             DELEGATE: self.coordinator.delegate,
             RELEASE: self.coordinator.release_share,
-            HOLDER: self.exchange.take_holder,
+            HOLDER: self.exchange.receive_lease_holder,
         }
 
     def _report(self, relays):
-        return word(
+        return relay_report(
             self.name,
             incarnation=self._incarnation,
             address=self.address,
--- a/tests/lib/shares_model.py
+++ b/tests/lib/shares_model.py
@@ -43,7 +43,7 @@
             return relay.name
         return relay.lease.row.address if relay.lease.row else None
 
-    def hasten(self):
+    def report_now(self):
         self._relay.hastened = True
 
 
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -34,7 +34,7 @@
 from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty_counts
 from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
 from tests.lib.clock import ManualClock
-from tests.lib.relay_fakes import MemoryStore, word
+from tests.lib.relay_fakes import MemoryStore, relay_report
 
 ORDER = RolloutOrder("s", "v2", 20.0, 5)
 LEASE = ("lease", "duties")
@@ -61,7 +61,7 @@
     def holds(self):
         return self._holder.holds
 
-    def heard_lately(self):
+    def live_reports(self):
         return [relay.report(self._clock.now()) for relay in self._relays]
 
 
@@ -88,7 +88,7 @@
         await self.store.put(*LEASE, b"holder")
         self.lease_version = self.store.version
         await self.rollouts.store.read()
-        if not self.rollouts.store.known:
+        if not self.rollouts.store.loaded:
             # The follower of orders does this on request.
             self.view.orders_unchanged(self.store.version)
             await self.rollouts.store.read()
@@ -127,7 +127,7 @@
             self.split.apply_gates(gates, self.clock.now())
 
     def report(self, now):
-        return word(self.name, rollouts=self.split.tallies(now))
+        return relay_report(self.name, rollouts=self.split.tallies(now))
 
     def serve(self, members, failing, count=20):
         """Serve requests; returns how many went to the new version."""
@@ -152,7 +152,7 @@
     listed = [member(f"a{n}", "v1") for n in range(4)]
     for one in listed:
         view.put(one)
-    view.take_orders({"s": ORDER}, 50, "test")
+    view.apply_orders({"s": ORDER}, 50, "test")
     for number in range(4):
         listed.append(member(f"b{number}", "v2", revision=10))
         view.put(listed[-1])
@@ -246,12 +246,12 @@
         clock, _listed, store, relays, first, second = self.play()
         behind = RelayView(2.0)
         requests = []
-        behind.on_waiting = lambda: requests.append(True)
+        behind.on_orders_needed = lambda: requests.append(True)
         second = LeaseHolder(store, clock, behind, relays)
         asyncio.run(second.rollouts.store.read())
-        assert not second.rollouts.store.known and requests and behind.waits_for_orders
+        assert not second.rollouts.store.loaded and requests and behind.waits_for_orders
         assert second.rollouts.gates() is None
-        behind.take_orders({"s": ORDER}, store.version, "test")
+        behind.apply_orders({"s": ORDER}, store.version, "test")
         asyncio.run(second.rollouts.store.read())
         second.step()
         assert second.rollouts._registry.runs["s"].state.phase is Phase.RUNNING
@@ -261,7 +261,7 @@
         asyncio.run(store.put("ebonydeal-rollouts", "memory", b"no row of ours"))
         second.take_lease()
         second.step()
-        assert second.rollouts.store.known
+        assert second.rollouts.store.loaded
         assert second.rollouts._registry.runs["s"].state.order == ORDER
 
 
@@ -306,7 +306,7 @@
         relay = Relay("n1", ManualClock(1.0), ORDER._replace(revision=4))
         relay.serve([member("a", "v1")], False)
         run = RolloutRun(RolloutState(ORDER, 20.0))
-        run.add_reports([relay.report(1.0), word("n2"), {"node": "n3"}], False, 1.0)
+        run.add_reports([relay.report(1.0), relay_report("n2"), {"node": "n3"}], False, 1.0)
         assert run.state.requests == 0
 
     def test_the_counts_of_a_lost_relay_stay(self):
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -66,7 +66,7 @@
         permits=EndpointPermits(EndpointNotices(), None, clock, Metrics()),
         retries=retries,
         metrics=Metrics(),
-        long_reads=SimpleNamespace(sent=lambda *_read: None),
+        long_prompts=SimpleNamespace(note_sent=lambda *_read: None),
         crashes=SimpleNamespace(
             connection_broken=lambda *_broke: None, wait_until_checked=at_once
         ),
--- a/tests/unit/relay/test_registry_store.py
+++ b/tests/unit/relay/test_registry_store.py
@@ -60,14 +60,14 @@
 class TestRead:
     async def test_nothing_is_written_before_the_rows_were_read(self, holder):
         assert holder.registry_store.changes() == []
-        assert not holder.registry_store.known
+        assert not holder.registry_store.loaded
         await holder.registry_store.read()
-        assert holder.registry_store.known
+        assert holder.registry_store.loaded
 
     async def test_rows_are_read_again_under_another_fencing_token(self, holder):
         await holder.registry_store.read()
         holder.lease.on_written(LeaseRow("a", "i", "a:1", 9), 2)
-        assert not holder.registry_store.known
+        assert not holder.registry_store.loaded
         assert holder.registry_store.changes() == []
 
     @pytest.mark.parametrize(
