--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the coordinator lease: reads and writes its row as the lease's state machine says."""
+"""Keeps the coordinator lease: reads and writes its row as the lease decides."""
 
 import asyncio
 from collections.abc import Callable
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -93,7 +93,8 @@
                 continue
             try:
                 stored = unpack(row.value)
-                self._registry.load_stored(stored, self._store.clock_ahead_s, self._clock.now()
+                self._registry.load_stored(
+                    stored, self._store.clock_ahead_s, self._clock.now()
                 )
             except UNPACK_ERRORS as exc:
                 logger.error("Stored roll-outs are unreadable.", reason=repr(exc))
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -165,7 +165,8 @@
             return self._pace.retry_interval
         spread_interval = self.relay_count / _MAX_STARTUP_RETRIES_PER_S
         return min(
-            self._pace.retry_interval, max(_MIN_STARTUP_RETRY_INTERVAL_S, spread_interval)
+            self._pace.retry_interval,
+            max(_MIN_STARTUP_RETRY_INTERVAL_S, spread_interval),
         )
 
     async def _pause(self, seconds: float) -> None:
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -306,7 +306,9 @@
         relay = Relay("n1", ManualClock(1.0), ORDER._replace(revision=4))
         relay.serve([member("a", "v1")], False)
         run = RolloutRun(RolloutState(ORDER, 20.0))
-        run.add_reports([relay.report(1.0), relay_report("n2"), {"node": "n3"}], False, 1.0)
+        run.add_reports(
+            [relay.report(1.0), relay_report("n2"), {"node": "n3"}], False, 1.0
+        )
         assert run.state.requests == 0
 
     def test_the_counts_of_a_lost_relay_stay(self):
