--- a/src/ebonydeal/_internal/benchmarks/reclaim/strategies.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/strategies.py
@@ -11,17 +11,17 @@
     EndpointView,
 )
 from ebonydeal._internal.models.places import Place
-from ebonydeal._internal.routing.reclaim.reclaim import (
-    ExportFault,
+from ebonydeal._internal.routing.reclaim.migration_plan import (
+    ExportFailure,
     ExportTo,
-    Finish,
-    Move,
-    ReclaimLimits,
+    KeepRunning,
+    MigrationTarget,
+    PlannerAssumptions,
     Recompute,
     RunningStream,
-    Target,
-    plan_moves,
-    replan,
+    StreamAction,
+    plan_migrations,
+    replan_failed_exports,
 )
 
 
@@ -112,12 +112,13 @@
 
 
 class Planned:
-    """`plan_moves` and `replan`, carried out."""
+    """`plan_migrations` and `replan_failed_exports`, carried out."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
-        self._limits = ReclaimLimits(
-            import_share=pool.spec.import_share, prefill_per_s=pool.spec.prefill_per_s
+        self._assumptions = PlannerAssumptions(
+            import_share=pool.spec.import_share,
+            prefill_tokens_per_s=pool.spec.prefill_per_s,
         )
         self._versions: dict[str, int] = {}
         self._moving: set[Stream] = set()
@@ -139,20 +140,24 @@
         moves = self._moves(streams, deadline)
         self._carry_out(streams, moves, deadline, "planned")
 
-    def _moves(self, streams: list[Stream], deadline: float) -> list[Move]:
+    def _moves(self, streams: list[Stream], deadline: float) -> list[StreamAction]:
         now = self._pool.work.now
-        return plan_moves(
+        return plan_migrations(
             [self._running(stream) for stream in streams],
             deadline - now,
             self._pool.spec.export_gb_per_s,
             self._targets(),
             now,
             source_busy=self._busy(),
-            limits=self._limits,
+            assumptions=self._assumptions,
         )
 
     def _carry_out(
-        self, streams: list[Stream], moves: list[Move], deadline: float, cause: str
+        self,
+        streams: list[Stream],
+        moves: list[StreamAction],
+        deadline: float,
+        cause: str,
     ) -> None:
         by_id = {stream.job.job_id: stream for stream in streams}
         for stream in streams:
@@ -162,7 +167,7 @@
             stream = by_id[move.request_id]
             step: Callable[[], None] = self._step(stream, move, deadline, cause)
             match move:
-                case Finish(review_at=time):
+                case KeepRunning(review_at=time):
                     self._moving.discard(stream)
                     self._pool.work.at(time, step)
                 case ExportTo(start_at=time, seconds=seconds):
@@ -176,7 +181,7 @@
                     self._pool.work.at(time, step)
 
     def _step(
-        self, stream: Stream, move: Move, deadline: float, cause: str
+        self, stream: Stream, move: StreamAction, deadline: float, cause: str
     ) -> Callable[[], None]:
         """Return what is to be done at the move's time, unless things changed."""
         turn = stream.turn
@@ -187,7 +192,7 @@
             if stream.turn != turn or planned_anew:
                 return
             match move:
-                case Finish():
+                case KeepRunning():
                     self._review(stream, deadline)
                 case ExportTo(target=view):
                     self._pool.export(stream, self._engine(view, stream), self._failed)
@@ -213,15 +218,15 @@
     def _failed(self, stream: Stream, handle_left: bool) -> None:
         """Plan anew; a handle that is left is not modelled as fetched again."""
         now = self._pool.work.now
-        fault = ExportFault(stream.job.job_id, False)
-        moves = replan(
+        fault = ExportFailure(stream.job.job_id, False)
+        moves = replan_failed_exports(
             [self._running(stream)],
             [fault],
             0.0,
             self._pool.spec.export_gb_per_s,
             self._targets(),
             now,
-            limits=self._limits,
+            assumptions=self._assumptions,
         )
         cause = "target left" if handle_left else "export broke"
         self._carry_out([stream], moves, 0.0, cause)
@@ -253,9 +258,9 @@
             prefix=stream.job.prefix,
         )
 
-    def _targets(self) -> list[Target]:
+    def _targets(self) -> list[MigrationTarget]:
         return [
-            Target(
+            MigrationTarget(
                 _view(engine),
                 max(0, engine.slots - engine.outstanding),
                 self._pool.seen_cache(engine),
--- a/src/ebonydeal/_internal/gateway/moves.py
+++ b/src/ebonydeal/_internal/gateway/moves.py
@@ -6,7 +6,10 @@
 from ebonydeal._internal.gateway.attempts import Attempt
 from ebonydeal._internal.gateway.live import LiveStream
 from ebonydeal._internal.models.endpoints import EndpointView
-from ebonydeal._internal.routing.reclaim.reclaim import RunningStream, Target
+from ebonydeal._internal.routing.reclaim.migration_plan import (
+    MigrationTarget,
+    RunningStream,
+)
 from ebonydeal._internal.settings.gateway import GatewaySettings
 
 _MB_PER_GB = 1024.0
@@ -66,9 +69,11 @@
     return (len(item.live.delivered) - start) / (now - first_at)
 
 
-def targets(views: Iterable[EndpointView], model: str) -> list[Target]:
+def targets(views: Iterable[EndpointView], model: str) -> list[MigrationTarget]:
     """Return the endpoints that may take streams of ``model``, with their room."""
-    return [Target(view, _room(view)) for view in views if model in view.models]
+    return [
+        MigrationTarget(view, _room(view)) for view in views if model in view.models
+    ]
 
 
 def _room(view: EndpointView) -> int:
--- a/src/ebonydeal/_internal/gateway/reclaim.py
+++ b/src/ebonydeal/_internal/gateway/reclaim.py
@@ -25,14 +25,14 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.observe.trail import Step, Trails
 from ebonydeal._internal.outside.interfaces import Engine
-from ebonydeal._internal.routing.reclaim.reclaim import (
-    ExportFault,
+from ebonydeal._internal.routing.reclaim.migration_plan import (
+    ExportFailure,
     ExportTo,
-    Finish,
-    Move,
+    KeepRunning,
     Recompute,
-    plan_moves,
-    replan,
+    StreamAction,
+    plan_migrations,
+    replan_failed_exports,
 )
 from ebonydeal._internal.settings.gateway import GatewaySettings
 from ebonydeal._internal.utils.clock import Clock
@@ -151,12 +151,12 @@
         group = [item, *(planned.item for planned in others)]
         self._plan(group, wave._replace(zones=zones))
 
-    def _moves(self, group: list[Affected], wave: _Wave) -> list[Move]:
+    def _moves(self, group: list[Affected], wave: _Wave) -> list[StreamAction]:
         """Return the plan; if it can't be made, the one that always can."""
         clock = self._parts.clock
         job = group[0].live.job
         try:
-            return plan_moves(
+            return plan_migrations(
                 [running_stream(item, self._cfg, clock.now()) for item in group],
                 max(0.0, wave.deadline - clock.wall()),
                 export_rate(group, self._cfg.kv_gb_per_s),
@@ -174,15 +174,15 @@
 
     # --- acting ---
     async def _carry_out(
-        self, item: Affected, move: Move, wave: _Wave, number: int
+        self, item: Affected, move: StreamAction, wave: _Wave, number: int
     ) -> None:
         """Do what was decided for one stream when it is due, if it still holds."""
-        at = move.review_at if isinstance(move, Finish) else move.start_at
+        at = move.review_at if isinstance(move, KeepRunning) else move.start_at
         await self._wait_until(at)
         if not self._planned.begin(item, number):
             return
         match move:
-            case Finish():
+            case KeepRunning():
                 self._review(item, wave)
             case Recompute(target=target):
                 item.attempt.mailbox.post(attempts.Move(target, ""))
@@ -224,7 +224,7 @@
 
     def _second_move(
         self, item: Affected, move: ExportTo, failed: _Transfer, wave: _Wave
-    ) -> Move:
+    ) -> StreamAction:
         """Decide anew after a transfer failed."""
         clock = self._parts.clock
         job = item.live.job
@@ -233,9 +233,9 @@
             for view in self._parts.directory.views(job.deployment.name)
             if view.endpoint_id != move.target.endpoint_id
         ]
-        moves = replan(
+        moves = replan_failed_exports(
             [running_stream(item, self._cfg, clock.now())],
-            [ExportFault(stream_key(item), bool(failed.handle))],
+            [ExportFailure(stream_key(item), bool(failed.handle))],
             max(0.0, wave.deadline - clock.wall()),
             export_rate([item], self._cfg.kv_gb_per_s),
             targets(views, job.model),
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/moves.py
@@ -21,10 +21,10 @@
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
 from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
 from ebonydeal._internal.routing.placement.outliers import Outliers
-from ebonydeal._internal.routing.reclaim.reclaim_streams import (
-    ReclaimLimits,
+from ebonydeal._internal.routing.reclaim.running_streams import (
+    PlannerAssumptions,
     RunningStream,
-    outlasts,
+    outlast_probability,
     seconds_to_finish,
 )
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
@@ -38,7 +38,7 @@
 _LAST_CHANCE_S = 0.8
 # Time that a reclaimable endpoint is taken to have until it says more.
 _LEAST_NOTICE_S = 1.0
-_LIMITS = ReclaimLimits(hopeless=2.0)
+_LIMITS = PlannerAssumptions(immediate_export_factor=2.0)
 
 
 class Moved(NamedTuple):
@@ -161,11 +161,12 @@
             return False
         left = self._left(run.member, since, now)
         stream = run.estimate(now)
-        if seconds_to_finish(stream) > _LIMITS.hopeless * left:
+        if seconds_to_finish(stream) > _LIMITS.immediate_export_factor * left:
             return True
         return (
             left <= _LAST_CHANCE_S
-            and outlasts(stream, max(0.0, left), _LIMITS) > _LIMITS.break_chance
+            and outlast_probability(stream, max(0.0, left), _LIMITS)
+            > _LIMITS.export_failure_probability
         )
 
     def _left(self, member: Member, since: float, now: float) -> float:
--- a/src/ebonydeal/_internal/routing/reclaim/reclaim_targets.py
+++ b/src/ebonydeal/_internal/routing/reclaim/migration_targets.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.utils.prefix import BLOCK_TOKENS
 
 
-class Target(NamedTuple):
+class MigrationTarget(NamedTuple):
     """An endpoint that may take streams.
 
     Attributes
@@ -42,14 +42,14 @@
 
     Parameters
     ----------
-    targets : iterable of Target
+    targets : iterable of MigrationTarget
         Candidates.
     leaving_zones : collection of str
         Candidates there are dropped.
     """
 
     def __init__(
-        self, targets: Iterable[Target], leaving_zones: Collection[str]
+        self, targets: Iterable[MigrationTarget], leaving_zones: Collection[str]
     ) -> None:
         usable = [it for it in targets if it.view.place.zone not in leaving_zones]
         usable.sort(key=lambda it: it.view.endpoint_id)
--- a/src/ebonydeal/_internal/routing/reclaim/reclaim_streams.py
+++ b/src/ebonydeal/_internal/routing/reclaim/running_streams.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Finish:
+class KeepRunning:
     """Let the stream run where it is; if it still does, plan again at ``review_at``.
 
     It is expected to end there, or its export can wait safely: each stream that
@@ -78,66 +78,69 @@
     start_at: float
 
 
-Move = Finish | ExportTo | Recompute
+StreamAction = KeepRunning | ExportTo | Recompute
 
 
-class ReclaimLimits(NamedTuple):
+class PlannerAssumptions(NamedTuple):
     """What the planner assumes.
 
     Attributes
     ----------
-    margin : float
+    margin_s : float
         Seconds kept free before the deadline, for late clocks and calls.
     estimate_sigma : float
         Spread of the estimates of remaining tokens: true over estimated length
         is taken as log-normal.
-    break_chance : float
+    export_failure_probability : float
         Chance that an export fails. A stream that is less likely than this to
         outlast the notice isn't exported.
-    hopeless : float
+    immediate_export_factor : float
         A stream that is expected to need more than this many times the notice
         is exported at once; for any other the export waits as long as is safe.
-    reserve : float
+    export_time_factor : float
         Exports that wait start early enough for this many times their
         expected time.
-    overhead : float
+    overhead_s : float
         Seconds of an export and import beside the transfer.
     export_share, import_share : float
         Time of the export and of the import, as shares of the cache's size over
         the source's rate.
-    prefill_per_s : float
+    prefill_tokens_per_s : float
         Tokens a second that a target prefills; decides how long a stream waits
         for the shared prefix that another one is about to compute there.
     """
 
-    margin: float = 0.1
+    margin_s: float = 0.1
     estimate_sigma: float = 0.5
-    break_chance: float = 0.05
-    hopeless: float = 3.0
-    reserve: float = 2.0
-    overhead: float = 0.05
+    export_failure_probability: float = 0.05
+    immediate_export_factor: float = 3.0
+    export_time_factor: float = 2.0
+    overhead_s: float = 0.05
     export_share: float = 1.0
     import_share: float = 0.5
-    prefill_per_s: float = 8000.0
+    prefill_tokens_per_s: float = 8000.0
 
 
-class ExportFault(NamedTuple):
+class ExportFailure(NamedTuple):
     """An export that didn't succeed.
 
-    ``handle_left`` says that the exported cache still stands at a live source
+    ``handle_usable`` says that the exported cache still stands at a live source
     (only the import failed), so that another target may fetch it.
     """
 
     request_id: str
-    handle_left: bool
+    handle_usable: bool
 
 
 def transfer_seconds(
-    stream: RunningStream, source_rate: float, limits: ReclaimLimits
+    stream: RunningStream, source_rate: float, assumptions: PlannerAssumptions
 ) -> float:
     """Return the time to export and import a stream's cache, in seconds."""
     whole = stream.kv_gb / source_rate if source_rate > 0 else float("inf")
-    seconds = whole * (limits.export_share + limits.import_share) + limits.overhead
+    seconds = (
+        whole * (assumptions.export_share + assumptions.import_share)
+        + assumptions.overhead_s
+    )
     return max(_LEAST_TRANSFER_S, seconds)
 
 
@@ -148,12 +151,14 @@
     return stream.remaining_tokens_estimate / stream.tokens_per_s
 
 
-def outlasts(stream: RunningStream, seconds: float, limits: ReclaimLimits) -> float:
+def outlast_probability(
+    stream: RunningStream, seconds: float, assumptions: PlannerAssumptions
+) -> float:
     """Return the chance that a stream runs for longer than ``seconds``."""
     expected = seconds_to_finish(stream)
     if expected <= 0.0 or seconds <= 0.0:
         return 1.0 if expected > seconds else 0.0
     if math.isinf(expected):
         return 1.0
-    deviations = math.log(seconds / expected) / limits.estimate_sigma
+    deviations = math.log(seconds / expected) / assumptions.estimate_sigma
     return 1.0 - NormalDist().cdf(deviations)
--- a/tests/functional/gateway/test_reclaim.py
+++ b/tests/functional/gateway/test_reclaim.py
@@ -4,7 +4,11 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway import reclaim
-from ebonydeal._internal.routing.reclaim.reclaim import ExportTo, Finish, Recompute
+from ebonydeal._internal.routing.reclaim.migration_plan import (
+    ExportTo,
+    KeepRunning,
+    Recompute,
+)
 from tests.functional.gateway.test_generation import BODY, client, until
 from tests.lib.gateway_fakes import Bench, FakeEngine
 
@@ -114,15 +118,18 @@
             target = next(it.view for it in targets if it.view.endpoint_id == "e2")
             if len(plans) == 1:
                 # The second one is due long after the first one's review.
-                return [Finish(keys[0], now), Recompute(keys[1], target, now + 60.0)]
+                return [
+                    KeepRunning(keys[0], now),
+                    Recompute(keys[1], target, now + 60.0),
+                ]
             if len(plans) == 2:
                 first = ExportTo(keys[0], target, now, 30.0)
-                return [first, Finish(keys[1], now + 0.02)]
+                return [first, KeepRunning(keys[1], now + 0.02)]
             return [Recompute(key, target, now) for key in keys]
 
         engine.pace = three_each
         engine.export_kv = export_kv
-        monkeypatch.setattr(reclaim, "plan_moves", plan)
+        monkeypatch.setattr(reclaim, "plan_migrations", plan)
         async with Bench(engine) as bench, client(bench) as api:
             create = api.chat.completions.create
             calls = [asyncio.ensure_future(create(**BODY)) for _ in range(2)]
--- a/tests/unit/reclaim/test_reclaim.py
+++ b/tests/unit/reclaim/test_migration_plan.py
@@ -5,22 +5,24 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.models.places import Place
-from ebonydeal._internal.routing.reclaim.reclaim import (
-    ExportFault,
+from ebonydeal._internal.routing.reclaim.migration_plan import (
+    ExportFailure,
     ExportTo,
-    Finish,
-    ReclaimLimits,
+    KeepRunning,
+    MigrationTarget,
+    PlannerAssumptions,
     Recompute,
     RunningStream,
-    Target,
-    plan_moves,
-    replan,
+    plan_migrations,
+    replan_failed_exports,
 )
 from tests.lib.endpoints import make_view
 
 NOW = 500.0
-LIMITS = ReclaimLimits(margin=0.0, overhead=0.0, import_share=0.0, hopeless=0.0)
-WAITING = LIMITS._replace(hopeless=3.0)
+ASSUMPTIONS = PlannerAssumptions(
+    margin_s=0.0, overhead_s=0.0, import_share=0.0, immediate_export_factor=0.0
+)
+WAITING = ASSUMPTIONS._replace(immediate_export_factor=3.0)
 
 
 def stream(request_id: str, **changes) -> RunningStream:
@@ -28,45 +30,49 @@
     return base._replace(**changes)
 
 
-def target(endpoint_id: str, zone: str = "wales-2", room: int = 8, cached=()) -> Target:
+def target(
+    endpoint_id: str, zone: str = "wales-2", room: int = 8, cached=()
+) -> MigrationTarget:
     place = Place("wales", zone)
-    return Target(make_view(endpoint_id, place=place), room, cached)
+    return MigrationTarget(make_view(endpoint_id, place=place), room, cached)
 
 
-def plan(streams, notice, targets, rate=1.0, limits=LIMITS, **kwargs):
-    return plan_moves(streams, notice, rate, targets, NOW, limits=limits, **kwargs)
+def plan(streams, notice, targets, rate=1.0, assumptions=ASSUMPTIONS, **kwargs):
+    return plan_migrations(
+        streams, notice, rate, targets, NOW, assumptions=assumptions, **kwargs
+    )
 
 
 class TestChoice:
     def test_export_waits_as_long_as_is_safe(self):
         short = stream("a", remaining_tokens_estimate=5.0)
-        moves = plan([short, stream("b")], 10.0, [target("t")], limits=WAITING)
+        moves = plan([short, stream("b")], 10.0, [target("t")], assumptions=WAITING)
         reviews = {move.review_at - NOW for move in moves}
-        assert [type(move) for move in moves] == [Finish, Finish]
+        assert [type(move) for move in moves] == [KeepRunning, KeepRunning]
         assert len(reviews) == 1
         needed = 10.0 - reviews.pop()
         assert needed == pytest.approx(2.0 * 1.0 * 0.5 + 1.0, abs=0.01)
 
     def test_stream_that_cannot_end_in_time_is_exported_at_once(self):
         long = stream("a", remaining_tokens_estimate=1501.0)
-        moves = plan([long], 10.0, [target("t")], limits=WAITING)
+        moves = plan([long], 10.0, [target("t")], assumptions=WAITING)
         assert moves == [ExportTo("a", target("t").view, NOW, 1.0)]
 
     def test_likely_end_is_not_exported(self):
         short = stream("a", remaining_tokens_estimate=5.0)
-        assert plan([short], 10.0, [target("t")]) == [Finish("a", NOW + 10.0)]
+        assert plan([short], 10.0, [target("t")]) == [KeepRunning("a", NOW + 10.0)]
 
     def test_review_waits_for_the_exports_before_it(self):
         short = stream("a", remaining_tokens_estimate=5.0)
         moves = plan([short, stream("b")], 10.0, [target("t")])
         assert moves == [
             ExportTo("b", target("t").view, NOW, 1.0),
-            Finish("a", NOW + 1.0),
+            KeepRunning("a", NOW + 1.0),
         ]
 
     def test_review_too_late_to_export_is_at_the_end(self):
         moves = plan([stream("a", remaining_tokens_estimate=10.0)], 0.5, [])
-        assert moves == [Finish("a", NOW + 0.5)]
+        assert moves == [KeepRunning("a", NOW + 0.5)]
         moves = plan([stream("a", remaining_tokens_estimate=0.0)], 0.0, [])
         assert moves == [Recompute("a", None, NOW)]
 
@@ -80,7 +86,7 @@
         moves = plan([stream("a")], 3.0, [target("t")], source_busy={"i-src": 2.0})
         assert moves == [ExportTo("a", target("t").view, NOW + 2.0, 1.0)]
         moves = plan([stream("a")], 3.0, [target("t")], source_busy={"i-src": 2.1})
-        assert moves == [Finish("a", NOW + 3.0)]
+        assert moves == [KeepRunning("a", NOW + 3.0)]
 
     def test_exports_go_by_tokens_saved_per_second(self):
         streams = [
@@ -93,7 +99,7 @@
         assert moves == [
             ExportTo("light", view, NOW, 0.25),
             ExportTo("dense", view, NOW + 0.25, 2.0),
-            Finish("thin", NOW + 4.0),
+            KeepRunning("thin", NOW + 4.0),
         ]
 
     def test_what_a_target_has_cached_need_not_be_saved(self):
@@ -121,7 +127,7 @@
 
     def test_no_export_rate_means_to_run_on_and_prefill_at_the_end(self):
         moves = plan([stream("a")], 10.0, [target("t")], rate=0.0)
-        assert moves == [Finish("a", NOW + 10.0)]
+        assert moves == [KeepRunning("a", NOW + 10.0)]
 
 
 class TestPlaces:
@@ -145,7 +151,7 @@
         moves = plan(streams, 0.0, [target("t1"), target("t2")])
         assert {move.target.endpoint_id for move in moves} == {"t2"}
         assert moves[0].start_at == NOW
-        wait = 50 * 16 / LIMITS.prefill_per_s
+        wait = 50 * 16 / ASSUMPTIONS.prefill_tokens_per_s
         assert [move.start_at for move in moves[1:]] == [NOW + wait, NOW + wait]
 
     def test_lost_events_in_the_middle_do_not_hide_a_cached_prefix(self):
@@ -166,15 +172,15 @@
 
 class TestReplan:
     def test_kept_handle_is_imported_elsewhere(self):
-        limits = LIMITS._replace(import_share=0.5)
-        moves = replan(
+        assumptions = ASSUMPTIONS._replace(import_share=0.5)
+        moves = replan_failed_exports(
             [stream("a"), stream("b")],
-            [ExportFault("a", True), ExportFault("b", False)],
+            [ExportFailure("a", True), ExportFailure("b", False)],
             2.0,
             1.0,
             [target("t")],
             NOW,
-            limits=limits,
+            assumptions=assumptions,
         )
         assert moves == [
             ExportTo("a", target("t").view, NOW, 0.5),
@@ -182,16 +188,16 @@
         ]
 
     def test_kept_handle_without_time_left_is_computed_again(self):
-        moves = replan(
-            [stream("a")], [ExportFault("a", True)], 0.0, 1.0, [target("t")], NOW
+        moves = replan_failed_exports(
+            [stream("a")], [ExportFailure("a", True)], 0.0, 1.0, [target("t")], NOW
         )
         assert moves == [Recompute("a", target("t").view, NOW)]
 
     def test_target_in_a_second_wave_is_left(self):
         targets = [target("t2", "wales-2"), target("t3", "wales-3")]
-        moves = replan(
+        moves = replan_failed_exports(
             [stream("a")],
-            [ExportFault("a", False)],
+            [ExportFailure("a", False)],
             5.0,
             1.0,
             targets,
@@ -232,25 +238,25 @@
     def test_every_stream_has_one_move_within_all_bounds(
         self, streams, targets, notice, rate
     ):
-        limits = ReclaimLimits()
-        moves = plan_moves(
+        assumptions = PlannerAssumptions()
+        moves = plan_migrations(
             streams,
             notice,
             rate,
             targets,
             NOW,
             leaving_zones={"wales-1"},
-            limits=limits,
+            assumptions=assumptions,
         )
         assert Counter(m.request_id for m in moves) == Counter(
             s.request_id for s in streams
         )
-        assert all(m.review_at > NOW for m in moves if isinstance(m, Finish))
+        assert all(m.review_at > NOW for m in moves if isinstance(m, KeepRunning))
         rooms = {it.view.endpoint_id: it.room for it in targets}
         taken = Counter(
             m.target.endpoint_id
             for m in moves
-            if not isinstance(m, Finish) and m.target is not None
+            if not isinstance(m, KeepRunning) and m.target is not None
         )
         assert all(taken[it] <= rooms[it] for it in taken)
         sources = {s.request_id: s.endpoint_id for s in streams}
@@ -264,12 +270,12 @@
             for move in exports:
                 assert move.start_at == pytest.approx(end)
                 end = move.start_at + move.seconds
-            assert end <= NOW + notice - limits.margin + 1e-6
+            assert end <= NOW + notice - assumptions.margin_s + 1e-6
 
     @given(STREAMS, TARGETS, st.floats(0, 30), st.randoms(use_true_random=False))
     def test_order_of_the_input_does_not_matter(self, streams, targets, notice, rng):
-        moves = plan_moves(streams, notice, 1.0, targets, NOW)
+        moves = plan_migrations(streams, notice, 1.0, targets, NOW)
         rng.shuffle(streams)
         rng.shuffle(targets)
-        again = plan_moves(streams, notice, 1.0, targets, NOW)
+        again = plan_migrations(streams, notice, 1.0, targets, NOW)
         assert {m.request_id: m for m in moves} == {m.request_id: m for m in again}
