--- a/src/ebonydeal/_internal/benchmarks/routing/retry_run.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/retry_run.py
@@ -75,7 +75,7 @@
         count[1] += 1
         if item.attempt == 1:
             count[0] += 1
-            policy.first_send("pool", _START + now)
+            policy.record_first_send("pool", _START + now)
             count[1] += _hedge(policy, item, rng, now)
         if rng.random() >= failing:
             count[2] += 1
@@ -87,8 +87,8 @@
             item.idempotent,
             deadline=_START + item.deadline,
         )
-        match policy.next_try(failure, item.attempt, _START + failed):
-            case Retry(after=after):
+        match policy.next_attempt(failure, item.attempt, _START + failed):
+            case Retry(delay_s=after):
                 order += 1
                 again = item._replace(attempt=item.attempt + 1)
                 heappush(heap, (failed + after, order, again))
@@ -99,7 +99,7 @@
     """Return 1 where a slow look-up is hedged."""
     if rng.random() >= _LOOKUP_SHARE:
         return 0
-    hedged = policy.may_hedge(
+    hedged = policy.try_hedge(
         "pool", item.idempotent, _START + item.deadline, _START + now
     )
     return int(hedged)
--- a/src/ebonydeal/_internal/gateway/budget.py
+++ b/src/ebonydeal/_internal/gateway/budget.py
@@ -24,7 +24,7 @@
 
     def first_send(self, deployment: str, now: float) -> None:
         """Count a request's first try, from which the budget grows."""
-        self._policy.first_send(deployment, now)
+        self._policy.record_first_send(deployment, now)
 
     def delay(
         self, failure: TryFailure, tries: int, now: float
@@ -34,16 +34,16 @@
             kind=failure.kind,
             deployment=failure.deployment,
             idempotent=failure.idempotent,
-            ran_before=failure.ran_before,
-            first_byte=failure.first_byte,
+            may_have_run=failure.ran_before,
+            first_byte_received=failure.first_byte,
             deadline=failure.deadline,
         )
-        match self._policy.next_try(asked, tries, now):
-            case Retry(after=after):
+        match self._policy.next_attempt(asked, tries, now):
+            case Retry(delay_s=after):
                 return after
-            case GiveUp(kind=kind, retry_after=wait, why=why):
+            case GiveUp(kind=kind, retry_after=wait, reason=why):
                 return EbonydealError(kind, why, retry_after=wait)
 
     def may_hedge(self, deployment: str, deadline: float, now: float) -> bool:
         """Take a hedge from the budget; return whether it allowed one."""
-        return self._policy.may_hedge(deployment, True, deadline, now)
+        return self._policy.try_hedge(deployment, True, deadline, now)
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/moves.py
@@ -183,7 +183,7 @@
         """Stop a run and pass its memory on; None where that failed."""
         parts = self._parts
         target = self._target(run)
-        if target is None or not parts.retries.spend(run.service):
+        if target is None or not parts.retries.try_spend(run.service):
             # There may be one, or budget, at the next step.
             run.moving = None
             return None
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -98,7 +98,7 @@
             if await parts.permits.take(found.member):
                 break
         if self._tries == 0:
-            parts.retries.first_send(job.service, parts.clock.now())
+            parts.retries.record_first_send(job.service, parts.clock.now())
         self._carried = None
         return self._take(found)
 
@@ -239,7 +239,7 @@
         return (
             job.once
             or self._ran + 1 >= job.route.most_sends
-            or not parts.retries.affords(job.service, self._tries)
+            or not parts.retries.can_retry(job.service, self._tries)
         )
 
     @property
@@ -415,12 +415,12 @@
             kind=error.kind,
             deployment=job.service,
             idempotent=not job.once,
-            ran_before=self.proof.may_have_run,
-            first_byte=delivered and job.once,
+            may_have_run=self.proof.may_have_run,
+            first_byte_received=delivered and job.once,
             deadline=job.until,
         )
-        match self._parts.retries.next_try(failure, self._tries, now):
-            case GiveUp(kind=kind, retry_after=wait, why=why):
+        match self._parts.retries.next_attempt(failure, self._tries, now):
+            case GiveUp(kind=kind, retry_after=wait, reason=why):
                 return EbonydealError(kind, f"{error.detail}; {why}", retry_after=wait)
         return None
 
--- a/src/ebonydeal/_internal/routing/retries/retries.py
+++ b/src/ebonydeal/_internal/routing/retries/retries.py
@@ -37,31 +37,31 @@
         Whose budget counts.
     idempotent : bool
         Whether running the request twice is harmless.
-    ran_before : bool
+    may_have_run : bool
         Whether an earlier try of the request may have run.
-    first_byte : bool
+    first_byte_received : bool
         Whether a byte of the answer came; then only a stream's own resume may
         go on, and a call that is not idempotent ends here.
     deadline : float
         Wall clock seconds; 0.0 means none.
-    least_s : float
+    min_attempt_s : float
         Least time a further try needs to be of use, seconds.
     """
 
     kind: ErrorKind
     deployment: str
     idempotent: bool
-    ran_before: bool = False
-    first_byte: bool = False
+    may_have_run: bool = False
+    first_byte_received: bool = False
     deadline: float = 0.0
-    least_s: float = 0.0
+    min_attempt_s: float = 0.0
 
 
 @dataclass(frozen=True)
 class Retry:
-    """Try again after ``after`` seconds, on another endpoint."""
+    """Try again after ``delay_s`` seconds, on another endpoint."""
 
-    after: float
+    delay_s: float
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
 
     kind: ErrorKind
     retry_after: float | None
-    why: str
+    reason: str
 
 
 @dataclass
@@ -125,11 +125,13 @@
         """Take other budgets, as when the number of relays changes."""
         self._cfg = cfg
 
-    def first_send(self, deployment: str, now: float) -> None:
+    def record_first_send(self, deployment: str, now: float) -> None:
         """Count a request's first send; call once per request."""
         self._budget(deployment).earn(now, self._cfg)
 
-    def next_try(self, failure: Failure, attempt: int, now: float) -> Retry | GiveUp:
+    def next_attempt(
+        self, failure: Failure, attempt: int, now: float
+    ) -> Retry | GiveUp:
         """Decide after try number ``attempt`` (from 1) failed."""
         cfg = self._cfg
         if not self._may_repeat(failure):
@@ -137,7 +139,7 @@
         if attempt >= cfg.attempts:
             return self._give_up(failure, now, "no tries left")
         after = self._backoff(attempt)
-        if failure.deadline and now + after + failure.least_s >= failure.deadline:
+        if failure.deadline and now + after + failure.min_attempt_s >= failure.deadline:
             return self._give_up(failure, now, "the deadline is too near")
         budget = self._budget(failure.deployment)
         if budget.retries < 1.0:
@@ -145,12 +147,12 @@
         budget.retries -= 1.0
         return Retry(after)
 
-    def affords(self, deployment: str, attempt: int) -> bool:
+    def can_retry(self, deployment: str, attempt: int) -> bool:
         """Return whether another try could follow try number ``attempt`` now."""
         spare = self._budget(deployment).retries >= 1.0
         return spare and attempt < self._cfg.attempts
 
-    def spend(self, deployment: str) -> bool:
+    def try_spend(self, deployment: str) -> bool:
         """Take a further send from the budget where nothing has failed."""
         budget = self._budget(deployment)
         if budget.retries < 1.0:
@@ -158,7 +160,7 @@
         budget.retries -= 1.0
         return True
 
-    def may_hedge(
+    def try_hedge(
         self, deployment: str, idempotent: bool, deadline: float, now: float
     ) -> bool:
         """Take a hedge from the budget for a short idempotent look-up."""
@@ -171,7 +173,7 @@
         budget.retries -= 1.0
         return True
 
-    def saved(self, deployment: str) -> float:
+    def available_retries(self, deployment: str) -> float:
         """Return the retries that a deployment has saved up."""
         return self._budget(deployment).retries
 
@@ -183,7 +185,7 @@
 
     def _may_repeat(self, failure: Failure) -> bool:
         """Return whether another try is harmless and can help."""
-        if failure.kind in _PROOF and not failure.first_byte:
+        if failure.kind in _PROOF and not failure.first_byte_received:
             return True
         return failure.idempotent and failure.kind in _REPEATABLE
 
@@ -195,8 +197,8 @@
 
     def _final_kind(self, failure: Failure) -> ErrorKind:
         """Return the kind that a caller is told."""
-        proven = failure.kind in _PROOF and not failure.first_byte
-        if proven and not failure.ran_before:
+        proven = failure.kind in _PROOF and not failure.first_byte_received
+        if proven and not failure.may_have_run:
             return failure.kind
         if not failure.idempotent and failure.kind in _REPEATABLE:
             return ErrorKind.OUTCOME_UNKNOWN
@@ -205,7 +207,7 @@
     def _give_up(self, failure: Failure, now: float, why: str) -> GiveUp:
         """Answer at once; the wait told is when a repeat can be afforded."""
         kind = self._final_kind(failure)
-        if failure.ran_before and kind in _PROOF:
+        if failure.may_have_run and kind in _PROOF:
             kind = ErrorKind.RETRY_BUDGET
         return GiveUp(kind, self._retry_after(failure.deployment, now), why)
 
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -56,7 +56,7 @@
     generous = RetrySettings(budget=1.0, budget_cap=100.0, attempts=100, backoff=0.0)
     retries = RetryPolicy(generous, Random(1))
     for _ in range(20):
-        retries.first_send("s", 100.0)
+        retries.record_first_send("s", 100.0)
     return SimpleNamespace(
         view=view,
         choice=MemberChoice(8.0),
--- a/tests/unit/relay/requests/test_moves.py
+++ b/tests/unit/relay/requests/test_moves.py
@@ -31,7 +31,7 @@
         retries = RetryPolicy(
             RetrySettings(budget=budget, budget_cap=budget), Random(1)
         )
-        retries.first_send("s", 100.0)
+        retries.record_first_send("s", 100.0)
         self.moves = StreamMoves(
             MovesParts(
                 self.view,
--- a/tests/unit/relay/test_retry_share.py
+++ b/tests/unit/relay/test_retry_share.py
@@ -28,9 +28,9 @@
     """Return how many of so many failed requests are sent again, each once."""
     sends = 0
     for _ in range(requests):
-        policy.first_send("s", 100.0)
+        policy.record_first_send("s", 100.0)
         failure = Failure(ErrorKind.ENDPOINT_FAILED, "s", idempotent=True)
-        sends += isinstance(policy.next_try(failure, 1, 100.0), Retry)
+        sends += isinstance(policy.next_attempt(failure, 1, 100.0), Retry)
     return sends
 
 
--- a/tests/unit/routing/retries/test_retries.py
+++ b/tests/unit/routing/retries/test_retries.py
@@ -26,9 +26,9 @@
 class TestNextTry:
     def test_first_failure_may_be_tried_again(self):
         policy = make_policy()
-        policy.first_send("pool", NOW)
-        match policy.next_try(make_failure(), 1, NOW):
-            case Retry(after=after):
+        policy.record_first_send("pool", NOW)
+        match policy.next_attempt(make_failure(), 1, NOW):
+            case Retry(delay_s=after):
                 assert 0.0 <= after <= 0.1
             case other:
                 pytest.fail(f"{other}")
@@ -43,49 +43,51 @@
     )
     def test_non_idempotent_that_may_have_run_ends_unknown(self, kind):
         failure = make_failure(kind, idempotent=False)
-        answer = make_policy().next_try(failure, 1, NOW)
+        answer = make_policy().next_attempt(failure, 1, NOW)
         assert answer == GiveUp(ErrorKind.OUTCOME_UNKNOWN, None, "may not be repeated")
 
     @pytest.mark.parametrize(
         "kind", [ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED]
     )
     def test_non_idempotent_is_tried_again_on_proof_only(self, kind):
-        answer = make_policy().next_try(make_failure(kind, idempotent=False), 1, NOW)
+        answer = make_policy().next_attempt(
+            make_failure(kind, idempotent=False), 1, NOW
+        )
         assert isinstance(answer, Retry)
 
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_non_idempotent_never_after_the_first_byte(self, kind):
-        failure = make_failure(kind, idempotent=False, first_byte=True)
-        assert isinstance(make_policy().next_try(failure, 1, NOW), GiveUp)
+        failure = make_failure(kind, idempotent=False, first_byte_received=True)
+        assert isinstance(make_policy().next_attempt(failure, 1, NOW), GiveUp)
 
     def test_deadline_is_checked_before_the_budget_is_used(self):
         policy = make_policy()
-        failure = make_failure(deadline=NOW + 1.0, least_s=1.0)
-        answer = policy.next_try(failure, 1, NOW)
+        failure = make_failure(deadline=NOW + 1.0, min_attempt_s=1.0)
+        answer = policy.next_attempt(failure, 1, NOW)
         assert isinstance(answer, GiveUp)
-        assert answer.why == "the deadline is too near"
-        assert policy.saved("pool") == 1.0
+        assert answer.reason == "the deadline is too near"
+        assert policy.available_retries("pool") == 1.0
 
     def test_no_more_tries_than_set(self):
-        answer = make_policy(attempts=2).next_try(make_failure(), 2, NOW)
+        answer = make_policy(attempts=2).next_attempt(make_failure(), 2, NOW)
         assert isinstance(answer, GiveUp)
-        assert answer.why == "no tries left"
+        assert answer.reason == "no tries left"
 
     def test_spent_budget_says_when_to_come_back(self):
         policy = make_policy()
-        policy.next_try(make_failure(), 1, NOW)
-        answer = policy.next_try(make_failure(), 1, NOW)
+        policy.next_attempt(make_failure(), 1, NOW)
+        answer = policy.next_attempt(make_failure(), 1, NOW)
         assert isinstance(answer, GiveUp)
         assert answer.kind is ErrorKind.ENDPOINT_FAILED
         assert 1.0 <= answer.retry_after <= 45.0
 
     def test_proof_of_the_last_try_does_not_cover_an_earlier_run(self):
-        failure = make_failure(ErrorKind.CONNECT_FAILED, ran_before=True)
-        answer = make_policy(attempts=2).next_try(failure, 2, NOW)
+        failure = make_failure(ErrorKind.CONNECT_FAILED, may_have_run=True)
+        answer = make_policy(attempts=2).next_attempt(failure, 2, NOW)
         assert answer.kind is ErrorKind.RETRY_BUDGET
 
     def test_caller_errors_are_not_repeated(self):
-        answer = make_policy().next_try(make_failure(ErrorKind.BAD_REQUEST), 1, NOW)
+        answer = make_policy().next_attempt(make_failure(ErrorKind.BAD_REQUEST), 1, NOW)
         assert answer == GiveUp(ErrorKind.BAD_REQUEST, None, "may not be repeated")
 
 
@@ -97,11 +99,11 @@
         extra = 0
         for number in range(requests):
             now = NOW + number * 0.01
-            policy.first_send("pool", now)
+            policy.record_first_send("pool", now)
             if rng.random() < hedged:
-                extra += policy.may_hedge("pool", True, 0.0, now)
+                extra += policy.try_hedge("pool", True, 0.0, now)
             attempt = 1
-            while isinstance(policy.next_try(make_failure(), attempt, now), Retry):
+            while isinstance(policy.next_attempt(make_failure(), attempt, now), Retry):
                 extra += 1
                 attempt += 1
         assert extra <= 1.0 + 0.09 * requests + 1e-6
@@ -109,29 +111,29 @@
     def test_saved_budget_is_bounded(self):
         policy = make_policy()
         for number in range(10_000):
-            policy.first_send("pool", NOW + number)
-        assert policy.saved("pool") == 5.0
+            policy.record_first_send("pool", NOW + number)
+        assert policy.available_retries("pool") == 5.0
 
     def test_deployments_do_not_share(self):
         policy = make_policy()
-        policy.next_try(make_failure(), 1, NOW)
-        assert policy.saved("pool") == 0.0
-        assert policy.saved("other") == 1.0
+        policy.next_attempt(make_failure(), 1, NOW)
+        assert policy.available_retries("pool") == 0.0
+        assert policy.available_retries("other") == 1.0
 
 
 class TestHedge:
     def test_only_idempotent_before_the_deadline(self):
         policy = make_policy()
         for _ in range(100):
-            policy.first_send("pool", NOW)
-        assert not policy.may_hedge("pool", False, 0.0, NOW)
-        assert not policy.may_hedge("pool", True, NOW, NOW)
-        assert policy.may_hedge("pool", True, NOW + 1, NOW)
+            policy.record_first_send("pool", NOW)
+        assert not policy.try_hedge("pool", False, 0.0, NOW)
+        assert not policy.try_hedge("pool", True, NOW, NOW)
+        assert policy.try_hedge("pool", True, NOW + 1, NOW)
 
     def test_two_in_a_hundred(self):
         policy = make_policy()
         hedges = 0
         for _ in range(1000):
-            policy.first_send("pool", NOW)
-            hedges += policy.may_hedge("pool", True, 0.0, NOW)
+            policy.record_first_send("pool", NOW)
+            hedges += policy.try_hedge("pool", True, 0.0, NOW)
         assert hedges in (19, 20)
