--- a/src/ebonydeal/_internal/benchmarks/routing/decision_time.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/decision_time.py
@@ -48,11 +48,11 @@
         start = perf_counter_ns()
         choice = router.choose(ask, views, now)
         assert choice is not None
-        router.sent(choice, ask, now)
+        router.record_sent(choice, ask, now)
         histogram.record_value(perf_counter_ns() - start)
         name = choice.endpoint.endpoint_id
-        router.first_token(ask.request_id, name, 0, ask.prompt_tokens, now + 0.1)
-        router.finished(ask.request_id, name, now + 1.0)
+        router.record_first_token(ask.request_id, name, 0, ask.prompt_tokens, now + 0.1)
+        router.record_finished(ask.request_id, name, now + 1.0)
     p50 = histogram.get_value_at_percentile(50.0) / 1000.0
     p99 = histogram.get_value_at_percentile(99.0) / 1000.0
     return DecisionTime(endpoints, p50, p99)
--- a/src/ebonydeal/_internal/benchmarks/routing/policies.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/policies.py
@@ -134,21 +134,21 @@
         """Choose by score."""
         choice = self.router.choose(ask, views, now)
         assert choice is not None
-        self.router.sent(choice, ask, now)
+        self.router.record_sent(choice, ask, now)
         return choice.endpoint.endpoint_id
 
     def first_token(
         self, request_id: str, endpoint: str, cached: int, missed: int, now: float
     ) -> None:
         """Note a first token."""
-        self.router.first_token(request_id, endpoint, cached, missed, now)
+        self.router.record_first_token(request_id, endpoint, cached, missed, now)
 
     def finished(self, request_id: str, endpoint: str, now: float) -> None:
         """Note the end of an answer."""
-        self.router.finished(request_id, endpoint, now)
+        self.router.record_finished(request_id, endpoint, now)
 
     def cache_events(
         self, endpoint: str, events: Iterable[CacheEvent], now: float
     ) -> None:
         """Take cache events."""
-        self.router.cache_events(endpoint, events, now)
+        self.router.apply_cache_events(endpoint, events, now)
--- a/src/ebonydeal/_internal/gateway/routes.py
+++ b/src/ebonydeal/_internal/gateway/routes.py
@@ -51,7 +51,7 @@
                 choice = self._router.choose(request, group, now)
         if choice is None:
             return None
-        self._router.sent(choice, request, now)
+        self._router.record_sent(choice, request, now)
         return Route(
             endpoint=choice.endpoint,
             scores=_shown(choice),
@@ -72,21 +72,23 @@
     ) -> None:
         """Report the first token and what the prefix cache really held."""
         if route.choice is not None:
-            self._router.first_token(
+            self._router.record_first_token(
                 route.choice, route.endpoint.endpoint_id, cached, prefilled, now
             )
 
     def finished(self, route: Route, tokens: int, now: float) -> None:
         """Report a whole answer, or a try that ended by our own wish."""
         if route.choice is not None:
-            self._router.finished(route.choice, route.endpoint.endpoint_id, now)
+            self._router.record_finished(route.choice, route.endpoint.endpoint_id, now)
 
     def failed(self, route: Route, kind: ErrorKind, now: float) -> None:
         """Report a failed try."""
         if kind is ErrorKind.CONNECT_FAILED:
             self._directory.connect_failed(route.endpoint.endpoint_id)
         if route.choice is not None:
-            self._router.failed(route.choice, route.endpoint.endpoint_id, kind, now)
+            self._router.record_failure(
+                route.choice, route.endpoint.endpoint_id, kind, now
+            )
 
 
 def _warm(views: tuple[EndpointView, ...], ask: RouteAsk) -> tuple[EndpointView, ...]:
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -202,17 +202,17 @@
         ]
 
     def cache_events(endpoint_id: str, events: list[CacheEvent]) -> None:
-        router.cache_events(endpoint_id, events, clock.wall())
+        router.apply_cache_events(endpoint_id, events, clock.wall())
 
     def rests(endpoint_id: str, seconds: float) -> None:
-        router.rests(endpoint_id, seconds, clock.wall())
+        router.pause(endpoint_id, seconds, clock.wall())
 
     watch = WatchSet(
         Member(node.id, place),
         gateways,
         directory,
         settings["routing"],
-        router.keep,
+        router.retain_only,
         clock,
     )
     directory.set_watch(watch.watches)
--- a/src/ebonydeal/_internal/journal/picker.py
+++ b/src/ebonydeal/_internal/journal/picker.py
@@ -128,11 +128,11 @@
         self._sent[view.endpoint_id] += 1
         chosen = self._choices.pop(request.request_id, None)
         if chosen is not None:
-            self._router.sent(*chosen, self._clock.wall())
+            self._router.record_sent(*chosen, self._clock.wall())
 
     def rests(self, endpoint_id: str, seconds: float) -> None:
         """Learn for how long an endpoint wants nothing."""
-        self._router.rests(endpoint_id, seconds, self._clock.wall())
+        self._router.pause(endpoint_id, seconds, self._clock.wall())
 
     def finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
@@ -143,6 +143,8 @@
             del self._sent[view.endpoint_id]
         now = self._clock.wall()
         if error is None:
-            self._router.finished(request.request_id, view.endpoint_id, now)
+            self._router.record_finished(request.request_id, view.endpoint_id, now)
         else:
-            self._router.failed(request.request_id, view.endpoint_id, error, now)
+            self._router.record_failure(
+                request.request_id, view.endpoint_id, error, now
+            )
--- a/src/ebonydeal/_internal/routing/placement/router.py
+++ b/src/ebonydeal/_internal/routing/placement/router.py
@@ -106,7 +106,7 @@
         rest = tuple(item for item in scored[: _SHOWN_ALTERNATIVES + 1] if item != best)
         return Choice(*best, rest[:_SHOWN_ALTERNATIVES])
 
-    def sent(self, choice: Choice, ask: RouteRequest, now: float) -> None:
+    def record_sent(self, choice: Choice, ask: RouteRequest, now: float) -> None:
         """Note that ``ask`` is being sent to the chosen endpoint."""
         endpoint = choice.endpoint.endpoint_id
         missed = max(0.0, ask.prompt_tokens - choice.terms.cached_tokens)
@@ -123,7 +123,7 @@
         self._cache(endpoint).sent(ask.blocks, now)
         self._branches.learn(ask.blocks)
 
-    def first_token(
+    def record_first_token(
         self,
         request_id: str,
         endpoint_id: str,
@@ -148,7 +148,7 @@
             attempt.blocks, attempt.cached_tokens, cached_tokens, now
         )
 
-    def finished(self, request_id: str, endpoint_id: str, now: float) -> None:
+    def record_finished(self, request_id: str, endpoint_id: str, now: float) -> None:
         """Note the whole answer."""
         attempt = self._sent_to(endpoint_id).end(request_id)
         if attempt is None:
@@ -157,7 +157,7 @@
         started = attempt.first_token_at or attempt.sent_at
         self._rates_of(attempt.deployment).served(now - started)
 
-    def failed(
+    def record_failure(
         self, request_id: str, endpoint_id: str, kind: ErrorKind, now: float
     ) -> None:
         """Note that a try failed, or that its caller left."""
@@ -167,7 +167,7 @@
         if kind is ErrorKind.ENDPOINT_REFUSED:
             self._limit(endpoint_id).refused(now)
 
-    def rests(self, endpoint_id: str, seconds: float, now: float) -> None:
+    def pause(self, endpoint_id: str, seconds: float, now: float) -> None:
         """Note for how long an endpoint wants nothing; the latest end holds."""
         until = now + min(seconds, _MOST_REST_S)
         self._rests = {name: at for name, at in self._rests.items() if at > now}
@@ -180,7 +180,7 @@
         """
         return sum(int(self._limit(view.endpoint_id).limit) for view in views)
 
-    def cache_events(
+    def apply_cache_events(
         self, endpoint_id: str, events: Iterable[tuple[int, bool, str]], now: float
     ) -> None:
         """Take many cache events (seq, stored, block) of one engine."""
@@ -195,7 +195,7 @@
         self._rests.pop(endpoint_id, None)
         self._outliers.forget(endpoint_id)
 
-    def keep(self, endpoint_ids: Iterable[str]) -> None:
+    def retain_only(self, endpoint_ids: Iterable[str]) -> None:
         """Forget all endpoints but these; call when the watched set changes."""
         for name in self._incarnations.keys() - set(endpoint_ids):
             self.forget(name)
--- a/tests/lib/matrix_strikes.py
+++ b/tests/lib/matrix_strikes.py
@@ -172,7 +172,7 @@
         events = [(9, True, "b9"), (3, False, "b3"), (3, False, "b3"), (40, True, "b")]
         for process in self._world.processes:
             for endpoint in ("e-1", "e-2", "e-3", "gone"):
-                process.router.cache_events(endpoint, events, now)
+                process.router.apply_cache_events(endpoint, events, now)
 
     async def _disturb(self, row: Row, channel: Channel, what: Any) -> None:
         """Lose, delay, double or reorder one message."""
--- a/tests/unit/routing/placement/test_concurrency.py
+++ b/tests/unit/routing/placement/test_concurrency.py
@@ -49,11 +49,11 @@
         assert router.capacity(views) == 4
         for number in range(2):
             ask = make_ask(f"r{number}", max_tokens=0)
-            router.sent(router.choose(ask, views[:1], NOW), ask, NOW)
+            router.record_sent(router.choose(ask, views[:1], NOW), ask, NOW)
         assert router.choose(make_ask(), views, NOW).endpoint.endpoint_id == "b"
         # With nothing below its limit the choice is still made: admission holds.
         assert router.choose(make_ask(), views[:1], NOW) is not None
-        router.failed("r0", "a", ErrorKind.ENDPOINT_REFUSED, NOW)
+        router.record_failure("r0", "a", ErrorKind.ENDPOINT_REFUSED, NOW)
         assert router.capacity(views) == 3
 
     def test_new_incarnation_starts_without_history(self):
@@ -61,7 +61,7 @@
         blocks = tuple(f"b{n}" for n in range(10))
         ask = make_ask(blocks=blocks)
         first = router.choose(ask, (make_view("a"),), NOW)
-        router.sent(first, ask, NOW)
+        router.record_sent(first, ask, NOW)
         again = router.choose(ask, (make_view("a"),), NOW)
         assert again.terms.cached_tokens == 160.0
         fresh = router.choose(ask, (make_view("a", incarnation=2),), NOW)
--- a/tests/unit/routing/placement/test_load.py
+++ b/tests/unit/routing/placement/test_load.py
@@ -80,7 +80,7 @@
                 ask = make_ask(f"r{step}-{number}")
                 now = NOW + 0.1 * step
                 choice = router.choose(ask, views, now)
-                router.sent(choice, ask, now)
+                router.record_sent(choice, ask, now)
                 to_idle += choice.endpoint.endpoint_id == "e0"
         # All 72 would be the herd; an even share is 18, and twelve fill the gap.
         assert 18 <= to_idle <= 45
--- a/tests/unit/routing/placement/test_outliers.py
+++ b/tests/unit/routing/placement/test_outliers.py
@@ -63,8 +63,8 @@
         router = Router.from_config(RoutingSettings(near_equal=0.0), Random(1))
         for number in range(5):
             ask = make_ask(f"r{number}")
-            router.sent(router.choose(ask, VIEWS[:1], NOW), ask, NOW)
-            router.failed(f"r{number}", "e0", ErrorKind.CONNECT_FAILED, NOW)
+            router.record_sent(router.choose(ask, VIEWS[:1], NOW), ask, NOW)
+            router.record_failure(f"r{number}", "e0", ErrorKind.CONNECT_FAILED, NOW)
         used = {
             router.choose(make_ask(), VIEWS, NOW).endpoint.endpoint_id
             for _ in range(50)
--- a/tests/unit/routing/placement/test_prefix_view.py
+++ b/tests/unit/routing/placement/test_prefix_view.py
@@ -60,6 +60,6 @@
         for endpoint in range(3):
             for seq in range(1000):
                 name = f"e{endpoint}"
-                router.cache_events(name, [(seq, True, f"b{seq}")], NOW)
+                router.apply_cache_events(name, [(seq, True, f"b{seq}")], NOW)
         sizes = [len(cache) for cache in router._caches.values()]
         assert sizes == [333, 333, 333]
--- a/tests/unit/routing/placement/test_router.py
+++ b/tests/unit/routing/placement/test_router.py
@@ -63,7 +63,7 @@
         for number in range(40):
             ask = make_ask(f"r{number}")
             choice = router.choose(ask, views, NOW)
-            router.sent(choice, ask, NOW)
+            router.record_sent(choice, ask, NOW)
             counts[choice.endpoint.endpoint_id] += 1
         assert sorted(counts.values()) == [10, 10, 10, 10]
 
@@ -74,10 +74,10 @@
         views = tuple(make_view(f"e{i}") for i in range(4))
         ask = make_ask("r1", BLOCKS)
         first = router.choose(ask, views, NOW)
-        router.sent(first, ask, NOW)
+        router.record_sent(first, ask, NOW)
         endpoint = first.endpoint.endpoint_id
-        router.first_token("r1", endpoint, 0, 640, NOW + 0.2)
-        router.finished("r1", endpoint, NOW + 1.0)
+        router.record_first_token("r1", endpoint, 0, 640, NOW + 0.2)
+        router.record_finished("r1", endpoint, NOW + 1.0)
         again = router.choose(make_ask("r2", BLOCKS), views, NOW + 2.0)
         assert again.endpoint.endpoint_id == endpoint
         assert again.terms.cached_tokens > 600.0
@@ -90,7 +90,7 @@
         )
         for number in range(2):
             ask = make_ask(f"r{number}")
-            router.sent(router.choose(ask, views[:1], NOW + 1), ask, NOW + 1)
+            router.record_sent(router.choose(ask, views[:1], NOW + 1), ask, NOW + 1)
         choice = router.choose(make_ask(), views, NOW + 1)
         assert choice.endpoint.endpoint_id == "b"
 
@@ -98,19 +98,19 @@
         router = make_router()
         view = make_view("a")
         ask = make_ask()
-        router.sent(router.choose(ask, (view,), NOW), ask, NOW)
+        router.record_sent(router.choose(ask, (view,), NOW), ask, NOW)
         assert router.choose(make_ask("s"), (view,), NOW).terms.load == 1.0
-        router.failed("r", "a", ErrorKind.ENDPOINT_FAILED, NOW)
+        router.record_failure("r", "a", ErrorKind.ENDPOINT_FAILED, NOW)
         assert router.choose(make_ask("s"), (view,), NOW).terms.load == 0.0
 
     def test_dropped_block_is_no_longer_expected(self):
         router = make_router()
         view = make_view("a")
         for seq, block in enumerate(BLOCKS, 1):
-            router.cache_events("a", [(seq, True, block)], NOW)
+            router.apply_cache_events("a", [(seq, True, block)], NOW)
         before = router.choose(make_ask(blocks=BLOCKS), (view,), NOW)
         assert before.terms.cached_tokens == 640.0
-        router.cache_events("a", [(41, False, BLOCKS[10])], NOW)
+        router.apply_cache_events("a", [(41, False, BLOCKS[10])], NOW)
         after = router.choose(make_ask(blocks=BLOCKS), (view,), NOW)
         assert after.terms.cached_tokens == 160.0
 
@@ -120,9 +120,9 @@
         ask = make_ask()
         first = router.choose(ask, views, NOW)
         assert first.endpoint.endpoint_id == "a"
-        router.sent(first, ask, NOW)
-        router.first_token("r", "a", 0, 100, NOW + 2.0)
-        router.finished("r", "a", NOW + 3.0)
+        router.record_sent(first, ask, NOW)
+        router.record_first_token("r", "a", 0, 100, NOW + 2.0)
+        router.record_finished("r", "a", NOW + 3.0)
         later = router.choose(make_ask("s"), views, NOW + 3.0)
         assert later.endpoint.endpoint_id == "b"
         # The wait is believed less as it grows old.
@@ -133,7 +133,7 @@
 class TestRest:
     def test_an_endpoint_gets_nothing_meanwhile(self):
         router, views = make_router(), (make_view("a"), make_view("b"))
-        router.rests("a", 3.0, NOW)
+        router.pause("a", 3.0, NOW)
         for second in (0.0, 1.0, 2.9):
             choice = router.choose(make_ask(), views, NOW + second)
             assert choice.endpoint.endpoint_id == "b"
@@ -141,17 +141,17 @@
 
     def test_of_all_leaves_none_to_choose(self):
         router = make_router()
-        router.rests("a", 3.0, NOW)
+        router.pause("a", 3.0, NOW)
         assert router.choose(make_ask(), (make_view("a"),), NOW + 1.0) is None
 
     def test_of_several_the_latest_end_holds(self):
         router = make_router()
-        router.rests("a", 3.0, NOW)
-        router.rests("a", 1.0, NOW + 1.0)
+        router.pause("a", 3.0, NOW)
+        router.pause("a", 1.0, NOW + 1.0)
         assert router.choose(make_ask(), (make_view("a"),), NOW + 2.5) is None
 
     def test_ends_with_the_incarnation(self):
         router = make_router()
-        router.rests("a", 3.0, NOW)
+        router.pause("a", 3.0, NOW)
         router.forget("a")
         assert router.choose(make_ask(), (make_view("a"),), NOW) is not None
