--- a/src/ebonydeal/_internal/gateway/watchset.py
+++ b/src/ebonydeal/_internal/gateway/watchset.py
@@ -7,7 +7,7 @@
 from mode import Service
 
 from ebonydeal._internal.models.endpoints import EndpointView
-from ebonydeal._internal.routing.placement.subset import Member, choose_subset
+from ebonydeal._internal.routing.placement.subset import PlacedProcess, choose_subset
 from ebonydeal._internal.settings.routing import RoutingSettings
 from ebonydeal._internal.utils.clock import Clock
 
@@ -26,7 +26,7 @@
 
     Parameters
     ----------
-    own : Member
+    own : PlacedProcess
         This gateway.
     gateways : callable
         Returns the other gateways that are alive.
@@ -42,8 +42,8 @@
 
     def __init__(
         self,
-        own: Member,
-        gateways: Callable[[], Iterable[Member]],
+        own: PlacedProcess,
+        gateways: Callable[[], Iterable[PlacedProcess]],
         views: Views,
         cfg: RoutingSettings,
         on_change: Callable[[frozenset[str]], None],
@@ -64,9 +64,9 @@
 
     def refresh(self) -> None:
         """Choose anew from what is known now."""
-        groups: dict[str, list[Member]] = defaultdict(list)
+        groups: dict[str, list[PlacedProcess]] = defaultdict(list)
         for view in self._views.all_views():
-            groups[view.deployment].append(Member(view.endpoint_id, view.place))
+            groups[view.deployment].append(PlacedProcess(view.endpoint_id, view.place))
         gateways = list(self._gateways())
         watched: set[str] = set()
         for endpoints in groups.values():
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -30,7 +30,7 @@
 from ebonydeal._internal.routing.admission.admission import Admission
 from ebonydeal._internal.routing.limits.limits import AccountLimits
 from ebonydeal._internal.routing.placement.router import Router
-from ebonydeal._internal.routing.placement.subset import Member
+from ebonydeal._internal.routing.placement.subset import PlacedProcess
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.settings.config import ConfigSettings
 from ebonydeal._internal.settings.directory import DirectorySettings
@@ -194,9 +194,9 @@
     directory = parts.directory
     router = Router.from_config(settings["routing"], rng)
 
-    def gateways() -> list[Member]:
+    def gateways() -> list[PlacedProcess]:
         return [
-            Member(peer.id, Place(peer.region, peer.zone))
+            PlacedProcess(peer.id, Place(peer.region, peer.zone))
             for peer in parts.peers.members()
             if _ROLE in peer.roles
         ]
@@ -208,7 +208,7 @@
         router.pause(endpoint_id, seconds, clock.wall())
 
     watch = WatchSet(
-        Member(node.id, place),
+        PlacedProcess(node.id, place),
         gateways,
         directory,
         settings["routing"],
--- a/src/ebonydeal/_internal/journal/picker.py
+++ b/src/ebonydeal/_internal/journal/picker.py
@@ -15,7 +15,11 @@
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.models.requests import Request, RequestKind
 from ebonydeal._internal.routing.placement.router import Router
-from ebonydeal._internal.routing.placement.types import NEUTRAL, Choice, RouteRequest
+from ebonydeal._internal.routing.placement.types import (
+    NEUTRAL_WEIGHTS,
+    Choice,
+    RouteRequest,
+)
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.prefix import prefix_blocks, prompt_text
 
@@ -40,7 +44,7 @@
 
     def weights_of(deployment: str) -> Weights:
         found = document().deployments.get(deployment)
-        return NEUTRAL if found is None else found.weights
+        return NEUTRAL_WEIGHTS if found is None else found.weights
 
     return weights_of
 
@@ -88,7 +92,7 @@
         router: Router,
         place: Place,
         clock: Clock,
-        weights_of: WeightsOf = lambda _deployment: NEUTRAL,
+        weights_of: WeightsOf = lambda _deployment: NEUTRAL_WEIGHTS,
     ) -> None:
         self._views = views
         self._router = router
--- a/src/ebonydeal/_internal/routing/placement/ledger.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_attempts.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Sent:
+class EndpointAttempts:
     """Own attempts at one endpoint."""
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class Rates:
+class LearnedRates:
     """Learned speeds of one deployment.
 
     ``prefill`` in tokens per second of one endpoint; ``service_s`` from first
--- a/src/ebonydeal/_internal/routing/placement/load.py
+++ b/src/ebonydeal/_internal/routing/placement/expected_load.py
@@ -11,13 +11,16 @@
 from typing import NamedTuple
 
 from ebonydeal._internal.models.endpoints import EndpointView
-from ebonydeal._internal.routing.placement.ledger import Rates, Sent
+from ebonydeal._internal.routing.placement.endpoint_attempts import (
+    EndpointAttempts,
+    LearnedRates,
+)
 
 _LEARN = 0.02
 _MOST_GATEWAYS = 100.0
 
 
-class Crowd(NamedTuple):
+class DeploymentLoad(NamedTuple):
     """A deployment's endpoints together.
 
     Attributes
@@ -35,7 +38,9 @@
     gateways: float
 
 
-def make_crowd(pairs: Iterable[tuple[EndpointView, Sent]], rates: Rates) -> Crowd:
+def summarize_load(
+    pairs: Iterable[tuple[EndpointView, EndpointAttempts]], rates: LearnedRates
+) -> DeploymentLoad:
     """Put together what is known of all, and learn the number of gateways."""
     count = total = own = since = 0
     for view, sent in pairs:
@@ -46,16 +51,20 @@
         own += len(sent.attempts)
         since += sent.since(view.load.at)
     if not count:
-        return Crowd(0.0, 0.0, rates.gateways)
+        return DeploymentLoad(0.0, 0.0, rates.gateways)
     seen = min(_MOST_GATEWAYS, max(1.0, total / max(1, own)))
     # The first choices learn fast: a cold gateway must not join a herd.
     rates.looks += 1
     rates.gateways += max(_LEARN, 1.0 / rates.looks) * (seen - rates.gateways)
-    return Crowd(total / count, since / count, rates.gateways)
+    return DeploymentLoad(total / count, since / count, rates.gateways)
 
 
 def expected_load(
-    view: EndpointView, sent: Sent, crowd: Crowd, half_life: float, now: float
+    view: EndpointView,
+    sent: EndpointAttempts,
+    deployment_load: DeploymentLoad,
+    half_life: float,
+    now: float,
 ) -> float:
     """Return the requests expected at an endpoint.
 
@@ -67,15 +76,21 @@
     at = min(view.load.at, now)
     reported = view.load.running + view.load.waiting
     worth = 0.5 ** ((now - at) / half_life)
-    base = crowd.load + worth * (reported - crowd.load)
+    base = deployment_load.load + worth * (reported - deployment_load.load)
     # A sample of one gateway's few sends is noisy: its weight is the square
     # root of the number of gateways, not the number itself.
-    ahead = sqrt(crowd.gateways) * (sent.since(at) - crowd.sent_since)
+    ahead = sqrt(deployment_load.gateways) * (
+        sent.since(at) - deployment_load.sent_since
+    )
     return max(own, base + ahead)
 
 
-def load_spread(
-    view: EndpointView, load: float, crowd: Crowd, service_s: float, now: float
+def load_stddev(
+    view: EndpointView,
+    load: float,
+    deployment_load: DeploymentLoad,
+    service_s: float,
+    now: float,
 ) -> float:
     """Return the standard deviation of an expected load, requests.
 
@@ -88,5 +103,5 @@
         return 0.0
     age = max(0.0, now - view.load.at)
     renewed = 1.0 - exp(-2.0 * age / service_s)
-    others = 1.0 - 1.0 / max(1.0, crowd.gateways)
-    return sqrt((load + crowd.load) * others * renewed)
+    others = 1.0 - 1.0 / max(1.0, deployment_load.gateways)
+    return sqrt((load + deployment_load.load) * others * renewed)
--- a/src/ebonydeal/_internal/routing/placement/prefix_view.py
+++ b/src/ebonydeal/_internal/routing/placement/prefix_cache_view.py
@@ -15,7 +15,7 @@
 _DROPPED_PART = 4
 
 
-class CacheView:
+class PrefixCacheView:
     """One endpoint's believed cache.
 
     Parameters
--- a/src/ebonydeal/_internal/routing/placement/router.py
+++ b/src/ebonydeal/_internal/routing/placement/router.py
@@ -7,16 +7,20 @@
 from ebonydeal._internal.models.endpoints import EndpointState, EndpointView
 from ebonydeal._internal.routing.placement.candidates import narrow, probes
 from ebonydeal._internal.routing.placement.concurrency import ConcurrencyLimit
-from ebonydeal._internal.routing.placement.home import Branches, home_of
-from ebonydeal._internal.routing.placement.ledger import Attempt, Rates, Sent
-from ebonydeal._internal.routing.placement.load import (
-    Crowd,
+from ebonydeal._internal.routing.placement.endpoint_attempts import (
+    Attempt,
+    EndpointAttempts,
+    LearnedRates,
+)
+from ebonydeal._internal.routing.placement.expected_load import (
+    DeploymentLoad,
     expected_load,
-    load_spread,
-    make_crowd,
+    load_stddev,
+    summarize_load,
 )
+from ebonydeal._internal.routing.placement.home import Branches, home_of
 from ebonydeal._internal.routing.placement.outliers import Outliers
-from ebonydeal._internal.routing.placement.prefix_view import CacheView
+from ebonydeal._internal.routing.placement.prefix_cache_view import PrefixCacheView
 from ebonydeal._internal.routing.placement.score import (
     Estimate,
     delay_price,
@@ -48,9 +52,9 @@
     def __init__(self, cfg: RoutingSettings, rng: Random) -> None:
         self._cfg = cfg
         self._rng = rng
-        self._sent: dict[str, Sent] = {}
-        self._caches: dict[str, CacheView] = {}
-        self._rates: dict[str, Rates] = {}
+        self._sent: dict[str, EndpointAttempts] = {}
+        self._caches: dict[str, PrefixCacheView] = {}
+        self._rates: dict[str, LearnedRates] = {}
         self._branches = Branches(cfg.cache_blocks)
         self._outliers = Outliers(cfg, rng)
         self._limits: dict[str, ConcurrencyLimit] = {}
@@ -91,8 +95,8 @@
             self._rng,
         )
         pairs = ((view, self._sent_to(view.endpoint_id)) for view in near)
-        crowd = make_crowd(pairs, self._rates_of(ask.deployment))
-        estimates = [self._estimate(ask, view, crowd, now) for view in near]
+        deployment_load = summarize_load(pairs, self._rates_of(ask.deployment))
+        estimates = [self._estimate(ask, view, deployment_load, now) for view in near]
         least = min(delay_s(ask, expected) for expected in estimates)
         price = delay_price(near, ask.first_token_s, least, self._cfg.late_factor)
         scored = []
@@ -201,9 +205,9 @@
             self.forget(name)
 
     # --- parts -------------------------------------------------------------------
-    def _sent_to(self, endpoint_id: str) -> Sent:
+    def _sent_to(self, endpoint_id: str) -> EndpointAttempts:
         if endpoint_id not in self._sent:
-            self._sent[endpoint_id] = Sent()
+            self._sent[endpoint_id] = EndpointAttempts()
         return self._sent[endpoint_id]
 
     def _limit(self, endpoint_id: str) -> ConcurrencyLimit:
@@ -238,24 +242,28 @@
             self.forget(view.endpoint_id)
         self._incarnations[view.endpoint_id] = view.incarnation
 
-    def _cache(self, endpoint_id: str) -> CacheView:
+    def _cache(self, endpoint_id: str) -> PrefixCacheView:
         if endpoint_id not in self._caches:
             cfg = self._cfg
             share = cfg.cache_total // (len(self._caches) + 1)
             most = max(_LEAST_BLOCKS, min(cfg.cache_blocks, share))
             for cache in self._caches.values():
                 cache.bound(most)
-            self._caches[endpoint_id] = CacheView(most, cfg.cache_half_life)
+            self._caches[endpoint_id] = PrefixCacheView(most, cfg.cache_half_life)
         return self._caches[endpoint_id]
 
-    def _rates_of(self, deployment: str) -> Rates:
+    def _rates_of(self, deployment: str) -> LearnedRates:
         if deployment not in self._rates:
             cfg = self._cfg
-            self._rates[deployment] = Rates(cfg.prefill_rate, cfg.service_time)
+            self._rates[deployment] = LearnedRates(cfg.prefill_rate, cfg.service_time)
         return self._rates[deployment]
 
     def _estimate(
-        self, ask: RouteRequest, view: EndpointView, crowd: Crowd, now: float
+        self,
+        ask: RouteRequest,
+        view: EndpointView,
+        deployment_load: DeploymentLoad,
+        now: float,
     ) -> Estimate:
         """Put together what is expected of one endpoint."""
         sent = self._sent_to(view.endpoint_id)
@@ -264,7 +272,7 @@
         half_life = self._cfg.report_half_life
         queue_s = sent.queue_now(now, half_life)
         slots = float(view.load.slots) if view.load else _ASSUMED_SLOTS
-        load = expected_load(view, sent, crowd, half_life, now)
+        load = expected_load(view, sent, deployment_load, half_life, now)
         return Estimate(
             load=load,
             slots=slots,
@@ -272,7 +280,7 @@
             cached_tokens=min(cached, float(ask.prompt_tokens)),
             prefill_rate=rates.prefill,
             service_s=rates.service_s,
-            load_spread=load_spread(view, load, crowd, rates.service_s, now),
+            load_stddev=load_stddev(view, load, deployment_load, rates.service_s, now),
         )
 
     def _pick(self, scored: list[Scored]) -> Scored:
--- a/src/ebonydeal/_internal/routing/placement/score.py
+++ b/src/ebonydeal/_internal/routing/placement/score.py
@@ -11,7 +11,7 @@
 
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.models.places import Distance, distance
-from ebonydeal._internal.routing.placement.types import RouteRequest, Scored, Terms
+from ebonydeal._internal.routing.placement.types import RouteRequest, Scored, ScoreTerms
 
 _HOUR = 3600.0
 _ROUND_TRIP_S = {
@@ -40,7 +40,7 @@
         From first token to the end, seconds.
     home_tokens : float
         Tokens that later requests are expected to save if this one comes here.
-    load_spread : float
+    load_stddev : float
         Standard deviation of ``load``, requests.
     """
 
@@ -51,7 +51,7 @@
     prefill_rate: float
     service_s: float
     home_tokens: float = 0.0
-    load_spread: float = 0.0
+    load_stddev: float = 0.0
 
 
 def price_per_second(views: tuple[EndpointView, ...]) -> float:
@@ -118,7 +118,7 @@
     chance = view.evict_per_hour / _HOUR * expected.service_s
     own_second = view.price_per_hour / _HOUR
     used_s = prefill_s + expected.service_s / max(1.0, expected.slots)
-    terms = Terms(
+    terms = ScoreTerms(
         wait=second * (delay + (rates.late - 1.0) * late),
         prefill=second * prefill_s * (ask.weights.recompute + crowding),
         distance=second * _ROUND_TRIP_S[distance(ask.place, view.place)],
@@ -146,7 +146,7 @@
     out longer count, so a load that isn't known well costs a wait.
     """
     behind = expected.load + 1.0 - expected.slots
-    waiting = _mean_above_zero(behind, expected.load_spread)
+    waiting = _mean_above_zero(behind, expected.load_stddev)
     return waiting * expected.service_s / max(1.0, expected.slots)
 
 
--- a/src/ebonydeal/_internal/routing/placement/subset.py
+++ b/src/ebonydeal/_internal/routing/placement/subset.py
@@ -15,7 +15,7 @@
 from ebonydeal._internal.models.places import Distance, Place, distance
 
 
-class Member(NamedTuple):
+class PlacedProcess(NamedTuple):
     """A gateway or an endpoint, by id and place."""
 
     id: str
@@ -28,9 +28,9 @@
 
 
 def choose_subset(
-    gateway: Member,
-    gateways: Sequence[Member],
-    endpoints: Sequence[Member],
+    gateway: PlacedProcess,
+    gateways: Sequence[PlacedProcess],
+    endpoints: Sequence[PlacedProcess],
     size: int,
     spill_share: float,
 ) -> frozenset[str]:
@@ -38,11 +38,11 @@
 
     Parameters
     ----------
-    gateway : Member
+    gateway : PlacedProcess
         This gateway.
-    gateways : sequence of Member
+    gateways : sequence of PlacedProcess
         All gateways known, with or without this one.
-    endpoints : sequence of Member
+    endpoints : sequence of PlacedProcess
         Endpoints of one deployment.
     size : int
         Most endpoints watched by choice; those that only this gateway covers
@@ -66,19 +66,21 @@
     return frozenset(chosen).union(covered)
 
 
-def _ranked(gateway: Member, endpoints: Sequence[Member], far: Distance) -> list[str]:
+def _ranked(
+    gateway: PlacedProcess, endpoints: Sequence[PlacedProcess], far: Distance
+) -> list[str]:
     """Return endpoint ids at one distance, highest rank first."""
     ids = [item.id for item in endpoints if distance(gateway.place, item.place) is far]
     return sorted(ids, key=lambda name: rank(gateway.id, name), reverse=True)
 
 
-def _covering(gateways: Iterable[Member], endpoint: Member) -> str:
+def _covering(gateways: Iterable[PlacedProcess], endpoint: PlacedProcess) -> str:
     """Return the id of the gateway that must watch ``endpoint``.
 
     Gateways of the endpoint's zone come first, so the way is short.
     """
 
-    def order(item: Member) -> tuple[int, int]:
+    def order(item: PlacedProcess) -> tuple[int, int]:
         return (-distance(item.place, endpoint.place), rank(item.id, endpoint.id))
 
     return max(gateways, key=order).id
--- a/src/ebonydeal/_internal/routing/placement/types.py
+++ b/src/ebonydeal/_internal/routing/placement/types.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.models.places import Place
 
-NEUTRAL = Weights(cost=1.0, recompute=1.0)
+NEUTRAL_WEIGHTS = Weights(cost=1.0, recompute=1.0)
 
 
 class RouteRequest(NamedTuple):
@@ -48,11 +48,11 @@
     place: Place
     session: str = ""
     exclude: frozenset[str] = frozenset()
-    weights: Weights = NEUTRAL
+    weights: Weights = NEUTRAL_WEIGHTS
     first_token_s: float = 0.47
 
 
-class Terms(NamedTuple):
+class ScoreTerms(NamedTuple):
     """Parts of a score, all in money, and the estimates behind them.
 
     Attributes
@@ -95,7 +95,7 @@
 
     endpoint: EndpointView
     score: float
-    terms: Terms
+    terms: ScoreTerms
 
 
 class Choice(NamedTuple):
@@ -103,5 +103,5 @@
 
     endpoint: EndpointView
     score: float
-    terms: Terms
+    terms: ScoreTerms
     alternatives: tuple[Scored, ...] = ()
--- a/tests/unit/gateway/test_parts.py
+++ b/tests/unit/gateway/test_parts.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.models.endpoints import LoadReport
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.routing.limits.limits import AccountLimits
-from ebonydeal._internal.routing.placement.subset import Member
+from ebonydeal._internal.routing.placement.subset import PlacedProcess
 from ebonydeal._internal.settings.routing import AdmissionSettings, RoutingSettings
 from tests.lib.clock import ManualClock
 from tests.lib.gateway_fakes import MODEL, PLACE, account, view
@@ -88,7 +88,7 @@
 class TestWatchSet:
     def test_follows_endpoints_and_gateways(self):
         views = [view(f"e{n}") for n in range(20)]
-        gateways: list[Member] = []
+        gateways: list[PlacedProcess] = []
         told: list[frozenset[str]] = []
 
         class Views:
@@ -96,7 +96,7 @@
                 return tuple(views)
 
         watch = WatchSet(
-            Member("gw-1", PLACE),
+            PlacedProcess("gw-1", PLACE),
             lambda: gateways,
             Views(),
             RoutingSettings(subset=4),
@@ -108,7 +108,9 @@
         watch.refresh()
         # Alone, it has to cover all of them.
         assert [len(ids) for ids in told] == [20]
-        gateways.extend(Member(f"gw-{n}", Place("wales", "z")) for n in range(2, 9))
+        gateways.extend(
+            PlacedProcess(f"gw-{n}", Place("wales", "z")) for n in range(2, 9)
+        )
         watch.refresh()
         assert 4 <= len(told[-1]) <= 20
         assert {item.endpoint_id for item in views if watch.watches(item)} == told[-1]
--- a/tests/unit/journal/test_picker.py
+++ b/tests/unit/journal/test_picker.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.models.endpoints import LoadReport
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.routing.placement.router import Router
-from ebonydeal._internal.routing.placement.types import NEUTRAL
+from ebonydeal._internal.routing.placement.types import NEUTRAL_WEIGHTS
 from ebonydeal._internal.settings.routing import RoutingSettings
 from tests.lib.clock import ManualClock
 from tests.lib.endpoints import make_view
@@ -69,8 +69,8 @@
         assert ask.weights == Weights(2.0, 1.0)
 
     def test_a_body_that_is_no_json_has_none(self):
-        ask = route_request(make_request(body="{"), HERE, NOBODY, NEUTRAL)
+        ask = route_request(make_request(body="{"), HERE, NOBODY, NEUTRAL_WEIGHTS)
         assert (ask.model, ask.blocks) == ("", ())
 
     def test_a_deployment_that_is_not_known_is_neutral(self):
-        assert weights_from(lambda: EMPTY_DOCUMENT)("pool") == NEUTRAL
+        assert weights_from(lambda: EMPTY_DOCUMENT)("pool") == NEUTRAL_WEIGHTS
--- a/tests/unit/routing/placement/test_load.py
+++ b/tests/unit/routing/placement/test_expected_load.py
@@ -1,12 +1,15 @@
 from math import exp, sqrt
 from random import Random
 
-from ebonydeal._internal.routing.placement.ledger import Rates, Sent
-from ebonydeal._internal.routing.placement.load import (
-    Crowd,
+from ebonydeal._internal.routing.placement.endpoint_attempts import (
+    EndpointAttempts,
+    LearnedRates,
+)
+from ebonydeal._internal.routing.placement.expected_load import (
+    DeploymentLoad,
     expected_load,
-    load_spread,
-    make_crowd,
+    load_stddev,
+    summarize_load,
 )
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
@@ -16,38 +19,59 @@
 class TestExpectedLoad:
     def test_fresh_report_is_believed(self):
         view = make_view("a", load=make_load(6, 3))
-        assert expected_load(view, Sent(), Crowd(2.0, 0.0, 1.0), 2.0, NOW) == 9.0
+        assert (
+            expected_load(
+                view, EndpointAttempts(), DeploymentLoad(2.0, 0.0, 1.0), 2.0, NOW
+            )
+            == 9.0
+        )
 
     def test_old_report_is_drawn_to_the_mean(self):
         view = make_view("a", load=make_load(8, 0))
-        crowd = Crowd(4.0, 0.0, 1.0)
-        assert expected_load(view, Sent(), crowd, 2.0, NOW + 2.0) == 6.0
-        assert expected_load(view, Sent(), crowd, 2.0, NOW + 40.0) < 4.01
+        deployment_load = DeploymentLoad(4.0, 0.0, 1.0)
+        assert (
+            expected_load(view, EndpointAttempts(), deployment_load, 2.0, NOW + 2.0)
+            == 6.0
+        )
+        assert (
+            expected_load(view, EndpointAttempts(), deployment_load, 2.0, NOW + 40.0)
+            < 4.01
+        )
 
     def test_report_from_the_future_counts_as_fresh(self):
         view = make_view("a", load=make_load(8, 0, at=NOW + 100.0))
-        assert expected_load(view, Sent(), Crowd(0, 0, 1.0), 2.0, NOW) == 8.0
+        assert (
+            expected_load(view, EndpointAttempts(), DeploymentLoad(0, 0, 1.0), 2.0, NOW)
+            == 8.0
+        )
 
     def test_no_report_leaves_own_requests(self):
-        crowd = make_crowd([(make_view("a"), Sent())], Rates(1.0, 1.0))
-        assert crowd == Crowd(0.0, 0.0, 1.0)
-        assert expected_load(make_view("a"), Sent(), crowd, 2.0, NOW) == 0.0
+        deployment_load = summarize_load(
+            [(make_view("a"), EndpointAttempts())], LearnedRates(1.0, 1.0)
+        )
+        assert deployment_load == DeploymentLoad(0.0, 0.0, 1.0)
+        assert (
+            expected_load(make_view("a"), EndpointAttempts(), deployment_load, 2.0, NOW)
+            == 0.0
+        )
 
 
 class TestLoadSpread:
     def test_fresh_reports_and_own_requests_are_certain(self):
         view = make_view("a", load=make_load(6, 0))
-        assert load_spread(view, 6.0, Crowd(6.0, 0.0, 3.0), 2.0, NOW) == 0.0
-        assert load_spread(view, 6.0, Crowd(6.0, 0.0, 1.0), 2.0, NOW + 9.0) == 0.0
+        assert load_stddev(view, 6.0, DeploymentLoad(6.0, 0.0, 3.0), 2.0, NOW) == 0.0
+        assert (
+            load_stddev(view, 6.0, DeploymentLoad(6.0, 0.0, 1.0), 2.0, NOW + 9.0) == 0.0
+        )
 
     def test_others_requests_grow_uncertain_as_the_report_ages(self):
         view = make_view("a", load=make_load(6, 0))
-        spread = load_spread(view, 6.0, Crowd(2.0, 0.0, 3.0), 2.0, NOW + 1.0)
+        spread = load_stddev(view, 6.0, DeploymentLoad(2.0, 0.0, 3.0), 2.0, NOW + 1.0)
         assert spread == sqrt(8.0 * (1.0 - 1.0 / 3.0) * (1.0 - exp(-1.0)))
 
     def test_no_report_leaves_own_requests(self):
-        crowd = Crowd(6.0, 0.0, 3.0)
-        assert load_spread(make_view("a"), 6.0, crowd, 2.0, NOW) == 0.0
+        deployment_load = DeploymentLoad(6.0, 0.0, 3.0)
+        assert load_stddev(make_view("a"), 6.0, deployment_load, 2.0, NOW) == 0.0
 
 
 class TestNearlyFull:
--- a/tests/unit/routing/placement/test_prefix_view.py
+++ b/tests/unit/routing/placement/test_prefix_cache_view.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.routing.placement.prefix_view import CacheView
+from ebonydeal._internal.routing.placement.prefix_cache_view import PrefixCacheView
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
 from tests.unit.routing.helpers import NOW
@@ -11,8 +11,8 @@
 BLOCKS = tuple(f"b{number}" for number in range(20))
 
 
-def make_cache(most: int = 100, half_life: float = 100.0) -> CacheView:
-    return CacheView(most, half_life)
+def make_cache(most: int = 100, half_life: float = 100.0) -> PrefixCacheView:
+    return PrefixCacheView(most, half_life)
 
 
 def stored(blocks) -> list[tuple[int, bool, str]]:
--- a/tests/unit/routing/placement/test_score.py
+++ b/tests/unit/routing/placement/test_score.py
@@ -22,14 +22,14 @@
 
     def test_uncertain_load_costs_a_wait_before_all_slots_are_taken(self):
         # Just full, give or take 2: the mean of what is above is 2 / sqrt(2 pi).
-        full = IDLE._replace(load=7.0, load_spread=2.0)
+        full = IDLE._replace(load=7.0, load_stddev=2.0)
         waiting = 2.0 / sqrt(2.0 * pi)
         assert round(delay_s(make_ask(), full), 9) == round(0.1 + waiting / 4, 9)
 
     def test_uncertainty_hardly_counts_far_from_the_limit(self):
-        light = IDLE._replace(load=1.0, load_spread=1.0)
+        light = IDLE._replace(load=1.0, load_stddev=1.0)
         assert round(delay_s(make_ask(), light), 6) == 0.1
-        heavy = IDLE._replace(load=27.0, load_spread=2.0)
+        heavy = IDLE._replace(load=27.0, load_stddev=2.0)
         assert round(delay_s(make_ask(), heavy), 6) == 0.1 + 20 * 2.0 / 8
 
 
--- a/tests/unit/routing/placement/test_subset.py
+++ b/tests/unit/routing/placement/test_subset.py
@@ -2,14 +2,14 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.models.places import Place
-from ebonydeal._internal.routing.placement.subset import Member, choose_subset
+from ebonydeal._internal.routing.placement.subset import PlacedProcess, choose_subset
 
 ZONES = [Place("wales", f"wales-{n}") for n in (1, 2, 3)] + [Place("north", "north-1")]
 place = st.sampled_from(ZONES)
 
 
-def members(prefix: str, places) -> list[Member]:
-    return [Member(f"{prefix}{n}", where) for n, where in enumerate(places)]
+def members(prefix: str, places) -> list[PlacedProcess]:
+    return [PlacedProcess(f"{prefix}{n}", where) for n, where in enumerate(places)]
 
 
 class TestChooseSubset:
