--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -205,7 +205,7 @@
         router.apply_cache_events(endpoint_id, events, clock.wall())
 
     def rests(endpoint_id: str, seconds: float) -> None:
-        router.pause(endpoint_id, seconds, clock.wall())
+        router.back_off(endpoint_id, seconds, clock.wall())
 
     watch = WatchSet(
         PlacedProcess(node.id, place),
--- a/src/ebonydeal/_internal/journal/picker.py
+++ b/src/ebonydeal/_internal/journal/picker.py
@@ -136,7 +136,7 @@
 
     def rests(self, endpoint_id: str, seconds: float) -> None:
         """Learn for how long an endpoint wants nothing."""
-        self._router.pause(endpoint_id, seconds, self._clock.wall())
+        self._router.back_off(endpoint_id, seconds, self._clock.wall())
 
     def finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
--- a/src/ebonydeal/_internal/relay/peers/long_reads.py
+++ b/src/ebonydeal/_internal/relay/peers/long_reads.py
@@ -17,7 +17,7 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
 from ebonydeal._internal.relay.peers.messages import LongReadMessage
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
@@ -40,7 +40,7 @@
 class LongReadTaker:
     """Takes other relays' words into the choice of endpoints."""
 
-    def __init__(self, choice: MemberChoice, clock: Clock) -> None:
+    def __init__(self, choice: EndpointSelector, clock: Clock) -> None:
         self._choice = choice
         self._clock = clock
 
@@ -48,7 +48,7 @@
         """Take one word."""
         seconds = min(_MOST_S, max(0.0, float(message["seconds"])))
         until = self._clock.now() + seconds
-        self._choice.reads_until(str(message["endpoint"]), until)
+        self._choice.mark_prefilling(str(message["endpoint"]), until)
         return {}
 
 
--- a/src/ebonydeal/_internal/relay/peers/word.py
+++ b/src/ebonydeal/_internal/relay/peers/word.py
@@ -12,9 +12,9 @@
 from ebonydeal._internal.relay.view.news import NewsTaker
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
-from ebonydeal._internal.routing.placement.endpoint_load import Told
-from ebonydeal._internal.routing.placement.failure_shares import FailureShares
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
+from ebonydeal._internal.routing.placement.endpoint_load import ReportedLoad
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
+from ebonydeal._internal.routing.placement.failure_rates import FailureRates
 from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.utils.clock import Clock
 
@@ -28,10 +28,10 @@
     node: str
     incarnation: str
     usage: UsageMeter
-    choice: MemberChoice
+    choice: EndpointSelector
     quota: QuotaGate
     limits: LimitsLink
-    failing: FailureShares
+    failing: FailureRates
     suspects: Suspects
     split: Split
     rollouts: RolloutHearer
@@ -71,16 +71,16 @@
             wall=parts.clock.wall(),
             windows=parts.usage.to_message(self._reported + 1),
             loads={
-                endpoint_id: [told.running, round(told.unread)]
-                for endpoint_id, told in parts.choice.own().items()
+                endpoint_id: [told.running, round(told.pending_prefill_tokens)]
+                for endpoint_id, told in parts.choice.own_loads().items()
             },
             demand=parts.quota.demand(now),
             work={
                 name: round(value, 4)
-                for name, value in parts.choice.work(now).items()
+                for name, value in parts.choice.work_rates(now).items()
                 if value >= _LEAST_WORK
             },
-            answers=parts.failing.own(now),
+            answers=parts.failing.own_counts(now),
             leaving=self.leaving,
             seen=list(parts.news.seen),
             crashes_mark=parts.suspects.mark,
@@ -101,13 +101,13 @@
         if reply["news"] is not None:
             parts.news.take(reply["news"])
         self._reported = max(self._reported, reply["reported"])
-        parts.choice.told(
+        parts.choice.update_reported_loads(
             {
-                endpoint_id: Told(int(load[0]), float(load[1]), now)
+                endpoint_id: ReportedLoad(int(load[0]), float(load[1]), now)
                 for endpoint_id, load in reply["loads"].items()
             }
         )
-        parts.failing.told(reply.get("answers", {}), now)
+        parts.failing.update_reported_counts(reply.get("answers", {}), now)
         # A coordinator of the release before doesn't tell of shares and crashes.
         if "limits" in reply:
             parts.limits.heard(reply["limits"], asked_at)
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -65,12 +65,12 @@
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import QuotaTerms
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
-from ebonydeal._internal.routing.placement.failure_shares import FailureShares
-from ebonydeal._internal.routing.placement.member_choice import (
-    ChoiceTerms,
-    MemberChoice,
+from ebonydeal._internal.routing.placement.endpoint_selector import (
+    EndpointSelector,
+    SelectionPolicy,
 )
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.failure_rates import FailureRates
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.routing.rollout.course import Terms as RolloutTerms
 from ebonydeal._internal.routing.rollout.exposure import Bound
@@ -111,8 +111,8 @@
         self.ports = ports
         self.view = RelayView(self._cfg.drain_ms / 1000.0)
         self._pools = EndpointPools(clock, self._cfg.connect_ms / 1000.0)
-        self._choice = MemberChoice(
-            self._cfg.reuse_window_s, ChoiceTerms.from_config(self._policy)
+        self._choice = EndpointSelector(
+            self._cfg.reuse_window_s, SelectionPolicy.from_config(self._policy)
         )
         self.usage = UsageMeter(self._cfg.usage_window_s)
         self._retries = RetryPolicy(
@@ -120,8 +120,10 @@
             rng,
             lambda: first_retry(self._cfg, self._exchange.relay_count),
         )
-        self._failing = FailureShares(self._policy.avoid_failing)
-        outliers = Outliers(outlier_terms(settings["routing"], self._policy), rng)
+        self._failing = FailureRates(self._policy.avoid_failing)
+        outliers = OutlierDetector(
+            outlier_terms(settings["routing"], self._policy), rng
+        )
         self._outliers = outliers
         self.view.on_restart = self._forget_endpoint
         self._notices = EndpointNotices()
@@ -436,7 +438,7 @@
         while not self.should_stop:
             await self._clock.sleep(_SWEEP_S)
             self._pools.keep_only(self.view.members)
-            self._choice.keep_only(self.view.members)
+            self._choice.retain_only(self.view.members)
 
     async def drain(self) -> None:
         """Let the balancer take us out, and finish what is in flight.
--- a/src/ebonydeal/_internal/relay/requests/chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/chooser.py
@@ -6,7 +6,7 @@
 from ebonydeal._internal.models.forwarding import EngineShape, Member
 from ebonydeal._internal.relay.requests.job import Job, SendParts
 from ebonydeal._internal.routing.crashes.crash_evidence import Standing
-from ebonydeal._internal.routing.placement.member_choice import Ask
+from ebonydeal._internal.routing.placement.endpoint_selector import SelectionRequest
 
 # Requests' lengths are guesses, right at the median: so much longer is allowed.
 _DURATION_SPREAD = 1.5
@@ -44,12 +44,12 @@
         service = None if index is None else index.table.services.get(self._job.service)
         return None if service is None else service.engine
 
-    def ask(self, connected: frozenset[str] = frozenset()) -> Ask:
+    def ask(self, connected: frozenset[str] = frozenset()) -> SelectionRequest:
         """Return what a choice needs to know; ``connected`` matters to it alone."""
         req, engine = self._job.req, self.engine
         fetches = engine is not None and engine.moves
         tokens = req.prompt_tokens or 0
-        return Ask(req.parts, tokens, self._parts.zone, fetches, connected)
+        return SelectionRequest(req.parts, tokens, self._parts.zone, fetches, connected)
 
     def find(self, avoid: Set[str], again: bool = False) -> Found | None:
         """Return the best endpoint that isn't among ``avoid``, or None.
@@ -102,19 +102,25 @@
         allowed = parts.outliers.allowed(listed, now)
         if parts.suspects.standing(job.digest) is Standing.SUSPECT:
             return self._apart(allowed)
-        failing = parts.failing.failing(now)
+        failing = parts.failing.failing_endpoints(now)
         if job.req.prompt_tokens is None:
-            member = parts.choice.plain(parts.zone, allowed, failing)
+            member = parts.choice.select_plain(parts.zone, allowed, failing)
             return None if member is None else Found(member, 0.0, None)
         ask = self.ask(parts.pools.connected())
-        score = parts.choice.engine(ask, allowed, now, failing)
+        score = parts.choice.select_engine(ask, allowed, now, failing)
         if score is None:
             return None
         speed = parts.choice.speed
-        expected = speed.base + score.wait + speed.reading(score.missed)
+        expected = (
+            speed.base_latency_s
+            + score.wait
+            + speed.prefill_seconds(score.uncached_tokens)
+        )
         members = parts.view.members
         source = members[score.source].address if score.source else ""
-        return Found(members[score.endpoint_id], score.missed, expected, source)
+        return Found(
+            members[score.endpoint_id], score.uncached_tokens, expected, source
+        )
 
     def _apart(self, allowed: Sequence[Member]) -> Found | None:
         """Return where a request that may bring its endpoint down costs least.
@@ -130,7 +136,7 @@
             endpoint_id = member.endpoint_id
             return (
                 parts.suspects.runs_at(endpoint_id),
-                parts.choice.running(endpoint_id),
+                parts.choice.running_requests(endpoint_id),
                 member.zone != parts.zone,
                 endpoint_id,
             )
@@ -161,6 +167,6 @@
         job = self._job
         if job.req.prompt_tokens is None:
             return job.route.objective
-        return self._parts.choice.speed.duration(
+        return self._parts.choice.speed.answer_seconds(
             job.req.length_hint or job.req.output_tokens
         )
--- a/src/ebonydeal/_internal/relay/requests/first_wait.py
+++ b/src/ebonydeal/_internal/relay/requests/first_wait.py
@@ -68,7 +68,7 @@
         if self._sends.is_last:
             # Looked at again, since retries may be had by then.
             return max(now, min(self._sends.job.until, now + _ALIVE_S))
-        silent = self._parts.choice.silent_for(self._endpoint_id, now)
+        silent = self._parts.choice.seconds_since_activity(self._endpoint_id, now)
         if silent >= _ALIVE_S:
             return now
         return min(self._last, now + _ALIVE_S - silent)
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -22,9 +22,9 @@
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
-from ebonydeal._internal.routing.placement.failure_shares import FailureShares
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
+from ebonydeal._internal.routing.placement.failure_rates import FailureRates
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.settings.policy import PolicySettings
@@ -94,9 +94,9 @@
 
     wire: Wire
     view: RelayView
-    choice: MemberChoice
-    outliers: Outliers
-    failing: FailureShares
+    choice: EndpointSelector
+    outliers: OutlierDetector
+    failing: FailureRates
     refusal: EarlyRefusal
     retries: RetryPolicy
     pools: EndpointPools
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/moves.py
@@ -19,8 +19,11 @@
 from ebonydeal._internal.relay.ports import Engines
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
-from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.endpoint_selector import (
+    EndpointSelector,
+    SelectionRequest,
+)
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.reclaim.running_streams import (
     PlannerAssumptions,
     RunningStream,
@@ -92,8 +95,8 @@
     """What moves are made with."""
 
     view: RelayView
-    choice: MemberChoice
-    outliers: Outliers
+    choice: EndpointSelector
+    outliers: OutlierDetector
     retries: RetryPolicy
     notices: EndpointNotices
     engines: Engines
@@ -219,7 +222,9 @@
             and parts.notices.takes_runs(member.process, now)
         ]
         allowed = parts.outliers.allowed(listed, now)
-        score = parts.choice.engine(Ask((), 0, parts.zone), allowed, now)
+        score = parts.choice.select_engine(
+            SelectionRequest((), 0, parts.zone), allowed, now
+        )
         return None if score is None else parts.view.members[score.endpoint_id]
 
     def _failed(self, run: LiveRun, target: Member, reason: str) -> None:
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -24,7 +24,7 @@
     ProvedNotRun,
     RunProof,
 )
-from ebonydeal._internal.routing.placement.endpoint_load import Sent
+from ebonydeal._internal.routing.placement.endpoint_load import SentRequest
 from ebonydeal._internal.routing.retries.retries import Failure, GiveUp
 from ebonydeal._internal.routing.rollout.split import Awaited
 
@@ -61,7 +61,7 @@
         self._tries = 0
         self._avoid: set[str] = set()
         self._counted = False
-        self.sent: Sent | None = None
+        self.sent: SentRequest | None = None
         # Seconds to the first event of the last send, where that is known.
         self.expected: float | None = None
         self.member: Member | None = None
@@ -154,11 +154,13 @@
         self._source = found.source
         self._tries += 1
         now = parts.clock.now()
-        self.sent = parts.choice.sent(self.chooser.ask(), member, found.missed, now)
+        self.sent = parts.choice.record_sent(
+            self.chooser.ask(), member, found.missed, now
+        )
         self._note_version(member, now)
         expected = self.expected = found.expected
         if expected is not None:
-            reading = parts.choice.speed.reading(found.missed)
+            reading = parts.choice.speed.prefill_seconds(found.missed)
             parts.long_reads.sent(member.endpoint_id, reading, expected)
         logger.info(
             "Sent.",
@@ -172,8 +174,8 @@
             to_read=round(found.missed),
             fetches=bool(found.source),
             carried=self._carried is not None,
-            running=parts.choice.running(member.endpoint_id),
-            told_age_s=parts.choice.told_age(member.endpoint_id, now),
+            running=parts.choice.running_requests(member.endpoint_id),
+            told_age_s=parts.choice.report_age(member.endpoint_id, now),
             config=parts.view.version,
             send=self._tries,
             waited_s=round(now - job.started, 4),
@@ -291,20 +293,20 @@
         """Take what the endpoint says of itself."""
         if self.sent is not None and self.member is not None:
             request_id = self.job.req.request_id
-            self._parts.notices.read(self.member, head, request_id, self.sent.at)
+            self._parts.notices.read(self.member, head, request_id, self.sent.sent_at)
 
     def heard(self) -> None:
         """Note a sign of life of the endpoint."""
         if self.sent is not None and self.member is not None:
-            self._parts.suspects.heard(self.member, self.sent.at)
+            self._parts.suspects.heard(self.member, self.sent.sent_at)
 
     def answered(self, status: int) -> None:
         """Note a whole answer that goes to the client."""
         assert self.member is not None
         parts, endpoint_id = self._parts, self.member.endpoint_id
         now = parts.clock.now()
-        parts.outliers.succeeded(endpoint_id, now)
-        parts.failing.answered(endpoint_id, now)
+        parts.outliers.record_success(endpoint_id, now)
+        parts.failing.record_success(endpoint_id, now)
         if status >= 500:
             self._note_failure(self.member)
         else:
@@ -326,14 +328,16 @@
         """Note the first event or the answer."""
         self._note_answer()
         if self.sent is not None:
-            self.sent = self._parts.choice.began(self.sent, self._parts.clock.now())
+            self.sent = self._parts.choice.record_first_event(
+                self.sent, self._parts.clock.now()
+            )
 
     def ended(self) -> None:
         """Note that the send is over."""
         if self._pending:
             self._parts.split.over(self._pending, self._parts.clock.now())
         if self.sent is not None:
-            self._parts.choice.ended(self.sent)
+            self._parts.choice.record_end(self.sent)
             self.sent = None
 
     def after(self, outcome: Outcome, delivered: bool = False) -> None:
@@ -358,8 +362,8 @@
                 # A full queue and a broken link say nothing of the version.
                 self._forget_answer()
         if self._still_listed(self.member):
-            parts.outliers.failed(endpoint, error.kind, now)
-            parts.failing.failed(endpoint, error.kind, now)
+            parts.outliers.record_failure(endpoint, error.kind, now)
+            parts.failing.record_failure(endpoint, error.kind, now)
         self._forget_avoided()
         verdict = self._verdict(outcome, error, delivered, now)
         logger.info(
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -198,7 +198,7 @@
         now = parts.clock.now()
         if run.events > 1:
             tokens = (run.events - 1) * run.event_tokens
-            parts.choice.speed.paced(tokens, now - run.begun_at)
+            parts.choice.speed.record_stream(tokens, now - run.begun_at)
         return None
 
     def _pause(self, job: Job) -> asyncio.Timeout:
@@ -240,7 +240,7 @@
             events = out.splitter.feed(data)
             if not events:
                 continue
-            parts.choice.heard(run.member.endpoint_id, parts.clock.now())
+            parts.choice.record_activity(run.member.endpoint_id, parts.clock.now())
             sends.heard()
             run.count(out.splitter.count - before, parts.clock.now())
             if not begun:
--- a/src/ebonydeal/_internal/routing/placement/endpoint_load.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_load.py
@@ -4,11 +4,11 @@
 from typing import NamedTuple
 
 
-class Told(NamedTuple):
+class ReportedLoad(NamedTuple):
     """What other relays have at an endpoint: requests, and tokens to be read."""
 
     running: int = 0
-    unread: float = 0.0
+    pending_prefill_tokens: float = 0.0
     at: float = 0.0
 
 
@@ -19,7 +19,7 @@
     ----------
     running, unread : int, float
         This relay's requests there, and their tokens to be read.
-    told : Told
+    told : ReportedLoad
         The same of all others, as of their last word.
     reads_until : float
         Until when the endpoint reads a long prompt of another relay, which said so
@@ -30,9 +30,9 @@
 
     def __init__(self) -> None:
         self.running = 0
-        self.unread = 0.0
-        self.told = Told()
-        self.reads_until = 0.0
+        self.pending_prefill_tokens = 0.0
+        self.told = ReportedLoad()
+        self.prefilling_until = 0.0
         self.parts: OrderedDict[str, float] = OrderedDict()
 
     @property
@@ -54,11 +54,13 @@
             older than most prompts take to read, and endpoints would be avoided
             for work that was done long ago.
         """
-        told = self.told.unread / rate
+        told = self.told.pending_prefill_tokens / rate
         if by_age:
             told = max(0.0, told - max(0.0, now - self.told.at))
         # A long prompt stands in the next word too: it is not counted twice.
-        return self.unread / rate + max(told, self.reads_until - now, 0.0)
+        return self.pending_prefill_tokens / rate + max(
+            told, self.prefilling_until - now, 0.0
+        )
 
     def note_parts(self, part_ids: list[str], now: float, keep: float) -> None:
         """Note that parts are read now, and forget those of ``keep`` seconds ago."""
@@ -69,16 +71,17 @@
             self.parts.popitem(last=False)
 
 
-class Sent(NamedTuple):
-    """A request that was sent; give it back to `MemberChoice.ended`.
+class SentRequest(NamedTuple):
+    """A request that was sent; give it back to `EndpointSelector.record_end`.
 
-    ``missed`` are tokens that the endpoint must read, ``unread`` the same in
-    tokens of a short prompt, which are read faster. ``load`` is where it counts:
-    an endpoint that starts again under its id has another.
+    ``uncached_tokens`` are the prompt tokens that the endpoint must prefill, and
+    ``pending_prefill_tokens`` the tokens of short prompts that take as long.
+    ``load`` is the load it is counted in: an endpoint that starts again under its id
+    has another.
     """
 
     endpoint_id: str
-    missed: float
-    unread: float
-    at: float
+    uncached_tokens: float
+    pending_prefill_tokens: float
+    sent_at: float
     load: EndpointLoad
--- a/src/ebonydeal/_internal/routing/placement/member_choice.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
@@ -18,7 +18,11 @@
 
 from ebonydeal._internal.models.forwarding import Member, PromptPart
 from ebonydeal._internal.routing.limits.demand import RateMeter
-from ebonydeal._internal.routing.placement.endpoint_load import EndpointLoad, Sent, Told
+from ebonydeal._internal.routing.placement.endpoint_load import (
+    EndpointLoad,
+    ReportedLoad,
+    SentRequest,
+)
 from ebonydeal._internal.routing.placement.engine_speed import EngineSpeed
 from ebonydeal._internal.settings.policy import PolicySettings
 
@@ -45,7 +49,7 @@
 _WORK_WINDOW_S = 4.0
 
 
-class ChoiceTerms(NamedTuple):
+class SelectionPolicy(NamedTuple):
     """Terms of the choice; `PolicySettings` says what each does.
 
     Connections to endpoints that have none open are paid for with about a fiftieth
@@ -61,7 +65,7 @@
     connect_cost: float = 0.006
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "ChoiceTerms":
+    def from_config(cls, cfg: PolicySettings) -> "SelectionPolicy":
         """Build from settings."""
         return cls(
             cfg.home_trust,
@@ -74,7 +78,7 @@
         )
 
 
-class Ask(NamedTuple):
+class SelectionRequest(NamedTuple):
     """What is known of a request when its endpoint is chosen.
 
     ``fetches`` tells that engines of the service pass memory to each other;
@@ -98,7 +102,7 @@
 class Score(NamedTuple):
     """An endpoint's terms, in seconds, lowest total first.
 
-    ``missed`` are tokens that it must read; ``source`` is the endpoint that it
+    ``uncached_tokens`` are tokens that it must read; ``source`` is the endpoint that it
     should fetch parts of the prompt from, or empty.
     """
 
@@ -109,24 +113,24 @@
     fetch: float
     batch: float
     zone: float
-    missed: float
+    uncached_tokens: float
     source: str
 
 
-class MemberChoice:
+class EndpointSelector:
     """State of the choice at one relay.
 
     Parameters
     ----------
     keep : float
         Seconds for which a part that was read is held to be in memory.
-    terms : ChoiceTerms, optional
+    terms : SelectionPolicy, optional
         What is weighed, and how much.
     """
 
-    def __init__(self, keep: float, terms: ChoiceTerms | None = None) -> None:
+    def __init__(self, keep: float, terms: SelectionPolicy | None = None) -> None:
         self._keep = keep
-        self._terms = terms or ChoiceTerms()
+        self._terms = terms or SelectionPolicy()
         self._signs: dict[str, float] = {}
         self._loads: dict[str, EndpointLoad] = {}
         self._work: dict[str, RateMeter] = {}
@@ -139,45 +143,45 @@
         return load
 
     # --- what is known -------------------------------------------------------
-    def told(self, loads: dict[str, Told]) -> None:
+    def update_reported_loads(self, loads: dict[str, ReportedLoad]) -> None:
         """Take what the other relays have at each endpoint."""
         if not self._terms.others_loads:
             return
         for endpoint_id, load in self._loads.items():
-            load.told = loads.get(endpoint_id, Told())
+            load.told = loads.get(endpoint_id, ReportedLoad())
         for endpoint_id, told in loads.items():
             self._load(endpoint_id).told = told
 
-    def reads_until(self, endpoint_id: str, until: float) -> None:
+    def mark_prefilling(self, endpoint_id: str, until: float) -> None:
         """Note that an endpoint reads a long prompt of another relay."""
         load = self._load(endpoint_id)
-        load.reads_until = max(load.reads_until, until)
+        load.prefilling_until = max(load.prefilling_until, until)
 
-    def own(self) -> dict[str, Told]:
+    def own_loads(self) -> dict[str, ReportedLoad]:
         """Return what this relay has at each endpoint."""
         return {
-            endpoint_id: Told(load.running, load.unread)
+            endpoint_id: ReportedLoad(load.running, load.pending_prefill_tokens)
             for endpoint_id, load in self._loads.items()
             if load.running
         }
 
-    def work(self, now: float) -> dict[str, float]:
+    def work_rates(self, now: float) -> dict[str, float]:
         """Return seconds of an endpoint's time asked for a second, by service."""
         return {name: meter.rate(now) for name, meter in self._work.items()}
 
-    def running(self, endpoint_id: str) -> int:
+    def running_requests(self, endpoint_id: str) -> int:
         """Return how many requests all relays have there, as far as known."""
         load = self._loads.get(endpoint_id)
         return 0 if load is None else load.all_running
 
-    def told_age(self, endpoint_id: str, now: float) -> float | None:
+    def report_age(self, endpoint_id: str, now: float) -> float | None:
         """Return how old the others' word on an endpoint is, seconds."""
         load = self._loads.get(endpoint_id)
         if load is None or load.told.at <= 0.0:
             return None
         return round(now - load.told.at, 3)
 
-    def keep_only(self, endpoint_ids: Iterable[str]) -> None:
+    def retain_only(self, endpoint_ids: Iterable[str]) -> None:
         """Forget endpoints that are gone."""
         known = set(endpoint_ids)
         for endpoint_id in [e for e in self._loads if e not in known]:
@@ -190,18 +194,18 @@
         self._loads.pop(endpoint_id, None)
         self._signs.pop(endpoint_id, None)
 
-    def heard(self, endpoint_id: str, now: float) -> None:
+    def record_activity(self, endpoint_id: str, now: float) -> None:
         """Note a sign of life of an endpoint."""
         self._signs[endpoint_id] = now
 
-    def silent_for(self, endpoint_id: str, now: float) -> float:
+    def seconds_since_activity(self, endpoint_id: str, now: float) -> float:
         """Return the seconds since an endpoint's last sign of life."""
         return now - self._signs.get(endpoint_id, -inf)
 
     # --- choice ----------------------------------------------------------------
-    def engine(
+    def select_engine(
         self,
-        ask: Ask,
+        ask: SelectionRequest,
         members: Sequence[Member],
         now: float,
         failing: Mapping[str, float] = MappingProxyType({}),
@@ -231,7 +235,7 @@
             for member, tokens in zip(members, held, strict=True)
         )
 
-    def plain(
+    def select_plain(
         self,
         zone: str,
         members: Sequence[Member],
@@ -247,7 +251,7 @@
 
         def key(member: Member) -> tuple[bool, int, float, bool, float, str]:
             fails = round(failing.get(member.endpoint_id, 0.0) / _FAILING_STEP)
-            used = self.running(member.endpoint_id) / max(1, member.slots)
+            used = self.running_requests(member.endpoint_id) / max(1, member.slots)
             full = used >= 1.0
             rough = used if full else round(used * 2)
             other = member.zone != zone
@@ -257,7 +261,7 @@
 
     def _score(
         self,
-        ask: Ask,
+        ask: SelectionRequest,
         member: Member,
         held: float,
         source: _Held,
@@ -271,15 +275,19 @@
             or source.endpoint_id == member.endpoint_id
         ):
             fetched = 0.0
-        missed = max(0.0, ask.prompt_tokens - held - fetched)
+        uncached_tokens = max(0.0, ask.prompt_tokens - held - fetched)
         running = load.all_running
         seats = max(1.0, member.slots * _SEATS_KEPT)
         batch = _BATCH_SLOWDOWN_S * running / seats
         if running >= seats:
             batch += _SLOT_WAIT_S * (1.0 + (running - seats) / seats)
-        wait = load.wait(self.speed.rate, now, self._terms.others_age)
-        read = self.speed.reading(missed) * self._terms.reread_weight
-        fetch = _FETCH_S + fetched * _FETCH_WEIGHT / self.speed.rate if fetched else 0.0
+        wait = load.wait(self.speed.prefill_rate, now, self._terms.others_age)
+        read = self.speed.prefill_seconds(uncached_tokens) * self._terms.reread_weight
+        fetch = (
+            _FETCH_S + fetched * _FETCH_WEIGHT / self.speed.prefill_rate
+            if fetched
+            else 0.0
+        )
         zone = 0.0 if member.zone == ask.zone else _OTHER_ZONE_S
         total = wait + read + fetch + batch + zone + member.warming + failing
         if member.leaving:
@@ -294,11 +302,13 @@
             fetch,
             batch,
             zone,
-            missed,
+            uncached_tokens,
             source.endpoint_id if fetched else "",
         )
 
-    def _held(self, ask: Ask, endpoint_id: str, home: str, now: float) -> float:
+    def _held(
+        self, ask: SelectionRequest, endpoint_id: str, home: str, now: float
+    ) -> float:
         """Return the tokens of shared parts that an engine is expected to hold."""
         seen = self._load(endpoint_id).parts
         held = 0.0
@@ -313,31 +323,41 @@
         return held
 
     # --- life of a request -----------------------------------------------------
-    def sent(self, ask: Ask, member: Member, missed: float, now: float) -> Sent:
-        """Note that a request goes to ``member``, which must read ``missed``."""
+    def record_sent(
+        self, ask: SelectionRequest, member: Member, uncached_tokens: float, now: float
+    ) -> SentRequest:
+        """Record that a request is sent to ``member``."""
         load = self._load(member.endpoint_id)
         load.running += 1
-        unread = self.speed.reading(missed) * self.speed.rate
-        load.unread += unread
+        pending_prefill_tokens = (
+            self.speed.prefill_seconds(uncached_tokens) * self.speed.prefill_rate
+        )
+        load.pending_prefill_tokens += pending_prefill_tokens
         meter = self._work.setdefault(member.service, RateMeter(_WORK_WINDOW_S))
-        meter.add(unread / self.speed.rate, now)
+        meter.add(pending_prefill_tokens / self.speed.prefill_rate, now)
         load.note_parts([part.part_id for part in ask.parts], now, self._keep)
-        return Sent(member.endpoint_id, missed, unread, now, load)
+        return SentRequest(
+            member.endpoint_id, uncached_tokens, pending_prefill_tokens, now, load
+        )
 
-    def began(self, sent: Sent, now: float) -> Sent:
+    def record_first_event(self, sent: SentRequest, now: float) -> SentRequest:
         """Note the first event of a request; returns what `ended` gets."""
         load = sent.load
-        load.unread = max(0.0, load.unread - sent.unread)
+        load.pending_prefill_tokens = max(
+            0.0, load.pending_prefill_tokens - sent.pending_prefill_tokens
+        )
         if self._loads.get(sent.endpoint_id) is load:
-            self.heard(sent.endpoint_id, now)
-        self.speed.first_event(sent.missed, now - sent.at)
-        return sent._replace(missed=0.0, unread=0.0)
+            self.record_activity(sent.endpoint_id, now)
+        self.speed.record_first_event(sent.uncached_tokens, now - sent.sent_at)
+        return sent._replace(uncached_tokens=0.0, pending_prefill_tokens=0.0)
 
-    def ended(self, sent: Sent) -> None:
+    def record_end(self, sent: SentRequest) -> None:
         """Note that a request is over, well or not."""
         load = sent.load
         load.running = max(0, load.running - 1)
-        load.unread = max(0.0, load.unread - sent.unread)
+        load.pending_prefill_tokens = max(
+            0.0, load.pending_prefill_tokens - sent.pending_prefill_tokens
+        )
 
 
 def home_of(parts: tuple[PromptPart, ...], members: Sequence[Member]) -> str:
--- a/src/ebonydeal/_internal/routing/placement/engine_speed.py
+++ b/src/ebonydeal/_internal/routing/placement/engine_speed.py
@@ -46,47 +46,49 @@
 
     def __init__(self, long_prompts: bool = True) -> None:
         self._long_prompts = long_prompts
-        self.rate = _FIRST_RATE
-        self.base = _FIRST_BASE_S
+        self.prefill_rate = _FIRST_RATE
+        self.base_latency_s = _FIRST_BASE_S
         self.curve = _FIRST_CURVE if long_prompts else 0.0
         self._pace = _FIRST_PACE_S
 
-    def reading(self, tokens: float) -> float:
+    def prefill_seconds(self, tokens: float) -> float:
         """Return the seconds that an engine needs to read so many tokens."""
-        return tokens / self.rate + self.curve * tokens * tokens
+        return tokens / self.prefill_rate + self.curve * tokens * tokens
 
-    def duration(self, tokens: int) -> float:
+    def answer_seconds(self, tokens: int) -> float:
         """Return the seconds that an answer of so many tokens is expected to take."""
-        return self.base + tokens * self._pace
+        return self.base_latency_s + tokens * self._pace
 
-    def first_event(self, missed: float, took: float) -> None:
+    def record_first_event(self, uncached_tokens: float, took: float) -> None:
         """Learn from one first event: tokens that were read, and seconds."""
-        if missed < _BASE_MOST_TOKENS:
+        if uncached_tokens < _BASE_MOST_TOKENS:
             # The fixed time is the least that is seen, and forgets slowly.
-            self.base = min(took, self.base + _BASE_DRIFT * (took - self.base))
+            self.base_latency_s = min(
+                took, self.base_latency_s + _BASE_DRIFT * (took - self.base_latency_s)
+            )
             return
-        spare = took - self.base
-        if missed < _RATE_LEAST_TOKENS or spare <= 0.0:
+        spare = took - self.base_latency_s
+        if uncached_tokens < _RATE_LEAST_TOKENS or spare <= 0.0:
             return
-        if missed >= _CURVE_LEAST_TOKENS and self._long_prompts:
-            self._learn_curve(missed, spare)
+        if uncached_tokens >= _CURVE_LEAST_TOKENS and self._long_prompts:
+            self._learn_curve(uncached_tokens, spare)
             return
-        rate = min(missed / spare, _RATE_MOST_STEP * self.rate)
+        prefill_rate = min(uncached_tokens / spare, _RATE_MOST_STEP * self.prefill_rate)
         # Waiting behind others only ever lowers a sample, so those that are
         # higher say more of what the engine can do.
-        weight = _RATE_UP if rate > self.rate else _RATE_DOWN
-        self.rate += weight * (rate - self.rate)
+        weight = _RATE_UP if prefill_rate > self.prefill_rate else _RATE_DOWN
+        self.prefill_rate += weight * (prefill_rate - self.prefill_rate)
 
     def _learn_curve(self, tokens: float, spare: float) -> None:
         """Take from a long prompt what it took beyond its share.
 
         Waiting behind others only ever adds to it, so low samples say more.
         """
-        beyond = max(0.0, spare - tokens / self.rate) / (tokens * tokens)
+        beyond = max(0.0, spare - tokens / self.prefill_rate) / (tokens * tokens)
         weight = _CURVE_DOWN if beyond < self.curve else _CURVE_UP
         self.curve += weight * (beyond - self.curve)
 
-    def paced(self, tokens: int, seconds: float) -> None:
+    def record_stream(self, tokens: int, seconds: float) -> None:
         """Note how long a whole stream took after its first event."""
         if tokens > 0 and seconds > 0.0:
             self._pace += _PACE_WEIGHT * (seconds / tokens - self._pace)
--- a/src/ebonydeal/_internal/routing/placement/failure_shares.py
+++ b/src/ebonydeal/_internal/routing/placement/failure_rates.py
@@ -40,7 +40,7 @@
     return exp(-max(0.0, seconds) / _WINDOW_S)
 
 
-class FailureShares:
+class FailureRates:
     """What one relay saw of endpoints, and what it heard from the others.
 
     Parameters
@@ -56,11 +56,11 @@
         self._at = 0.0
         self._told_at = 0.0
 
-    def answered(self, endpoint_id: str, now: float) -> None:
+    def record_success(self, endpoint_id: str, now: float) -> None:
         """Count a good answer."""
         self._add(endpoint_id, Answers(1.0, 0.0), now)
 
-    def failed(self, endpoint_id: str, kind: ErrorKind, now: float) -> None:
+    def record_failure(self, endpoint_id: str, kind: ErrorKind, now: float) -> None:
         """Count a failure; refusals for load don't count."""
         if kind in ENDPOINT_FAULTS:
             self._add(endpoint_id, Answers(1.0, 1.0), now)
@@ -81,7 +81,7 @@
         self._own.pop(endpoint_id, None)
         self._told.pop(endpoint_id, None)
 
-    def own(self, now: float) -> dict[str, list[float]]:
+    def own_counts(self, now: float) -> dict[str, list[float]]:
         """Return what this relay saw, as it is told to others."""
         self._fade(now)
         return {
@@ -89,12 +89,14 @@
             for name, answers in self._own.items()
         }
 
-    def told(self, answers: dict[str, list[float]], now: float) -> None:
+    def update_reported_counts(
+        self, answers: dict[str, list[float]], now: float
+    ) -> None:
         """Take what all other relays saw."""
         self._told = {name: Answers(*values) for name, values in answers.items()}
         self._told_at = now
 
-    def failing(self, now: float) -> dict[str, float]:
+    def failing_endpoints(self, now: float) -> dict[str, float]:
         """Return the shares of answers that endpoints fail, of those to avoid."""
         if not self._least:
             return {}
@@ -108,6 +110,6 @@
                 found[name] = share
         return found
 
-    def share(self, endpoint_id: str, now: float) -> float:
+    def failure_rate(self, endpoint_id: str, now: float) -> float:
         """Return an endpoint's share, 0 where it isn't to be avoided."""
-        return self.failing(now).get(endpoint_id, 0.0)
+        return self.failing_endpoints(now).get(endpoint_id, 0.0)
--- a/src/ebonydeal/_internal/routing/placement/outliers.py
+++ b/src/ebonydeal/_internal/routing/placement/outliers.py
@@ -47,7 +47,7 @@
     until: float = 0.0
 
 
-class Outliers:
+class OutlierDetector:
     """Which endpoints are kept out.
 
     Parameters
@@ -63,7 +63,7 @@
         self._rng = rng
         self._health: dict[str, _Health] = {}
 
-    def succeeded(self, endpoint_id: str, now: float) -> None:
+    def record_success(self, endpoint_id: str, now: float) -> None:
         """Note an answer; after the return time all is forgiven."""
         health = self._health.get(endpoint_id)
         if health is None:
@@ -72,7 +72,7 @@
         if now >= health.until + self._cfg.return_time:
             del self._health[endpoint_id]
 
-    def failed(self, endpoint_id: str, kind: ErrorKind, now: float) -> None:
+    def record_failure(self, endpoint_id: str, kind: ErrorKind, now: float) -> None:
         """Note a failure; refusals for load don't count."""
         if kind not in ENDPOINT_FAULTS:
             return
@@ -87,7 +87,7 @@
         """Drop what is known of an endpoint that is gone."""
         self._health.pop(endpoint_id, None)
 
-    def share(self, endpoint_id: str, now: float) -> float:
+    def traffic_share(self, endpoint_id: str, now: float) -> float:
         """Return the share of its requests that an endpoint may take, 0 to 1."""
         health = self._health.get(endpoint_id)
         if health is None or health.until <= 0.0:
@@ -106,17 +106,17 @@
         allowed: list[E] = []
         out: list[E] = []
         for view in views:
-            share = self.share(view.endpoint_id, now)
+            share = self.traffic_share(view.endpoint_id, now)
             passes = share >= 1.0 or self._rng.random() < share
             (allowed if passes else out).append(view)
-        missing = self.floor(len(views)) - len(allowed)
+        missing = self.min_allowed(len(views)) - len(allowed)
         if missing > 0:
             # Those that are due back first are the least bad.
             out.sort(key=lambda view: self._health[view.endpoint_id].until)
             allowed.extend(out[:missing])
         return tuple(allowed)
 
-    def floor(self, count: int) -> int:
+    def min_allowed(self, count: int) -> int:
         """Return how many of ``count`` endpoints are never kept out."""
         return min(count, max(1, ceil(count * self._cfg.eject_floor)))
 
--- a/src/ebonydeal/_internal/routing/placement/router.py
+++ b/src/ebonydeal/_internal/routing/placement/router.py
@@ -19,7 +19,7 @@
     summarize_load,
 )
 from ebonydeal._internal.routing.placement.home import Branches, home_of
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.placement.prefix_cache_view import PrefixCacheView
 from ebonydeal._internal.routing.placement.score import (
     Estimate,
@@ -56,7 +56,7 @@
         self._caches: dict[str, PrefixCacheView] = {}
         self._rates: dict[str, LearnedRates] = {}
         self._branches = Branches(cfg.cache_blocks)
-        self._outliers = Outliers(cfg, rng)
+        self._outliers = OutlierDetector(cfg, rng)
         self._limits: dict[str, ConcurrencyLimit] = {}
         self._incarnations: dict[str, int] = {}
         # Until when endpoints want nothing.
@@ -157,7 +157,7 @@
         attempt = self._sent_to(endpoint_id).end(request_id)
         if attempt is None:
             return
-        self._outliers.succeeded(endpoint_id, now)
+        self._outliers.record_success(endpoint_id, now)
         started = attempt.first_token_at or attempt.sent_at
         self._rates_of(attempt.deployment).served(now - started)
 
@@ -167,11 +167,11 @@
         """Note that a try failed, or that its caller left."""
         if self._sent_to(endpoint_id).end(request_id) is None:
             return
-        self._outliers.failed(endpoint_id, kind, now)
+        self._outliers.record_failure(endpoint_id, kind, now)
         if kind is ErrorKind.ENDPOINT_REFUSED:
             self._limit(endpoint_id).refused(now)
 
-    def pause(self, endpoint_id: str, seconds: float, now: float) -> None:
+    def back_off(self, endpoint_id: str, seconds: float, now: float) -> None:
         """Note for how long an endpoint wants nothing; the latest end holds."""
         until = now + min(seconds, _MOST_REST_S)
         self._rests = {name: at for name, at in self._rests.items() if at > now}
--- a/tests/functional/relay/test_news.py
+++ b/tests/functional/relay/test_news.py
@@ -133,7 +133,7 @@
             sender._long_reads.sent("i1", 0.8, 900.0)
 
             def until_read(program):
-                return program._choice._load("i1").reads_until
+                return program._choice._load("i1").prefilling_until
 
             await until(lambda: until_read(hearer) > program_now(hearer))
             assert until_read(sender) == 0.0
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -56,6 +56,6 @@
             await store.put("servers", "i1", one.row(born=2_000))
             await until(lambda: program.view.members["i1"].born == 2_000)
             assert program._pools.connected() == frozenset()
-            assert program._choice.own() == {}
+            assert program._choice.own_loads() == {}
             assert (await ask(program, "/safe/", rid="r2"))[0] == 200
         assert one.connections == 2
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -147,7 +147,7 @@
         for member, count in zip(MEMBERS, (3, 2, 0, 1), strict=True):
             for _ in range(count):
                 ask = sends.chooser.ask()
-                sends._parts.choice.sent(ask, member, 0.0, 100.0)
+                sends._parts.choice.record_sent(ask, member, 0.0, 100.0)
         assert (await sends.choose()).endpoint_id == MEMBERS[2].endpoint_id
 
     async def test_and_where_no_other_suspect_is(self):
--- a/tests/unit/relay/peers/test_long_reads.py
+++ b/tests/unit/relay/peers/test_long_reads.py
@@ -10,8 +10,11 @@
     LongReads,
     LongReadTaker,
 )
-from ebonydeal._internal.routing.placement.endpoint_load import Told
-from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
+from ebonydeal._internal.routing.placement.endpoint_load import ReportedLoad
+from ebonydeal._internal.routing.placement.endpoint_selector import (
+    EndpointSelector,
+    SelectionRequest,
+)
 from tests.lib.clock import ManualClock
 
 MEMBERS = [
@@ -20,7 +23,7 @@
 ]
 # Seconds that each prompt waits before it is read.
 WAIT = 0.5
-ASK = Ask((), 1000, "z")
+ASK = SelectionRequest((), 1000, "z")
 
 
 class Relays:
@@ -75,13 +78,13 @@
 
 class TestTaking:
     def chosen(self, choice, now):
-        return choice.engine(ASK, MEMBERS, now).endpoint_id
+        return choice.select_engine(ASK, MEMBERS, now).endpoint_id
 
     def heard(self, seconds):
         """Return a choice that preferred i1, after a word on it at 10 s."""
         clock = ManualClock(10.0)
-        choice = MemberChoice(8.0)
-        choice.told({"i2": Told(running=1, at=10.0)})
+        choice = EndpointSelector(8.0)
+        choice.update_reported_loads({"i2": ReportedLoad(running=1, at=10.0)})
         assert self.chosen(choice, 10.0) == "i1"
         message = {"endpoint": "i1", "seconds": seconds}
         assert LongReadTaker(choice, clock).take(message) == {}
@@ -94,10 +97,16 @@
 
     def test_the_next_exchange_does_not_count_it_twice(self):
         choice = self.heard(0.8)
-        before = choice.engine(ASK, MEMBERS[:1], 10.0).wait
-        unread = 0.5 * choice.speed.rate
-        choice.told({"i1": Told(running=1, unread=unread, at=10.0)})
-        assert choice.engine(ASK, MEMBERS[:1], 10.0).wait == before
+        before = choice.select_engine(ASK, MEMBERS[:1], 10.0).wait
+        pending_prefill_tokens = 0.5 * choice.speed.prefill_rate
+        choice.update_reported_loads(
+            {
+                "i1": ReportedLoad(
+                    running=1, pending_prefill_tokens=pending_prefill_tokens, at=10.0
+                )
+            }
+        )
+        assert choice.select_engine(ASK, MEMBERS[:1], 10.0).wait == before
 
     def test_what_can_not_be_is_not_believed(self):
         choice = self.heard(1e9)
--- a/tests/unit/relay/requests/test_first_wait.py
+++ b/tests/unit/relay/requests/test_first_wait.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.models.forwarding import Repeat
 from ebonydeal._internal.relay.requests.first_wait import FirstWait
 from ebonydeal._internal.relay.requests.job import SendTerms
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
 from tests.lib.clock import ManualClock
 from tests.unit.relay.requests.test_job_sends import MEMBERS, job
 
@@ -17,7 +17,7 @@
     """Return the wait of a request with an objective of 1 s, and its parts."""
     parts = SimpleNamespace(
         clock=ManualClock(100.0),
-        choice=MemberChoice(8.0),
+        choice=EndpointSelector(8.0),
         terms=terms or SendTerms(),
     )
     task = job(Repeat.ONCE if once else Repeat.STREAM, resumable=not once)
@@ -58,13 +58,13 @@
 
     def test_one_that_makes_events_for_others_is_waited_for(self):
         wait, parts = wait_of(0.1)
-        parts.choice.heard("i0", 100.9)
+        parts.choice.record_activity("i0", 100.9)
         assert wait.until(101.0) == pytest.approx(101.2)
         assert wait.until(101.2) == 101.2
 
     def test_but_not_beyond_what_clients_bear(self):
         wait, parts = wait_of(0.1)
-        parts.choice.heard("i0", 103.45)
+        parts.choice.record_activity("i0", 103.45)
         assert wait.until(103.49) == 103.5
         assert wait.until(103.5) == 103.5
 
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -26,9 +26,9 @@
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.crashes.crash_evidence import Standing
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
-from ebonydeal._internal.routing.placement.failure_shares import FailureShares
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
+from ebonydeal._internal.routing.placement.failure_rates import FailureRates
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.settings.routing import RetrySettings, RoutingSettings
@@ -59,9 +59,9 @@
         retries.record_first_send("s", 100.0)
     return SimpleNamespace(
         view=view,
-        choice=MemberChoice(8.0),
-        outliers=Outliers(RoutingSettings(), Random(1)),
-        failing=FailureShares(0.15),
+        choice=EndpointSelector(8.0),
+        outliers=OutlierDetector(RoutingSettings(), Random(1)),
+        failing=FailureRates(0.15),
         split=Split("n1", 2.0),
         permits=EndpointPermits(EndpointNotices(), None, clock, Metrics()),
         retries=retries,
--- a/tests/unit/relay/requests/test_moves.py
+++ b/tests/unit/relay/requests/test_moves.py
@@ -5,8 +5,8 @@
 from ebonydeal._internal.relay.requests.moves import LiveRun, MovesParts, StreamMoves
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.settings.routing import RetrySettings, RoutingSettings
 from tests.lib.clock import ManualClock
@@ -35,8 +35,8 @@
         self.moves = StreamMoves(
             MovesParts(
                 self.view,
-                MemberChoice(8.0),
-                Outliers(RoutingSettings(), Random(1)),
+                EndpointSelector(8.0),
+                OutlierDetector(RoutingSettings(), Random(1)),
                 retries,
                 EndpointNotices(),
                 self.engines,
--- a/tests/unit/routing/placement/test_outliers.py
+++ b/tests/unit/routing/placement/test_outliers.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ebonydeal._internal.errors import ErrorKind
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.routing import RoutingSettings
 from tests.unit.routing.helpers import NOW, make_ask, make_view
@@ -13,13 +13,13 @@
 VIEWS = tuple(make_view(f"e{number}") for number in range(4))
 
 
-def make_outliers(**changes) -> Outliers:
-    return Outliers(RoutingSettings(**changes), Random(1))
+def make_outliers(**changes) -> OutlierDetector:
+    return OutlierDetector(RoutingSettings(**changes), Random(1))
 
 
-def fail(outliers: Outliers, name: str, times: int, now: float = NOW) -> None:
+def fail(outliers: OutlierDetector, name: str, times: int, now: float = NOW) -> None:
     for _ in range(times):
-        outliers.failed(name, ErrorKind.ENDPOINT_FAILED, now)
+        outliers.record_failure(name, ErrorKind.ENDPOINT_FAILED, now)
 
 
 class TestEjection:
@@ -33,31 +33,31 @@
     def test_an_answer_between_starts_the_count_again(self):
         outliers = make_outliers()
         fail(outliers, "e0", 4)
-        outliers.succeeded("e0", NOW)
+        outliers.record_success("e0", NOW)
         fail(outliers, "e0", 4)
-        assert outliers.share("e0", NOW) == 1.0
+        assert outliers.traffic_share("e0", NOW) == 1.0
 
     def test_refusals_for_load_do_not_count(self):
         outliers = make_outliers()
         for _ in range(50):
-            outliers.failed("e0", ErrorKind.ENDPOINT_REFUSED, NOW)
-            outliers.failed("e0", ErrorKind.CALLER_LEFT, NOW)
-        assert outliers.share("e0", NOW) == 1.0
+            outliers.record_failure("e0", ErrorKind.ENDPOINT_REFUSED, NOW)
+            outliers.record_failure("e0", ErrorKind.CALLER_LEFT, NOW)
+        assert outliers.traffic_share("e0", NOW) == 1.0
 
     def test_slow_return_then_full_share(self):
         outliers = make_outliers(eject_time=5.0, return_time=20.0)
         fail(outliers, "e0", 5)
-        assert outliers.share("e0", NOW + 4.9) == 0.0
-        assert outliers.share("e0", NOW + 5.0) == 0.1
-        assert outliers.share("e0", NOW + 15.0) == 0.55
-        assert outliers.share("e0", NOW + 25.0) == 1.0
+        assert outliers.traffic_share("e0", NOW + 4.9) == 0.0
+        assert outliers.traffic_share("e0", NOW + 5.0) == 0.1
+        assert outliers.traffic_share("e0", NOW + 15.0) == 0.55
+        assert outliers.traffic_share("e0", NOW + 25.0) == 1.0
 
     def test_failing_again_while_returning_doubles_the_time_out(self):
         outliers = make_outliers(eject_time=5.0, return_time=20.0)
         fail(outliers, "e0", 5)
         fail(outliers, "e0", 1, NOW + 6.0)
-        assert outliers.share("e0", NOW + 15.9) == 0.0
-        assert outliers.share("e0", NOW + 16.0) == 0.1
+        assert outliers.traffic_share("e0", NOW + 15.9) == 0.0
+        assert outliers.traffic_share("e0", NOW + 16.0) == 0.1
 
     def test_router_uses_another_endpoint(self):
         router = Router.from_config(RoutingSettings(near_equal=0.0), Random(1))
@@ -84,7 +84,7 @@
 
     @rule(name=st.sampled_from([view.endpoint_id for view in VIEWS]))
     def answers(self, name: str) -> None:
-        self.outliers.succeeded(name, self.now)
+        self.outliers.record_success(name, self.now)
 
     @rule(seconds=st.floats(0.0, 60.0))
     def time_passes(self, seconds: float) -> None:
@@ -100,10 +100,10 @@
     @invariant()
     def healthy_ones_are_always_in(self) -> None:
         for view in self.outliers.allowed(VIEWS, self.now):
-            assert 0.0 <= self.outliers.share(view.endpoint_id, self.now) <= 1.0
+            assert 0.0 <= self.outliers.traffic_share(view.endpoint_id, self.now) <= 1.0
         allowed = self.outliers.allowed(VIEWS, self.now)
         for view in VIEWS:
-            if self.outliers.share(view.endpoint_id, self.now) == 1.0:
+            if self.outliers.traffic_share(view.endpoint_id, self.now) == 1.0:
                 assert view in allowed
 
 
--- a/tests/unit/routing/placement/test_router.py
+++ b/tests/unit/routing/placement/test_router.py
@@ -133,7 +133,7 @@
 class TestRest:
     def test_an_endpoint_gets_nothing_meanwhile(self):
         router, views = make_router(), (make_view("a"), make_view("b"))
-        router.pause("a", 3.0, NOW)
+        router.back_off("a", 3.0, NOW)
         for second in (0.0, 1.0, 2.9):
             choice = router.choose(make_ask(), views, NOW + second)
             assert choice.endpoint.endpoint_id == "b"
@@ -141,17 +141,17 @@
 
     def test_of_all_leaves_none_to_choose(self):
         router = make_router()
-        router.pause("a", 3.0, NOW)
+        router.back_off("a", 3.0, NOW)
         assert router.choose(make_ask(), (make_view("a"),), NOW + 1.0) is None
 
     def test_of_several_the_latest_end_holds(self):
         router = make_router()
-        router.pause("a", 3.0, NOW)
-        router.pause("a", 1.0, NOW + 1.0)
+        router.back_off("a", 3.0, NOW)
+        router.back_off("a", 1.0, NOW + 1.0)
         assert router.choose(make_ask(), (make_view("a"),), NOW + 2.5) is None
 
     def test_ends_with_the_incarnation(self):
         router = make_router()
-        router.pause("a", 3.0, NOW)
+        router.back_off("a", 3.0, NOW)
         router.forget("a")
         assert router.choose(make_ask(), (make_view("a"),), NOW) is not None
