--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -14,8 +14,8 @@
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.fleet.fleet_plan import (
     FleetPlan,
+    FleetPolicy,
     FleetState,
-    FleetTerms,
     ZoneFleet,
     plan_fleet,
 )
@@ -57,7 +57,7 @@
     have: int
 
 
-class Fleet(Service):
+class FleetScaler(Service):
     """Keeps each service's fleet as the planner wants it.
 
     Parameters
@@ -79,7 +79,7 @@
         view: RelayView,
         metrics: Metrics,
         clock: Clock,
-        terms: FleetTerms | None = None,
+        terms: FleetPolicy | None = None,
     ) -> None:
         super().__init__()
         self._coordinator = coordinator
@@ -87,7 +87,7 @@
         self._view = view
         self._metrics = metrics
         self._clock = clock
-        self._terms = terms or FleetTerms()
+        self._terms = terms or FleetPolicy()
         self._ordered: dict[_Kind, _Order] = {}
         self._raised: dict[_Kind, float] = {}
         self._had_spot: dict[tuple[str, str], int] = {}
@@ -97,7 +97,7 @@
         self._found: dict[str, set[str]] = {}
         self._forecasts: dict[str, LoadForecast] = {}
         # The version that a service's roll-out under way is to, None without one.
-        self.rolling: Callable[[str], str | None] = lambda _service: None
+        self.target_version: Callable[[str], str | None] = lambda _service: None
 
     @Service.task
     async def _run(self) -> None:
@@ -259,11 +259,11 @@
         """Return the service's endpoints by zone and kind."""
         zones: dict[str, ZoneFleet] = {}
         # Endpoints of a version that may be bad are no room yet.
-        rolling = self.rolling(service)
+        target_version = self.target_version(service)
         for member in self._view.members.values():
             if member.service != service or member.leaving:
                 continue
-            if rolling is not None and member.version == rolling:
+            if target_version is not None and member.version == target_version:
                 continue
             fleet = zones.get(member.zone, ZoneFleet())
             if member.reclaimable:
@@ -302,7 +302,7 @@
             # What still boots is not taken back: the plan may want it again.
             if self._clock.now() - raised < _STEADY_S:
                 return False
-        if count < have and self.rolling(kind.service) is not None:
+        if count < have and self.target_version(kind.service) is not None:
             # Old endpoints are needed whole until the new version is found good.
             return False
         if count < have and self._in_wave(kind.service, self._clock.now()):
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -17,7 +17,7 @@
     CoordinatorParts,
     CoordinatorSize,
 )
-from ebonydeal._internal.relay.duties.fleet import Fleet
+from ebonydeal._internal.relay.duties.fleet import FleetScaler
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
 from ebonydeal._internal.relay.limits.link import LimitsLink, Place
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
@@ -61,7 +61,7 @@
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
 from ebonydeal._internal.routing.duties.pace import Pace
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import QuotaTerms
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
@@ -297,15 +297,15 @@
             rng,
         )
         self._leaving = LeavingTimes(self.coordinator, ports.engines, self.view, clock)
-        self._fleet = Fleet(
+        self._fleet = FleetScaler(
             self.coordinator,
             ports.duties,
             self.view,
             metrics,
             clock,
-            FleetTerms.from_config(self._policy),
+            FleetPolicy.from_config(self._policy),
         )
-        self._fleet.rolling = self._rollouts.rolling
+        self._fleet.target_version = self._rollouts.rolling
 
     def _build_coordinator(
         self, ports: RelayPorts, bounds: QuotaBounds, incarnation: str
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -56,7 +56,7 @@
     wave: bool = False
 
 
-class FleetTerms(NamedTuple):
+class FleetPolicy(NamedTuple):
     """Settings of the planner.
 
     Attributes
@@ -101,7 +101,7 @@
     found: bool = True
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "FleetTerms":
+    def from_config(cls, cfg: PolicySettings) -> "FleetPolicy":
         """Build from settings."""
         return cls(
             cfg.fleet_use,
@@ -149,7 +149,7 @@
     need: int
 
 
-def plan_fleet(scaling: Scaling, state: FleetState, terms: FleetTerms) -> FleetPlan:
+def plan_fleet(scaling: Scaling, state: FleetState, terms: FleetPolicy) -> FleetPlan:
     """Return the wanted fleet for the bounds, prices and state given."""
     prices = scaling.zone_prices
     zones = sorted(
--- a/src/ebonydeal/_internal/routing/fleet/load_forecast.py
+++ b/src/ebonydeal/_internal/routing/fleet/load_forecast.py
@@ -7,7 +7,7 @@
 some 30 were busy.
 """
 
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
 
 # Below this the service counts as idle, endpoints kept busy.
 _LEAST_LOAD = 0.05
@@ -25,11 +25,11 @@
 
     Parameters
     ----------
-    terms : FleetTerms
+    terms : FleetPolicy
         Growth believed in a wave, and for how long a peak counts.
     """
 
-    def __init__(self, terms: FleetTerms) -> None:
+    def __init__(self, terms: FleetPolicy) -> None:
         self._terms = terms
         self._smooth: float | None = None
         self._loaded_since: float | None = None
--- a/tests/unit/relay/duties/test_fleet.py
+++ b/tests/unit/relay/duties/test_fleet.py
@@ -11,9 +11,9 @@
     Scaling,
 )
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.relay.duties.fleet import Fleet
+from ebonydeal._internal.relay.duties.fleet import FleetScaler
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryDuties
 
@@ -41,7 +41,7 @@
             heard_lately=lambda: [{"work": {"s": self.work}, "loads": {}}],
             order_refused=lambda: None,
         )
-        self.fleet = Fleet(
+        self.fleet = FleetScaler(
             coordinator, self.duties, self.view, Metrics(), self.clock, terms
         )
 
@@ -144,7 +144,7 @@
         assert sum(ordered.values()) >= 7
 
     async def test_nothing_is_let_go_while_zones_are_taken_back(self):
-        market = await settled(terms=FleetTerms(wave=20.0, peak=1.0))
+        market = await settled(terms=FleetPolicy(wave=20.0, peak=1.0))
         market.takes_back("a")
         ordered = dict(fixed(await market.play(0.2)))
         for zone, count in ordered.items():
@@ -202,7 +202,7 @@
 class TestRollout:
     async def test_new_endpoints_are_no_room_and_old_ones_stay(self):
         market = await settled()
-        market.fleet.rolling = lambda _service: "v2"
+        market.fleet.target_version = lambda _service: "v2"
         for zone in PRICES:
             market.has(f"n{zone}", zone)
             name = f"n{zone}"
--- a/tests/unit/routing/fleet/test_fleet_plan.py
+++ b/tests/unit/routing/fleet/test_fleet_plan.py
@@ -3,8 +3,8 @@
 
 from ebonydeal._internal.models.forwarding import Scaling
 from ebonydeal._internal.routing.fleet.fleet_plan import (
+    FleetPolicy,
     FleetState,
-    FleetTerms,
     ZoneFleet,
     ZoneTarget,
     plan_fleet,
@@ -12,7 +12,7 @@
 
 PRICES = {"a": 0.85, "b": 1.2, "c": 1.0}
 SCALING = Scaling(1, 4, 4.0, 0.22, PRICES)
-TERMS = FleetTerms(use=0.5, use_short=0.75)
+TERMS = FleetPolicy(use=0.5, use_short=0.75)
 ALL = frozenset(PRICES)
 
 
--- a/tests/unit/routing/fleet/test_load_forecast.py
+++ b/tests/unit/routing/fleet/test_load_forecast.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
 from ebonydeal._internal.routing.fleet.load_forecast import LoadForecast
 
-TERMS = FleetTerms(wave_growth=1.6, peak=6.0)
+TERMS = FleetPolicy(wave_growth=1.6, peak=6.0)
 STEP_S = 0.2
 
 
