--- a/src/ebonydeal/_internal/routing/placement/__init__.py
+++ b/src/ebonydeal/_internal/routing/placement/__init__.py
@@ -1,5 +1,6 @@
-"""Which route a request is on, and which endpoint takes it.
+"""Routes of requests, and the choice of the endpoint that serves a request.
 
-Load: every request, at every send; endpoints that are full, slow, far or failing.
-Called by the gateway's router and the relay's chooser; touches its own view of load.
+Runs for every send of a request, in the gateway's router and the relay's chooser,
+where endpoints may be full, slow, distant or failing. Changes only its own view of
+their load.
 """
--- a/src/ebonydeal/_internal/routing/placement/candidates.py
+++ b/src/ebonydeal/_internal/routing/placement/candidates.py
@@ -1,8 +1,9 @@
-"""Which endpoints are scored when there are many.
+"""Limits the number of endpoints that are scored for one request.
 
-Those that seem to hold the prompt's own part, its home, and a random sample of
-the rest: the time of a decision stays bounded, and a sample is enough to find
-a lightly loaded endpoint.
+Scored are the endpoints that probably have the part of the prompt that is specific
+to the request in their cache, the prompt's home, and a random sample of the others.
+This bounds the time of a decision, and a sample is enough to find a lightly loaded
+endpoint.
 """
 
 from collections.abc import Callable, Sequence
@@ -10,51 +11,52 @@
 
 from ebonydeal._internal.models.endpoints import EndpointView
 
-_PROBES = 4
+_MAX_PROBE_BLOCKS = 4
 
 
-def probes(blocks: Sequence[str], split: int) -> tuple[str, ...]:
-    """Return a few blocks spread over the prompt's own part.
+def probe_blocks(blocks: Sequence[str], split: int) -> tuple[str, ...]:
+    """Return a few blocks spread over the request-specific part of the prompt.
 
-    Several, because the events of some are lost.
+    One block is not enough, because some cache events are lost.
     """
     own = blocks[max(0, split) :]
-    step = max(1, len(own) // _PROBES)
-    return tuple(own[::step][:_PROBES])
+    step = max(1, len(own) // _MAX_PROBE_BLOCKS)
+    return tuple(own[::step][:_MAX_PROBE_BLOCKS])
 
 
-def narrow(
+def select_candidates(
     views: tuple[EndpointView, ...],
-    most: int,
+    max_count: int,
     home: str,
     holds: Callable[[str], bool],
     rng: Random,
 ) -> tuple[EndpointView, ...]:
-    """Return at most ``most`` (at least 2) of ``views`` to score.
+    """Return at most ``max_count`` (at least 2) of ``views`` to score.
 
     Parameters
     ----------
     views : tuple of EndpointView
-        All that may be used.
-    most : int
-        How many to return; half are kept for the random sample.
+        All usable endpoints.
+    max_count : int
+        Endpoints to return at most; half of them are reserved for the random sample.
     home : str
-        Id of the prompt's home; empty for none.
+        Id of the prompt's home; empty if it has none.
     holds : callable
-        Whether an endpoint id seems to hold the prompt's own part.
+        Returns whether the endpoint with this id probably has cached the
+        request-specific part of the prompt.
     rng : random.Random
-        For the sample.
+        Draws the sample.
     """
-    if len(views) <= most:
+    if len(views) <= max_count:
         return views
     holders: list[EndpointView] = []
     others: list[EndpointView] = []
     for view in views:
-        wanted = view.endpoint_id == home or holds(view.endpoint_id)
-        (holders if wanted else others).append(view)
-    if len(holders) > most // 2:
+        preferred = view.endpoint_id == home or holds(view.endpoint_id)
+        (holders if preferred else others).append(view)
+    if len(holders) > max_count // 2:
         holders.sort(key=lambda view: view.endpoint_id != home)
         first = holders[:1]
-        holders = first + rng.sample(holders[1:], most // 2 - 1)
-    sample = rng.sample(others, min(len(others), most - len(holders)))
+        holders = first + rng.sample(holders[1:], max_count // 2 - 1)
+    sample = rng.sample(others, min(len(others), max_count - len(holders)))
     return (*holders, *sample)
--- a/src/ebonydeal/_internal/routing/placement/concurrency.py
+++ b/src/ebonydeal/_internal/routing/placement/concurrency.py
@@ -1,15 +1,15 @@
-"""An adaptive limit of own requests in flight at one endpoint.
+"""An adaptive limit of this gateway's requests in flight at one endpoint.
 
-Additive increase while the limit is in use and answers start in time,
-multiplicative decrease at most once per round trip when they queue too long or
-the endpoint refuses.
+The limit increases additively while it is in use and answers start in time. It
+decreases multiplicatively, at most once per round trip, when requests queue too
+long or the endpoint refuses one.
 """
 
-_LATE = 0.9
-_REFUSED = 0.7
-_LEAST = 1.0
-_USED_SHARE = 0.5
-_LEAST_PAUSE_S = 0.1
+_LATE_FACTOR = 0.9
+_REFUSED_FACTOR = 0.7
+_MIN_LIMIT = 1.0
+_IN_USE_SHARE = 0.5
+_MIN_DECREASE_INTERVAL_S = 0.1
 
 
 class ConcurrencyLimit:
@@ -17,19 +17,19 @@
 
     Parameters
     ----------
-    start, most : float
-        First and highest limit.
+    start, max_limit : float
+        Initial and highest limit.
     """
 
-    def __init__(self, start: float, most: float) -> None:
-        self.limit = min(start, most)
-        self._most = most
-        self._cut_at = float("-inf")
+    def __init__(self, start: float, max_limit: float) -> None:
+        self.limit = min(start, max_limit)
+        self._max_limit = max_limit
+        self._decreased_at = float("-inf")
 
-    def started(
+    def record_first_token(
         self, queued_s: float, target_s: float, in_flight: int, now: float
     ) -> None:
-        """Learn from an answer that started.
+        """Adapt the limit to the delay of an answer's first token.
 
         Parameters
         ----------
@@ -38,22 +38,25 @@
         target_s : float
             Latency target of the first token.
         in_flight : int
-            Own requests in flight at the endpoint.
+            This gateway's requests in flight at the endpoint.
         now : float
             Seconds.
         """
         if queued_s > target_s:
-            self._cut(_LATE, max(queued_s, _LEAST_PAUSE_S), now)
-        elif in_flight >= self.limit * _USED_SHARE:
-            self.limit = min(self._most, self.limit + 1.0 / self.limit)
+            self._decrease(_LATE_FACTOR, max(queued_s, _MIN_DECREASE_INTERVAL_S), now)
+        elif in_flight >= self.limit * _IN_USE_SHARE:
+            self.limit = min(self._max_limit, self.limit + 1.0 / self.limit)
 
-    def refused(self, now: float) -> None:
-        """Learn that the endpoint took no more."""
-        self._cut(_REFUSED, _LEAST_PAUSE_S, now)
+    def record_refusal(self, now: float) -> None:
+        """Decrease the limit after the endpoint refused a request."""
+        self._decrease(_REFUSED_FACTOR, _MIN_DECREASE_INTERVAL_S, now)
 
-    def _cut(self, factor: float, pause: float, now: float) -> None:
-        """Lower the limit, once per ``pause``: later news tells of the same."""
-        if now - self._cut_at < pause:
+    def _decrease(self, factor: float, interval: float, now: float) -> None:
+        """Decrease the limit, at most once per ``interval``.
+
+        Further signals within the interval have the same cause.
+        """
+        if now - self._decreased_at < interval:
             return
-        self._cut_at = now
-        self.limit = max(_LEAST, self.limit * factor)
+        self._decreased_at = now
+        self.limit = max(_MIN_LIMIT, self.limit * factor)
--- a/src/ebonydeal/_internal/routing/placement/endpoint_attempts.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_attempts.py
@@ -1,23 +1,23 @@
-"""What this gateway sent to each endpoint, and what it learned from answers."""
+"""Attempts of this gateway at each endpoint, and speeds learned from answers."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-_LEARN = 0.05
-_LEARN_QUEUE = 0.3
-_RATE_DECAY = 0.999
-_RATE_LEAST_TOKENS = 64
+_SERVICE_TIME_WEIGHT = 0.05
+_QUEUE_WEIGHT = 0.3
+_PREFILL_RATE_DECAY = 0.999
+_PREFILL_RATE_MIN_TOKENS = 64
 
 
 @dataclass
 class Attempt:
-    """A try that was sent and has not ended."""
+    """An attempt that was sent and has not ended."""
 
     request_id: str
     deployment: str
     blocks: Sequence[str]
     sent_at: float
-    missed_tokens: float
+    uncached_tokens: float
     cached_tokens: float
     target_s: float
     first_token_at: float | None = None
@@ -25,60 +25,64 @@
 
 @dataclass
 class EndpointAttempts:
-    """Own attempts at one endpoint."""
+    """Attempts of this gateway at one endpoint, and the queueing time seen there."""
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
 
     queue_s: float = 0.0
     queue_at: float = 0.0
 
-    def queued(self, seconds: float, now: float, half_life: float) -> None:
+    def record_queue_time(self, seconds: float, now: float, half_life: float) -> None:
         """Learn how long a request waited for others before its own prefill."""
-        known = self.queue_now(now, half_life)
-        self.queue_s = known + _LEARN_QUEUE * (max(0.0, seconds) - known)
+        known = self.current_queue_time(now, half_life)
+        self.queue_s = known + _QUEUE_WEIGHT * (max(0.0, seconds) - known)
         self.queue_at = now
 
-    def queue_now(self, now: float, half_life: float) -> float:
-        """Return the wait to expect, less the older the last one is."""
+    def current_queue_time(self, now: float, half_life: float) -> float:
+        """Return the expected queueing time; it decays since the last sample."""
         return self.queue_s * 0.5 ** (max(0.0, now - self.queue_at) / half_life)
 
-    def since(self, at: float) -> int:
+    def sent_since(self, at: float) -> int:
         """Return how many unfinished attempts were sent after ``at``."""
         return sum(1 for item in self.attempts.values() if item.sent_at > at)
 
-    def prefilling(self) -> float:
-        """Return the tokens that own attempts still have to prefill."""
+    def pending_prefill_tokens(self) -> float:
+        """Return the tokens of this gateway's attempts that are still to prefill."""
         return sum(
-            item.missed_tokens
+            item.uncached_tokens
             for item in self.attempts.values()
             if item.first_token_at is None
         )
 
     def end(self, request_id: str) -> Attempt | None:
-        """Remove an attempt."""
+        """Remove and return an attempt."""
         return self.attempts.pop(request_id, None)
 
 
 @dataclass
 class LearnedRates:
-    """Learned speeds of one deployment.
+    """Speeds learned for one deployment.
 
-    ``prefill`` in tokens per second of one endpoint; ``service_s`` from first
-    token to the end of an answer, seconds; ``gateways`` how many like this one
-    the endpoints seem to serve, from ``looks`` looks at their load.
+    ``prefill`` is tokens per second of one endpoint, and ``service_s`` the seconds from
+    the first token to the end of an answer. ``gateways`` estimates how many gateways
+    with this one's load the endpoints serve, from ``samples`` comparisons with their
+    reports.
     """
 
     prefill: float
     service_s: float
     gateways: float = 1.0
-    looks: int = 0
+    samples: int = 0
 
-    def prefilled(self, tokens: int, seconds: float) -> None:
-        """Learn from a first token; waiting makes a single one look too slow."""
-        if tokens < _RATE_LEAST_TOKENS or seconds <= 0.0:
+    def record_prefill(self, tokens: int, seconds: float) -> None:
+        """Learn the prefill rate from a first token.
+
+        Queueing makes single samples too slow, so the highest one counts and decays.
+        """
+        if tokens < _PREFILL_RATE_MIN_TOKENS or seconds <= 0.0:
             return
-        self.prefill = max(self.prefill * _RATE_DECAY, tokens / seconds)
+        self.prefill = max(self.prefill * _PREFILL_RATE_DECAY, tokens / seconds)
 
-    def served(self, seconds: float) -> None:
-        """Learn the time from first token to end."""
-        self.service_s += _LEARN * (max(0.0, seconds) - self.service_s)
+    def record_service_time(self, seconds: float) -> None:
+        """Learn the time from the first token to the end."""
+        self.service_s += _SERVICE_TIME_WEIGHT * (max(0.0, seconds) - self.service_s)
--- a/src/ebonydeal/_internal/routing/placement/endpoint_load.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_load.py
@@ -1,11 +1,11 @@
-"""What one relay knows of the load at an endpoint: its own, and what others told."""
+"""The load at an endpoint: this relay's own and that reported by other relays."""
 
 from collections import OrderedDict
 from typing import NamedTuple
 
 
 class ReportedLoad(NamedTuple):
-    """What other relays have at an endpoint: requests, and tokens to be read."""
+    """Requests and pending prefill tokens at an endpoint, as relays report them."""
 
     running: int = 0
     pending_prefill_tokens: float = 0.0
@@ -13,71 +13,74 @@
 
 
 class EndpointLoad:
-    """One endpoint as this relay knows it.
+    """The load of one endpoint as this relay knows it.
 
     Attributes
     ----------
-    running, unread : int, float
-        This relay's requests there, and their tokens to be read.
-    told : ReportedLoad
-        The same of all others, as of their last word.
-    reads_until : float
-        Until when the endpoint reads a long prompt of another relay, which said so
-        when it sent it.
-    parts : OrderedDict
-        When each prompt part was last sent there, oldest first.
+    running, pending_prefill_tokens : int, float
+        This relay's requests at the endpoint, and their tokens still to prefill.
+    reported : ReportedLoad
+        The same for all other relays, from the last report.
+    prefilling_until : float
+        When the endpoint finishes the prefill of another relay's long prompt. That
+        relay announces it when it sends the prompt.
+    part_sent_at : OrderedDict
+        When each prompt part was last sent to the endpoint, oldest first.
     """
 
     def __init__(self) -> None:
         self.running = 0
         self.pending_prefill_tokens = 0.0
-        self.told = ReportedLoad()
+        self.reported = ReportedLoad()
         self.prefilling_until = 0.0
-        self.parts: OrderedDict[str, float] = OrderedDict()
+        self.part_sent_at: OrderedDict[str, float] = OrderedDict()
 
     @property
     def all_running(self) -> int:
-        """Requests of all relays there, as far as known."""
-        return self.running + self.told.running
+        """Requests of all relays at the endpoint, as far as known."""
+        return self.running + self.reported.running
 
-    def wait(self, rate: float, now: float, by_age: bool) -> float:
-        """Return the seconds of reading before a new request's.
+    def prefill_wait(self, prefill_rate: float, now: float, by_age: bool) -> float:
+        """Return the seconds of prefill work queued before a new request.
 
         Parameters
         ----------
-        rate : float
-            Tokens that are read a second.
+        prefill_rate : float
+            Tokens per second.
         now : float
             Monotonic time, seconds.
         by_age : bool
-            Whether what others told has been read since by its age: the word is
-            older than most prompts take to read, and endpoints would be avoided
-            for work that was done long ago.
+            Whether to subtract the age of the report from the reported work. The
+            report is older than most prompts take to prefill, so otherwise endpoints
+            are avoided for work that they finished long ago.
         """
-        told = self.told.pending_prefill_tokens / rate
+        reported = self.reported.pending_prefill_tokens / prefill_rate
         if by_age:
-            told = max(0.0, told - max(0.0, now - self.told.at))
-        # A long prompt stands in the next word too: it is not counted twice.
-        return self.pending_prefill_tokens / rate + max(
-            told, self.prefilling_until - now, 0.0
+            reported = max(0.0, reported - max(0.0, now - self.reported.at))
+        # The next report includes an announced long prompt, so the larger of the two
+        # counts, not their sum.
+        return self.pending_prefill_tokens / prefill_rate + max(
+            reported, self.prefilling_until - now, 0.0
         )
 
-    def note_parts(self, part_ids: list[str], now: float, keep: float) -> None:
-        """Note that parts are read now, and forget those of ``keep`` seconds ago."""
+    def record_parts(self, part_ids: list[str], now: float, ttl_s: float) -> None:
+        """Record that parts are sent now, and drop those sent ``ttl_s`` ago."""
         for part_id in part_ids:
-            self.parts[part_id] = now
-            self.parts.move_to_end(part_id)
-        while self.parts and now - next(iter(self.parts.values())) > keep:
-            self.parts.popitem(last=False)
+            self.part_sent_at[part_id] = now
+            self.part_sent_at.move_to_end(part_id)
+        while (
+            self.part_sent_at and now - next(iter(self.part_sent_at.values())) > ttl_s
+        ):
+            self.part_sent_at.popitem(last=False)
 
 
 class SentRequest(NamedTuple):
-    """A request that was sent; give it back to `EndpointSelector.record_end`.
+    """A request in flight; to be passed to `EndpointSelector.record_end`.
 
     ``uncached_tokens`` are the prompt tokens that the endpoint must prefill, and
     ``pending_prefill_tokens`` the tokens of short prompts that take as long.
-    ``load`` is the load it is counted in: an endpoint that starts again under its id
-    has another.
+    ``load`` is the object that counts the request: an endpoint that restarts under
+    its id gets a new one.
     """
 
     endpoint_id: str
--- a/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
@@ -1,12 +1,12 @@
-"""Which endpoint of a service takes a forwarded request.
-
-An engine's score is the time to the first event that it is expected to give:
-the prompt tokens that wait before this request and those of its own that the
-engine must read, at the rate seen lately, and what a full batch adds. Requests
-of one session go to the same engine where that costs little, since it still
-holds the session's part of the prompt; relays that never met the session agree
-on its home by rendezvous hashing. Where engines can pass memory on, one that
-lacks parts of a prompt fetches them from the engine that most likely holds them.
+"""Selects the endpoint of a service for a forwarded request.
+
+An engine's score is its expected time to the first event: the prefill work queued
+before this request and the request's own uncached tokens, at the recent prefill rate,
+plus the delay of a full batch. Requests of one session go to the same engine where
+that costs little, since it still caches the session's part of the prompt. Relays that
+have no state of the session agree on its home by rendezvous hashing. Where engines can
+transfer KV cache, one that lacks parts of a prompt fetches them from the engine that
+most likely holds them.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -26,34 +26,35 @@
 from ebonydeal._internal.routing.placement.engine_speed import EngineSpeed
 from ebonydeal._internal.settings.policy import PolicySettings
 
-# A request beyond the batch waits for one that ends, about this long.
+# A request beyond the batch waits about this long for a running one to end.
 _SLOT_WAIT_S = 0.5
-# Running requests slow a step: share of the fixed time at a full batch.
+# Running requests slow down each step; this is the added time at a full batch.
 _BATCH_SLOWDOWN_S = 0.1
-# Another zone costs the way there and back, and bytes between zones.
+# Another zone costs a round trip and traffic between zones.
 _OTHER_ZONE_S = 0.003
-# An endpoint that leaves cuts off what runs longer than expected, or costs a move.
+# A leaving endpoint breaks off requests that run longer than expected, or they must be
+# moved.
 _LEAVING_S = 0.05
 # A fetch takes a few milliseconds whatever its size.
 _FETCH_S = 0.004
-# Fetched tokens are paid for at about a third of what reading them again costs,
-# so sending the request to where they lie is still better.
+# Fetched tokens cost about a third of prefilling them again, so sending the request to
+# the endpoint that holds them is still better.
 _FETCH_WEIGHT = 0.5
 # An endpoint that fails all of its answers costs as much as waiting this long, about
-# the objective of a stream; shares of plain endpoints are alike within a step.
-_FAILING_S = 1.0
-_FAILING_STEP = 0.1
-# Part of the batch beyond which other relays' unseen sends may fill it.
-_SEATS_KEPT = 0.95
-# Time over which the work asked of a service is averaged.
+# the objective of a stream. Failure rates of plain endpoints are compared in steps.
+_FAILURE_COST_S = 1.0
+_FAILURE_RATE_STEP = 0.1
+# Share of the batch that is used: other relays' sends that aren't reported yet may
+# fill the rest.
+_USABLE_BATCH_SHARE = 0.95
+# Time over which a service's demand for work is averaged.
 _WORK_WINDOW_S = 4.0
 
 
 class SelectionPolicy(NamedTuple):
-    """Terms of the choice; `PolicySettings` says what each does.
+    """Parameters of the selection; `PolicySettings` describes each.
 
-    Connections to endpoints that have none open are paid for with about a fiftieth
-    of a request, and take a way there and back.
+    Opening a connection costs about a fiftieth of a request, and a round trip.
     """
 
     home_trust: float = 0.8
@@ -79,10 +80,10 @@
 
 
 class SelectionRequest(NamedTuple):
-    """What is known of a request when its endpoint is chosen.
+    """The properties of a request that the selection needs.
 
-    ``fetches`` tells that engines of the service pass memory to each other;
-    ``connected`` are endpoints to which an idle connection is open.
+    ``fetches`` says that engines of the service can fetch KV cache from each other.
+    ``connected`` are the endpoints to which an idle connection is open.
     """
 
     parts: tuple[PromptPart, ...]
@@ -92,24 +93,24 @@
     connected: frozenset[str] = frozenset()
 
 
-class _Held(NamedTuple):
-    """An engine and the prompt tokens that it likely holds."""
+class _CachedPrompt(NamedTuple):
+    """An engine and the prompt tokens that it is expected to have cached."""
 
     endpoint_id: str = ""
     tokens: float = 0.0
 
 
 class Score(NamedTuple):
-    """An endpoint's terms, in seconds, lowest total first.
+    """An endpoint's score and its terms, in seconds; the lowest total is best.
 
-    ``uncached_tokens`` are tokens that it must read; ``source`` is the endpoint that it
-    should fetch parts of the prompt from, or empty.
+    ``uncached_tokens`` are the tokens that it must prefill. ``source`` is the endpoint
+    from which it should fetch parts of the prompt, or empty.
     """
 
     total: float
     endpoint_id: str
     wait: float
-    read: float
+    prefill: float
     fetch: float
     batch: float
     zone: float
@@ -118,23 +119,25 @@
 
 
 class EndpointSelector:
-    """State of the choice at one relay.
+    """Selects endpoints for one relay, by its own view of their load.
 
     Parameters
     ----------
-    keep : float
-        Seconds for which a part that was read is held to be in memory.
-    terms : SelectionPolicy, optional
-        What is weighed, and how much.
+    cache_ttl_s : float
+        Seconds for which a prefilled part is assumed to stay cached.
+    policy : SelectionPolicy, optional
+        Weights and switches.
     """
 
-    def __init__(self, keep: float, terms: SelectionPolicy | None = None) -> None:
-        self._keep = keep
-        self._terms = terms or SelectionPolicy()
-        self._signs: dict[str, float] = {}
+    def __init__(
+        self, cache_ttl_s: float, policy: SelectionPolicy | None = None
+    ) -> None:
+        self._cache_ttl_s = cache_ttl_s
+        self._policy = policy or SelectionPolicy()
+        self._last_activity: dict[str, float] = {}
         self._loads: dict[str, EndpointLoad] = {}
-        self._work: dict[str, RateMeter] = {}
-        self.speed = EngineSpeed(self._terms.long_prompts)
+        self._work_meters: dict[str, RateMeter] = {}
+        self.speed = EngineSpeed(self._policy.long_prompts)
 
     def _load(self, endpoint_id: str) -> EndpointLoad:
         load = self._loads.get(endpoint_id)
@@ -142,23 +145,23 @@
             load = self._loads[endpoint_id] = EndpointLoad()
         return load
 
-    # --- what is known -------------------------------------------------------
+    # --- view of endpoints ---------------------------------------------------
     def update_reported_loads(self, loads: dict[str, ReportedLoad]) -> None:
-        """Take what the other relays have at each endpoint."""
-        if not self._terms.others_loads:
+        """Replace the load that other relays have at each endpoint."""
+        if not self._policy.others_loads:
             return
         for endpoint_id, load in self._loads.items():
-            load.told = loads.get(endpoint_id, ReportedLoad())
-        for endpoint_id, told in loads.items():
-            self._load(endpoint_id).told = told
+            load.reported = loads.get(endpoint_id, ReportedLoad())
+        for endpoint_id, reported in loads.items():
+            self._load(endpoint_id).reported = reported
 
     def mark_prefilling(self, endpoint_id: str, until: float) -> None:
-        """Note that an endpoint reads a long prompt of another relay."""
+        """Record that an endpoint prefills a long prompt of another relay."""
         load = self._load(endpoint_id)
         load.prefilling_until = max(load.prefilling_until, until)
 
     def own_loads(self) -> dict[str, ReportedLoad]:
-        """Return what this relay has at each endpoint."""
+        """Return this relay's load at each endpoint."""
         return {
             endpoint_id: ReportedLoad(load.running, load.pending_prefill_tokens)
             for endpoint_id, load in self._loads.items()
@@ -166,73 +169,75 @@
         }
 
     def work_rates(self, now: float) -> dict[str, float]:
-        """Return seconds of an endpoint's time asked for a second, by service."""
-        return {name: meter.rate(now) for name, meter in self._work.items()}
+        """Return the prefill work asked per second, in endpoint seconds, by service."""
+        return {name: meter.rate(now) for name, meter in self._work_meters.items()}
 
     def running_requests(self, endpoint_id: str) -> int:
-        """Return how many requests all relays have there, as far as known."""
+        """Return the requests of all relays at an endpoint, as far as known."""
         load = self._loads.get(endpoint_id)
         return 0 if load is None else load.all_running
 
     def report_age(self, endpoint_id: str, now: float) -> float | None:
-        """Return how old the others' word on an endpoint is, seconds."""
+        """Return the age of other relays' report on an endpoint, seconds."""
         load = self._loads.get(endpoint_id)
-        if load is None or load.told.at <= 0.0:
+        if load is None or load.reported.at <= 0.0:
             return None
-        return round(now - load.told.at, 3)
+        return round(now - load.reported.at, 3)
 
     def retain_only(self, endpoint_ids: Iterable[str]) -> None:
-        """Forget endpoints that are gone."""
+        """Forget all endpoints but these, except those with requests in flight."""
         known = set(endpoint_ids)
         for endpoint_id in [e for e in self._loads if e not in known]:
             if not self._loads[endpoint_id].running:
                 del self._loads[endpoint_id]
-                self._signs.pop(endpoint_id, None)
+                self._last_activity.pop(endpoint_id, None)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known of an endpoint that started again: it holds nothing."""
+        """Drop the state of an endpoint that restarted: its cache is empty."""
         self._loads.pop(endpoint_id, None)
-        self._signs.pop(endpoint_id, None)
+        self._last_activity.pop(endpoint_id, None)
 
     def record_activity(self, endpoint_id: str, now: float) -> None:
-        """Note a sign of life of an endpoint."""
-        self._signs[endpoint_id] = now
+        """Record that an endpoint sent something."""
+        self._last_activity[endpoint_id] = now
 
     def seconds_since_activity(self, endpoint_id: str, now: float) -> float:
-        """Return the seconds since an endpoint's last sign of life."""
-        return now - self._signs.get(endpoint_id, -inf)
+        """Return the seconds since an endpoint last sent something."""
+        return now - self._last_activity.get(endpoint_id, -inf)
 
-    # --- choice ----------------------------------------------------------------
+    # --- selection -------------------------------------------------------------
     def select_engine(
         self,
-        ask: SelectionRequest,
+        request: SelectionRequest,
         members: Sequence[Member],
         now: float,
         failing: Mapping[str, float] = MappingProxyType({}),
     ) -> Score | None:
-        """Return the best engine for ``ask``, or None without members.
+        """Return the best engine for ``request``, or None without members.
 
-        ``failing`` are the shares of answers that endpoints fail.
+        ``failing`` are the failure rates of endpoints.
         """
         if not members:
             return None
-        home = home_of(ask.parts, members)
-        held = [self._held(ask, m.endpoint_id, home, now) for m in members]
-        source = _Held()
-        if ask.fetches and self._terms.fetch_tokens:
-            # The engine that most likely holds most of the shared parts.
-            index = max(range(len(held)), key=held.__getitem__)
-            source = _Held(members[index].endpoint_id, held[index])
+        home = session_home(request.parts, members)
+        cached = [
+            self._expected_cached(request, m.endpoint_id, home, now) for m in members
+        ]
+        source = _CachedPrompt()
+        if request.fetches and self._policy.fetch_tokens:
+            # The engine that is expected to have cached most of the shared parts.
+            index = max(range(len(cached)), key=cached.__getitem__)
+            source = _CachedPrompt(members[index].endpoint_id, cached[index])
         return min(
             self._score(
-                ask,
+                request,
                 member,
                 tokens,
                 source,
                 now,
-                failing.get(member.endpoint_id, 0.0) * _FAILING_S,
+                failing.get(member.endpoint_id, 0.0) * _FAILURE_COST_S,
             )
-            for member, tokens in zip(members, held, strict=True)
+            for member, tokens in zip(members, cached, strict=True)
         )
 
     def select_plain(
@@ -241,64 +246,66 @@
         members: Sequence[Member],
         failing: Mapping[str, float] = MappingProxyType({}),
     ) -> Member | None:
-        """Return the plain service's endpoint with the most room.
+        """Return the plain service's endpoint with the most free capacity.
 
-        One that fails a part of its answers is taken where the others are full,
-        or fail as much.
+        An endpoint that fails part of its answers is selected only if all others are
+        full or fail as often.
         """
         if not members:
             return None
 
         def key(member: Member) -> tuple[bool, int, float, bool, float, str]:
-            fails = round(failing.get(member.endpoint_id, 0.0) / _FAILING_STEP)
+            failures = round(failing.get(member.endpoint_id, 0.0) / _FAILURE_RATE_STEP)
             used = self.running_requests(member.endpoint_id) / max(1, member.slots)
             full = used >= 1.0
-            rough = used if full else round(used * 2)
-            other = member.zone != zone
-            return (full, fails, rough, other, used, member.endpoint_id)
+            rounded = used if full else round(used * 2)
+            other_zone = member.zone != zone
+            return (full, failures, rounded, other_zone, used, member.endpoint_id)
 
         return min(members, key=key)
 
     def _score(
         self,
-        ask: SelectionRequest,
+        request: SelectionRequest,
         member: Member,
-        held: float,
-        source: _Held,
+        cached: float,
+        source: _CachedPrompt,
         now: float,
-        failing: float,
+        failure_cost: float,
     ) -> Score:
         load = self._load(member.endpoint_id)
-        fetched = max(0.0, source.tokens - held)
+        fetched = max(0.0, source.tokens - cached)
         if (
-            fetched < self._terms.fetch_tokens
+            fetched < self._policy.fetch_tokens
             or source.endpoint_id == member.endpoint_id
         ):
             fetched = 0.0
-        uncached_tokens = max(0.0, ask.prompt_tokens - held - fetched)
+        uncached_tokens = max(0.0, request.prompt_tokens - cached - fetched)
         running = load.all_running
-        seats = max(1.0, member.slots * _SEATS_KEPT)
-        batch = _BATCH_SLOWDOWN_S * running / seats
-        if running >= seats:
-            batch += _SLOT_WAIT_S * (1.0 + (running - seats) / seats)
-        wait = load.wait(self.speed.prefill_rate, now, self._terms.others_age)
-        read = self.speed.prefill_seconds(uncached_tokens) * self._terms.reread_weight
+        slots = max(1.0, member.slots * _USABLE_BATCH_SHARE)
+        batch = _BATCH_SLOWDOWN_S * running / slots
+        if running >= slots:
+            batch += _SLOT_WAIT_S * (1.0 + (running - slots) / slots)
+        wait = load.prefill_wait(self.speed.prefill_rate, now, self._policy.others_age)
+        prefill = (
+            self.speed.prefill_seconds(uncached_tokens) * self._policy.reread_weight
+        )
         fetch = (
             _FETCH_S + fetched * _FETCH_WEIGHT / self.speed.prefill_rate
             if fetched
             else 0.0
         )
-        zone = 0.0 if member.zone == ask.zone else _OTHER_ZONE_S
-        total = wait + read + fetch + batch + zone + member.warming + failing
+        zone = 0.0 if member.zone == request.zone else _OTHER_ZONE_S
+        total = wait + prefill + fetch + batch + zone + member.warming + failure_cost
         if member.leaving:
             total += _LEAVING_S
-        if member.endpoint_id not in ask.connected:
-            total += self._terms.connect_cost
+        if member.endpoint_id not in request.connected:
+            total += self._policy.connect_cost
         return Score(
             total,
             member.endpoint_id,
             wait,
-            read,
+            prefill,
             fetch,
             batch,
             zone,
@@ -306,25 +313,29 @@
             source.endpoint_id if fetched else "",
         )
 
-    def _held(
-        self, ask: SelectionRequest, endpoint_id: str, home: str, now: float
+    def _expected_cached(
+        self, request: SelectionRequest, endpoint_id: str, home: str, now: float
     ) -> float:
-        """Return the tokens of shared parts that an engine is expected to hold."""
-        seen = self._load(endpoint_id).parts
-        held = 0.0
-        for part in ask.parts[:-1]:
-            at = seen.get(part.part_id)
-            if at is not None and now - at <= self._keep:
-                held += part.tokens
+        """Return the tokens of shared parts that an engine is expected to cache."""
+        sent_at = self._load(endpoint_id).part_sent_at
+        cached = 0.0
+        for part in request.parts[:-1]:
+            at = sent_at.get(part.part_id)
+            if at is not None and now - at <= self._cache_ttl_s:
+                cached += part.tokens
             elif endpoint_id == home:
-                held += part.tokens * self._terms.home_trust
+                cached += part.tokens * self._policy.home_trust
             else:
                 break
-        return held
+        return cached
 
-    # --- life of a request -----------------------------------------------------
+    # --- progress of a request -------------------------------------------------
     def record_sent(
-        self, ask: SelectionRequest, member: Member, uncached_tokens: float, now: float
+        self,
+        request: SelectionRequest,
+        member: Member,
+        uncached_tokens: float,
+        now: float,
     ) -> SentRequest:
         """Record that a request is sent to ``member``."""
         load = self._load(member.endpoint_id)
@@ -333,15 +344,17 @@
             self.speed.prefill_seconds(uncached_tokens) * self.speed.prefill_rate
         )
         load.pending_prefill_tokens += pending_prefill_tokens
-        meter = self._work.setdefault(member.service, RateMeter(_WORK_WINDOW_S))
+        meter = self._work_meters.setdefault(member.service, RateMeter(_WORK_WINDOW_S))
         meter.add(pending_prefill_tokens / self.speed.prefill_rate, now)
-        load.note_parts([part.part_id for part in ask.parts], now, self._keep)
+        load.record_parts(
+            [part.part_id for part in request.parts], now, self._cache_ttl_s
+        )
         return SentRequest(
             member.endpoint_id, uncached_tokens, pending_prefill_tokens, now, load
         )
 
     def record_first_event(self, sent: SentRequest, now: float) -> SentRequest:
-        """Note the first event of a request; returns what `ended` gets."""
+        """Record a request's first event; returns the value for `record_end`."""
         load = sent.load
         load.pending_prefill_tokens = max(
             0.0, load.pending_prefill_tokens - sent.pending_prefill_tokens
@@ -352,7 +365,7 @@
         return sent._replace(uncached_tokens=0.0, pending_prefill_tokens=0.0)
 
     def record_end(self, sent: SentRequest) -> None:
-        """Note that a request is over, well or not."""
+        """Record that a request ended, successfully or not."""
         load = sent.load
         load.running = max(0, load.running - 1)
         load.pending_prefill_tokens = max(
@@ -360,8 +373,8 @@
         )
 
 
-def home_of(parts: tuple[PromptPart, ...], members: Sequence[Member]) -> str:
-    """Return the endpoint where a session's shared parts are kept."""
+def session_home(parts: tuple[PromptPart, ...], members: Sequence[Member]) -> str:
+    """Return the endpoint at which a session's shared parts should be cached."""
     if len(parts) < 2 or not members:
         return ""
     session = f"{parts[-2].part_id}\0"
--- a/src/ebonydeal/_internal/routing/placement/engine_speed.py
+++ b/src/ebonydeal/_internal/routing/placement/engine_speed.py
@@ -1,94 +1,102 @@
-"""How fast a service's engines read prompts and make tokens, learned from answers."""
+"""How fast a service's engines prefill prompts and generate, learned from answers."""
 
-# Reading rate and fixed time assumed before any answer was seen; both are
-# replaced by what answers show within a few requests.
-_FIRST_RATE = 50_000.0
-_FIRST_BASE_S = 0.08
-# Weights of samples above and below what is held; four to one makes the rate
-# settle near the upper fifth of them.
-_RATE_UP = 0.12
-_RATE_DOWN = 0.03
-_RATE_MOST_STEP = 3.0
-# Shorter prompts show the fixed time, longer ones the rate.
-_BASE_MOST_TOKENS = 600
-_BASE_DRIFT = 0.02
-_RATE_LEAST_TOKENS = 3000
-# From here on a prompt shows what it takes beyond its share: each token is compared
-# with all before it. Long prompts are few, so the beginning is a guess, a fifth at
-# 25,000 tokens, and each says much.
-_CURVE_LEAST_TOKENS = 12_000
-_FIRST_CURVE = 1.2e-10
-_CURVE_UP = 0.1
-_CURVE_DOWN = 0.3
-# Seconds for one output token assumed before any stream ended, and the weight of
-# a stream in the average.
-_FIRST_PACE_S = 0.02
-_PACE_WEIGHT = 0.05
+# Prefill rate and base latency assumed before the first answer. A few requests
+# replace both with measured values.
+_INITIAL_PREFILL_RATE = 50_000.0
+_INITIAL_BASE_LATENCY_S = 0.08
+# Weights of samples above and below the current rate. The ratio of four to one makes
+# the rate settle near the upper fifth of the samples.
+_FASTER_SAMPLE_WEIGHT = 0.12
+_SLOWER_SAMPLE_WEIGHT = 0.03
+_MAX_RATE_STEP_FACTOR = 3.0
+# Shorter prompts show the base latency, longer ones the rate.
+_BASE_LATENCY_MAX_TOKENS = 600
+_BASE_LATENCY_DRIFT = 0.02
+_RATE_MIN_TOKENS = 3000
+# From this length on the quadratic part of the prefill time is measurable: each token
+# is compared with all before it. Long prompts are rare, so the initial value is a
+# guess that adds a fifth at 25,000 tokens, and each sample has a large weight.
+_QUADRATIC_MIN_TOKENS = 12_000
+_INITIAL_QUADRATIC_S = 1.2e-10
+_SLOWER_QUADRATIC_WEIGHT = 0.1
+_FASTER_QUADRATIC_WEIGHT = 0.3
+# Seconds per output token assumed before the first stream ends, and the weight of one
+# stream in the average.
+_INITIAL_TOKEN_S = 0.02
+_STREAM_WEIGHT = 0.05
 
 
 class EngineSpeed:
-    """What a relay learned of the engines.
+    """The speed of a service's engines as one relay has measured it.
 
     Parameters
     ----------
     long_prompts : bool
-        Whether to learn what long prompts take beyond their share.
+        Whether to learn the quadratic part of the prefill time of long prompts.
 
     Attributes
     ----------
-    rate : float
-        Prompt tokens that are read a second.
-    base : float
-        Seconds to the first event besides reading.
-    curve : float
-        Seconds that a prompt takes beyond its share, by its tokens squared.
+    prefill_rate : float
+        Prompt tokens prefilled per second.
+    base_latency_s : float
+        Seconds to the first event besides prefill.
+    quadratic_s : float
+        Seconds of prefill per squared prompt token, in addition to the linear part.
     """
 
     def __init__(self, long_prompts: bool = True) -> None:
         self._long_prompts = long_prompts
-        self.prefill_rate = _FIRST_RATE
-        self.base_latency_s = _FIRST_BASE_S
-        self.curve = _FIRST_CURVE if long_prompts else 0.0
-        self._pace = _FIRST_PACE_S
+        self.prefill_rate = _INITIAL_PREFILL_RATE
+        self.base_latency_s = _INITIAL_BASE_LATENCY_S
+        self.quadratic_s = _INITIAL_QUADRATIC_S if long_prompts else 0.0
+        self._token_s = _INITIAL_TOKEN_S
 
     def prefill_seconds(self, tokens: float) -> float:
-        """Return the seconds that an engine needs to read so many tokens."""
-        return tokens / self.prefill_rate + self.curve * tokens * tokens
+        """Return the seconds that an engine needs to prefill so many tokens."""
+        return tokens / self.prefill_rate + self.quadratic_s * tokens * tokens
 
     def answer_seconds(self, tokens: int) -> float:
         """Return the seconds that an answer of so many tokens is expected to take."""
-        return self.base_latency_s + tokens * self._pace
+        return self.base_latency_s + tokens * self._token_s
 
-    def record_first_event(self, uncached_tokens: float, took: float) -> None:
-        """Learn from one first event: tokens that were read, and seconds."""
-        if uncached_tokens < _BASE_MOST_TOKENS:
-            # The fixed time is the least that is seen, and forgets slowly.
+    def record_first_event(self, prefilled: float, seconds: float) -> None:
+        """Learn from the time to a first event and the tokens prefilled for it."""
+        if prefilled < _BASE_LATENCY_MAX_TOKENS:
+            # The base latency is the minimum seen, which decays slowly.
             self.base_latency_s = min(
-                took, self.base_latency_s + _BASE_DRIFT * (took - self.base_latency_s)
+                seconds,
+                self.base_latency_s
+                + _BASE_LATENCY_DRIFT * (seconds - self.base_latency_s),
             )
             return
-        spare = took - self.base_latency_s
-        if uncached_tokens < _RATE_LEAST_TOKENS or spare <= 0.0:
+        prefill_s = seconds - self.base_latency_s
+        if prefilled < _RATE_MIN_TOKENS or prefill_s <= 0.0:
             return
-        if uncached_tokens >= _CURVE_LEAST_TOKENS and self._long_prompts:
-            self._learn_curve(uncached_tokens, spare)
+        if prefilled >= _QUADRATIC_MIN_TOKENS and self._long_prompts:
+            self._learn_quadratic(prefilled, prefill_s)
             return
-        prefill_rate = min(uncached_tokens / spare, _RATE_MOST_STEP * self.prefill_rate)
-        # Waiting behind others only ever lowers a sample, so those that are
-        # higher say more of what the engine can do.
-        weight = _RATE_UP if prefill_rate > self.prefill_rate else _RATE_DOWN
-        self.prefill_rate += weight * (prefill_rate - self.prefill_rate)
+        rate = min(prefilled / prefill_s, _MAX_RATE_STEP_FACTOR * self.prefill_rate)
+        # Queueing only ever lowers a sample, so higher samples say more about the
+        # engine's speed.
+        weight = (
+            _FASTER_SAMPLE_WEIGHT if rate > self.prefill_rate else _SLOWER_SAMPLE_WEIGHT
+        )
+        self.prefill_rate += weight * (rate - self.prefill_rate)
 
-    def _learn_curve(self, tokens: float, spare: float) -> None:
-        """Take from a long prompt what it took beyond its share.
+    def _learn_quadratic(self, tokens: float, prefill_s: float) -> None:
+        """Learn the quadratic part from a long prompt.
 
-        Waiting behind others only ever adds to it, so low samples say more.
+        Queueing only ever raises a sample, so lower samples get the higher weight.
         """
-        beyond = max(0.0, spare - tokens / self.prefill_rate) / (tokens * tokens)
-        weight = _CURVE_DOWN if beyond < self.curve else _CURVE_UP
-        self.curve += weight * (beyond - self.curve)
+        sample = max(0.0, prefill_s - tokens / self.prefill_rate) / (tokens * tokens)
+        weight = (
+            _FASTER_QUADRATIC_WEIGHT
+            if sample < self.quadratic_s
+            else _SLOWER_QUADRATIC_WEIGHT
+        )
+        self.quadratic_s += weight * (sample - self.quadratic_s)
 
     def record_stream(self, tokens: int, seconds: float) -> None:
-        """Note how long a whole stream took after its first event."""
+        """Learn from the duration of a whole stream after its first event."""
         if tokens > 0 and seconds > 0.0:
-            self._pace += _PACE_WEIGHT * (seconds / tokens - self._pace)
+            self._token_s += _STREAM_WEIGHT * (seconds / tokens - self._token_s)
--- a/src/ebonydeal/_internal/routing/placement/expected_load.py
+++ b/src/ebonydeal/_internal/routing/placement/expected_load.py
@@ -1,9 +1,10 @@
-"""The load to expect at an endpoint, from lagged reports and own sends.
+"""Expected load of an endpoint, from delayed reports and this gateway's own sends.
 
-An old report says little of one endpoint, so it is drawn towards the mean of
-all as it ages. And when a report makes an endpoint look idle, every gateway
-reads the same: what this one sent there since, compared with its sends to the
-others, is taken as a sample of what all sent.
+An old report says little about a single endpoint, so its weight shifts to the mean of
+all endpoints as it ages. When a report makes an endpoint look idle, all gateways read
+the same report. So this gateway compares its own sends there since the report with its
+sends to other endpoints, and takes the difference as a sample of what all gateways
+sent.
 """
 
 from collections.abc import Iterable
@@ -16,21 +17,21 @@
     LearnedRates,
 )
 
-_LEARN = 0.02
-_MOST_GATEWAYS = 100.0
+_MIN_SAMPLE_WEIGHT = 0.02
+_MAX_GATEWAYS = 100.0
 
 
 class DeploymentLoad(NamedTuple):
-    """A deployment's endpoints together.
+    """Load of a deployment's endpoints, per endpoint.
 
     Attributes
     ----------
     load : float
-        Mean reported requests of one endpoint.
+        Mean of reported requests.
     sent_since : float
-        Mean own sends to one endpoint since its report, not yet ended.
+        Mean of this gateway's unfinished sends since the endpoint's report.
     gateways : float
-        How many gateways like this one the endpoints seem to serve.
+        Estimate of how many gateways with this one's load the endpoints serve.
     """
 
     load: float
@@ -41,7 +42,7 @@
 def summarize_load(
     pairs: Iterable[tuple[EndpointView, EndpointAttempts]], rates: LearnedRates
 ) -> DeploymentLoad:
-    """Put together what is known of all, and learn the number of gateways."""
+    """Summarize the load of all endpoints, and learn the number of gateways."""
     count = total = own = since = 0
     for view, sent in pairs:
         if view.load is None:
@@ -49,13 +50,16 @@
         count += 1
         total += view.load.running + view.load.waiting
         own += len(sent.attempts)
-        since += sent.since(view.load.at)
+        since += sent.sent_since(view.load.at)
     if not count:
         return DeploymentLoad(0.0, 0.0, rates.gateways)
-    seen = min(_MOST_GATEWAYS, max(1.0, total / max(1, own)))
-    # The first choices learn fast: a cold gateway must not join a herd.
-    rates.looks += 1
-    rates.gateways += max(_LEARN, 1.0 / rates.looks) * (seen - rates.gateways)
+    sample = min(_MAX_GATEWAYS, max(1.0, total / max(1, own)))
+    # The first samples get high weights, so that a gateway that has just started
+    # doesn't send to the same idle endpoint as all others.
+    rates.samples += 1
+    rates.gateways += max(_MIN_SAMPLE_WEIGHT, 1.0 / rates.samples) * (
+        sample - rates.gateways
+    )
     return DeploymentLoad(total / count, since / count, rates.gateways)
 
 
@@ -75,14 +79,14 @@
         return own
     at = min(view.load.at, now)
     reported = view.load.running + view.load.waiting
-    worth = 0.5 ** ((now - at) / half_life)
-    base = deployment_load.load + worth * (reported - deployment_load.load)
-    # A sample of one gateway's few sends is noisy: its weight is the square
-    # root of the number of gateways, not the number itself.
-    ahead = sqrt(deployment_load.gateways) * (
-        sent.since(at) - deployment_load.sent_since
+    weight = 0.5 ** ((now - at) / half_life)
+    base = deployment_load.load + weight * (reported - deployment_load.load)
+    # The few sends of one gateway are a noisy sample: its weight is the square root
+    # of the number of gateways, not the number itself.
+    excess = sqrt(deployment_load.gateways) * (
+        sent.sent_since(at) - deployment_load.sent_since
     )
-    return max(own, base + ahead)
+    return max(own, base + excess)
 
 
 def load_stddev(
@@ -94,10 +98,10 @@
 ) -> float:
     """Return the standard deviation of an expected load, requests.
 
-    What other gateways sent and saw end since the report isn't known. With
-    random arrivals and ends, its variance grows as the report gets older than
-    ``service_s``, the run time in seconds: ends with what is there, arrivals
-    with what any endpoint gets, the mean of all. Own requests are known.
+    This gateway's own requests are known. What other gateways sent, or saw end, since
+    the report is not known. With random arrivals and ends, its variance grows as the
+    report gets older than ``service_s``, a request's run time in seconds. The ends grow
+    with the endpoint's load, the arrivals with the mean load of all endpoints.
     """
     if view.load is None or service_s <= 0.0:
         return 0.0
--- a/src/ebonydeal/_internal/routing/placement/home.py
+++ b/src/ebonydeal/_internal/routing/placement/home.py
@@ -1,10 +1,10 @@
-"""The endpoint that a prompt prefix belongs to when nothing else is known.
+"""The home of a prompt prefix: the endpoint that it goes to by default.
 
-Copies of one prefix on many endpoints push other prefixes out. So every gateway
-computes the same home for a prefix, without talking to others: rendezvous
-hashing of the session, else of the first block after the part of the prompt
-that many different prompts share. Where that part ends is learned: it is the
-first block with several different successors.
+Copies of one prefix on many endpoints evict other prefixes. So every gateway computes
+the same home for a prefix without communication, by rendezvous hashing of the session,
+or else of the first block after the part of the prompt that many different prompts
+share. The end of that part is learned: it is the first block that has many different
+successors.
 """
 
 from collections import OrderedDict
@@ -12,47 +12,47 @@
 
 from ebonydeal._internal.routing.placement.subset import rank
 
-_BRANCHES = 8
+_MIN_SUCCESSORS = 8
 _ROOT = ""
 
 
-class Branches:
-    """Which blocks many different prompts share.
+class SharedPrefixes:
+    """Learns which leading blocks are shared by many different prompts.
 
     Parameters
     ----------
-    most : int
+    max_blocks : int
         Blocks remembered.
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._next: OrderedDict[str, set[str]] = OrderedDict()
+    def __init__(self, max_blocks: int) -> None:
+        self._max_blocks = max_blocks
+        self._successors: OrderedDict[str, set[str]] = OrderedDict()
 
     def learn(self, blocks: Sequence[str]) -> None:
-        """Take a prompt's blocks."""
+        """Add a prompt's blocks."""
         for index in range(len(blocks) - 1, -1, -1):
             parent = blocks[index - 1] if index else _ROOT
-            known = self._next.setdefault(parent, set())
+            known = self._successors.setdefault(parent, set())
             if blocks[index] in known:
-                # Its prefixes were learned together with it.
+                # The blocks before it were added together with it.
                 break
-            if len(known) < _BRANCHES:
+            if len(known) < _MIN_SUCCESSORS:
                 known.add(blocks[index])
-        while len(self._next) > self._most:
-            self._next.popitem(last=False)
+        while len(self._successors) > self._max_blocks:
+            self._successors.popitem(last=False)
 
     def split(self, blocks: Sequence[str]) -> int:
         """Return the index of the first block after the shared part, or -1."""
         parent = _ROOT
         for index, block in enumerate(blocks):
-            known = self._next.get(parent)
-            if known is not None and len(known) >= _BRANCHES:
+            known = self._successors.get(parent)
+            if known is not None and len(known) >= _MIN_SUCCESSORS:
                 return index
             parent = block
         return -1
 
 
-def home_of(key: str, endpoint_ids: Iterable[str]) -> str:
+def home_endpoint(key: str, endpoint_ids: Iterable[str]) -> str:
     """Return the endpoint with the highest rendezvous rank for ``key``."""
     return max(endpoint_ids, key=lambda name: rank(key, name))
--- a/src/ebonydeal/_internal/routing/placement/route_index.py
+++ b/src/ebonydeal/_internal/routing/placement/route_index.py
@@ -1,4 +1,4 @@
-"""From host and path to a forwarded route, and from key to client account."""
+"""Looks up forwarded routes by host and path, and client accounts by API key."""
 
 from random import Random
 
@@ -6,12 +6,12 @@
 
 
 class RouteIndex:
-    """One version of the routes, laid out for look-ups.
+    """An index of one version of the routes.
 
     Parameters
     ----------
     table : RouteTable
-        What operators declared.
+        Routes and accounts as operators declared them.
     """
 
     def __init__(self, table: RouteTable) -> None:
@@ -24,12 +24,12 @@
         }
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``, or None.
+        """Return the route with the longest matching prefix of ``path``, or None.
 
-        Prefixes end with a slash, so only as many look-ups are made as the
-        path has slashes, however many routes a host has.
+        Prefixes end with a slash, so the number of look-ups is at most the number of
+        slashes in the path, however many routes a host has.
         """
-        prefixes = self._by_host.get(bare_host(host))
+        prefixes = self._by_host.get(normalize_host(host))
         if prefixes is None:
             return None
         end = path.rfind("/")
@@ -41,12 +41,12 @@
         return None
 
     def account(self, key: str) -> ForwardAccount | None:
-        """Return the client account that holds ``key``."""
+        """Return the client account to which ``key`` belongs, or None."""
         return self._by_key.get(key)
 
 
-def bare_host(host: str) -> str:
-    """Return a ``Host`` value in lower case without its port."""
+def normalize_host(host: str) -> str:
+    """Return a ``Host`` header value in lower case and without its port."""
     host = host.strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
@@ -54,7 +54,7 @@
 
 
 def pick_service(route: Route, rng: Random) -> str:
-    """Return one of the route's services, by weight."""
+    """Return one of the route's services, drawn by weight."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [max(0.0, target.weight) for target in route.targets]
--- a/src/ebonydeal/_internal/routing/placement/score.py
+++ b/src/ebonydeal/_internal/routing/placement/score.py
@@ -1,9 +1,9 @@
 """The score of one endpoint for one request, in money; lower is better.
 
-A second of delay costs what a replica costs in a second: that is what adding
-capacity to remove it would cost. Beyond the latency target it costs
-``late_factor`` times more. A token that must be computed costs the time of the
-whole replica that computes it.
+A second of delay costs as much as a second of a replica, since that is what the
+capacity to remove the delay would cost. Beyond the latency target it costs
+``late_factor`` times as much. A token to prefill costs the time of the whole replica
+that computes it.
 """
 
 from math import erf, exp, pi, sqrt
@@ -22,24 +22,24 @@
 
 
 class Estimate(NamedTuple):
-    """What is expected of one endpoint.
+    """Estimates for one endpoint.
 
     Attributes
     ----------
     load : float
         Requests running and waiting.
     slots : float
-        Requests that run at once.
+        Requests that can run at once.
     prefill_queue : float
-        Tokens to be computed before this request's.
+        Tokens to prefill before this request's.
     cached_tokens : float
-        Prompt tokens in its prefix cache.
+        Prompt tokens in the endpoint's prefix cache.
     prefill_rate : float
         Tokens per second.
     service_s : float
-        From first token to the end, seconds.
+        Time from the first token to the end, seconds.
     home_tokens : float
-        Tokens that later requests are expected to save if this one comes here.
+        Tokens that later requests are expected to save if this one is served here.
     load_stddev : float
         Standard deviation of ``load``, requests.
     """
@@ -55,7 +55,7 @@
 
 
 def price_per_second(views: tuple[EndpointView, ...]) -> float:
-    """Return the mean price of a replica's second; one unit if all are free."""
+    """Return the mean price per second of a replica; 1 per hour if all are free."""
     prices = [view.price_per_hour for view in views if view.price_per_hour > 0.0]
     if not prices:
         return 1.0 / _HOUR
@@ -63,75 +63,74 @@
 
 
 class DelayPrice(NamedTuple):
-    """What delay costs.
+    """The price of delay.
 
     Attributes
     ----------
     second : float
-        Price of a replica's second.
-    late : float
-        Times that for each second beyond the latency target.
-    crowd : float
-        Times that for a second by which all requests of one endpoint that wait
-        for a slot are delayed.
+        Price of a second of a replica.
+    late_factor : float
+        Multiple of it for each second beyond the latency target.
+    queue_factor : float
+        Multiple of it for a second by which all requests that wait for a slot at one
+        endpoint are delayed.
     """
 
     second: float
-    late: float
-    crowd: float
+    late_factor: float
+    queue_factor: float
 
 
 def delay_price(
-    views: tuple[EndpointView, ...], target_s: float, least_s: float, factor: float
+    views: tuple[EndpointView, ...], target_s: float, min_delay_s: float, factor: float
 ) -> DelayPrice:
     """Return the price of delay for one request.
 
-    Where even the least delay misses the target, being later still doesn't
-    count extra: estimates of long queues are rough, and work that is saved
-    shortens all of them.
+    If even the shortest delay misses the target, further lateness costs nothing extra:
+    estimates of long queues are rough, and saving work shortens all queues.
     """
-    late = factor if least_s <= target_s else 1.0
+    late = factor if min_delay_s <= target_s else 1.0
     return DelayPrice(price_per_second(views), late, factor)
 
 
-def delay_s(ask: RouteRequest, expected: Estimate) -> float:
+def delay_s(request: RouteRequest, expected: Estimate) -> float:
     """Return the expected delay before the first token, seconds."""
     queue_s = expected.prefill_queue / expected.prefill_rate
-    return queue_s + _prefill_s(ask, expected) + _slot_wait(expected)
+    return queue_s + _prefill_s(request, expected) + _slot_wait(expected)
 
 
 def score(
-    ask: RouteRequest,
+    request: RouteRequest,
     view: EndpointView,
     expected: Estimate,
-    rates: DelayPrice,
+    price: DelayPrice,
 ) -> Scored:
     """Score one endpoint."""
-    second = rates.second
-    prefill_s = _prefill_s(ask, expected)
-    delay = delay_s(ask, expected)
-    late = max(0.0, delay - ask.first_token_s)
-    # Whoever waits for a slot here waits for this prefill, too.
+    second = price.second
+    prefill_s = _prefill_s(request, expected)
+    delay = delay_s(request, expected)
+    late = max(0.0, delay - request.first_token_s)
+    # Requests that wait for a slot here also wait for this prefill.
     delayed = max(0.0, expected.load + 1.0 - expected.slots)
-    crowding = rates.crowd * delayed / max(1.0, expected.slots)
-    at_stake = ask.prompt_tokens + ask.max_tokens / 2.0
-    chance = view.evict_per_hour / _HOUR * expected.service_s
+    queue_delay = price.queue_factor * delayed / max(1.0, expected.slots)
+    tokens_at_risk = request.prompt_tokens + request.max_tokens / 2.0
+    eviction_chance = view.evict_per_hour / _HOUR * expected.service_s
     own_second = view.price_per_hour / _HOUR
     used_s = prefill_s + expected.service_s / max(1.0, expected.slots)
     terms = ScoreTerms(
-        wait=second * (delay + (rates.late - 1.0) * late),
-        prefill=second * prefill_s * (ask.weights.recompute + crowding),
-        distance=second * _ROUND_TRIP_S[distance(ask.place, view.place)],
+        wait=second * (delay + (price.late_factor - 1.0) * late),
+        prefill=second * prefill_s * (request.weights.recompute + queue_delay),
+        distance=second * _ROUND_TRIP_S[distance(request.place, view.place)],
         eviction=second
-        * min(1.0, chance)
-        * at_stake
+        * min(1.0, eviction_chance)
+        * tokens_at_risk
         / expected.prefill_rate
-        * ask.weights.recompute,
-        price=own_second * used_s * ask.weights.cost,
+        * request.weights.recompute,
+        price=own_second * used_s * request.weights.cost,
         affinity=-second
         * expected.home_tokens
         / expected.prefill_rate
-        * ask.weights.recompute,
+        * request.weights.recompute,
         delay_s=delay,
         cached_tokens=expected.cached_tokens,
         load=expected.load,
@@ -142,25 +141,25 @@
 def _slot_wait(expected: Estimate) -> float:
     """Return the expected wait for a slot, seconds.
 
-    An endpoint believed to be nearly full often is full: only those that turn
-    out longer count, so a load that isn't known well costs a wait.
+    An endpoint that seems nearly full is often full. Free slots can't compensate for
+    queues, so the uncertainty of the load adds to the expected wait.
     """
-    behind = expected.load + 1.0 - expected.slots
-    waiting = _mean_above_zero(behind, expected.load_stddev)
+    excess = expected.load + 1.0 - expected.slots
+    waiting = _mean_above_zero(excess, expected.load_stddev)
     return waiting * expected.service_s / max(1.0, expected.slots)
 
 
-def _mean_above_zero(mean: float, spread: float) -> float:
+def _mean_above_zero(mean: float, stddev: float) -> float:
     """Return the mean of ``max(0, x)`` for a normal ``x``."""
-    if spread <= 0.0:
+    if stddev <= 0.0:
         return max(0.0, mean)
-    ratio = mean / spread
+    ratio = mean / stddev
     density = exp(-ratio * ratio / 2.0) / sqrt(2.0 * pi)
     share = (1.0 + erf(ratio / sqrt(2.0))) / 2.0
-    return mean * share + spread * density
+    return mean * share + stddev * density
 
 
-def _prefill_s(ask: RouteRequest, expected: Estimate) -> float:
-    """Return the time to compute what the cache misses, seconds."""
-    missed = max(0.0, ask.prompt_tokens - expected.cached_tokens)
-    return missed / expected.prefill_rate
+def _prefill_s(request: RouteRequest, expected: Estimate) -> float:
+    """Return the time to prefill the uncached tokens, seconds."""
+    uncached_tokens = max(0.0, request.prompt_tokens - expected.cached_tokens)
+    return uncached_tokens / expected.prefill_rate
--- a/src/ebonydeal/_internal/routing/placement/subset.py
+++ b/src/ebonydeal/_internal/routing/placement/subset.py
@@ -1,10 +1,10 @@
-"""Which endpoints a gateway watches.
+"""Chooses the endpoints that a gateway watches.
 
-Rendezvous hashing in both directions: a gateway takes the endpoints that rank
-highest for it, its own zone first and a part from other zones; and each
-endpoint is watched by the gateway that ranks highest for it, so that none is
-left out. Every process that knows the same members computes the same sets, and
-one member more or less changes few of them.
+Rendezvous hashing is used in both directions. A gateway watches the endpoints that
+rank highest for it, mostly in its own zone and a share in other zones. Each endpoint
+is also watched by the gateway that ranks highest for it, so that none is left out.
+All processes that know the same members compute the same sets, and adding or removing
+one member changes few of them.
 """
 
 from collections.abc import Iterable, Sequence
@@ -23,7 +23,7 @@
 
 
 def rank(first: str, second: str) -> int:
-    """Return the rendezvous rank of a pair; higher is nearer."""
+    """Return the rendezvous rank of a pair; the highest is preferred."""
     return xxh3_64_intdigest(f"{first}|{second}".encode())
 
 
@@ -41,15 +41,15 @@
     gateway : PlacedProcess
         This gateway.
     gateways : sequence of PlacedProcess
-        All gateways known, with or without this one.
+        All known gateways; this one may be missing.
     endpoints : sequence of PlacedProcess
         Endpoints of one deployment.
     size : int
-        Most endpoints watched by choice; those that only this gateway covers
-        come on top.
+        Maximum of endpoints chosen by rank; those that only this gateway covers are
+        added.
     spill_share : float
-        Share of ``size`` kept for other zones, so that the loss of a zone
-        finds connections that are known to work.
+        Share of ``size`` reserved for other zones, so that connections which are known
+        to work exist when a zone is lost.
     """
     if len(endpoints) <= size:
         return frozenset(item.id for item in endpoints)
@@ -67,17 +67,17 @@
 
 
 def _ranked(
-    gateway: PlacedProcess, endpoints: Sequence[PlacedProcess], far: Distance
+    gateway: PlacedProcess, endpoints: Sequence[PlacedProcess], at: Distance
 ) -> list[str]:
     """Return endpoint ids at one distance, highest rank first."""
-    ids = [item.id for item in endpoints if distance(gateway.place, item.place) is far]
+    ids = [item.id for item in endpoints if distance(gateway.place, item.place) is at]
     return sorted(ids, key=lambda name: rank(gateway.id, name), reverse=True)
 
 
 def _covering(gateways: Iterable[PlacedProcess], endpoint: PlacedProcess) -> str:
     """Return the id of the gateway that must watch ``endpoint``.
 
-    Gateways of the endpoint's zone come first, so the way is short.
+    Gateways in the endpoint's zone are preferred, since the distance is short.
     """
 
     def order(item: PlacedProcess) -> tuple[int, int]:
--- a/src/ebonydeal/_internal/routing/placement/types.py
+++ b/src/ebonydeal/_internal/routing/placement/types.py
@@ -1,6 +1,6 @@
-"""Values that the routing decisions take and return.
+"""Input and output values of the routing decisions.
 
-Times are wall clock seconds; money is in the configuration document's currency.
+Times are wall clock seconds. Money is in the configuration document's currency.
 """
 
 from typing import NamedTuple
@@ -13,12 +13,12 @@
 
 
 class RouteRequest(NamedTuple):
-    """What routing needs to know of a request.
+    """The properties of a request that routing needs.
 
     Attributes
     ----------
     request_id : str
-        For `Router.sent` and what follows.
+        Identifies the request in `Router.record_sent` and the later calls.
     deployment : str
         Deployment or plain service name.
     model : str
@@ -26,17 +26,17 @@
     blocks : tuple of str
         Chained hashes of the prompt (see `utils.prefix`); empty if unknown.
     prompt_tokens, max_tokens : int
-        Estimated prompt tokens, and most output tokens.
+        Estimated prompt tokens, and the maximum of output tokens.
     place : Place
         Where this gateway runs.
     session : str
-        Caller's session, or empty.
+        The caller's session; empty if unknown.
     exclude : frozenset of str
-        Endpoint ids that were tried already.
+        Ids of endpoints that the request was already sent to.
     weights : Weights
-        What counts for the deployment.
+        The deployment's weights of costs.
     first_token_s : float
-        Latency target of the first token, seconds.
+        Latency target for the first token, seconds.
     """
 
     request_id: str
@@ -53,20 +53,20 @@
 
 
 class ScoreTerms(NamedTuple):
-    """Parts of a score, all in money, and the estimates behind them.
+    """The terms of a score, in money, and the estimates they are computed from.
 
     Attributes
     ----------
     wait, prefill, distance, eviction, price, affinity : float
-        Cost of: delay before the first token, prompt tokens that have to be
-        computed, way to the zone, work lost on eviction, the instance's time,
-        and (negative) later tokens saved by keeping a prefix at its home.
+        Costs of the delay before the first token, of the prompt tokens to prefill,
+        of the distance to the zone, of work lost on eviction and of the instance's
+        time; and (negative) the later tokens saved by keeping a prefix at its home.
     delay_s : float
         Expected delay before the first token, seconds.
     cached_tokens : float
-        Expected prompt tokens in the endpoint's prefix cache.
+        Prompt tokens expected in the endpoint's prefix cache.
     load : float
-        Expected requests at the endpoint, running and waiting.
+        Requests expected at the endpoint, running and waiting.
     """
 
     wait: float
@@ -82,11 +82,11 @@
     @property
     def total(self) -> float:
         """The score: lower is better."""
-        return self.spent + self.affinity
+        return self.cost + self.affinity
 
     @property
-    def spent(self) -> float:
-        """All costs, without what affinity saves later."""
+    def cost(self) -> float:
+        """The sum of all costs, without the later saving from affinity."""
         return self.wait + self.prefill + self.distance + self.eviction + self.price
 
 
@@ -99,7 +99,7 @@
 
 
 class Choice(NamedTuple):
-    """The chosen endpoint, and the next best ones for `explain`."""
+    """The chosen endpoint, and the next best ones for the ``explain`` command."""
 
     endpoint: EndpointView
     score: float
--- a/tests/unit/routing/placement/test_engine_speed.py
+++ b/tests/unit/routing/placement/test_engine_speed.py
@@ -3,10 +3,10 @@
 from ebonydeal._internal.routing.placement.engine_speed import EngineSpeed
 
 
-def taught(long_prompts=True, waits=0.0, seed=1):
-    """Return a speed learned from engines that read 66 tokens a millisecond.
+def learned_speed(long_prompts=True, waits=0.0, seed=1):
+    """Return the speed learned from engines that prefill 66 tokens per millisecond.
 
-    Each token is compared with all before it, 0.138 ms for a million of pairs.
+    Each token is also compared with all before it, at 0.138 ms per million pairs.
     """
     speed = EngineSpeed(long_prompts)
     rng = random.Random(seed)
@@ -18,16 +18,16 @@
 
 
 class TestLongPrompts:
-    def test_take_more_than_their_share(self):
-        assert 1.0 < taught().prefill_seconds(50_000) < 1.2
-        assert taught(long_prompts=False).prefill_seconds(50_000) < 1.0
+    def test_take_more_than_linear_time(self):
+        assert 1.0 < learned_speed().prefill_seconds(50_000) < 1.2
+        assert learned_speed(long_prompts=False).prefill_seconds(50_000) < 1.0
 
-    def test_short_ones_take_their_share(self):
-        assert 0.06 < taught().prefill_seconds(4000) < 0.07
+    def test_short_ones_take_linear_time(self):
+        assert 0.06 < learned_speed().prefill_seconds(4000) < 0.07
 
-    def test_waiting_behind_others_is_mostly_not_taken_for_reading(self):
-        assert taught(waits=0.1).prefill_seconds(50_000) < 1.4
+    def test_queueing_is_mostly_not_mistaken_for_prefill(self):
+        assert learned_speed(waits=0.1).prefill_seconds(50_000) < 1.4
 
-    def test_switched_off_is_a_straight_line(self):
+    def test_prefill_time_is_linear_when_switched_off(self):
         speed = EngineSpeed(long_prompts=False)
         assert speed.prefill_seconds(20_000) == 2 * speed.prefill_seconds(10_000)
--- a/tests/unit/routing/placement/test_expected_load.py
+++ b/tests/unit/routing/placement/test_expected_load.py
@@ -17,7 +17,7 @@
 
 
 class TestExpectedLoad:
-    def test_fresh_report_is_believed(self):
+    def test_fresh_report_is_used_as_is(self):
         view = make_view("a", load=make_load(6, 3))
         assert (
             expected_load(
@@ -26,7 +26,7 @@
             == 9.0
         )
 
-    def test_old_report_is_drawn_to_the_mean(self):
+    def test_old_report_approaches_the_mean(self):
         view = make_view("a", load=make_load(8, 0))
         deployment_load = DeploymentLoad(4.0, 0.0, 1.0)
         assert (
@@ -56,25 +56,25 @@
         )
 
 
-class TestLoadSpread:
-    def test_fresh_reports_and_own_requests_are_certain(self):
+class TestLoadDeviation:
+    def test_fresh_reports_and_own_requests_have_no_deviation(self):
         view = make_view("a", load=make_load(6, 0))
         assert load_stddev(view, 6.0, DeploymentLoad(6.0, 0.0, 3.0), 2.0, NOW) == 0.0
         assert (
             load_stddev(view, 6.0, DeploymentLoad(6.0, 0.0, 1.0), 2.0, NOW + 9.0) == 0.0
         )
 
-    def test_others_requests_grow_uncertain_as_the_report_ages(self):
+    def test_deviation_by_other_gateways_grows_as_the_report_ages(self):
         view = make_view("a", load=make_load(6, 0))
-        spread = load_stddev(view, 6.0, DeploymentLoad(2.0, 0.0, 3.0), 2.0, NOW + 1.0)
-        assert spread == sqrt(8.0 * (1.0 - 1.0 / 3.0) * (1.0 - exp(-1.0)))
+        stddev = load_stddev(view, 6.0, DeploymentLoad(2.0, 0.0, 3.0), 2.0, NOW + 1.0)
+        assert stddev == sqrt(8.0 * (1.0 - 1.0 / 3.0) * (1.0 - exp(-1.0)))
 
     def test_no_report_leaves_own_requests(self):
         deployment_load = DeploymentLoad(6.0, 0.0, 3.0)
         assert load_stddev(make_view("a"), 6.0, deployment_load, 2.0, NOW) == 0.0
 
 
-class TestNearlyFull:
+class TestNearlyFullEndpoint:
     def choose(self, age: float) -> str:
         cheap = make_view("cheap", load=make_load(7, 0, NOW - age))
         idle = make_view("idle", price_per_hour=1.1, load=make_load(0, 0, NOW - age))
@@ -82,16 +82,16 @@
         choice = router.choose(make_ask(), (cheap, idle), NOW)
         return choice.endpoint.endpoint_id
 
-    def test_price_decides_while_a_slot_is_known_to_be_free(self):
+    def test_price_decides_while_a_slot_is_surely_free(self):
         assert self.choose(0.0) == "cheap"
 
-    def test_idle_one_is_taken_when_the_cheap_one_may_have_filled(self):
+    def test_idle_one_is_chosen_when_the_cheap_one_may_be_full(self):
         assert self.choose(1.0) == "idle"
 
 
-class TestHerd:
-    def test_gateways_do_not_all_follow_one_idle_report(self):
-        # One endpoint of four looks idle to nine gateways; none hears more.
+class TestHerding:
+    def test_gateways_do_not_all_send_to_the_one_idle_endpoint(self):
+        # One endpoint of four looks idle to nine gateways; no newer report arrives.
         loads = (0, 12, 12, 12)
         views = tuple(
             make_view(f"e{n}", load=make_load(min(8, load), max(0, load - 8)))
@@ -106,5 +106,5 @@
                 choice = router.choose(ask, views, now)
                 router.record_sent(choice, ask, now)
                 to_idle += choice.endpoint.endpoint_id == "e0"
-        # All 72 would be the herd; an even share is 18, and twelve fill the gap.
+        # All 72 there is full herding; an even share is 18, and twelve fill the gap.
         assert 18 <= to_idle <= 45
--- a/tests/unit/routing/placement/test_failure_rates.py
+++ b/tests/unit/routing/placement/test_failure_rates.py
@@ -14,42 +14,42 @@
 ]
 
 
-def seen(count, failed, at=100.0, least=0.15):
-    """Return what a relay knows after answers of one endpoint."""
-    shares = FailureRates(least)
+def rates_after(count, failed, at=100.0, threshold=0.15):
+    """Return a relay's failure rates after ``count`` answers of endpoint i0."""
+    rates = FailureRates(threshold)
     for _ in range(count - failed):
-        shares.record_success("i0", at)
+        rates.record_success("i0", at)
     for _ in range(failed):
-        shares.record_failure("i0", ErrorKind.ENDPOINT_FAILED, at)
-    return shares
+        rates.record_failure("i0", ErrorKind.ENDPOINT_FAILED, at)
+    return rates
 
 
-class TestShare:
-    def test_few_answers_say_nothing(self):
-        assert seen(2, 2).failure_rate("i0", 100.0) == 0.0
+class TestFailureRate:
+    def test_few_answers_are_no_evidence(self):
+        assert rates_after(2, 2).failure_rate("i0", 100.0) == 0.0
 
-    def test_a_part_that_fails_is_told(self):
-        assert 0.25 < seen(10, 3).failure_rate("i0", 100.0) < 0.3
+    def test_part_of_answers_that_fails_is_detected(self):
+        assert 0.25 < rates_after(10, 3).failure_rate("i0", 100.0) < 0.3
 
-    def test_little_is_no_fault_of_the_endpoint(self):
-        assert seen(30, 2).failure_rate("i0", 100.0) == 0.0
+    def test_low_rate_is_ignored(self):
+        assert rates_after(30, 2).failure_rate("i0", 100.0) == 0.0
 
-    def test_is_forgotten_within_seconds(self):
-        assert seen(10, 5).failure_rate("i0", 110.0) == 0.0
+    def test_decays_within_seconds(self):
+        assert rates_after(10, 5).failure_rate("i0", 110.0) == 0.0
 
     def test_refusals_for_load_do_not_count(self):
-        shares = FailureRates(0.15)
+        rates = FailureRates(0.15)
         for _ in range(10):
-            shares.record_failure("i0", ErrorKind.ENDPOINT_REFUSED, 100.0)
-        assert shares.failure_rate("i0", 100.0) == 0.0
+            rates.record_failure("i0", ErrorKind.ENDPOINT_REFUSED, 100.0)
+        assert rates.failure_rate("i0", 100.0) == 0.0
 
     def test_switched_off(self):
-        assert seen(10, 5, least=0.0).failure_rate("i0", 100.0) == 0.0
+        assert rates_after(10, 5, threshold=0.0).failure_rate("i0", 100.0) == 0.0
 
 
-class TestTogether:
-    def test_relays_that_each_saw_one_failure_know_it_together(self):
-        relays = [seen(1, 1) for _ in range(4)]
+class TestReports:
+    def test_relays_that_each_saw_one_failure_detect_it_by_their_reports(self):
+        relays = [rates_after(1, 1) for _ in range(4)]
         me = FailureRates(0.15)
         roster = Roster(ManualClock(100.0))
         for number, relay in enumerate(relays):
@@ -59,22 +59,22 @@
         assert all(relay.failure_rate("i0", 100.0) == 0.0 for relay in relays)
 
 
-class TestChoice:
-    def test_a_plain_endpoint_that_fails_is_left_to_the_others(self):
-        choice = EndpointSelector(8.0)
-        first = choice.select_plain("z", MEMBERS).endpoint_id
-        other = choice.select_plain("z", MEMBERS, {first: 0.4}).endpoint_id
+class TestSelection:
+    def test_plain_endpoint_that_fails_is_avoided(self):
+        selector = EndpointSelector(8.0)
+        first = selector.select_plain("z", MEMBERS).endpoint_id
+        other = selector.select_plain("z", MEMBERS, {first: 0.4}).endpoint_id
         assert other != first
 
-    def test_but_serves_where_all_fail_alike(self):
-        choice = EndpointSelector(8.0)
-        first = choice.select_plain("z", MEMBERS).endpoint_id
-        alike = {member.endpoint_id: 0.41 for member in MEMBERS}
-        assert choice.select_plain("z", MEMBERS, alike).endpoint_id == first
+    def test_plain_endpoint_serves_where_all_fail_equally(self):
+        selector = EndpointSelector(8.0)
+        first = selector.select_plain("z", MEMBERS).endpoint_id
+        failing = {member.endpoint_id: 0.41 for member in MEMBERS}
+        assert selector.select_plain("z", MEMBERS, failing).endpoint_id == first
 
-    def test_an_engine_that_fails_is_worth_waiting_for_another(self):
-        choice = EndpointSelector(8.0)
+    def test_engine_that_fails_is_avoided(self):
+        selector = EndpointSelector(8.0)
         ask = SelectionRequest((), 1000, "z")
-        first = choice.select_engine(ask, MEMBERS, 1.0).endpoint_id
-        other = choice.select_engine(ask, MEMBERS, 1.0, {first: 0.4}).endpoint_id
+        first = selector.select_engine(ask, MEMBERS, 1.0).endpoint_id
+        other = selector.select_engine(ask, MEMBERS, 1.0, {first: 0.4}).endpoint_id
         assert other != first
--- a/tests/unit/routing/placement/test_outliers.py
+++ b/tests/unit/routing/placement/test_outliers.py
@@ -23,14 +23,14 @@
 
 
 class TestEjection:
-    def test_failures_in_a_row_eject(self):
+    def test_consecutive_failures_eject(self):
         outliers = make_outliers()
         fail(outliers, "e0", 4)
         assert outliers.allowed(VIEWS, NOW) == VIEWS
         fail(outliers, "e0", 1)
         assert outliers.allowed(VIEWS, NOW) == VIEWS[1:]
 
-    def test_an_answer_between_starts_the_count_again(self):
+    def test_answer_in_between_resets_the_count(self):
         outliers = make_outliers()
         fail(outliers, "e0", 4)
         outliers.record_success("e0", NOW)
@@ -44,7 +44,7 @@
             outliers.record_failure("e0", ErrorKind.CALLER_LEFT, NOW)
         assert outliers.traffic_share("e0", NOW) == 1.0
 
-    def test_slow_return_then_full_share(self):
+    def test_share_grows_during_the_return(self):
         outliers = make_outliers(eject_time=5.0, return_time=20.0)
         fail(outliers, "e0", 5)
         assert outliers.traffic_share("e0", NOW + 4.9) == 0.0
@@ -52,7 +52,7 @@
         assert outliers.traffic_share("e0", NOW + 15.0) == 0.55
         assert outliers.traffic_share("e0", NOW + 25.0) == 1.0
 
-    def test_failing_again_while_returning_doubles_the_time_out(self):
+    def test_failure_during_the_return_doubles_the_ejection_time(self):
         outliers = make_outliers(eject_time=5.0, return_time=20.0)
         fail(outliers, "e0", 5)
         fail(outliers, "e0", 1, NOW + 6.0)
@@ -72,7 +72,7 @@
         assert "e0" not in used
 
 
-class FloorMachine(RuleBasedStateMachine):
+class MinAllowedMachine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.outliers = make_outliers(eject_floor=0.5)
@@ -91,14 +91,14 @@
         self.now += seconds
 
     @invariant()
-    def never_below_the_floor(self) -> None:
+    def never_below_the_minimum(self) -> None:
         for count in range(1, 5):
             allowed = self.outliers.allowed(VIEWS[:count], self.now)
             assert len(allowed) >= (count + 1) // 2
             assert set(allowed) <= set(VIEWS[:count])
 
     @invariant()
-    def healthy_ones_are_always_in(self) -> None:
+    def healthy_endpoints_are_always_allowed(self) -> None:
         for view in self.outliers.allowed(VIEWS, self.now):
             assert 0.0 <= self.outliers.traffic_share(view.endpoint_id, self.now) <= 1.0
         allowed = self.outliers.allowed(VIEWS, self.now)
@@ -107,5 +107,5 @@
                 assert view in allowed
 
 
-FloorMachine.TestCase.settings = settings(max_examples=50, stateful_step_count=40)
-TestFloor = FloorMachine.TestCase
+MinAllowedMachine.TestCase.settings = settings(max_examples=50, stateful_step_count=40)
+TestMinAllowed = MinAllowedMachine.TestCase
--- a/tests/unit/routing/placement/test_route_index.py
+++ b/tests/unit/routing/placement/test_route_index.py
@@ -10,7 +10,7 @@
 )
 from ebonydeal._internal.routing.placement.route_index import (
     RouteIndex,
-    bare_host,
+    normalize_host,
     pick_service,
 )
 
@@ -30,7 +30,7 @@
 
 
 class TestRoutes:
-    def test_longest_prefix_of_the_host(self):
+    def test_longest_prefix_of_the_host_matches(self):
         found = index(route("/a/"), route("/a/b/"), route("/a/", host="b.example"))
         assert found.route("a.example", "/a/b/c").prefix == "/a/b/"
         assert found.route("a.example", "/a/bc").prefix == "/a/"
@@ -45,26 +45,26 @@
     def test_root_matches_all(self):
         assert index(route("/")).route("A.EXAMPLE:8080", "/x") is not None
 
-    def test_hosts(self):
-        assert bare_host("A.b:80") == "a.b"
-        assert bare_host("[::1]:80") == "[::1]"
+    def test_host_is_normalized(self):
+        assert normalize_host("A.b:80") == "a.b"
+        assert normalize_host("[::1]:80") == "[::1]"
 
 
 class TestAccounts:
-    def test_by_key(self):
+    def test_found_by_key(self):
         account = ForwardAccount("acme", ("k1", "k2"), None, 0, 0, False, 1)
         found = index(accounts=(account,))
         assert found.account("k2") == account
         assert found.account("k3") is None
 
 
-class TestSplit:
-    def test_by_weight(self):
+class TestTrafficSplit:
+    def test_services_are_drawn_by_weight(self):
         split = route("/", targets=(Target("a", 90.0), Target("b", 10.0)))
         rng = Random(1)
         picked = [pick_service(split, rng) for _ in range(1000)]
         assert 50 < picked.count("b") < 160
 
-    def test_weights_of_nothing_take_the_first(self):
+    def test_zero_weights_give_the_first(self):
         split = route("/", targets=(Target("a", 0.0), Target("b", 0.0)))
         assert pick_service(split, Random(1)) == "a"
--- a/tests/unit/routing/placement/test_router.py
+++ b/tests/unit/routing/placement/test_router.py
@@ -31,13 +31,13 @@
         assert choice.endpoint.endpoint_id == "good"
         assert choice.alternatives == ()
 
-    def test_reported_queue_is_avoided(self):
+    def test_endpoint_with_a_reported_queue_is_avoided(self):
         busy = make_view("busy", load=make_load(running=8, waiting=20))
         idle = make_view("idle", load=make_load())
         choice = make_router().choose(make_ask(), (busy, idle), NOW)
         assert choice.endpoint.endpoint_id == "idle"
 
-    def test_same_zone_wins_among_equals(self):
+    def test_same_zone_is_preferred_among_equals(self):
         far = make_view("far", place=Place("palermo", "palermo-2"))
         choice = make_router(near_equal=0.0).choose(
             make_ask(), (far, make_view("near")), NOW
@@ -50,10 +50,10 @@
         parts = terms.wait + terms.prefill + terms.distance
         assert choice.score == parts + terms.eviction + terms.price + terms.affinity
 
-    def test_cheap_reclaimable_loses_where_work_is_likely_lost(self):
+    def test_cheap_reclaimable_is_avoided_where_eviction_is_likely(self):
         cheap = make_view("cheap", price_per_hour=0.5, evict_per_hour=1800.0)
-        firm = make_view("firm", price_per_hour=0.6)
-        choice = make_router().choose(make_ask(max_tokens=4000), (cheap, firm), NOW)
+        stable = make_view("firm", price_per_hour=0.6)
+        choice = make_router().choose(make_ask(max_tokens=4000), (cheap, stable), NOW)
         assert choice.endpoint.endpoint_id == "firm"
 
     def test_cold_start_spreads_over_all(self):
@@ -69,7 +69,7 @@
 
 
 class TestLearning:
-    def test_prefix_is_followed_after_own_send(self):
+    def test_prompt_goes_where_its_prefix_was_sent(self):
         router = make_router()
         views = tuple(make_view(f"e{i}") for i in range(4))
         ask = make_ask("r1", BLOCKS)
@@ -103,7 +103,7 @@
         router.record_failure("r", "a", ErrorKind.ENDPOINT_FAILED, NOW)
         assert router.choose(make_ask("s"), (view,), NOW).terms.load == 0.0
 
-    def test_dropped_block_is_no_longer_expected(self):
+    def test_evicted_block_is_no_longer_expected(self):
         router = make_router()
         view = make_view("a")
         for seq, block in enumerate(BLOCKS, 1):
@@ -114,7 +114,7 @@
         after = router.choose(make_ask(blocks=BLOCKS), (view,), NOW)
         assert after.terms.cached_tokens == 160.0
 
-    def test_slow_first_tokens_of_others_work_move_requests_away(self):
+    def test_queueing_behind_other_gateways_moves_requests_away(self):
         router = make_router(near_equal=0.0)
         views = (make_view("a", price_per_hour=0.9), make_view("b"))
         ask = make_ask()
@@ -125,13 +125,13 @@
         router.record_finished("r", "a", NOW + 3.0)
         later = router.choose(make_ask("s"), views, NOW + 3.0)
         assert later.endpoint.endpoint_id == "b"
-        # The wait is believed less as it grows old.
+        # The weight of the observed wait decays.
         much_later = router.choose(make_ask("s"), views, NOW + 120.0)
         assert much_later.endpoint.endpoint_id == "a"
 
 
-class TestRest:
-    def test_an_endpoint_gets_nothing_meanwhile(self):
+class TestBackoff:
+    def test_endpoint_gets_nothing_meanwhile(self):
         router, views = make_router(), (make_view("a"), make_view("b"))
         router.back_off("a", 3.0, NOW)
         for second in (0.0, 1.0, 2.9):
@@ -139,12 +139,12 @@
             assert choice.endpoint.endpoint_id == "b"
         assert router.choose(make_ask(), views[:1], NOW + 3.0) is not None
 
-    def test_of_all_leaves_none_to_choose(self):
+    def test_of_all_endpoints_leaves_none_to_choose(self):
         router = make_router()
         router.back_off("a", 3.0, NOW)
         assert router.choose(make_ask(), (make_view("a"),), NOW + 1.0) is None
 
-    def test_of_several_the_latest_end_holds(self):
+    def test_latest_end_of_several_applies(self):
         router = make_router()
         router.back_off("a", 3.0, NOW)
         router.back_off("a", 1.0, NOW + 1.0)
--- a/tests/unit/routing/placement/test_score.py
+++ b/tests/unit/routing/placement/test_score.py
@@ -15,13 +15,13 @@
 
 
 class TestDelay:
-    def test_parts_add_up(self):
-        # 100 tokens of its own and 200 queued, 3 requests behind 8 slots.
+    def test_is_the_sum_of_its_parts(self):
+        # 100 own and 200 queued tokens, and 3 requests that wait for one of 8 slots.
         busy = IDLE._replace(load=10.0, prefill_queue=200.0)
         assert delay_s(make_ask(), busy) == 0.1 + 0.2 + 3 * 2.0 / 8
 
     def test_uncertain_load_costs_a_wait_before_all_slots_are_taken(self):
-        # Just full, give or take 2: the mean of what is above is 2 / sqrt(2 pi).
+        # Just full, with a deviation of 2: the mean excess is 2 / sqrt(2 pi).
         full = IDLE._replace(load=7.0, load_stddev=2.0)
         waiting = 2.0 / sqrt(2.0 * pi)
         assert round(delay_s(make_ask(), full), 9) == round(0.1 + waiting / 4, 9)
@@ -34,7 +34,7 @@
 
 
 class TestPrice:
-    def test_free_endpoints_still_have_a_unit(self):
+    def test_free_endpoints_still_have_a_price(self):
         views = (make_view("a", price_per_hour=0.0),)
         assert price_per_second(views) == 1.0 / HOUR
 
@@ -63,7 +63,7 @@
         price = DelayPrice(1.0, 4.0, 4.0)
         plain = score(make_ask(), view, IDLE, price).terms
         weights = make_ask().weights._replace(cost=2.0, recompute=3.0)
-        heavy = score(make_ask(weights=weights), view, IDLE, price).terms
-        assert heavy.price == 2.0 * plain.price
-        assert round(heavy.prefill / plain.prefill, 9) == 3.0
-        assert round(heavy.eviction / plain.eviction, 9) == 3.0
+        weighted = score(make_ask(weights=weights), view, IDLE, price).terms
+        assert weighted.price == 2.0 * plain.price
+        assert round(weighted.prefill / plain.prefill, 9) == 3.0
+        assert round(weighted.eviction / plain.eviction, 9) == 3.0
--- a/tests/unit/routing/placement/test_subset.py
+++ b/tests/unit/routing/placement/test_subset.py
@@ -25,7 +25,7 @@
         st.integers(1, 40),
         st.floats(0.0, 1.0),
     )
-    def test_every_endpoint_is_covered_and_sizes_hold(
+    def test_every_endpoint_is_watched_and_sizes_are_reached(
         self, gateway_places, endpoint_places, size, spill
     ):
         gateways = members("g", gateway_places)
@@ -38,7 +38,7 @@
         assert covered == {item.id for item in endpoints}
 
     @given(st.lists(place, min_size=30, max_size=80), st.integers(0, 29))
-    def test_one_endpoint_less_changes_at_most_one_other(self, places, gone):
+    def test_removing_an_endpoint_changes_at_most_one_other(self, places, gone):
         gateways = members("g", ZONES)
         endpoints = members("e", places)
         rest = [item for item in endpoints if item.id != f"e{gone}"]
@@ -47,7 +47,7 @@
             after = choose_subset(gateway, gateways, rest, 12, 0.34)
             assert len((after ^ before) - {f"e{gone}"}) <= 2
 
-    def test_own_zone_first_with_a_part_elsewhere(self):
+    def test_own_zone_first_with_a_share_elsewhere(self):
         endpoints = members("e", ZONES[:3] * 40)
         gateways = members("g", ZONES[:3] * 3)
         places = {item.id: item.place for item in endpoints}
@@ -58,7 +58,7 @@
 
 
 class TestChurn:
-    def test_killed_gateway_moves_only_what_it_covered(self):
+    def test_lost_gateway_moves_only_what_it_covered(self):
         endpoints = members("e", ZONES[:3] * 60)
         gateways = members("g", ZONES[:3] * 3)
         rest = gateways[:4] + gateways[5:]
