--- a/src/ebonydeal/_internal/routing/reclaim/__init__.py
+++ b/src/ebonydeal/_internal/routing/reclaim/__init__.py
@@ -1,5 +1,4 @@
-"""What happens to running streams when their endpoints are taken back.
+"""Plans how running streams continue when their endpoints are reclaimed.
 
-Event: a notice that an endpoint or a zone leaves. Called by the gateway; touches
-nothing.
+The gateway calls it on a notice that an endpoint or a zone is leaving. No I/O.
 """
--- a/src/ebonydeal/_internal/routing/reclaim/migration_plan.py
+++ b/src/ebonydeal/_internal/routing/reclaim/migration_plan.py
@@ -1,9 +1,9 @@
-"""What happens to running streams when their endpoints are taken back; pure.
+"""Plans the migration of running streams off reclaimed endpoints; pure functions.
 
-Three ways exist for a stream. It may finish where it runs. Its KV cache may be
-exported to another endpoint, which recomputes nothing but needs the source's
-bandwidth within the notice. Or it is resumed elsewhere by prefill, which
-recomputes what the target's prefix cache doesn't hold.
+A stream has three options. It may finish where it runs. Its KV cache may be exported
+to another endpoint, which recomputes nothing but needs the source's bandwidth within
+the notice. Or it is resumed elsewhere by prefill, which recomputes what the target's
+prefix cache doesn't hold.
 """
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
@@ -39,7 +39,7 @@
     "replan_failed_exports",
 ]
 
-_LEAST_REVIEW_S = 0.1
+_MIN_REVIEW_DELAY_S = 0.1
 
 
 def plan_migrations(
@@ -53,66 +53,72 @@
     source_busy: Mapping[str, float] | None = None,
     assumptions: PlannerAssumptions | None = None,
 ) -> list[StreamAction]:
-    """Decide for each stream how it goes on.
+    """Decide for each stream how it continues.
 
     Parameters
     ----------
     streams : iterable of RunningStream
-        Streams on leaving endpoints, of one or several.
+        Streams on one or several leaving endpoints.
     notice_seconds : float
-        Seconds until these endpoints are taken; 0 for none.
+        Seconds until these endpoints are reclaimed; 0 without notice.
     source_rate : float
-        Gigabytes a second that each leaving endpoint can export.
+        Gigabytes per second that each leaving endpoint can export.
     targets : iterable of MigrationTarget
-        Where streams may go on, with room.
+        Endpoints at which streams may continue, with their free slots.
     now : float
-        Seconds; moves' times are in the same time.
+        Seconds; the times of actions have the same origin.
     leaving_zones : collection of str
-        Availability zones being reclaimed: no target there is used.
+        Availability zones being reclaimed; targets there are not used.
     source_busy : mapping of str to float, optional
-        Seconds that exports planned before still take at each endpoint.
+        Seconds that exports planned earlier still take at each endpoint.
     assumptions : PlannerAssumptions, optional
         Assumptions.
 
     Returns
     -------
     list of StreamAction
-        One for each stream; exports in their order at each source. At a review,
-        plan again for all streams of that source that have no export or
-        recompute under way, since they share its time.
+        One for each stream; exports are in their order at each source. At a review,
+        plan again for all streams of that source that have no export or recompute in
+        progress, since they share its export time.
     """
     assumptions = assumptions or PlannerAssumptions()
     usable = max(0.0, notice_seconds - assumptions.margin_s)
     pool = TargetPool(targets, leaving_zones)
-    line = _ExportLine(usable, source_rate, now, dict(source_busy or {}))
+    queue = _ExportQueue(usable, source_rate, now, dict(source_busy or {}))
     ordered = sorted(
-        streams, key=lambda it: _worth(it, line, pool, assumptions), reverse=True
+        streams,
+        key=lambda it: _export_value(it, queue, pool, assumptions),
+        reverse=True,
     )
     if usable <= 0.0:
         return _plan_recomputes(ordered, pool, now, assumptions)
-    waits, ordered = _split_waiting(ordered, line, assumptions)
-    likely = [
+    waiting, ordered = _split_waiting(ordered, queue, assumptions)
+    worth_export = [
         it
         for it in ordered
         if outlast_probability(it, usable, assumptions)
         > assumptions.export_failure_probability
     ]
-    exports, left = _plan_exports(likely, line, pool, assumptions)
-    planned = {move.request_id for move in (*waits, *exports)}
+    exports, left = _plan_exports(worth_export, queue, pool, assumptions)
+    planned = {action.request_id for action in (*waiting, *exports)}
     others = [it for it in ordered if it.request_id not in planned]
-    finishes = [_review(it, line, assumptions) for it in others if _gains(it, pool)]
-    left = [it for it in others if not _gains(it, pool)]
+    running = [
+        _keep_running(it, queue, assumptions)
+        for it in others
+        if _should_keep_running(it, pool)
+    ]
+    left = [it for it in others if not _should_keep_running(it, pool)]
     return [
-        *waits,
+        *waiting,
         *exports,
-        *finishes,
+        *running,
         *_plan_recomputes(left, pool, now, assumptions),
     ]
 
 
 def replan_failed_exports(
     streams: Sequence[RunningStream],
-    faults: Iterable[ExportFailure],
+    failures: Iterable[ExportFailure],
     notice_seconds: float,
     source_rate: float,
     targets: Iterable[MigrationTarget],
@@ -122,68 +128,69 @@
     source_busy: Mapping[str, float] | None = None,
     assumptions: PlannerAssumptions | None = None,
 ) -> list[StreamAction]:
-    """Decide anew for streams whose export failed; the export stopped them.
+    """Decide again for streams whose export failed; the export has stopped them.
 
-    A cache whose import alone failed is fetched by another target while time is
-    left; every other stream is resumed by prefill at once. Parameters are those
-    of `plan_migrations`.
+    If only the import failed, another target fetches the cache while time is left.
+    Every other stream is resumed by prefill at once. The parameters are those of
+    `plan_migrations`.
     """
     assumptions = assumptions or PlannerAssumptions()
     usable = max(0.0, notice_seconds - assumptions.margin_s)
     pool = TargetPool(targets, leaving_zones)
-    kept = {fault.request_id for fault in faults if fault.handle_usable}
-    held = [stream for stream in streams if stream.request_id in kept]
-    lost = [stream for stream in streams if stream.request_id not in kept]
+    exported_ids = {failure.request_id for failure in failures if failure.handle_usable}
+    exported = [stream for stream in streams if stream.request_id in exported_ids]
+    lost = [stream for stream in streams if stream.request_id not in exported_ids]
     imports_only = assumptions._replace(export_share=0.0)
-    line = _ExportLine(usable, source_rate, now, dict(source_busy or {}))
-    moves, left = _plan_exports(held, line, pool, imports_only)
-    return moves + _plan_recomputes(lost + left, pool, now, assumptions)
+    queue = _ExportQueue(usable, source_rate, now, dict(source_busy or {}))
+    actions, left = _plan_exports(exported, queue, pool, imports_only)
+    return actions + _plan_recomputes(lost + left, pool, now, assumptions)
 
 
-def _gains(stream: RunningStream, pool: TargetPool) -> bool:
+def _should_keep_running(stream: RunningStream, pool: TargetPool) -> bool:
     """Return whether it is better to let a stream run than to resume it at once.
 
-    Each second it may end, which saves its whole context, but makes the context
-    longer if it doesn't: it gains while the context is longer than the rest.
+    While it runs it may end, which saves recomputing its whole context; otherwise the
+    context to recompute grows. So it pays to wait while the context is longer than the
+    remaining tokens.
     """
     cost = stream.context_tokens - pool.best_hit(stream.prefix)
     return cost > stream.remaining_tokens_estimate and stream.tokens_per_s > 0
 
 
-def _worth(
+def _export_value(
     stream: RunningStream,
-    line: "_ExportLine",
+    queue: "_ExportQueue",
     pool: TargetPool,
     assumptions: PlannerAssumptions,
 ) -> tuple[float, str]:
     """Return the tokens that an export is expected to save per second of transfer.
 
-    Nothing is saved of a stream that ends in time, nor what some target's prefix
-    cache already holds. The id makes the order the same everywhere.
+    It saves nothing of a stream that ends in time, and no tokens that a target's prefix
+    cache already holds. The id makes the order deterministic.
     """
-    missed = stream.context_tokens - pool.best_hit(stream.prefix)
-    saved = missed * outlast_probability(stream, line.usable, assumptions)
+    uncached_tokens = stream.context_tokens - pool.best_hit(stream.prefix)
+    saved = uncached_tokens * outlast_probability(stream, queue.usable, assumptions)
     return saved / transfer_seconds(
-        stream, line.source_rate, assumptions
+        stream, queue.source_rate, assumptions
     ), stream.request_id
 
 
-def _review(
-    stream: RunningStream, line: "_ExportLine", assumptions: PlannerAssumptions
+def _keep_running(
+    stream: RunningStream, queue: "_ExportQueue", assumptions: PlannerAssumptions
 ) -> KeepRunning:
-    """Let a stream run until its source has time to export it, or to the end.
+    """Let a stream run until its source has time to export it, or until the deadline.
 
-    The review is always later than now, so that planning comes to an end.
+    The review is always later than now, so that planning terminates.
     """
-    at = line.busy.get(stream.endpoint_id, 0.0)
-    seconds = transfer_seconds(stream, line.source_rate, assumptions)
-    if at < _LEAST_REVIEW_S or at + seconds > line.usable:
-        at = max(_LEAST_REVIEW_S, line.usable)
-    return KeepRunning(stream.request_id, line.now + at)
+    at = queue.busy.get(stream.endpoint_id, 0.0)
+    seconds = transfer_seconds(stream, queue.source_rate, assumptions)
+    if at < _MIN_REVIEW_DELAY_S or at + seconds > queue.usable:
+        at = max(_MIN_REVIEW_DELAY_S, queue.usable)
+    return KeepRunning(stream.request_id, queue.now + at)
 
 
-class _ExportLine(NamedTuple):
-    """Time and rate of exports; ``busy`` is the seconds taken at each source."""
+class _ExportQueue(NamedTuple):
+    """Time and rate for exports; ``busy`` is the seconds already used by source."""
 
     usable: float
     source_rate: float
@@ -192,65 +199,67 @@
 
 
 def _split_waiting(
-    ordered: Sequence[RunningStream], line: _ExportLine, assumptions: PlannerAssumptions
+    ordered: Sequence[RunningStream],
+    queue: _ExportQueue,
+    assumptions: PlannerAssumptions,
 ) -> tuple[list[StreamAction], list[RunningStream]]:
-    """Return those whose export can wait, with their review, and the others.
+    """Return the reviews of streams whose export can wait, and the other streams.
 
     All exports of a source wait until only ``export_time_factor`` times their
     expected time, plus the time of the longest one, is left before the deadline.
     """
-    expected: dict[str, float] = dict(line.busy)
+    expected: dict[str, float] = dict(queue.busy)
     longest: dict[str, float] = {}
     for stream in ordered:
         source = stream.endpoint_id
-        seconds = transfer_seconds(stream, line.source_rate, assumptions)
+        seconds = transfer_seconds(stream, queue.source_rate, assumptions)
         longest[source] = max(longest.get(source, 0.0), seconds)
-        chance = outlast_probability(stream, line.usable, assumptions)
+        chance = outlast_probability(stream, queue.usable, assumptions)
         if chance > 0.0:
             expected[source] = expected.get(source, 0.0) + chance * seconds
-    waits: list[StreamAction] = []
+    waiting: list[StreamAction] = []
     others = []
     for stream in ordered:
         source = stream.endpoint_id
         needed = (
             assumptions.export_time_factor * expected.get(source, 0.0) + longest[source]
         )
-        slack = line.usable - needed
+        slack = queue.usable - needed
         too_long = (
             seconds_to_finish(stream)
-            > assumptions.immediate_export_factor * line.usable
+            > assumptions.immediate_export_factor * queue.usable
         )
-        if too_long or slack < _LEAST_REVIEW_S:
+        if too_long or slack < _MIN_REVIEW_DELAY_S:
             others.append(stream)
         else:
-            waits.append(KeepRunning(stream.request_id, line.now + slack))
-    return waits, others
+            waiting.append(KeepRunning(stream.request_id, queue.now + slack))
+    return waiting, others
 
 
 def _plan_exports(
     ordered: Iterable[RunningStream],
-    line: _ExportLine,
+    queue: _ExportQueue,
     pool: TargetPool,
     assumptions: PlannerAssumptions,
 ) -> tuple[list[StreamAction], list[RunningStream]]:
-    """Fill each source's time with exports; return them and who didn't fit.
+    """Fill each source's time with exports; return them and the streams left over.
 
-    Transfers of one source go one after the other, so that the first ones are
-    whole should the notice turn out shorter than it was said.
+    Transfers of one source run one after the other, so that the first ones are complete
+    if the notice turns out shorter than announced.
     """
-    moves: list[StreamAction] = []
+    actions: list[StreamAction] = []
     left = []
     for stream in ordered:
-        seconds = transfer_seconds(stream, line.source_rate, assumptions)
-        start = line.busy.get(stream.endpoint_id, 0.0)
-        fits = start + seconds <= line.usable
-        target = pool.take_emptiest() if fits else None
+        seconds = transfer_seconds(stream, queue.source_rate, assumptions)
+        start = queue.busy.get(stream.endpoint_id, 0.0)
+        fits = start + seconds <= queue.usable
+        target = pool.reserve_emptiest() if fits else None
         if target is None:
             left.append(stream)
             continue
-        line.busy[stream.endpoint_id] = start + seconds
-        moves.append(ExportTo(stream.request_id, target, line.now + start, seconds))
-    return moves, left
+        queue.busy[stream.endpoint_id] = start + seconds
+        actions.append(ExportTo(stream.request_id, target, queue.now + start, seconds))
+    return actions, left
 
 
 def _plan_recomputes(
@@ -261,16 +270,16 @@
 ) -> list[StreamAction]:
     """Place resumes by prefill so that shared prefixes are computed once.
 
-    The streams with the longest prompts go first. One that shares blocks with a
-    resume placed before it goes to the same target, after that one's prefill.
+    The streams with the longest prompts come first. A stream that shares blocks with a
+    resume placed earlier goes to the same target, after the prefill of that resume.
     """
-    moves: list[StreamAction] = []
+    actions: list[StreamAction] = []
     order = sorted(streams, key=lambda it: (-len(it.prefix), it.request_id))
     for stream in order:
-        place = pool.take_warmest(stream.prefix)
-        if place is None:
-            moves.append(Recompute(stream.request_id, None, now))
+        placement = pool.reserve_best_cached(stream.prefix)
+        if placement is None:
+            actions.append(Recompute(stream.request_id, None, now))
             continue
-        wait = place.pending_tokens / assumptions.prefill_tokens_per_s
-        moves.append(Recompute(stream.request_id, place.view, now + wait))
-    return moves
+        wait = placement.pending_tokens / assumptions.prefill_tokens_per_s
+        actions.append(Recompute(stream.request_id, placement.view, now + wait))
+    return actions
--- a/src/ebonydeal/_internal/routing/reclaim/migration_targets.py
+++ b/src/ebonydeal/_internal/routing/reclaim/migration_targets.py
@@ -1,4 +1,4 @@
-"""Where streams of leaving endpoints go on: room, zones and prefix caches."""
+"""Targets for the streams of leaving endpoints: free slots, zones, prefix caches."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable
@@ -9,7 +9,7 @@
 
 
 class MigrationTarget(NamedTuple):
-    """An endpoint that may take streams.
+    """An endpoint that may take migrated streams.
 
     Attributes
     ----------
@@ -18,7 +18,7 @@
     room : int
         Streams that it can take without queueing.
     cached : collection of str
-        Prompt blocks that its prefix cache is believed to hold.
+        Prompt blocks that its prefix cache is expected to hold.
     """
 
     view: EndpointView
@@ -26,11 +26,11 @@
     cached: Collection[str] = ()
 
 
-class Place(NamedTuple):
-    """A target taken for a resume by prefill.
+class PrefillPlacement(NamedTuple):
+    """A target reserved for a resume by prefill.
 
-    ``pending_tokens`` are the tokens of the shared prefix that a resume placed
-    before is still to compute there.
+    ``pending_tokens`` are the tokens of the shared prefix that a resume placed there
+    earlier has yet to compute.
     """
 
     view: EndpointView
@@ -38,14 +38,14 @@
 
 
 class TargetPool:
-    """Room that is left while a plan is made.
+    """Tracks the free slots and planned caches of targets while a plan is made.
 
     Parameters
     ----------
     targets : iterable of MigrationTarget
         Candidates.
     leaving_zones : collection of str
-        Candidates there are dropped.
+        Zones whose candidates are excluded.
     """
 
     def __init__(
@@ -64,33 +64,33 @@
                 self._holders[block].add(item.view.endpoint_id)
 
     def best_hit(self, prefix: tuple[str, ...]) -> int:
-        """Return the most prompt tokens that a target with room has cached."""
-        return self._warmest(prefix)[1] * BLOCK_TOKENS
+        """Return the highest number of prompt tokens cached by a target with room."""
+        return self._best_cached(prefix)[1] * BLOCK_TOKENS
 
-    def take_emptiest(self) -> EndpointView | None:
-        """Take a slot of the target with most room in the zone with most room."""
+    def reserve_emptiest(self) -> EndpointView | None:
+        """Reserve a slot of the emptiest target in the zone with the most room."""
         ids = self._with_room(self._targets)
         if not ids:
             return None
-        return self._take(max(ids, key=self._emptiness))
+        return self._reserve(max(ids, key=self._emptiness))
 
-    def take_warmest(self, prefix: tuple[str, ...]) -> Place | None:
-        """Take a slot where most of a prompt is cached or about to be."""
-        ids, hit = self._warmest(prefix)
+    def reserve_best_cached(self, prefix: tuple[str, ...]) -> PrefillPlacement | None:
+        """Reserve a slot where most of a prompt is cached or about to be."""
+        ids, hit = self._best_cached(prefix)
         if not ids:
             ids = self._with_room(self._targets)
         if not ids:
             return None
         best = max(ids, key=self._emptiness)
-        pending = self._pending(best, prefix[:hit])
-        self._plan(best, prefix)
-        return Place(self._take(best), pending * BLOCK_TOKENS)
+        pending = self._pending_blocks(best, prefix[:hit])
+        self._add_planned(best, prefix)
+        return PrefillPlacement(self._reserve(best), pending * BLOCK_TOKENS)
 
-    def _warmest(self, prefix: tuple[str, ...]) -> tuple[list[str], int]:
+    def _best_cached(self, prefix: tuple[str, ...]) -> tuple[list[str], int]:
         """Return the targets that hold most of a prompt, and how many blocks.
 
-        Hashes are chained and caches evict from the end, so whoever holds a
-        block holds those before it, also where their events were lost.
+        Hashes are chained and caches evict from the end, so an endpoint that holds a
+        block holds all blocks before it, even if their events were lost.
         """
         for index in range(len(prefix), 0, -1):
             ids = self._with_room(self._holders.get(prefix[index - 1], ()))
@@ -102,13 +102,13 @@
         return [endpoint_id for endpoint_id in ids if self._room[endpoint_id] > 0]
 
     def _emptiness(self, endpoint_id: str) -> tuple[int, int, float, str]:
-        """Order targets: zone's room, own room, then the lower eviction chance."""
+        """Return the sort key: the zone's room, own room, then low eviction rate."""
         view = self._targets[endpoint_id].view
         zone_room = self._zone_room[view.place.zone]
-        chance = -view.evict_per_hour
-        return (zone_room, self._room[endpoint_id], chance, endpoint_id)
+        stability = -view.evict_per_hour
+        return (zone_room, self._room[endpoint_id], stability, endpoint_id)
 
-    def _pending(self, endpoint_id: str, blocks: tuple[str, ...]) -> int:
+    def _pending_blocks(self, endpoint_id: str, blocks: tuple[str, ...]) -> int:
         """Return how many of the blocks are planned there but not cached yet."""
         cached = self._targets[endpoint_id].cached
         for index in range(len(blocks), 0, -1):
@@ -116,11 +116,11 @@
                 return len(blocks) - index
         return len(blocks)
 
-    def _plan(self, endpoint_id: str, prefix: tuple[str, ...]) -> None:
+    def _add_planned(self, endpoint_id: str, prefix: tuple[str, ...]) -> None:
         for block in prefix:
             self._holders[block].add(endpoint_id)
 
-    def _take(self, endpoint_id: str) -> EndpointView:
+    def _reserve(self, endpoint_id: str) -> EndpointView:
         view = self._targets[endpoint_id].view
         self._room[endpoint_id] -= 1
         self._zone_room[view.place.zone] -= 1
--- a/src/ebonydeal/_internal/routing/reclaim/running_streams.py
+++ b/src/ebonydeal/_internal/routing/reclaim/running_streams.py
@@ -1,4 +1,4 @@
-"""Running streams, what may happen to them, and estimates about them; pure."""
+"""Running streams, the actions planned for them, and estimates; pure functions."""
 
 import math
 from dataclasses import dataclass
@@ -7,24 +7,24 @@
 
 from ebonydeal._internal.models.endpoints import EndpointView
 
-_LEAST_TRANSFER_S = 0.001
+_MIN_TRANSFER_S = 0.001
 
 
 class RunningStream(NamedTuple):
-    """A stream on an endpoint that is leaving.
+    """A stream on a leaving endpoint.
 
     Attributes
     ----------
     request_id : str
-        Which request.
+        The request.
     endpoint_id : str
-        Where it runs.
+        The endpoint at which it runs.
     context_tokens : int
-        Prompt and generated tokens so far.
+        Tokens of the prompt and those generated so far.
     remaining_tokens_estimate : float
-        Tokens that are expected to follow.
+        Expected tokens still to generate.
     tokens_per_s : float
-        Its generation rate.
+        Generation rate.
     kv_gb : float
         Size of its KV cache, gigabytes.
     prefix : tuple of str
@@ -44,8 +44,8 @@
 class KeepRunning:
     """Let the stream run where it is; if it still does, plan again at ``review_at``.
 
-    It is expected to end there, or its export can wait safely: each stream that
-    ends meanwhile needs no move.
+    It is expected to end there, or its export can safely wait: a stream that ends
+    before the review needs no migration.
     """
 
     request_id: str
@@ -54,9 +54,9 @@
 
 @dataclass(frozen=True)
 class ExportTo:
-    """Export the KV cache at ``start_at`` and go on at ``target``.
+    """Export the KV cache at ``start_at`` and continue at ``target``.
 
-    ``seconds`` is the time that export and import are expected to take.
+    ``seconds`` is the expected time of export and import.
     """
 
     request_id: str
@@ -67,9 +67,9 @@
 
 @dataclass(frozen=True)
 class Recompute:
-    """Go on at ``target`` by prefill, at ``start_at``.
+    """Continue at ``target`` by prefill, at ``start_at``.
 
-    ``target`` is None where none has room: the router finds one, or the stream
+    ``target`` is None if none has a free slot: then the router finds one, or the stream
     waits in a queue.
     """
 
@@ -82,32 +82,32 @@
 
 
 class PlannerAssumptions(NamedTuple):
-    """What the planner assumes.
+    """Assumptions of the planner.
 
     Attributes
     ----------
     margin_s : float
-        Seconds kept free before the deadline, for late clocks and calls.
+        Seconds reserved before the deadline, for clock skew and slow calls.
     estimate_sigma : float
-        Spread of the estimates of remaining tokens: true over estimated length
-        is taken as log-normal.
+        Deviation of the estimates of remaining tokens: the ratio of true to estimated
+        length is assumed to be log-normal.
     export_failure_probability : float
-        Chance that an export fails. A stream that is less likely than this to
-        outlast the notice isn't exported.
+        Probability that an export fails. A stream that outlasts the notice with a lower
+        probability isn't exported.
     immediate_export_factor : float
-        A stream that is expected to need more than this many times the notice
-        is exported at once; for any other the export waits as long as is safe.
+        A stream that is expected to need more than this many times the notice is
+        exported at once; any other export waits as long as is safe.
     export_time_factor : float
-        Exports that wait start early enough for this many times their
-        expected time.
+        Exports that wait start early enough to take this many times their expected
+        time.
     overhead_s : float
-        Seconds of an export and import beside the transfer.
+        Seconds of an export and import in addition to the transfer.
     export_share, import_share : float
-        Time of the export and of the import, as shares of the cache's size over
+        Time of the export and of the import, as shares of the cache's size divided by
         the source's rate.
     prefill_tokens_per_s : float
-        Tokens a second that a target prefills; decides how long a stream waits
-        for the shared prefix that another one is about to compute there.
+        Prefill rate of a target; determines how long a stream waits for a shared prefix
+        that another stream is about to compute there.
     """
 
     margin_s: float = 0.1
@@ -122,9 +122,9 @@
 
 
 class ExportFailure(NamedTuple):
-    """An export that didn't succeed.
+    """A failed export.
 
-    ``handle_usable`` says that the exported cache still stands at a live source
+    ``handle_usable`` says that the source is alive and still holds the exported cache
     (only the import failed), so that another target may fetch it.
     """
 
@@ -136,16 +136,16 @@
     stream: RunningStream, source_rate: float, assumptions: PlannerAssumptions
 ) -> float:
     """Return the time to export and import a stream's cache, in seconds."""
-    whole = stream.kv_gb / source_rate if source_rate > 0 else float("inf")
+    full_transfer_s = stream.kv_gb / source_rate if source_rate > 0 else float("inf")
     seconds = (
-        whole * (assumptions.export_share + assumptions.import_share)
+        full_transfer_s * (assumptions.export_share + assumptions.import_share)
         + assumptions.overhead_s
     )
-    return max(_LEAST_TRANSFER_S, seconds)
+    return max(_MIN_TRANSFER_S, seconds)
 
 
 def seconds_to_finish(stream: RunningStream) -> float:
-    """Return the seconds that a stream is expected to run still."""
+    """Return the seconds that a stream is still expected to run."""
     if stream.tokens_per_s <= 0:
         return float("inf")
     return stream.remaining_tokens_estimate / stream.tokens_per_s
@@ -154,7 +154,7 @@
 def outlast_probability(
     stream: RunningStream, seconds: float, assumptions: PlannerAssumptions
 ) -> float:
-    """Return the chance that a stream runs for longer than ``seconds``."""
+    """Return the probability that a stream runs for longer than ``seconds``."""
     expected = seconds_to_finish(stream)
     if expected <= 0.0 or seconds <= 0.0:
         return 1.0 if expected > seconds else 0.0
