--- a/src/ebonydeal/_internal/routing/retries/__init__.py
+++ b/src/ebonydeal/_internal/routing/retries/__init__.py
@@ -1,5 +1,5 @@
 """Whether a failed send is followed by another, and when.
 
-Event: a send without an answer that counts. Called after each failed send, by the
-gateway and by the relay; touches its own budgets only.
+The gateway and the relay call it after each send that failed. It changes only its own
+budgets.
 """
--- a/src/ebonydeal/_internal/routing/retries/retries.py
+++ b/src/ebonydeal/_internal/routing/retries/retries.py
@@ -1,8 +1,8 @@
-"""Whether a failed try is followed by another, and when.
+"""Retry budgets: whether a failed attempt is followed by another, and when.
 
-Every first send earns a deployment part of a retry; a retry costs a whole one.
-So a deployment that fails completely sees at most ``1 + budget`` sends a
-request (and the few saved up before), however many callers there are.
+Every first send adds a fraction of a retry to its deployment's budget, and a retry
+costs a whole one. So a deployment that fails completely gets at most ``1 + budget``
+sends per request, plus the few saved earlier, however many callers there are.
 """
 
 from collections.abc import Callable
@@ -13,39 +13,40 @@
 from ebonydeal._internal.errors import ErrorKind
 from ebonydeal._internal.settings.routing import RetrySettings
 
-_PROOF = frozenset(
+# Failures that prove that the request was not run.
+_PROVEN_NOT_RUN = frozenset(
     {ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED, ErrorKind.NO_ENDPOINT}
 )
-_REPEATABLE = _PROOF | {
+_RETRYABLE = _PROVEN_NOT_RUN | {
     ErrorKind.ENDPOINT_FAILED,
     ErrorKind.ENDPOINT_GARBAGE,
     ErrorKind.ENDPOINT_STALLED,
 }
-_RETRY_AFTER_MIN = 1.0
-_RETRY_AFTER_MAX = 30.0
-_RATE_WINDOW = 10.0
+_MIN_RETRY_AFTER_S = 1.0
+_MAX_RETRY_AFTER_S = 30.0
+_RATE_WINDOW_S = 10.0
 
 
 class Failure(NamedTuple):
-    """A try that failed.
+    """A failed attempt.
 
     Attributes
     ----------
     kind : ErrorKind
-        How.
+        How it failed.
     deployment : str
-        Whose budget counts.
+        The deployment whose budget applies.
     idempotent : bool
         Whether running the request twice is harmless.
     may_have_run : bool
-        Whether an earlier try of the request may have run.
+        Whether an earlier attempt of the request may have run.
     first_byte_received : bool
-        Whether a byte of the answer came; then only a stream's own resume may
-        go on, and a call that is not idempotent ends here.
+        Whether a byte of the answer arrived. After that only a stream may be resumed,
+        and a call that is not idempotent is not retried.
     deadline : float
         Wall clock seconds; 0.0 means none.
     min_attempt_s : float
-        Least time a further try needs to be of use, seconds.
+        Time that another attempt needs at least, seconds.
     """
 
     kind: ErrorKind
@@ -59,14 +60,14 @@
 
 @dataclass(frozen=True)
 class Retry:
-    """Try again after ``delay_s`` seconds, on another endpoint."""
+    """Retry after ``delay_s`` seconds, at another endpoint."""
 
     delay_s: float
 
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Answer the caller now, with this kind."""
+    """Answer the caller now, with an error of this kind."""
 
     kind: ErrorKind
     retry_after: float | None
@@ -75,45 +76,45 @@
 
 @dataclass
 class _Budget:
-    """Saved retries and hedges of one deployment."""
+    """Available retries and hedges of one deployment, and its rate of first sends."""
 
     retries: float
     hedges: float
     rate: float = 0.0
     at: float = 0.0
 
-    def earn(self, now: float, cfg: RetrySettings) -> None:
-        """Count one first send."""
+    def add_send(self, now: float, cfg: RetrySettings) -> None:
+        """Add the share of one first send."""
         self.retries = min(cfg.budget_cap, self.retries + cfg.budget)
         self.hedges = min(cfg.budget_cap, self.hedges + cfg.hedge_budget)
-        kept = max(0.0, 1.0 - max(0.0, now - self.at) / _RATE_WINDOW)
-        self.rate = self.rate * kept + 1.0 / _RATE_WINDOW
+        decay = max(0.0, 1.0 - max(0.0, now - self.at) / _RATE_WINDOW_S)
+        self.rate = self.rate * decay + 1.0 / _RATE_WINDOW_S
         self.at = now
 
 
 class RetryPolicy:
-    """Budgets of all deployments at one gateway or journal owner.
+    """Retry budgets of all deployments at one gateway, relay or journal owner.
 
     Parameters
     ----------
     cfg : RetrySettings
-        Budgets and back-off.
+        Budgets and backoff.
     rng : random.Random
-        For jitter.
-    first : callable
-        Returns the retries that a deployment has before its first send: the very first
-        connection may be refused.
+        Draws the jitter.
+    initial_retries : callable
+        Returns the retries that a deployment has before its first send, since the very
+        first connection may be refused.
     """
 
     def __init__(
         self,
         cfg: RetrySettings,
         rng: Random,
-        first: Callable[[], float] = lambda: 1.0,
+        initial_retries: Callable[[], float] = lambda: 1.0,
     ) -> None:
         self._cfg = cfg
         self._rng = rng
-        self._first = first
+        self._initial_retries = initial_retries
         self._budgets: dict[str, _Budget] = {}
 
     @classmethod
@@ -122,38 +123,38 @@
         return cls(cfg, rng)
 
     def configure(self, cfg: RetrySettings) -> None:
-        """Take other budgets, as when the number of relays changes."""
+        """Replace the settings, for example when the number of relays changes."""
         self._cfg = cfg
 
     def record_first_send(self, deployment: str, now: float) -> None:
-        """Count a request's first send; call once per request."""
-        self._budget(deployment).earn(now, self._cfg)
+        """Count a request's first send; to be called once per request."""
+        self._budget(deployment).add_send(now, self._cfg)
 
     def next_attempt(
         self, failure: Failure, attempt: int, now: float
     ) -> Retry | GiveUp:
-        """Decide after try number ``attempt`` (from 1) failed."""
+        """Decide after attempt number ``attempt`` (from 1) failed."""
         cfg = self._cfg
-        if not self._may_repeat(failure):
-            return GiveUp(self._final_kind(failure), None, "may not be repeated")
+        if not self._may_retry(failure):
+            return GiveUp(self._final_kind(failure), None, "must not be retried")
         if attempt >= cfg.attempts:
-            return self._give_up(failure, now, "no tries left")
-        after = self._backoff(attempt)
-        if failure.deadline and now + after + failure.min_attempt_s >= failure.deadline:
-            return self._give_up(failure, now, "the deadline is too near")
+            return self._give_up(failure, now, "no attempts left")
+        delay = self._backoff(attempt)
+        if failure.deadline and now + delay + failure.min_attempt_s >= failure.deadline:
+            return self._give_up(failure, now, "deadline too close for a retry")
         budget = self._budget(failure.deployment)
         if budget.retries < 1.0:
-            return self._give_up(failure, now, "the retry budget is spent")
+            return self._give_up(failure, now, "retry budget exhausted")
         budget.retries -= 1.0
-        return Retry(after)
+        return Retry(delay)
 
     def can_retry(self, deployment: str, attempt: int) -> bool:
-        """Return whether another try could follow try number ``attempt`` now."""
-        spare = self._budget(deployment).retries >= 1.0
-        return spare and attempt < self._cfg.attempts
+        """Return whether another attempt could follow number ``attempt`` now."""
+        affordable = self._budget(deployment).retries >= 1.0
+        return affordable and attempt < self._cfg.attempts
 
     def try_spend(self, deployment: str) -> bool:
-        """Take a further send from the budget where nothing has failed."""
+        """Take a further send from the budget although no send failed."""
         budget = self._budget(deployment)
         if budget.retries < 1.0:
             return False
@@ -163,7 +164,7 @@
     def try_hedge(
         self, deployment: str, idempotent: bool, deadline: float, now: float
     ) -> bool:
-        """Take a hedge from the budget for a short idempotent look-up."""
+        """Take a hedge for a short idempotent look-up from the budget."""
         if not idempotent or (deadline and now >= deadline):
             return False
         budget = self._budget(deployment)
@@ -174,49 +175,49 @@
         return True
 
     def available_retries(self, deployment: str) -> float:
-        """Return the retries that a deployment has saved up."""
+        """Return the retries that a deployment's budget allows now."""
         return self._budget(deployment).retries
 
     def _budget(self, deployment: str) -> _Budget:
         if deployment not in self._budgets:
-            first = min(self._first(), self._cfg.budget_cap)
-            self._budgets[deployment] = _Budget(first, 0.0)
+            initial = min(self._initial_retries(), self._cfg.budget_cap)
+            self._budgets[deployment] = _Budget(initial, 0.0)
         return self._budgets[deployment]
 
-    def _may_repeat(self, failure: Failure) -> bool:
-        """Return whether another try is harmless and can help."""
-        if failure.kind in _PROOF and not failure.first_byte_received:
+    def _may_retry(self, failure: Failure) -> bool:
+        """Return whether another attempt is harmless and can help."""
+        if failure.kind in _PROVEN_NOT_RUN and not failure.first_byte_received:
             return True
-        return failure.idempotent and failure.kind in _REPEATABLE
+        return failure.idempotent and failure.kind in _RETRYABLE
 
     def _backoff(self, attempt: int) -> float:
-        """Return a wait drawn evenly from nothing to twice the mean."""
+        """Return a delay drawn uniformly between 0 and twice the mean."""
         cfg = self._cfg
         mean = min(cfg.backoff_max / 2, cfg.backoff * 2 ** (attempt - 1))
         return self._rng.uniform(0.0, 2.0 * mean)
 
     def _final_kind(self, failure: Failure) -> ErrorKind:
-        """Return the kind that a caller is told."""
-        proven = failure.kind in _PROOF and not failure.first_byte_received
+        """Return the error kind for the caller."""
+        proven = failure.kind in _PROVEN_NOT_RUN and not failure.first_byte_received
         if proven and not failure.may_have_run:
             return failure.kind
-        if not failure.idempotent and failure.kind in _REPEATABLE:
+        if not failure.idempotent and failure.kind in _RETRYABLE:
             return ErrorKind.OUTCOME_UNKNOWN
         return failure.kind
 
-    def _give_up(self, failure: Failure, now: float, why: str) -> GiveUp:
-        """Answer at once; the wait told is when a repeat can be afforded."""
+    def _give_up(self, failure: Failure, now: float, reason: str) -> GiveUp:
+        """Give up; the caller may retry when the budget allows a retry again."""
         kind = self._final_kind(failure)
-        if failure.may_have_run and kind in _PROOF:
+        if failure.may_have_run and kind in _PROVEN_NOT_RUN:
             kind = ErrorKind.RETRY_BUDGET
-        return GiveUp(kind, self._retry_after(failure.deployment, now), why)
+        return GiveUp(kind, self._retry_after(failure.deployment, now), reason)
 
     def _retry_after(self, deployment: str, now: float) -> float:
-        """Return when the budget affords a retry again, jittered, seconds."""
+        """Return the seconds until the budget allows a retry again, with jitter."""
         budget = self._budget(deployment)
         missing = max(0.0, 1.0 - budget.retries)
         age = max(0.0, now - budget.at)
-        rate = budget.rate * max(0.0, 1.0 - age / _RATE_WINDOW) * self._cfg.budget
-        wait = missing / rate if rate > 0.0 else _RETRY_AFTER_MIN
-        wait = min(_RETRY_AFTER_MAX, max(_RETRY_AFTER_MIN, wait))
+        rate = budget.rate * max(0.0, 1.0 - age / _RATE_WINDOW_S) * self._cfg.budget
+        wait = missing / rate if rate > 0.0 else _MIN_RETRY_AFTER_S
+        wait = min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, wait))
         return wait * self._rng.uniform(1.0, 1.5)
--- a/tests/unit/routing/retries/test_retries.py
+++ b/tests/unit/routing/retries/test_retries.py
@@ -23,13 +23,13 @@
     return Failure(kind, "pool", **({"idempotent": True} | changes))
 
 
-class TestNextTry:
-    def test_first_failure_may_be_tried_again(self):
+class TestNextAttempt:
+    def test_first_failure_is_retried(self):
         policy = make_policy()
         policy.record_first_send("pool", NOW)
         match policy.next_attempt(make_failure(), 1, NOW):
-            case Retry(delay_s=after):
-                assert 0.0 <= after <= 0.1
+            case Retry(delay_s=delay):
+                assert 0.0 <= delay <= 0.1
             case other:
                 pytest.fail(f"{other}")
 
@@ -41,22 +41,22 @@
             ErrorKind.ENDPOINT_STALLED,
         ],
     )
-    def test_non_idempotent_that_may_have_run_ends_unknown(self, kind):
+    def test_non_idempotent_that_may_have_run_has_unknown_outcome(self, kind):
         failure = make_failure(kind, idempotent=False)
         answer = make_policy().next_attempt(failure, 1, NOW)
-        assert answer == GiveUp(ErrorKind.OUTCOME_UNKNOWN, None, "may not be repeated")
+        assert answer == GiveUp(ErrorKind.OUTCOME_UNKNOWN, None, "must not be retried")
 
     @pytest.mark.parametrize(
         "kind", [ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED]
     )
-    def test_non_idempotent_is_tried_again_on_proof_only(self, kind):
+    def test_non_idempotent_is_retried_if_it_provably_did_not_run(self, kind):
         answer = make_policy().next_attempt(
             make_failure(kind, idempotent=False), 1, NOW
         )
         assert isinstance(answer, Retry)
 
     @pytest.mark.parametrize("kind", list(ErrorKind))
-    def test_non_idempotent_never_after_the_first_byte(self, kind):
+    def test_non_idempotent_is_never_retried_after_the_first_byte(self, kind):
         failure = make_failure(kind, idempotent=False, first_byte_received=True)
         assert isinstance(make_policy().next_attempt(failure, 1, NOW), GiveUp)
 
@@ -65,15 +65,15 @@
         failure = make_failure(deadline=NOW + 1.0, min_attempt_s=1.0)
         answer = policy.next_attempt(failure, 1, NOW)
         assert isinstance(answer, GiveUp)
-        assert answer.reason == "the deadline is too near"
+        assert answer.reason == "deadline too close for a retry"
         assert policy.available_retries("pool") == 1.0
 
-    def test_no_more_tries_than_set(self):
+    def test_no_more_attempts_than_set(self):
         answer = make_policy(attempts=2).next_attempt(make_failure(), 2, NOW)
         assert isinstance(answer, GiveUp)
-        assert answer.reason == "no tries left"
+        assert answer.reason == "no attempts left"
 
-    def test_spent_budget_says_when_to_come_back(self):
+    def test_exhausted_budget_gives_a_retry_after(self):
         policy = make_policy()
         policy.next_attempt(make_failure(), 1, NOW)
         answer = policy.next_attempt(make_failure(), 1, NOW)
@@ -81,14 +81,14 @@
         assert answer.kind is ErrorKind.ENDPOINT_FAILED
         assert 1.0 <= answer.retry_after <= 45.0
 
-    def test_proof_of_the_last_try_does_not_cover_an_earlier_run(self):
+    def test_last_attempt_not_run_does_not_prove_that_no_earlier_one_ran(self):
         failure = make_failure(ErrorKind.CONNECT_FAILED, may_have_run=True)
         answer = make_policy(attempts=2).next_attempt(failure, 2, NOW)
         assert answer.kind is ErrorKind.RETRY_BUDGET
 
-    def test_caller_errors_are_not_repeated(self):
+    def test_caller_errors_are_not_retried(self):
         answer = make_policy().next_attempt(make_failure(ErrorKind.BAD_REQUEST), 1, NOW)
-        assert answer == GiveUp(ErrorKind.BAD_REQUEST, None, "may not be repeated")
+        assert answer == GiveUp(ErrorKind.BAD_REQUEST, None, "must not be retried")
 
 
 class TestBudget:
@@ -108,13 +108,13 @@
                 attempt += 1
         assert extra <= 1.0 + 0.09 * requests + 1e-6
 
-    def test_saved_budget_is_bounded(self):
+    def test_budget_is_capped(self):
         policy = make_policy()
         for number in range(10_000):
             policy.record_first_send("pool", NOW + number)
         assert policy.available_retries("pool") == 5.0
 
-    def test_deployments_do_not_share(self):
+    def test_deployments_do_not_share_budgets(self):
         policy = make_policy()
         policy.next_attempt(make_failure(), 1, NOW)
         assert policy.available_retries("pool") == 0.0
@@ -122,7 +122,7 @@
 
 
 class TestHedge:
-    def test_only_idempotent_before_the_deadline(self):
+    def test_only_idempotent_requests_before_the_deadline(self):
         policy = make_policy()
         for _ in range(100):
             policy.record_first_send("pool", NOW)
@@ -130,7 +130,7 @@
         assert not policy.try_hedge("pool", True, NOW, NOW)
         assert policy.try_hedge("pool", True, NOW + 1, NOW)
 
-    def test_two_in_a_hundred(self):
+    def test_two_in_a_hundred_requests(self):
         policy = make_policy()
         hedges = 0
         for _ in range(1000):
