--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -1,4 +1,4 @@
-"""Orders endpoints of services that may grow and shrink."""
+"""Scales the fleets of services by ordering endpoints from the platform."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -25,17 +25,17 @@
 logger = get_logger("relay.fleet")
 
 _STEP_S = 0.2
-# An ordered endpoint that isn't listed this long after its boot isn't coming:
-# the order is sent again, which changes nothing where it is only late.
+# If an ordered endpoint isn't listed this long after its boot time, the order is sent
+# again, which changes nothing if the endpoint is only late.
 _BOOT_SLACK_S = 1.0
-# Time for which an order for more stands at least.
-_STEADY_S = 5.0
-# Orders made for one plan before it is looked at again.
-_MOST_ROUNDS = 4
+# Minimum time between an order for more endpoints and one for fewer.
+_MIN_HOLD_S = 5.0
+# Plans made in one step, each after an order of the last one was refused.
+_MAX_ROUNDS = 4
 
 
-class _Kind(NamedTuple):
-    """One kind of endpoint of a service in a zone."""
+class _Pool(NamedTuple):
+    """The endpoints of one kind of a service in a zone."""
 
     service: str
     zone: str
@@ -43,29 +43,29 @@
 
 
 class _Order(NamedTuple):
-    """What was last ordered, and until when it may still come."""
+    """The last order for a pool, and the time until which it may still arrive."""
 
     wanted: int
-    until: float
+    expected_until: float
 
 
 class _Change(NamedTuple):
-    """An order that may be due: how many are wanted, there or coming."""
+    """An order that may be due; ``have`` counts existing and pending endpoints."""
 
-    kind: _Kind
+    pool: _Pool
     wanted: int
     have: int
 
 
 class FleetScaler(Service):
-    """Keeps each service's fleet as the planner wants it.
+    """Keeps each service's fleet at the size that the planner wants.
 
     Parameters
     ----------
     coordinator : Coordinator
-        Holds the lease; tells the load.
+        Gives the lease and the reported load.
     duties : Duties
-        The platform's calls.
+        Calls of the platform.
     view : RelayView
         Services and endpoints.
     metrics, clock
@@ -79,7 +79,7 @@
         view: RelayView,
         metrics: Metrics,
         clock: Clock,
-        terms: FleetPolicy | None = None,
+        policy: FleetPolicy | None = None,
     ) -> None:
         super().__init__()
         self._coordinator = coordinator
@@ -87,16 +87,16 @@
         self._view = view
         self._metrics = metrics
         self._clock = clock
-        self._terms = terms or FleetPolicy()
-        self._ordered: dict[_Kind, _Order] = {}
-        self._raised: dict[_Kind, float] = {}
-        self._had_spot: dict[tuple[str, str], int] = {}
-        self._waved: dict[str, float] = {}
-        self._dry: dict[str, float] = {}
-        self._probed: dict[str, int] = {}
-        self._found: dict[str, set[str]] = {}
+        self._policy = policy or FleetPolicy()
+        self._orders: dict[_Pool, _Order] = {}
+        self._increased_at: dict[_Pool, float] = {}
+        self._previous_spot: dict[tuple[str, str], int] = {}
+        self._zone_lost_at: dict[str, float] = {}
+        self._spot_retry_at: dict[str, float] = {}
+        self._probe_count: dict[str, int] = {}
+        self._initial_endpoints: dict[str, set[str]] = {}
         self._forecasts: dict[str, LoadForecast] = {}
-        # The version that a service's roll-out under way is to, None without one.
+        # Returns the target version of a service's current rollout, or None.
         self.target_version: Callable[[str], str | None] = lambda _service: None
 
     @Service.task
@@ -108,29 +108,29 @@
                 continue
             if not self._coordinator.may_order:
                 if not self._coordinator.lease.mine:
-                    self._ordered.clear()
+                    self._orders.clear()
                 continue
             for service in index.table.services.values():
                 if service.scaling is None:
                     continue
                 try:
-                    await self._steer(service, service.scaling)
+                    await self._scale(service, service.scaling)
                 except EbonydealError as exc:
                     logger.warning("Order failed.", reason=str(exc))
 
-    async def _steer(self, service: ForwardService, scaling: Scaling) -> None:
-        """Order what the plan wants; again at once where a zone is dry."""
+    async def _scale(self, service: ForwardService, scaling: Scaling) -> None:
+        """Order what the plan wants; plan again at once if an order was refused."""
         now = self._clock.now()
-        self._watch_zones(service.name, scaling, now)
-        load = self._forecast(service, now)
-        await self._probe(service, scaling, load)
-        for _round in range(_MOST_ROUNDS):
+        self._detect_lost_zones(service.name, scaling, now)
+        load = self._update_forecast(service, now)
+        await self._probe_spot(service, scaling, load)
+        for _round in range(_MAX_ROUNDS):
             state = self._state(service, scaling, load)
-            plan = plan_fleet(scaling, state, self._terms)
+            plan = plan_fleet(scaling, state, self._policy)
             refused = False
             for change in self._changes(service.name, plan, state):
-                # More before less: nothing is let go before its replacement
-                # was granted.
+                # Increases come before decreases: no endpoint is released before its
+                # replacement was accepted.
                 if refused and change.wanted < change.have:
                     break
                 if await self._order(change, scaling, load):
@@ -141,93 +141,97 @@
     def _state(
         self, service: ForwardService, scaling: Scaling, load: float
     ) -> FleetState:
-        zones = self._zones(service.name, scaling, self._clock.now())
-        dry = frozenset(scaling.zone_prices) | frozenset(zones)
+        zones = self._zone_fleets(service.name, scaling, self._clock.now())
+        all_zones = frozenset(scaling.zone_prices) | frozenset(zones)
         return FleetState(
             zones=zones,
             load=load,
-            dry=dry if service.name in self._dry else frozenset(),
-            least=self._least(service.name, zones),
-            wave=self._in_wave(service.name, self._clock.now()),
+            zones_without_spot=(
+                all_zones if service.name in self._spot_retry_at else frozenset()
+            ),
+            min_endpoints=self._min_endpoints(service.name, zones),
+            reclaim_burst=self._in_reclaim_burst(service.name, self._clock.now()),
         )
 
-    def _watch_zones(self, service: str, scaling: Scaling, now: float) -> None:
-        """Note when a zone's reclaimable endpoints all go at once."""
-        zones = self._zones(service, scaling, now)
+    def _detect_lost_zones(self, service: str, scaling: Scaling, now: float) -> None:
+        """Detect zones whose reclaimable endpoints have all gone at once."""
+        zones = self._zone_fleets(service, scaling, now)
         for zone in set(scaling.zone_prices) | set(zones):
             have = zones.get(zone, ZoneFleet()).spot
-            had = self._had_spot.get((service, zone), 0)
-            self._had_spot[(service, zone)] = have
-            order = self._ordered.get(_Kind(service, zone, True))
+            had = self._previous_spot.get((service, zone), 0)
+            self._previous_spot[(service, zone)] = have
+            order = self._orders.get(_Pool(service, zone, True))
             if had and not have and (order is None or order.wanted > 0):
-                self._waved[service] = now
-                # What was ordered there is void.
-                self._ordered.pop(_Kind(service, zone, True), None)
+                self._zone_lost_at[service] = now
+                # The last order there is void.
+                self._orders.pop(_Pool(service, zone, True), None)
                 logger.info("Zone taken back.", service=service, zone=zone, had=had)
 
-    def _in_wave(self, service: str, now: float) -> bool:
-        at = self._waved.get(service)
-        return at is not None and now - at < self._terms.wave
+    def _in_reclaim_burst(self, service: str, now: float) -> bool:
+        at = self._zone_lost_at.get(service)
+        return at is not None and now - at < self._policy.reclaim_burst_s
 
-    def _least(self, service: str, zones: dict[str, ZoneFleet]) -> int:
-        """Return the size below which the fleet isn't planned yet.
+    def _min_endpoints(self, service: str, zones: dict[str, ZoneFleet]) -> int:
+        """Return the minimum size of the fleet, whatever its load.
 
-        Before there is load to measure, the size that operators started with
-        is the best word on what will be asked.
+        Until load has been measured, the size with which operators started is the best
+        estimate of the load to come.
         """
-        # They are listed one after the other at the start, and some may be gone
-        # before all are.
-        seen = self._found.setdefault(service, set())
+        # At the start endpoints are listed one after the other, and some may be gone
+        # before all are listed.
+        initial = self._initial_endpoints.setdefault(service, set())
         forecast = self._forecast_of(service)
-        if not forecast.began:
-            seen.update(
+        if not forecast.has_load:
+            initial.update(
                 member.endpoint_id
                 for member in self._view.members.values()
                 if member.service == service and not member.reclaimable
             )
-        if self._terms.found and not forecast.measured(self._clock.now()):
-            fixed = sum(fleet.fixed for fleet in zones.values())
-            return max(1, fixed, len(seen))
+        if self._policy.keep_initial_size and not forecast.is_measured(
+            self._clock.now()
+        ):
+            on_demand = sum(fleet.on_demand for fleet in zones.values())
+            return max(1, on_demand, len(initial))
         return 1
 
-    async def _probe(
+    async def _probe_spot(
         self, service: ForwardService, scaling: Scaling, load: float
     ) -> None:
-        """Ask one zone for one reclaimable endpoint when that may work again."""
+        """Order one reclaimable endpoint in one zone to see if that works again."""
         now = self._clock.now()
-        until = self._dry.get(service.name)
-        if until is None or now < until:
+        retry_at = self._spot_retry_at.get(service.name)
+        if retry_at is None or now < retry_at:
             return
-        zones = self._zones(service.name, scaling, now)
+        zones = self._zone_fleets(service.name, scaling, now)
         names = sorted(set(scaling.zone_prices) | set(zones))
-        turn = self._probed.get(service.name, 0)
-        self._probed[service.name] = turn + 1
-        zone = names[turn % len(names)]
+        count = self._probe_count.get(service.name, 0)
+        self._probe_count[service.name] = count + 1
+        zone = names[count % len(names)]
         fleet = zones.get(zone, ZoneFleet())
-        have = fleet.spot + fleet.spot_coming
-        kind = _Kind(service.name, zone, True)
-        if not await self._order(_Change(kind, have + 1, have), scaling, load):
-            self._dry.pop(service.name, None)
+        have = fleet.spot + fleet.spot_pending
+        pool = _Pool(service.name, zone, True)
+        if not await self._order(_Change(pool, have + 1, have), scaling, load):
+            self._spot_retry_at.pop(service.name, None)
 
     def _changes(
         self, service: str, plan: FleetPlan, state: FleetState
     ) -> list[_Change]:
-        """Return the orders that the plan takes, those for more first."""
+        """Return the orders for the plan, increases first."""
         changes = []
         for zone, target in plan.zones.items():
             fleet = state.zones.get(zone, ZoneFleet())
-            spot_have = fleet.spot + fleet.spot_coming
-            fixed_have = fleet.fixed + fleet.fixed_coming
-            for kind, count, have in (
-                (_Kind(service, zone, True), target.spot, spot_have),
-                (_Kind(service, zone, False), target.fixed, fixed_have),
+            spot_have = fleet.spot + fleet.spot_pending
+            on_demand_have = fleet.on_demand + fleet.on_demand_pending
+            for pool, wanted, have in (
+                (_Pool(service, zone, True), target.spot, spot_have),
+                (_Pool(service, zone, False), target.on_demand, on_demand_have),
             ):
-                changes.append(_Change(kind, count, have))
-        changes.sort(key=lambda c: (c.wanted < c.have, not c.kind.spot))
+                changes.append(_Change(pool, wanted, have))
+        changes.sort(key=lambda c: (c.wanted < c.have, not c.pool.spot))
         return changes
 
-    def _forecast(self, service: ForwardService, now: float) -> float:
-        """Return the load to plan for, in endpoints kept busy."""
+    def _update_forecast(self, service: ForwardService, now: float) -> float:
+        """Add the reported load; return the load to plan for, in busy endpoints."""
         messages = self._coordinator.heard_lately()
         work = sum(message["work"].get(service.name, 0.0) for message in messages)
         slots = service.engine.slots if service.engine is not None else 0
@@ -243,22 +247,22 @@
             if endpoint_id in members
         )
         slots = slots or max((m.slots for m in members.values()), default=1)
-        seen = work + running / max(1, slots)
-        in_wave = self._in_wave(service.name, now)
-        return self._forecast_of(service.name).saw(seen, in_wave, now)
+        observed = work + running / max(1, slots)
+        in_burst = self._in_reclaim_burst(service.name, now)
+        return self._forecast_of(service.name).observe(observed, in_burst, now)
 
     def _forecast_of(self, service: str) -> LoadForecast:
         forecast = self._forecasts.get(service)
         if forecast is None:
-            forecast = self._forecasts[service] = LoadForecast(self._terms)
+            forecast = self._forecasts[service] = LoadForecast(self._policy)
         return forecast
 
-    def _zones(
+    def _zone_fleets(
         self, service: str, scaling: Scaling, now: float
     ) -> dict[str, ZoneFleet]:
         """Return the service's endpoints by zone and kind."""
         zones: dict[str, ZoneFleet] = {}
-        # Endpoints of a version that may be bad are no room yet.
+        # Endpoints of a version that may be bad don't count as capacity yet.
         target_version = self.target_version(service)
         for member in self._view.members.values():
             if member.service != service or member.leaving:
@@ -269,57 +273,58 @@
             if member.reclaimable:
                 fleet = fleet._replace(spot=fleet.spot + 1)
             else:
-                fleet = fleet._replace(fixed=fleet.fixed + 1)
+                fleet = fleet._replace(on_demand=fleet.on_demand + 1)
             zones[member.zone] = fleet
-        for kind, order in self._ordered.items():
-            if kind.service != service:
+        for pool, order in self._orders.items():
+            if pool.service != service:
                 continue
-            if now > order.until:
+            if now > order.expected_until:
                 continue
-            fleet = zones.get(kind.zone, ZoneFleet())
-            have = fleet.spot if kind.spot else fleet.fixed
-            # What is beyond the zone's bound is accepted, and doesn't come.
-            room = max(0, scaling.most - fleet.spot - fleet.fixed)
-            coming = min(room, max(0, order.wanted - have))
-            if kind.spot:
-                zones[kind.zone] = fleet._replace(spot_coming=coming)
+            fleet = zones.get(pool.zone, ZoneFleet())
+            have = fleet.spot if pool.spot else fleet.on_demand
+            # Orders beyond the zone's bound are accepted, but those endpoints never
+            # arrive.
+            room = max(0, scaling.most - fleet.spot - fleet.on_demand)
+            pending = min(room, max(0, order.wanted - have))
+            if pool.spot:
+                zones[pool.zone] = fleet._replace(spot_pending=pending)
             else:
-                zones[kind.zone] = fleet._replace(fixed_coming=coming)
+                zones[pool.zone] = fleet._replace(on_demand_pending=pending)
         return zones
 
     async def _order(self, change: _Change, scaling: Scaling, load: float) -> bool:
-        """Order if that differs; return whether it was refused."""
-        kind, count, have = change
-        last = self._ordered.get(kind)
+        """Send the order if it is due; return whether it was refused."""
+        pool, count, have = change
+        last = self._orders.get(pool)
         if count == have and (last is None or last.wanted == count):
             return False
         if last is not None and last.wanted == count:
-            # More than is there, and not to be sent again before it could come.
-            if count <= have or self._clock.now() <= last.until:
+            # An increase is not sent again before its endpoints could have arrived.
+            if count <= have or self._clock.now() <= last.expected_until:
                 return False
-        raised = self._raised.get(kind)
-        if count < have and raised is not None:
-            # What still boots is not taken back: the plan may want it again.
-            if self._clock.now() - raised < _STEADY_S:
+        increased_at = self._increased_at.get(pool)
+        if count < have and increased_at is not None:
+            # Endpoints that still boot are kept, since the plan may want them again.
+            if self._clock.now() - increased_at < _MIN_HOLD_S:
                 return False
-        if count < have and self.target_version(kind.service) is not None:
-            # Old endpoints are needed whole until the new version is found good.
+        if count < have and self.target_version(pool.service) is not None:
+            # All old endpoints are needed until the new version proves good.
             return False
-        if count < have and self._in_wave(kind.service, self._clock.now()):
-            # The next zone may go: what is there is needed then, and in the first
-            # seconds of traffic its load isn't known yet.
+        if count < have and self._in_reclaim_burst(pool.service, self._clock.now()):
+            # Existing endpoints are needed if the next zone is reclaimed, and in the
+            # first seconds of traffic the load isn't known yet.
             return False
         if not self._coordinator.may_order:
             return False
         answer = await self._duties.order(
-            kind.service, kind.zone, count, kind.spot, self._coordinator.lease.fence
+            pool.service, pool.zone, count, pool.spot, self._coordinator.lease.fence
         )
         now = self._clock.now()
         logger.info(
             "Endpoints ordered.",
-            service=kind.service,
-            zone=kind.zone,
-            spot=kind.spot,
+            service=pool.service,
+            zone=pool.zone,
+            spot=pool.spot,
             count=count,
             have=have,
             load=round(load, 3),
@@ -328,14 +333,14 @@
         )
         if answer.accepted:
             self._metrics.count(Event.ORDERS_SENT)
-            until = now + scaling.boot + _BOOT_SLACK_S
-            self._ordered[kind] = _Order(count, until)
+            expected_until = now + scaling.boot + _BOOT_SLACK_S
+            self._orders[pool] = _Order(count, expected_until)
             if count > have:
-                self._raised[kind] = now
+                self._increased_at[pool] = now
             return False
         self._metrics.count(Event.STARTS_REFUSED)
         if answer.conflict:
             self._coordinator.order_refused()
-        if kind.spot and count > have:
-            self._dry[kind.service] = now + self._terms.dry
+        if pool.spot and count > have:
+            self._spot_retry_at[pool.service] = now + self._policy.spot_retry_interval_s
         return True
--- a/src/ebonydeal/_internal/routing/fleet/__init__.py
+++ b/src/ebonydeal/_internal/routing/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""How many endpoints of which kind are ordered in each zone.
+"""Plans how many endpoints of which kind are ordered in each zone.
 
-Load: traffic that grows and falls, and zones that are taken back in waves. Called by
-the coordinator once a period; touches nothing.
+It has to cope with traffic that grows and falls, and with zones that are reclaimed in
+bursts. The coordinator calls it once per period. No I/O.
 """
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -1,13 +1,13 @@
-"""How many endpoints of which kind a service should have in each zone.
+"""Plans how many endpoints of each kind a service should have in each zone.
 
-The plan is the least cost at which the forecast load is carried even while the
-zone with most reclaimable endpoints is taken back. Reclaimable endpoints come
-first; on-demand ones fill what reclaimable ones can't give at the moment.
+The plan is the cheapest one that carries the forecast load even while the zone with
+the most reclaimable endpoints is reclaimed. Reclaimable endpoints are preferred;
+on-demand ones replace those that can't be had at the moment.
 
-Zones are taken back in waves, a few seconds apart, with less notice than an
-endpoint needs to boot. So with the first zone that goes, enough on-demand
-endpoints are ordered to carry the load alone, and kept until no further zone
-went for a while.
+Zones are reclaimed in bursts, a few seconds apart, with less notice than an endpoint
+needs to boot. So when the first zone is reclaimed, enough on-demand endpoints are
+ordered to carry the load alone, and kept until no further zone has been reclaimed for
+some time.
 """
 
 from math import ceil
@@ -16,44 +16,44 @@
 from ebonydeal._internal.models.forwarding import Scaling
 from ebonydeal._internal.settings.policy import PolicySettings
 
-# With fewer zones the loss of two is the loss of all.
-_ZONES_FOR_TWO = 3
+# With fewer zones, losing two means losing all of them.
+_MIN_ZONES_FOR_LOSS_OF_TWO = 3
 
 
 class ZoneFleet(NamedTuple):
-    """Endpoints in one zone by kind: serving, and ordered but not there yet.
+    """Endpoints in one zone by kind, serving or ordered (pending).
 
-    Those that leave are left out.
+    Leaving endpoints don't count.
     """
 
     spot: int = 0
-    fixed: int = 0
-    spot_coming: int = 0
-    fixed_coming: int = 0
+    on_demand: int = 0
+    spot_pending: int = 0
+    on_demand_pending: int = 0
 
 
 class FleetState(NamedTuple):
-    """What is known when a plan is made.
+    """Input of a plan.
 
     Attributes
     ----------
     zones : dict of str to ZoneFleet
-        Endpoints of the service now.
+        Current endpoints of the service.
     load : float
-        Endpoints that the present load would keep busy at full use.
-    dry : frozenset of str
-        Zones where no reclaimable endpoint is to be had at the moment.
-    least : int
-        Endpoints wanted whatever the load.
-    wave : bool
-        A zone was taken back just now; others may follow.
+        Endpoints that the current load would keep busy at full utilization.
+    zones_without_spot : frozenset of str
+        Zones where no reclaimable endpoint is available at the moment.
+    min_endpoints : int
+        Endpoints required whatever the load.
+    reclaim_burst : bool
+        Whether a zone has just been reclaimed, so that others may follow.
     """
 
     zones: dict[str, ZoneFleet]
     load: float
-    dry: frozenset[str] = frozenset()
-    least: int = 1
-    wave: bool = False
+    zones_without_spot: frozenset[str] = frozenset()
+    min_endpoints: int = 1
+    reclaim_burst: bool = False
 
 
 class FleetPolicy(NamedTuple):
@@ -61,44 +61,46 @@
 
     Attributes
     ----------
-    use : float
-        Share of an endpoint's capacity that is planned for: beyond it waiting
-        before the first event grows fast.
-    use_short : float
-        The same while the zone with most of them was just taken back.
-    use_last : float
-        The same while the two zones with most of them were: on-demand ones
-        come within a boot time then, until when streams wait.
-    use_wave : float
-        The same of on-demand endpoints alone, while zones are taken back.
-    cover : bool
-        Whether on-demand endpoints stand in for the zone with most of them.
-    least_fixed : bool
-        Whether a zone's least is filled with on-demand endpoints while
-        reclaimable ones are refused.
-    wave : float
-        Seconds after a zone was taken back in which more may follow.
-    wave_growth : float
-        So much more load than before is believed meanwhile; 0 is no bound.
-    peak : float
+    target_utilization : float
+        Planned utilization of endpoints: above it, the wait before the first event
+        grows fast.
+    utilization_one_zone_lost : float
+        The same while the zone with the most endpoints has just been reclaimed.
+    utilization_two_zones_lost : float
+        The same while the two zones with the most endpoints have been: on-demand
+        endpoints then arrive within a boot time, and streams wait until then.
+    on_demand_utilization_in_burst : float
+        The same for on-demand endpoints alone, while zones are being reclaimed.
+    cover_zone_loss : bool
+        Whether on-demand endpoints replace the zone with the most reclaimable ones in
+        advance.
+    fill_min_on_demand : bool
+        Whether a zone's minimum is filled with on-demand endpoints while reclaimable
+        ones are refused.
+    reclaim_burst_s : float
+        Seconds after a zone was reclaimed in which more zones may follow.
+    max_growth_in_burst : float
+        Factor by which the forecast may exceed the load before the burst; 0 is
+        unlimited.
+    peak_hold_s : float
         Seconds for which the highest load is planned for.
-    dry : float
-        Seconds between two questions for reclaimable endpoints that were refused.
-    found : bool
-        Whether the fleet is kept as it was found until its load was measured.
+    spot_retry_interval_s : float
+        Seconds between two orders for reclaimable endpoints that were refused.
+    keep_initial_size : bool
+        Whether the fleet keeps its initial size until its load has been measured.
     """
 
-    use: float = 0.45
-    use_short: float = 0.7
-    use_last: float = 0.7
-    use_wave: float = 0.7
-    cover: bool = True
-    least_fixed: bool = False
-    wave: float = 7.0
-    wave_growth: float = 1.6
-    peak: float = 6.0
-    dry: float = 1.0
-    found: bool = True
+    target_utilization: float = 0.45
+    utilization_one_zone_lost: float = 0.7
+    utilization_two_zones_lost: float = 0.7
+    on_demand_utilization_in_burst: float = 0.7
+    cover_zone_loss: bool = True
+    fill_min_on_demand: bool = False
+    reclaim_burst_s: float = 7.0
+    max_growth_in_burst: float = 1.6
+    peak_hold_s: float = 6.0
+    spot_retry_interval_s: float = 1.0
+    keep_initial_size: bool = True
 
     @classmethod
     def from_config(cls, cfg: PolicySettings) -> "FleetPolicy":
@@ -118,20 +120,23 @@
         )
 
 
-class _Need(NamedTuple):
-    """Endpoints needed: with all zones, without the largest, without two."""
+class _Requirement(NamedTuple):
+    """Endpoints required with all zones, without the largest one or two of them."""
 
-    whole: int
-    short: int
-    last: int
+    total: int
+    one_zone_lost: int
+    two_zones_lost: int
 
-    def met(self, counts: list[int]) -> bool:
-        """Return whether so many endpoints a zone are enough."""
+    def is_met(self, counts: list[int]) -> bool:
+        """Return whether these numbers of endpoints by zone are enough."""
         ranked = sorted(counts)
         return (
-            sum(ranked) >= self.whole
-            and sum(ranked[:-1]) >= self.short
-            and (len(ranked) < _ZONES_FOR_TWO or sum(ranked[:-2]) >= self.last)
+            sum(ranked) >= self.total
+            and sum(ranked[:-1]) >= self.one_zone_lost
+            and (
+                len(ranked) < _MIN_ZONES_FOR_LOSS_OF_TWO
+                or sum(ranked[:-2]) >= self.two_zones_lost
+            )
         )
 
 
@@ -139,60 +144,67 @@
     """Wanted endpoints of a zone, by kind."""
 
     spot: int
-    fixed: int
+    on_demand: int
 
 
 class FleetPlan(NamedTuple):
-    """Wanted endpoints by zone, and how many the load needs."""
+    """Wanted endpoints by zone, and the number that the load requires."""
 
     zones: dict[str, ZoneTarget]
-    need: int
+    required: int
 
 
-def plan_fleet(scaling: Scaling, state: FleetState, terms: FleetPolicy) -> FleetPlan:
-    """Return the wanted fleet for the bounds, prices and state given."""
+def plan_fleet(scaling: Scaling, state: FleetState, policy: FleetPolicy) -> FleetPlan:
+    """Return the wanted fleet for the given bounds, prices and state."""
     prices = scaling.zone_prices
     zones = sorted(
         set(prices) | set(state.zones), key=lambda z: (prices.get(z, 1.0), z)
     )
-    now = {zone: state.zones.get(zone, ZoneFleet()) for zone in zones}
-    need = _Need(
-        whole=max(1, state.least, ceil(state.load / terms.use)),
-        short=_at_use(state.load, terms.use_short),
-        last=_at_use(state.load, terms.use_last),
+    current = {zone: state.zones.get(zone, ZoneFleet()) for zone in zones}
+    required = _Requirement(
+        total=max(1, state.min_endpoints, ceil(state.load / policy.target_utilization)),
+        one_zone_lost=_endpoints_for(state.load, policy.utilization_one_zone_lost),
+        two_zones_lost=_endpoints_for(state.load, policy.utilization_two_zones_lost),
+    )
+    spot_offered = scaling.spot_price is not None and scaling.spot_price < 1.0
+    kept = _kept_on_demand(
+        zones, current, max(required.one_zone_lost, state.min_endpoints)
     )
-    offered = scaling.spot_price is not None and scaling.spot_price < 1.0
-    kept = _kept_fixed(zones, now, max(need.short, state.least))
     spot = dict.fromkeys(zones, 0)
-    if offered:
-        spot = _spread_spot(scaling, zones, now, state.dry, need, kept)
+    if spot_offered:
+        spot = _spread_spot(
+            scaling, zones, current, state.zones_without_spot, required, kept
+        )
     total = sum(spot.values())
-    lost = max(spot.values(), default=0) if terms.cover else 0
-    wanted = need.short - (total - lost)
-    if offered and state.wave and terms.use_wave:
-        wanted = ceil(state.load / terms.use_wave)
-    least = dict.fromkeys(zones, scaling.least)
-    if not terms.least_fixed:
-        least.update(dict.fromkeys(state.dry, 0))
-    fixed = _fill_fixed(scaling, zones, now, spot, wanted, kept, least)
-    plan = {zone: ZoneTarget(spot[zone], fixed[zone]) for zone in zones}
-    return FleetPlan(plan, need.whole)
+    lost = max(spot.values(), default=0) if policy.cover_zone_loss else 0
+    wanted = required.one_zone_lost - (total - lost)
+    if spot_offered and state.reclaim_burst and policy.on_demand_utilization_in_burst:
+        wanted = ceil(state.load / policy.on_demand_utilization_in_burst)
+    minimum = dict.fromkeys(zones, scaling.least)
+    if not policy.fill_min_on_demand:
+        minimum.update(dict.fromkeys(state.zones_without_spot, 0))
+    on_demand = _fill_on_demand(scaling, zones, current, spot, wanted, kept, minimum)
+    plan = {zone: ZoneTarget(spot[zone], on_demand[zone]) for zone in zones}
+    return FleetPlan(plan, required.total)
 
 
-def _at_use(load: float, use: float) -> int:
-    """Return the endpoints that carry a load at a use; 0 of use asks for one."""
-    return max(1, ceil(load / use)) if use else 1
+def _endpoints_for(load: float, utilization: float) -> int:
+    """Return the endpoints that carry a load at a utilization; 1 if that is 0."""
+    return max(1, ceil(load / utilization)) if utilization else 1
 
 
-def _kept_fixed(
-    zones: list[str], now: dict[str, ZoneFleet], need: int
+def _kept_on_demand(
+    zones: list[str], current: dict[str, ZoneFleet], required: int
 ) -> dict[str, int]:
     """Return the on-demand endpoints that stay until reclaimable ones serve."""
-    serving = sum(now[zone].spot for zone in zones)
-    kept = {zone: now[zone].fixed + now[zone].fixed_coming for zone in zones}
-    spare = sum(kept.values()) - max(0, need - serving)
+    serving = sum(current[zone].spot for zone in zones)
+    kept = {
+        zone: current[zone].on_demand + current[zone].on_demand_pending
+        for zone in zones
+    }
+    spare = sum(kept.values()) - max(0, required - serving)
     while spare > 0 and any(kept.values()):
-        # From the zone with most of them, which makes room there.
+        # Take them from the zone with the most, which makes room there.
         zone = max(zones, key=lambda z: (kept[z], z))
         kept[zone] -= 1
         spare -= 1
@@ -202,21 +214,26 @@
 def _spread_spot(
     scaling: Scaling,
     zones: list[str],
-    now: dict[str, ZoneFleet],
-    dry: frozenset[str],
-    need: _Need,
+    current: dict[str, ZoneFleet],
+    zones_without_spot: frozenset[str],
+    required: _Requirement,
     kept: dict[str, int],
 ) -> dict[str, int]:
     """Spread reclaimable endpoints so that the loss of zones leaves enough."""
-    # Both kinds together have one upper bound.
+    # The upper bound applies to both kinds together.
     room = {zone: max(0, scaling.most - kept[zone]) for zone in zones}
-    # A zone that gives no more keeps what it has.
+    # A zone where no more are available keeps those it has.
     spot = {
-        zone: min(now[zone].spot if zone in dry else scaling.least, room[zone])
+        zone: min(
+            current[zone].spot if zone in zones_without_spot else scaling.least,
+            room[zone],
+        )
         for zone in zones
     }
-    while not need.met(list(spot.values())):
-        open_zones = [z for z in zones if z not in dry and spot[z] < room[z]]
+    while not required.is_met(list(spot.values())):
+        open_zones = [
+            z for z in zones if z not in zones_without_spot and spot[z] < room[z]
+        ]
         if not open_zones:
             break
         prices = scaling.zone_prices
@@ -225,34 +242,36 @@
     return spot
 
 
-def _fill_fixed(
+def _fill_on_demand(
     scaling: Scaling,
     zones: list[str],
-    now: dict[str, ZoneFleet],
+    current: dict[str, ZoneFleet],
     spot: dict[str, int],
     wanted: int,
     kept: dict[str, int],
-    least: dict[str, int],
+    minimum: dict[str, int],
 ) -> dict[str, int]:
     """Return on-demand endpoints: ``wanted``, and those kept until others serve."""
-    fixed = {
-        zone: min(max(kept[zone], least[zone] - spot[zone]), scaling.most - spot[zone])
+    on_demand = {
+        zone: min(
+            max(kept[zone], minimum[zone] - spot[zone]), scaling.most - spot[zone]
+        )
         for zone in zones
     }
-    while sum(fixed.values()) < wanted:
-        open_zones = [z for z in zones if spot[z] + fixed[z] < scaling.most]
+    while sum(on_demand.values()) < wanted:
+        open_zones = [z for z in zones if spot[z] + on_demand[z] < scaling.most]
         if not open_zones:
             break
         prices = scaling.zone_prices
-        # Those that are there or coming first: they need no boot.
+        # Prefer existing and pending ones, which need no boot.
         zone = min(
             open_zones,
             key=lambda z: (
-                now[z].fixed + now[z].fixed_coming <= fixed[z],
-                fixed[z],
+                current[z].on_demand + current[z].on_demand_pending <= on_demand[z],
+                on_demand[z],
                 prices.get(z, 1.0),
                 z,
             ),
         )
-        fixed[zone] += 1
-    return fixed
+        on_demand[zone] += 1
+    return on_demand
--- a/tests/unit/routing/fleet/test_load_forecast.py
+++ b/tests/unit/routing/fleet/test_load_forecast.py
@@ -1,56 +1,56 @@
-"""The load that a fleet is planned for, in calm times and while zones go."""
+"""The load that a fleet is planned for, with and without reclaimed zones."""
 
 import pytest
 
 from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
 from ebonydeal._internal.routing.fleet.load_forecast import LoadForecast
 
-TERMS = FleetPolicy(wave_growth=1.6, peak=6.0)
+POLICY = FleetPolicy(max_growth_in_burst=1.6, peak_hold_s=6.0)
 STEP_S = 0.2
 
 
-def play(forecast, loads, begun=0.0, wave_at=None):
-    """Show ``loads`` step by step; return the last load planned for."""
+def observe_all(forecast, loads, start=0.0, burst_at=None):
+    """Observe ``loads`` step by step; return the last load planned for."""
     planned = 0.0
     for number, load in enumerate(loads):
-        now = begun + number * STEP_S
-        in_wave = wave_at is not None and now >= wave_at
-        planned = forecast.saw(load, in_wave, now)
+        now = start + number * STEP_S
+        in_burst = burst_at is not None and now >= burst_at
+        planned = forecast.observe(load, in_burst, now)
     return planned
 
 
-class TestWave:
-    def test_one_in_the_first_second_bounds_nothing(self):
-        # Traffic begins at once, and the meters show it over five seconds.
+class TestReclaimBurst:
+    def test_burst_in_the_first_second_of_load_bounds_nothing(self):
+        # Traffic begins at once, and the meters of work rise over five seconds.
         loads = [min(30.0, 30.0 * step * STEP_S / 5.0) for step in range(35)]
-        planned = play(LoadForecast(TERMS), loads, wave_at=0.9)
+        planned = observe_all(LoadForecast(POLICY), loads, burst_at=0.9)
         assert planned > 25.0
 
-    def test_after_some_seconds_of_load_it_bounds_what_waits(self):
-        forecast = LoadForecast(TERMS)
-        play(forecast, [2.0] * 50)
-        planned = play(forecast, [30.0] * 15, begun=10.0, wave_at=10.0)
+    def test_burst_after_some_seconds_of_load_bounds_the_growth(self):
+        forecast = LoadForecast(POLICY)
+        observe_all(forecast, [2.0] * 50)
+        planned = observe_all(forecast, [30.0] * 15, start=10.0, burst_at=10.0)
         assert planned == pytest.approx(3.2)
 
-    def test_without_the_term_nothing_is_bounded(self):
-        forecast = LoadForecast(TERMS._replace(wave_growth=0.0))
-        play(forecast, [2.0] * 50)
-        assert play(forecast, [30.0] * 15, begun=10.0, wave_at=10.0) > 25.0
+    def test_without_a_maximum_growth_nothing_is_bounded(self):
+        forecast = LoadForecast(POLICY._replace(max_growth_in_burst=0.0))
+        observe_all(forecast, [2.0] * 50)
+        assert observe_all(forecast, [30.0] * 15, start=10.0, burst_at=10.0) > 25.0
 
 
 class TestMeasured:
     def test_not_before_some_seconds_of_load(self):
-        forecast = LoadForecast(TERMS)
-        play(forecast, [0.0] * 50)
-        assert not forecast.began
-        play(forecast, [2.0] * 10, begun=10.0)
-        assert forecast.began and not forecast.measured(12.0)
-        assert forecast.measured(16.0)
+        forecast = LoadForecast(POLICY)
+        observe_all(forecast, [0.0] * 50)
+        assert not forecast.has_load
+        observe_all(forecast, [2.0] * 10, start=10.0)
+        assert forecast.has_load and not forecast.is_measured(12.0)
+        assert forecast.is_measured(16.0)
 
 
 class TestPeak:
-    def test_is_held_for_its_time(self):
-        forecast = LoadForecast(TERMS)
-        play(forecast, [4.0] * 10)
-        assert play(forecast, [1.0] * 20, begun=2.0) == 4.0
-        assert play(forecast, [1.0] * 30, begun=6.0) < 2.0
+    def test_is_held_for_the_configured_time(self):
+        forecast = LoadForecast(POLICY)
+        observe_all(forecast, [4.0] * 10)
+        assert observe_all(forecast, [1.0] * 20, start=2.0) == 4.0
+        assert observe_all(forecast, [1.0] * 30, start=6.0) < 2.0
--- a/tests/unit/routing/test_bench.py
+++ b/tests/unit/routing/test_bench.py
@@ -19,7 +19,7 @@
 
 
 class TestEngineModel:
-    def test_second_time_only_the_rest_is_computed(self):
+    def test_cached_prompt_is_not_prefilled_again(self):
         engine = EngineModel(PALERMO)
         request = palermo_trace(1, 5.0, 1.0)[0]
         first = engine.arrive(Job(request, 0, 0.0), 0.0)
@@ -29,32 +29,32 @@
         again = engine.arrive(Job(request, 0, 9.0), 9.0)
         assert again.cached_tokens == len(request.blocks) * 16
 
-    def test_cache_is_bounded_and_drops_are_told(self):
+    def test_cache_is_bounded_and_evictions_are_reported(self):
         engine = EngineModel(PALERMO._replace(cache_blocks=10))
         request = palermo_trace(1, 5.0, 1.0)[0]
         engine.prefilled(engine.arrive(Job(request, 0, 0.0), 0.0))
-        dropped = [event for event in engine.take_events() if not event.stored]
-        assert len(dropped) == len(request.blocks) - 10
+        evicted = [event for event in engine.take_events() if not event.stored]
+        assert len(evicted) == len(request.blocks) - 10
 
 
 class TestTraces:
-    def test_same_seed_same_trace(self):
+    def test_same_seed_gives_the_same_trace(self):
         assert palermo_trace(3, 10.0, 1.0) == palermo_trace(3, 10.0, 1.0)
         assert palermo_trace(3, 10.0, 1.0) != palermo_trace(4, 10.0, 1.0)
 
 
 class TestTargets:
     @pytest.mark.parametrize("user", USERS, ids=lambda user: user.shape.name)
-    def test_recomputed_at_most_six_tenths_at_no_worse_p95(self, user):
-        made = policies(RoutingSettings())
+    def test_router_recomputes_at_most_six_tenths_at_no_worse_p95(self, user):
+        by_name = policies(RoutingSettings())
         plan = (Conditions(lag=1.0, loss=0.1), (1,), 40.0, 1.0)
-        (ours,) = run_seeds(user, made[report.ROUTER], *plan)
-        (theirs,) = run_seeds(user, made[report.BASELINE], *plan)
-        assert ours.answers == theirs.answers
-        assert ours.recomputed <= 0.6 * theirs.recomputed
-        assert ours.p95 <= theirs.p95
+        (router,) = run_seeds(user, by_name[report.ROUTER], *plan)
+        (baseline,) = run_seeds(user, by_name[report.BASELINE], *plan)
+        assert router.answers == baseline.answers
+        assert router.recomputed <= 0.6 * baseline.recomputed
+        assert router.p95 <= baseline.p95
 
-    def test_full_failure_sends_at_most_eleven_tenths(self):
+    def test_complete_failure_causes_at_most_eleven_tenths_of_the_sends(self):
         outcomes = run_retries(RetrySettings(), 1)
         assert PHASES[2].failing == 1.0
         assert outcomes[2].answered == 0
@@ -62,7 +62,7 @@
 
 
 class TestAdmissionRun:
-    def test_under_overload_nobody_starts_late_and_every_request_is_answered(self):
+    def test_under_overload_none_starts_late_and_every_request_is_answered(self):
         outcomes = run_admission(1.5, 1)
         for outcome in outcomes.values():
             answered = outcome.in_time + sum(outcome.refused.values())
@@ -72,10 +72,10 @@
 
 
 class TestFigure:
-    def test_interval_of_equal_values_is_nothing(self):
+    def test_interval_of_equal_values_is_zero(self):
         assert figure([2.0, 2.0, 2.0]) == (2.0, 0.0)
 
-    def test_interval_of_two(self):
+    def test_interval_of_two_values(self):
         assert figure([1.0, 3.0]).half == pytest.approx(12.71)
 
 
@@ -95,9 +95,9 @@
         assert text.count("random of two") == 4
 
 
-class TestHerd:
-    def test_one_idle_report_does_not_draw_every_gateway_for_long(self):
+class TestHerding:
+    def test_old_reports_do_not_send_all_gateways_to_the_same_endpoints(self):
         user = USERS[0]
-        made = policies(RoutingSettings())[report.ROUTER]
-        (run,) = run_seeds(user, made, Conditions(lag=5.0), (2,), 20.0, 1.0)
+        router = policies(RoutingSettings())[report.ROUTER]
+        (run,) = run_seeds(user, router, Conditions(lag=5.0), (2,), 20.0, 1.0)
         assert run.in_time >= 0.9 * run.answers
