--- a/tests/unit/routing/placement/test_endpoint_selector.py
+++ b/tests/unit/routing/placement/test_endpoint_selector.py
@@ -139,7 +139,7 @@
 
 
 class TestReportedLoad:
-    def test_pending_prefill_of_an_old_report_is_done(self):
+    def test_pending_prefill_of_an_old_report_is_assumed_done(self):
         selector = EndpointSelector(8.0)
         home = session_home(PARTS, MEMBERS)
         selector.update_reported_loads(
--- a/tests/unit/routing/placement/test_prefix_cache_view.py
+++ b/tests/unit/routing/placement/test_prefix_cache_view.py
@@ -19,7 +19,7 @@
     return [(seq, True, block) for seq, block in enumerate(blocks, 1)]
 
 
-class TestCacheView:
+class TestPrefixCacheView:
     def test_lost_events_do_not_hide_later_blocks(self):
         cache = make_cache()
         cache.apply_events(
