--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -13,8 +13,8 @@
 from ebonydeal._internal.relay.ports import Duties
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.fleet.fleet_plan import (
+    FleetConfig,
     FleetPlan,
-    FleetPolicy,
     FleetState,
     ZoneFleet,
     plan_fleet,
@@ -79,7 +79,7 @@
         view: RelayView,
         metrics: Metrics,
         clock: Clock,
-        policy: FleetPolicy | None = None,
+        config: FleetConfig | None = None,
     ) -> None:
         super().__init__()
         self._coordinator = coordinator
@@ -87,7 +87,7 @@
         self._view = view
         self._metrics = metrics
         self._clock = clock
-        self._policy = policy or FleetPolicy()
+        self._config = config or FleetConfig()
         self._orders: dict[_Pool, _Order] = {}
         self._increased_at: dict[_Pool, float] = {}
         self._previous_spot: dict[tuple[str, str], int] = {}
@@ -126,7 +126,7 @@
         await self._probe_spot(service, scaling, load)
         for _round in range(_MAX_ROUNDS):
             state = self._state(service, scaling, load)
-            plan = plan_fleet(scaling, state, self._policy)
+            plan = plan_fleet(scaling, state, self._config)
             refused = False
             for change in self._changes(service.name, plan, state):
                 # Increases come before decreases: no endpoint is released before its
@@ -169,7 +169,7 @@
 
     def _in_reclaim_burst(self, service: str, now: float) -> bool:
         at = self._zone_lost_at.get(service)
-        return at is not None and now - at < self._policy.reclaim_burst_s
+        return at is not None and now - at < self._config.reclaim_burst_s
 
     def _min_endpoints(self, service: str, zones: dict[str, ZoneFleet]) -> int:
         """Return the minimum size of the fleet, whatever its load.
@@ -187,7 +187,7 @@
                 for member in self._view.members.values()
                 if member.service == service and not member.reclaimable
             )
-        if self._policy.keep_initial_size and not forecast.is_measured(
+        if self._config.keep_initial_size and not forecast.is_measured(
             self._clock.now()
         ):
             on_demand = sum(fleet.on_demand for fleet in zones.values())
@@ -254,7 +254,7 @@
     def _forecast_of(self, service: str) -> LoadForecast:
         forecast = self._forecasts.get(service)
         if forecast is None:
-            forecast = self._forecasts[service] = LoadForecast(self._policy)
+            forecast = self._forecasts[service] = LoadForecast(self._config)
         return forecast
 
     def _zone_fleets(
@@ -342,5 +342,5 @@
         if answer.conflict:
             self._coordinator.order_refused()
         if pool.spot and count > have:
-            self._spot_retry_at[pool.service] = now + self._policy.spot_retry_interval_s
+            self._spot_retry_at[pool.service] = now + self._config.spot_retry_interval_s
         return True
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -61,13 +61,13 @@
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
 from ebonydeal._internal.routing.duties.pace import Pace
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetConfig
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import QuotaTerms
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
 from ebonydeal._internal.routing.placement.endpoint_selector import (
     EndpointSelector,
-    SelectionPolicy,
+    SelectionConfig,
 )
 from ebonydeal._internal.routing.placement.failure_rates import FailureRates
 from ebonydeal._internal.routing.placement.outliers import OutlierDetector
@@ -112,7 +112,7 @@
         self.view = RelayView(self._cfg.drain_ms / 1000.0)
         self._pools = EndpointPools(clock, self._cfg.connect_ms / 1000.0)
         self._choice = EndpointSelector(
-            self._cfg.reuse_window_s, SelectionPolicy.from_config(self._policy)
+            self._cfg.reuse_window_s, SelectionConfig.from_config(self._policy)
         )
         self.usage = UsageMeter(self._cfg.usage_window_s)
         self._retries = RetryPolicy(
@@ -303,7 +303,7 @@
             self.view,
             metrics,
             clock,
-            FleetPolicy.from_config(self._policy),
+            FleetConfig.from_config(self._policy),
         )
         self._fleet.target_version = self._rollouts.rolling
 
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -56,7 +56,7 @@
     reclaim_burst: bool = False
 
 
-class FleetPolicy(NamedTuple):
+class FleetConfig(NamedTuple):
     """Settings of the planner.
 
     Attributes
@@ -103,7 +103,7 @@
     keep_initial_size: bool = True
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "FleetPolicy":
+    def from_config(cls, cfg: PolicySettings) -> "FleetConfig":
         """Build from settings."""
         return cls(
             cfg.fleet_use,
@@ -154,7 +154,7 @@
     required: int
 
 
-def plan_fleet(scaling: Scaling, state: FleetState, policy: FleetPolicy) -> FleetPlan:
+def plan_fleet(scaling: Scaling, state: FleetState, config: FleetConfig) -> FleetPlan:
     """Return the wanted fleet for the given bounds, prices and state."""
     prices = scaling.zone_prices
     zones = sorted(
@@ -162,9 +162,9 @@
     )
     current = {zone: state.zones.get(zone, ZoneFleet()) for zone in zones}
     required = _Requirement(
-        total=max(1, state.min_endpoints, ceil(state.load / policy.target_utilization)),
-        one_zone_lost=_endpoints_for(state.load, policy.utilization_one_zone_lost),
-        two_zones_lost=_endpoints_for(state.load, policy.utilization_two_zones_lost),
+        total=max(1, state.min_endpoints, ceil(state.load / config.target_utilization)),
+        one_zone_lost=_endpoints_for(state.load, config.utilization_one_zone_lost),
+        two_zones_lost=_endpoints_for(state.load, config.utilization_two_zones_lost),
     )
     spot_offered = scaling.spot_price is not None and scaling.spot_price < 1.0
     kept = _kept_on_demand(
@@ -176,12 +176,12 @@
             scaling, zones, current, state.zones_without_spot, required, kept
         )
     total = sum(spot.values())
-    lost = max(spot.values(), default=0) if policy.cover_zone_loss else 0
+    lost = max(spot.values(), default=0) if config.cover_zone_loss else 0
     wanted = required.one_zone_lost - (total - lost)
-    if spot_offered and state.reclaim_burst and policy.on_demand_utilization_in_burst:
-        wanted = ceil(state.load / policy.on_demand_utilization_in_burst)
+    if spot_offered and state.reclaim_burst and config.on_demand_utilization_in_burst:
+        wanted = ceil(state.load / config.on_demand_utilization_in_burst)
     minimum = dict.fromkeys(zones, scaling.least)
-    if not policy.fill_min_on_demand:
+    if not config.fill_min_on_demand:
         minimum.update(dict.fromkeys(state.zones_without_spot, 0))
     on_demand = _fill_on_demand(scaling, zones, current, spot, wanted, kept, minimum)
     plan = {zone: ZoneTarget(spot[zone], on_demand[zone]) for zone in zones}
--- a/src/ebonydeal/_internal/routing/fleet/load_forecast.py
+++ b/src/ebonydeal/_internal/routing/fleet/load_forecast.py
@@ -7,7 +7,7 @@
 1.7 endpoints were planned for where some 30 were busy.
 """
 
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetConfig
 
 # Below this load the service counts as idle, in endpoints kept busy.
 _MIN_LOAD = 0.05
@@ -26,12 +26,12 @@
 
     Parameters
     ----------
-    policy : FleetPolicy
+    config : FleetConfig
         The growth allowed in a burst, and how long a peak counts.
     """
 
-    def __init__(self, policy: FleetPolicy) -> None:
-        self._policy = policy
+    def __init__(self, config: FleetConfig) -> None:
+        self._config = config
         self._smoothed: float | None = None
         self._loaded_since: float | None = None
         self._baseline = 0.0
@@ -55,7 +55,7 @@
         """Add the load observed now; return the load to plan for."""
         before = load if self._smoothed is None else self._smoothed
         smoothed = before + _STEP_WEIGHT * (load - before)
-        max_growth = self._policy.max_growth_in_burst
+        max_growth = self._config.max_growth_in_burst
         if not in_burst or not max_growth:
             self._baseline = max(smoothed, _MIN_LOAD)
             self._baseline_measured = self._loaded_for(now) >= _BASELINE_TIME_S
@@ -64,6 +64,6 @@
         if smoothed >= _MIN_LOAD and self._loaded_since is None:
             self._loaded_since = now
         self._smoothed = smoothed
-        if smoothed >= self._peak or now - self._peak_at > self._policy.peak_hold_s:
+        if smoothed >= self._peak or now - self._peak_at > self._config.peak_hold_s:
             self._peak, self._peak_at = smoothed, now
         return self._peak
--- a/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
@@ -51,7 +51,7 @@
 _WORK_WINDOW_S = 4.0
 
 
-class SelectionPolicy(NamedTuple):
+class SelectionConfig(NamedTuple):
     """Parameters of the selection; `PolicySettings` describes each.
 
     Opening a connection costs about a fiftieth of a request, and a round trip.
@@ -66,7 +66,7 @@
     connect_cost: float = 0.006
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "SelectionPolicy":
+    def from_config(cls, cfg: PolicySettings) -> "SelectionConfig":
         """Build from settings."""
         return cls(
             cfg.home_trust,
@@ -125,19 +125,19 @@
     ----------
     cache_ttl_s : float
         Seconds for which a prefilled part is assumed to stay cached.
-    policy : SelectionPolicy, optional
+    config : SelectionConfig, optional
         Weights and switches.
     """
 
     def __init__(
-        self, cache_ttl_s: float, policy: SelectionPolicy | None = None
+        self, cache_ttl_s: float, config: SelectionConfig | None = None
     ) -> None:
         self._cache_ttl_s = cache_ttl_s
-        self._policy = policy or SelectionPolicy()
+        self._config = config or SelectionConfig()
         self._last_activity: dict[str, float] = {}
         self._loads: dict[str, EndpointLoad] = {}
         self._work_meters: dict[str, RateMeter] = {}
-        self.speed = EngineSpeed(self._policy.long_prompts)
+        self.speed = EngineSpeed(self._config.long_prompts)
 
     def _load(self, endpoint_id: str) -> EndpointLoad:
         load = self._loads.get(endpoint_id)
@@ -148,7 +148,7 @@
     # --- view of endpoints ---------------------------------------------------
     def update_reported_loads(self, loads: dict[str, ReportedLoad]) -> None:
         """Replace the load that other relays have at each endpoint."""
-        if not self._policy.others_loads:
+        if not self._config.others_loads:
             return
         for endpoint_id, load in self._loads.items():
             load.reported = loads.get(endpoint_id, ReportedLoad())
@@ -224,7 +224,7 @@
             self._expected_cached(request, m.endpoint_id, home, now) for m in members
         ]
         source = _CachedPrompt()
-        if request.fetches and self._policy.fetch_tokens:
+        if request.fetches and self._config.fetch_tokens:
             # The engine that is expected to have cached most of the shared parts.
             index = max(range(len(cached)), key=cached.__getitem__)
             source = _CachedPrompt(members[index].endpoint_id, cached[index])
@@ -276,7 +276,7 @@
         load = self._load(member.endpoint_id)
         fetched = max(0.0, source.tokens - cached)
         if (
-            fetched < self._policy.fetch_tokens
+            fetched < self._config.fetch_tokens
             or source.endpoint_id == member.endpoint_id
         ):
             fetched = 0.0
@@ -286,9 +286,9 @@
         batch = _BATCH_SLOWDOWN_S * running / slots
         if running >= slots:
             batch += _SLOT_WAIT_S * (1.0 + (running - slots) / slots)
-        wait = load.prefill_wait(self.speed.prefill_rate, now, self._policy.others_age)
+        wait = load.prefill_wait(self.speed.prefill_rate, now, self._config.others_age)
         prefill = (
-            self.speed.prefill_seconds(uncached_tokens) * self._policy.reread_weight
+            self.speed.prefill_seconds(uncached_tokens) * self._config.reread_weight
         )
         fetch = (
             _FETCH_S + fetched * _FETCH_WEIGHT / self.speed.prefill_rate
@@ -300,7 +300,7 @@
         if member.leaving:
             total += _LEAVING_S
         if member.endpoint_id not in request.connected:
-            total += self._policy.connect_cost
+            total += self._config.connect_cost
         return Score(
             total,
             member.endpoint_id,
@@ -324,7 +324,7 @@
             if at is not None and now - at <= self._cache_ttl_s:
                 cached += part.tokens
             elif endpoint_id == home:
-                cached += part.tokens * self._policy.home_trust
+                cached += part.tokens * self._config.home_trust
             else:
                 break
         return cached
--- a/tests/unit/relay/duties/test_fleet.py
+++ b/tests/unit/relay/duties/test_fleet.py
@@ -13,7 +13,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.relay.duties.fleet import FleetScaler
 from ebonydeal._internal.relay.view.view import RelayView
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetPolicy
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetConfig
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryDuties
 
@@ -25,7 +25,7 @@
 class Fixture:
     """A service, its endpoints by zone, its load, and the scaler of its fleet."""
 
-    def __init__(self, work, policy=None):
+    def __init__(self, work, config=None):
         self.clock = ManualClock(100.0)
         self.view = RelayView(2.0)
         limits = ClientLimits(1, 1, 1.0, 1.0)
@@ -42,7 +42,7 @@
             order_refused=lambda: None,
         )
         self.scaler = FleetScaler(
-            coordinator, self.duties, self.view, Metrics(), self.clock, policy
+            coordinator, self.duties, self.view, Metrics(), self.clock, config
         )
 
     def add(self, name, zone, spot=True, leaving=False):
@@ -66,9 +66,9 @@
         return self.duties.orders[before:]
 
 
-async def settled(work=1.5, policy=None):
+async def settled(work=1.5, config=None):
     """Return a fixture with two endpoints per zone and a measured load."""
-    fixture = Fixture(work, policy)
+    fixture = Fixture(work, config)
     for zone in PRICES:
         for number in range(2):
             fixture.add(f"{zone}{number}", zone)
@@ -145,7 +145,7 @@
 
     async def test_nothing_is_released_while_zones_are_reclaimed(self):
         fixture = await settled(
-            policy=FleetPolicy(reclaim_burst_s=20.0, peak_hold_s=1.0)
+            config=FleetConfig(reclaim_burst_s=20.0, peak_hold_s=1.0)
         )
         fixture.reclaim("a")
         ordered = dict(on_demand(await fixture.run(0.2)))
--- a/tests/unit/routing/fleet/test_fleet_plan.py
+++ b/tests/unit/routing/fleet/test_fleet_plan.py
@@ -3,7 +3,7 @@
 
 from ebonydeal._internal.models.forwarding import Scaling
 from ebonydeal._internal.routing.fleet.fleet_plan import (
-    FleetPolicy,
+    FleetConfig,
     FleetState,
     ZoneFleet,
     ZoneTarget,
@@ -12,7 +12,7 @@
 
 PRICES = {"a": 0.85, "b": 1.2, "c": 1.0}
 SCALING = Scaling(1, 4, 4.0, 0.22, PRICES)
-POLICY = FleetPolicy(target_utilization=0.5, utilization_one_zone_lost=0.75)
+CONFIG = FleetConfig(target_utilization=0.5, utilization_one_zone_lost=0.75)
 ALL = frozenset(PRICES)
 
 
@@ -22,11 +22,11 @@
     zones_without_spot=frozenset(),
     scaling=SCALING,
     min_endpoints=1,
-    policy=POLICY,
+    config=CONFIG,
     **more,
 ):
     state = FleetState(zones or {}, load, zones_without_spot, min_endpoints, **more)
-    return plan_fleet(scaling, state, policy).zones
+    return plan_fleet(scaling, state, config).zones
 
 
 class TestSpot:
@@ -41,7 +41,7 @@
 
     def test_loss_of_two_zones_leaves_enough_endpoints_for_a_while(self):
         counts = [target.spot for target in plan(2.0).values()]
-        assert min(counts) >= 2.0 / POLICY.utilization_two_zones_lost
+        assert min(counts) >= 2.0 / CONFIG.utilization_two_zones_lost
 
     def test_cheaper_zones_get_more(self):
         wanted = plan(0.6, min_endpoints=4)
@@ -99,7 +99,7 @@
     def test_on_demand_ones_can_carry_the_whole_load(self):
         assert (
             self.on_demand(2.0, self.REMAINING, reclaim_burst=True)
-            >= 2.0 / POLICY.on_demand_utilization_in_burst
+            >= 2.0 / CONFIG.on_demand_utilization_in_burst
         )
         assert self.on_demand(2.0, self.REMAINING) < self.on_demand(
             2.0, self.REMAINING, reclaim_burst=True
@@ -123,8 +123,8 @@
         assert plan(0.3, self.REMAINING, zones_without_spot=ALL)["c"] == ZoneTarget(
             0, 0
         )
-        filled = POLICY._replace(fill_min_on_demand=True)
-        assert plan(0.3, self.REMAINING, zones_without_spot=ALL, policy=filled)[
+        filled = CONFIG._replace(fill_min_on_demand=True)
+        assert plan(0.3, self.REMAINING, zones_without_spot=ALL, config=filled)[
             "c"
         ] == ZoneTarget(0, 1)
 
@@ -152,13 +152,13 @@
         }
         scaling = SCALING._replace(least=least, most=most)
         without_spot = ALL if spot_refused else frozenset()
-        policy = POLICY._replace(fill_min_on_demand=filled)
+        config = CONFIG._replace(fill_min_on_demand=filled)
         wanted = plan(
             load,
             zones,
             without_spot,
             scaling,
-            policy=policy,
+            config=config,
             reclaim_burst=reclaim_burst,
         )
         # While no spot capacity is available, a zone without load may be left empty.
