--- a/src/ebonydeal/_internal/journal/picker.py
+++ b/src/ebonydeal/_internal/journal/picker.py
@@ -15,7 +15,11 @@
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.models.requests import Request, RequestKind
 from ebonydeal._internal.routing.placement.router import Router
-from ebonydeal._internal.routing.placement.types import NEUTRAL, Choice, RouteRequest
+from ebonydeal._internal.routing.placement.types import (
+    NEUTRAL_WEIGHTS,
+    Choice,
+    RouteRequest,
+)
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.prefix import prefix_blocks, prompt_text
 
@@ -40,7 +44,7 @@
 
     def weights_of(deployment: str) -> Weights:
         found = document().deployments.get(deployment)
-        return NEUTRAL if found is None else found.weights
+        return NEUTRAL_WEIGHTS if found is None else found.weights
 
     return weights_of
 
@@ -88,7 +92,7 @@
         router: Router,
         place: Place,
         clock: Clock,
-        weights_of: WeightsOf = lambda _deployment: NEUTRAL,
+        weights_of: WeightsOf = lambda _deployment: NEUTRAL_WEIGHTS,
     ) -> None:
         self._views = views
         self._router = router
@@ -128,11 +132,11 @@
         self._sent[view.endpoint_id] += 1
         chosen = self._choices.pop(request.request_id, None)
         if chosen is not None:
-            self._router.sent(*chosen, self._clock.wall())
+            self._router.record_sent(*chosen, self._clock.wall())
 
     def rests(self, endpoint_id: str, seconds: float) -> None:
         """Learn for how long an endpoint wants nothing."""
-        self._router.rests(endpoint_id, seconds, self._clock.wall())
+        self._router.back_off(endpoint_id, seconds, self._clock.wall())
 
     def finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
@@ -143,6 +147,8 @@
             del self._sent[view.endpoint_id]
         now = self._clock.wall()
         if error is None:
-            self._router.finished(request.request_id, view.endpoint_id, now)
+            self._router.record_finished(request.request_id, view.endpoint_id, now)
         else:
-            self._router.failed(request.request_id, view.endpoint_id, error, now)
+            self._router.record_failure(
+                request.request_id, view.endpoint_id, error, now
+            )
--- a/src/ebonydeal/_internal/relay/peers/long_prompts.py
+++ b/src/ebonydeal/_internal/relay/peers/long_prompts.py
@@ -18,7 +18,7 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.peers.call_budget import CallBudget
 from ebonydeal._internal.relay.peers.messages import LongPromptMessage
-from ebonydeal._internal.routing.placement.member_choice import MemberChoice
+from ebonydeal._internal.routing.placement.endpoint_selector import EndpointSelector
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.peerclient import PeerClient
 
@@ -41,7 +41,7 @@
 class LongPromptReceiver:
     """Passes other relays' notices to the choice of endpoints."""
 
-    def __init__(self, choice: MemberChoice, clock: Clock) -> None:
+    def __init__(self, choice: EndpointSelector, clock: Clock) -> None:
         self._choice = choice
         self._clock = clock
 
@@ -49,7 +49,7 @@
         """Take one notice."""
         seconds = min(_MAX_PREFILL_S, max(0.0, float(message["seconds"])))
         until = self._clock.now() + seconds
-        self._choice.reads_until(str(message["endpoint"]), until)
+        self._choice.mark_prefilling(str(message["endpoint"]), until)
         return {}
 
 
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -24,7 +24,7 @@
     CoordinatorCapacity,
     CoordinatorParts,
 )
-from ebonydeal._internal.relay.duties.fleet import Fleet
+from ebonydeal._internal.relay.duties.fleet import FleetScaler
 from ebonydeal._internal.relay.duties.rollouts import RolloutParts, Rollouts
 from ebonydeal._internal.relay.limits.client import LimitsClient, RelayPlacement
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
@@ -64,16 +64,16 @@
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
-from ebonydeal._internal.routing.fleet.fleet_plan import FleetTerms
+from ebonydeal._internal.routing.fleet.fleet_plan import FleetConfig
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 from ebonydeal._internal.routing.limits.quota_broker import QuotaPolicy
 from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
-from ebonydeal._internal.routing.placement.failure_shares import FailureShares
-from ebonydeal._internal.routing.placement.member_choice import (
-    ChoiceTerms,
-    MemberChoice,
+from ebonydeal._internal.routing.placement.endpoint_selector import (
+    EndpointSelector,
+    SelectionConfig,
 )
-from ebonydeal._internal.routing.placement.outliers import Outliers
+from ebonydeal._internal.routing.placement.failure_rates import FailureRates
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
 from ebonydeal._internal.routing.rollout.exposure import ExposureBound
 from ebonydeal._internal.routing.rollout.rollout_state import RolloutConfig
@@ -114,8 +114,8 @@
         self.ports = ports
         self.view = RelayView(self._cfg.drain_ms / 1000.0)
         self._pools = EndpointPools(clock, self._cfg.connect_ms / 1000.0)
-        self._choice = MemberChoice(
-            self._cfg.reuse_window_s, ChoiceTerms.from_config(self._policy)
+        self._choice = EndpointSelector(
+            self._cfg.reuse_window_s, SelectionConfig.from_config(self._policy)
         )
         self.usage = UsageMeter(self._cfg.usage_window_s)
         self._retries = RetryPolicy(
@@ -123,8 +123,10 @@
             rng,
             lambda: initial_retries(self._cfg, self._exchange.relay_count),
         )
-        self._failing = FailureShares(self._policy.avoid_failing)
-        outliers = Outliers(outlier_settings(settings["routing"], self._policy), rng)
+        self._failing = FailureRates(self._policy.avoid_failing)
+        outliers = OutlierDetector(
+            outlier_settings(settings["routing"], self._policy), rng
+        )
         self._outliers = outliers
         self.view.on_restart = self._forget_endpoint
         self._notices = EndpointNotices()
@@ -306,15 +308,15 @@
         self._leaving_times = LeavingTimes(
             self.coordinator, ports.engines, self.view, clock
         )
-        self._fleet = Fleet(
+        self._fleet = FleetScaler(
             self.coordinator,
             ports.duties,
             self.view,
             metrics,
             clock,
-            FleetTerms.from_config(self._policy),
+            FleetConfig.from_config(self._policy),
         )
-        self._fleet.rolling = self._rollouts.target_version
+        self._fleet.target_version = self._rollouts.target_version
 
     def _build_coordinator(
         self, ports: RelayPorts, bounds: QuotaBounds, incarnation: str
@@ -449,7 +451,7 @@
         while not self.should_stop:
             await self._clock.sleep(_SWEEP_INTERVAL_S)
             self._pools.keep_only(self.view.members)
-            self._choice.keep_only(self.view.members)
+            self._choice.retain_only(self.view.members)
 
     async def drain(self) -> None:
         """Let the load balancer remove this relay, and finish requests in flight.
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/moves.py
@@ -19,12 +19,15 @@
 from ebonydeal._internal.relay.ports import Engines
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
-from ebonydeal._internal.routing.placement.member_choice import Ask, MemberChoice
-from ebonydeal._internal.routing.placement.outliers import Outliers
-from ebonydeal._internal.routing.reclaim.reclaim_streams import (
-    ReclaimLimits,
+from ebonydeal._internal.routing.placement.endpoint_selector import (
+    EndpointSelector,
+    SelectionRequest,
+)
+from ebonydeal._internal.routing.placement.outliers import OutlierDetector
+from ebonydeal._internal.routing.reclaim.running_streams import (
+    PlannerAssumptions,
     RunningStream,
-    outlasts,
+    outlast_probability,
     seconds_to_finish,
 )
 from ebonydeal._internal.routing.retries.retries import RetryPolicy
@@ -38,7 +41,7 @@
 _LAST_CHANCE_S = 0.8
 # Time that a reclaimable endpoint is taken to have until it says more.
 _LEAST_NOTICE_S = 1.0
-_LIMITS = ReclaimLimits(hopeless=2.0)
+_LIMITS = PlannerAssumptions(immediate_export_factor=2.0)
 
 
 class Moved(NamedTuple):
@@ -92,8 +95,8 @@
     """What moves are made with."""
 
     view: RelayView
-    choice: MemberChoice
-    outliers: Outliers
+    choice: EndpointSelector
+    outliers: OutlierDetector
     retries: RetryPolicy
     notices: EndpointNotices
     engines: Engines
@@ -161,11 +164,12 @@
             return False
         left = self._left(run.member, since, now)
         stream = run.estimate(now)
-        if seconds_to_finish(stream) > _LIMITS.hopeless * left:
+        if seconds_to_finish(stream) > _LIMITS.immediate_export_factor * left:
             return True
         return (
             left <= _LAST_CHANCE_S
-            and outlasts(stream, max(0.0, left), _LIMITS) > _LIMITS.break_chance
+            and outlast_probability(stream, max(0.0, left), _LIMITS)
+            > _LIMITS.export_failure_probability
         )
 
     def _left(self, member: Member, since: float, now: float) -> float:
@@ -182,7 +186,7 @@
         """Stop a run and pass its memory on; None where that failed."""
         parts = self._parts
         target = self._target(run)
-        if target is None or not parts.retries.spend(run.service):
+        if target is None or not parts.retries.try_spend(run.service):
             # There may be one, or budget, at the next step.
             run.moving = None
             return None
@@ -218,7 +222,9 @@
             and parts.notices.accepts_moved_streams(member.process, now)
         ]
         allowed = parts.outliers.allowed(listed, now)
-        score = parts.choice.engine(Ask((), 0, parts.zone), allowed, now)
+        score = parts.choice.select_engine(
+            SelectionRequest((), 0, parts.zone), allowed, now
+        )
         return None if score is None else parts.view.members[score.endpoint_id]
 
     def _failed(self, run: LiveRun, target: Member, reason: str) -> None:
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -24,7 +24,7 @@
     ProvedNotRun,
     RunProof,
 )
-from ebonydeal._internal.routing.placement.endpoint_load import Sent
+from ebonydeal._internal.routing.placement.endpoint_load import SentRequest
 from ebonydeal._internal.routing.retries.retries import Failure, GiveUp
 from ebonydeal._internal.routing.rollout.traffic_split import AwaitedAnswer
 
@@ -61,7 +61,7 @@
         self._tries = 0
         self._avoid: set[str] = set()
         self._counted = False
-        self.sent: Sent | None = None
+        self.sent: SentRequest | None = None
         # Seconds to the first event of the last send, where that is known.
         self.expected: float | None = None
         self.member: Member | None = None
@@ -98,7 +98,7 @@
             if await parts.permits.take(found.member):
                 break
         if self._tries == 0:
-            parts.retries.first_send(job.service, parts.clock.now())
+            parts.retries.record_first_send(job.service, parts.clock.now())
         self._carried = None
         return self._take(found)
 
@@ -154,11 +154,13 @@
         self._source = found.source
         self._tries += 1
         now = parts.clock.now()
-        self.sent = parts.choice.sent(self.chooser.ask(), member, found.missed, now)
+        self.sent = parts.choice.record_sent(
+            self.chooser.ask(), member, found.missed, now
+        )
         self._note_version(member, now)
         expected = self.expected = found.expected
         if expected is not None:
-            reading = parts.choice.speed.reading(found.missed)
+            reading = parts.choice.speed.prefill_seconds(found.missed)
             parts.long_prompts.note_sent(member.endpoint_id, reading, expected)
         logger.info(
             "Sent.",
@@ -172,8 +174,8 @@
             to_read=round(found.missed),
             fetches=bool(found.source),
             carried=self._carried is not None,
-            running=parts.choice.running(member.endpoint_id),
-            told_age_s=parts.choice.told_age(member.endpoint_id, now),
+            running=parts.choice.running_requests(member.endpoint_id),
+            told_age_s=parts.choice.report_age(member.endpoint_id, now),
             config=parts.view.version,
             send=self._tries,
             waited_s=round(now - job.started, 4),
@@ -243,7 +245,7 @@
         return (
             job.once
             or self._ran + 1 >= job.route.most_sends
-            or not parts.retries.affords(job.service, self._tries)
+            or not parts.retries.can_retry(job.service, self._tries)
         )
 
     @property
@@ -295,20 +297,20 @@
         """Take what the endpoint says of itself."""
         if self.sent is not None and self.member is not None:
             request_id = self.job.req.request_id
-            self._parts.notices.read(self.member, head, request_id, self.sent.at)
+            self._parts.notices.read(self.member, head, request_id, self.sent.sent_at)
 
     def heard(self) -> None:
         """Note a sign of life of the endpoint."""
         if self.sent is not None and self.member is not None:
-            self._parts.suspects.record_activity(self.member, self.sent.at)
+            self._parts.suspects.record_activity(self.member, self.sent.sent_at)
 
     def answered(self, status: int) -> None:
         """Note a whole answer that goes to the client."""
         assert self.member is not None
         parts, endpoint_id = self._parts, self.member.endpoint_id
         now = parts.clock.now()
-        parts.outliers.succeeded(endpoint_id, now)
-        parts.failing.answered(endpoint_id, now)
+        parts.outliers.record_success(endpoint_id, now)
+        parts.failing.record_success(endpoint_id, now)
         if status >= 500:
             self._note_failure(self.member)
         else:
@@ -330,14 +332,16 @@
         """Note the first event or the answer."""
         self._note_answer()
         if self.sent is not None:
-            self.sent = self._parts.choice.began(self.sent, self._parts.clock.now())
+            self.sent = self._parts.choice.record_first_event(
+                self.sent, self._parts.clock.now()
+            )
 
     def ended(self) -> None:
         """Note that the send is over."""
         if self._pending:
             self._parts.split.record_end(self._pending, self._parts.clock.now())
         if self.sent is not None:
-            self._parts.choice.ended(self.sent)
+            self._parts.choice.record_end(self.sent)
             self.sent = None
 
     def after(self, outcome: Outcome, delivered: bool = False) -> None:
@@ -362,8 +366,8 @@
                 # A full queue and a broken link say nothing of the version.
                 self._forget_answer()
         if self._still_listed(self.member):
-            parts.outliers.failed(endpoint, error.kind, now)
-            parts.failing.failed(endpoint, error.kind, now)
+            parts.outliers.record_failure(endpoint, error.kind, now)
+            parts.failing.record_failure(endpoint, error.kind, now)
         self._forget_avoided()
         verdict = self._verdict(outcome, error, delivered, now)
         logger.info(
@@ -419,12 +423,12 @@
             kind=error.kind,
             deployment=job.service,
             idempotent=not job.once,
-            ran_before=self.proof.may_have_run,
-            first_byte=delivered and job.once,
+            may_have_run=self.proof.may_have_run,
+            first_byte_received=delivered and job.once,
             deadline=job.until,
         )
-        match self._parts.retries.next_try(failure, self._tries, now):
-            case GiveUp(kind=kind, retry_after=wait, why=why):
+        match self._parts.retries.next_attempt(failure, self._tries, now):
+            case GiveUp(kind=kind, retry_after=wait, reason=why):
                 return EbonydealError(kind, f"{error.detail}; {why}", retry_after=wait)
         return None
 
--- a/tests/unit/relay/test_retry_share.py
+++ b/tests/unit/relay/test_retry_share.py
@@ -28,9 +28,9 @@
     """Return how many of a number of failed requests are retried, each once."""
     retries = 0
     for _ in range(requests):
-        policy.first_send("s", 100.0)
+        policy.record_first_send("s", 100.0)
         failure = Failure(ErrorKind.ENDPOINT_FAILED, "s", idempotent=True)
-        retries += isinstance(policy.next_try(failure, 1, 100.0), Retry)
+        retries += isinstance(policy.next_attempt(failure, 1, 100.0), Retry)
     return retries
 
 
--- a/tests/unit/routing/placement/test_router.py
+++ b/tests/unit/routing/placement/test_router.py
@@ -31,13 +31,13 @@
         assert choice.endpoint.endpoint_id == "good"
         assert choice.alternatives == ()
 
-    def test_reported_queue_is_avoided(self):
+    def test_endpoint_with_a_reported_queue_is_avoided(self):
         busy = make_view("busy", load=make_load(running=8, waiting=20))
         idle = make_view("idle", load=make_load())
         choice = make_router().choose(make_request(), (busy, idle), NOW)
         assert choice.endpoint.endpoint_id == "idle"
 
-    def test_same_zone_wins_among_equals(self):
+    def test_same_zone_is_preferred_among_equals(self):
         far = make_view("far", place=Place("palermo", "palermo-2"))
         choice = make_router(near_equal=0.0).choose(
             make_request(), (far, make_view("near")), NOW
@@ -50,10 +50,12 @@
         parts = terms.wait + terms.prefill + terms.distance
         assert choice.score == parts + terms.eviction + terms.price + terms.affinity
 
-    def test_cheap_reclaimable_loses_where_work_is_likely_lost(self):
+    def test_cheap_reclaimable_is_avoided_where_eviction_is_likely(self):
         cheap = make_view("cheap", price_per_hour=0.5, evict_per_hour=1800.0)
-        firm = make_view("firm", price_per_hour=0.6)
-        choice = make_router().choose(make_request(max_tokens=4000), (cheap, firm), NOW)
+        stable = make_view("firm", price_per_hour=0.6)
+        choice = make_router().choose(
+            make_request(max_tokens=4000), (cheap, stable), NOW
+        )
         assert choice.endpoint.endpoint_id == "firm"
 
     def test_cold_start_spreads_over_all(self):
@@ -63,21 +65,21 @@
         for number in range(40):
             ask = make_request(f"r{number}")
             choice = router.choose(ask, views, NOW)
-            router.sent(choice, ask, NOW)
+            router.record_sent(choice, ask, NOW)
             counts[choice.endpoint.endpoint_id] += 1
         assert sorted(counts.values()) == [10, 10, 10, 10]
 
 
 class TestLearning:
-    def test_prefix_is_followed_after_own_send(self):
+    def test_prompt_goes_where_its_prefix_was_sent(self):
         router = make_router()
         views = tuple(make_view(f"e{i}") for i in range(4))
         ask = make_request("r1", BLOCKS)
         first = router.choose(ask, views, NOW)
-        router.sent(first, ask, NOW)
+        router.record_sent(first, ask, NOW)
         endpoint = first.endpoint.endpoint_id
-        router.first_token("r1", endpoint, 0, 640, NOW + 0.2)
-        router.finished("r1", endpoint, NOW + 1.0)
+        router.record_first_token("r1", endpoint, 0, 640, NOW + 0.2)
+        router.record_finished("r1", endpoint, NOW + 1.0)
         again = router.choose(make_request("r2", BLOCKS), views, NOW + 2.0)
         assert again.endpoint.endpoint_id == endpoint
         assert again.terms.cached_tokens > 600.0
@@ -90,7 +92,7 @@
         )
         for number in range(2):
             ask = make_request(f"r{number}")
-            router.sent(router.choose(ask, views[:1], NOW + 1), ask, NOW + 1)
+            router.record_sent(router.choose(ask, views[:1], NOW + 1), ask, NOW + 1)
         choice = router.choose(make_request(), views, NOW + 1)
         assert choice.endpoint.endpoint_id == "b"
 
@@ -98,60 +100,60 @@
         router = make_router()
         view = make_view("a")
         ask = make_request()
-        router.sent(router.choose(ask, (view,), NOW), ask, NOW)
+        router.record_sent(router.choose(ask, (view,), NOW), ask, NOW)
         assert router.choose(make_request("s"), (view,), NOW).terms.load == 1.0
-        router.failed("r", "a", ErrorKind.ENDPOINT_FAILED, NOW)
+        router.record_failure("r", "a", ErrorKind.ENDPOINT_FAILED, NOW)
         assert router.choose(make_request("s"), (view,), NOW).terms.load == 0.0
 
-    def test_dropped_block_is_no_longer_expected(self):
+    def test_evicted_block_is_no_longer_expected(self):
         router = make_router()
         view = make_view("a")
         for seq, block in enumerate(BLOCKS, 1):
-            router.cache_events("a", [(seq, True, block)], NOW)
+            router.apply_cache_events("a", [(seq, True, block)], NOW)
         before = router.choose(make_request(blocks=BLOCKS), (view,), NOW)
         assert before.terms.cached_tokens == 640.0
-        router.cache_events("a", [(41, False, BLOCKS[10])], NOW)
+        router.apply_cache_events("a", [(41, False, BLOCKS[10])], NOW)
         after = router.choose(make_request(blocks=BLOCKS), (view,), NOW)
         assert after.terms.cached_tokens == 160.0
 
-    def test_slow_first_tokens_of_others_work_move_requests_away(self):
+    def test_queueing_behind_other_gateways_moves_requests_away(self):
         router = make_router(near_equal=0.0)
         views = (make_view("a", price_per_hour=0.9), make_view("b"))
         ask = make_request()
         first = router.choose(ask, views, NOW)
         assert first.endpoint.endpoint_id == "a"
-        router.sent(first, ask, NOW)
-        router.first_token("r", "a", 0, 100, NOW + 2.0)
-        router.finished("r", "a", NOW + 3.0)
+        router.record_sent(first, ask, NOW)
+        router.record_first_token("r", "a", 0, 100, NOW + 2.0)
+        router.record_finished("r", "a", NOW + 3.0)
         later = router.choose(make_request("s"), views, NOW + 3.0)
         assert later.endpoint.endpoint_id == "b"
-        # The wait is believed less as it grows old.
+        # The weight of the observed wait decays.
         much_later = router.choose(make_request("s"), views, NOW + 120.0)
         assert much_later.endpoint.endpoint_id == "a"
 
 
-class TestRest:
-    def test_an_endpoint_gets_nothing_meanwhile(self):
+class TestBackoff:
+    def test_endpoint_gets_nothing_meanwhile(self):
         router, views = make_router(), (make_view("a"), make_view("b"))
-        router.rests("a", 3.0, NOW)
+        router.back_off("a", 3.0, NOW)
         for second in (0.0, 1.0, 2.9):
             choice = router.choose(make_request(), views, NOW + second)
             assert choice.endpoint.endpoint_id == "b"
         assert router.choose(make_request(), views[:1], NOW + 3.0) is not None
 
-    def test_of_all_leaves_none_to_choose(self):
+    def test_of_all_endpoints_leaves_none_to_choose(self):
         router = make_router()
-        router.rests("a", 3.0, NOW)
+        router.back_off("a", 3.0, NOW)
         assert router.choose(make_request(), (make_view("a"),), NOW + 1.0) is None
 
-    def test_of_several_the_latest_end_holds(self):
+    def test_latest_end_of_several_applies(self):
         router = make_router()
-        router.rests("a", 3.0, NOW)
-        router.rests("a", 1.0, NOW + 1.0)
+        router.back_off("a", 3.0, NOW)
+        router.back_off("a", 1.0, NOW + 1.0)
         assert router.choose(make_request(), (make_view("a"),), NOW + 2.5) is None
 
     def test_ends_with_the_incarnation(self):
         router = make_router()
-        router.rests("a", 3.0, NOW)
+        router.back_off("a", 3.0, NOW)
         router.forget("a")
         assert router.choose(make_request(), (make_view("a"),), NOW) is not None
