--- a/src/ebonydeal/_internal/models/duties.py
+++ b/src/ebonydeal/_internal/models/duties.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class DutyAnswer(NamedTuple):
+class DutyReply(NamedTuple):
     """What the platform said of a call of a duty.
 
     ``conflict`` means a newer holder, or that nothing is to be had there.
--- a/src/ebonydeal/_internal/models/forwarding.py
+++ b/src/ebonydeal/_internal/models/forwarding.py
@@ -36,13 +36,13 @@
         Time to the answer, or a stream's first event, that earns full credit.
     priority : int
         0 is served first.
-    most_sends : int
+    max_sends : int
         Endpoints that one request may be sent to.
     has_prompt : bool
         Whether requests name the parts of their prompt.
     resumable : bool
         Whether a stream may go on at another endpoint after its last event.
-    gap : float
+    max_event_gap : float
         Longest pause between events that is still on time; 0 for none.
     """
 
@@ -54,21 +54,21 @@
     objective: float
     priority: int
     targets: tuple[Target, ...]
-    most_sends: int
+    max_sends: int
     anonymous: bool
     has_prompt: bool
     resumable: bool
-    gap: float
+    max_event_gap: float
 
 
-class EngineShape(NamedTuple):
+class EngineCapabilities(NamedTuple):
     """What the engines of a service can hold and do.
 
     Attributes
     ----------
     token_bytes : int
         Size of one token's memory.
-    moves : bool
+    can_migrate_runs : bool
         Whether memory can be passed from engine to engine.
     event_tokens : int
         Output tokens in one event of a stream.
@@ -77,7 +77,7 @@
     slots: int
     cache_tokens: int
     token_bytes: int
-    moves: bool
+    can_migrate_runs: bool
     event_tokens: int = 1
 
 
@@ -88,9 +88,9 @@
     no reclaimable ones are offered.
     """
 
-    least: int
-    most: int
-    boot: float
+    min_endpoints: int
+    max_endpoints: int
+    boot_s: float
     spot_price: float | None
     zone_prices: dict[str, float]
 
@@ -100,8 +100,8 @@
 
     name: str
     health_path: str
-    most_connections: int
-    engine: EngineShape | None
+    max_connections: int
+    engine: EngineCapabilities | None
     scaling: Scaling | None
 
 
@@ -141,14 +141,14 @@
     accounts: tuple[ForwardAccount, ...]
 
 
-class Process(NamedTuple):
+class EndpointProcess(NamedTuple):
     """One process of an endpoint: what it said of itself holds for no other.
 
-    ``born`` as of `Member`.
+    ``incarnation`` as of `Member`.
     """
 
     endpoint_id: str
-    born: int
+    incarnation: int
 
 
 class Member(NamedTuple):
@@ -164,11 +164,11 @@
         The platform may take it back at short notice.
     revision : int
         Grows with each change of the entry.
-    born : int
+    incarnation : int
         When it started, in ms since 1970; 0 where endpoints don't tell. An endpoint
         that starts again under its id has a later one, and is another endpoint:
         nothing that was learned of the one before holds.
-    withheld : bool
+    unreadable : bool
         Its entry can't be read at the moment: it gets no new work.
     version : str
         Version of its software; empty where it doesn't say.
@@ -182,16 +182,16 @@
     leaving: bool
     leaves_in: float | None
     reclaimable: bool
-    warming: float
+    warmup_left: float
     revision: int
-    born: int = 0
-    withheld: bool = False
+    incarnation: int = 0
+    unreadable: bool = False
     version: str = ""
 
     @property
-    def process(self) -> Process:
+    def process(self) -> EndpointProcess:
         """The process behind this entry."""
-        return Process(self.endpoint_id, self.born)
+        return EndpointProcess(self.endpoint_id, self.incarnation)
 
 
 class PromptPart(NamedTuple):
@@ -201,14 +201,14 @@
     tokens: int
 
 
-class Forwarded(NamedTuple):
+class ForwardedRequest(NamedTuple):
     """A client's request on a forwarded route, without its body.
 
     Attributes
     ----------
     target : str
         Path and query as the client encoded them.
-    allowed : float or None
+    client_timeout : float or None
         Time that the client waits, seconds.
     length_hint : int or None
         Output tokens as the client guesses them.
@@ -223,7 +223,7 @@
     target: str
     host: str
     credential: str
-    allowed: float | None
+    client_timeout: float | None
     prompt_tokens: int | None
     output_tokens: int
     parts: tuple[PromptPart, ...]
@@ -237,7 +237,7 @@
         return self.target.partition("?")[0]
 
 
-class Carried(NamedTuple):
+class KvCacheRef(NamedTuple):
     """The memory of a run that was stopped, for the same request to go on from.
 
     ``address`` is the endpoint that the run was at, ``handle`` its word for it.
@@ -247,7 +247,7 @@
     handle: str
 
 
-class MoveAnswer(NamedTuple):
+class MigrationReply(NamedTuple):
     """What an endpoint said to the order to pass a run's memory on.
 
     ``handle`` is empty where it wasn't passed on; ``detail`` tells why.
@@ -257,14 +257,14 @@
     detail: str
 
 
-class Sending(NamedTuple):
+class SendMetadata(NamedTuple):
     """What one send of a request tells its endpoint beside the request.
 
     Attributes
     ----------
-    allowed : float
+    time_left : float
         Time left, seconds.
-    urgency : int or None
+    priority : int or None
         From 0 (first) to 9.
     carried : Carried or None
         Where the run's memory comes from, if it goes on.
@@ -274,14 +274,14 @@
 
     endpoint_id: str
     account: str
-    allowed: float
-    urgency: int | None
+    time_left: float
+    priority: int | None
     last_event: str
-    carried: Carried | None = None
+    carried: KvCacheRef | None = None
     fetch_from: str = ""
 
 
-class Notice(NamedTuple):
+class EndpointNotice(NamedTuple):
     """What an endpoint says of itself in an answer.
 
     Attributes
@@ -290,7 +290,7 @@
         Requests a second that it takes from all relays together; None for no limit.
     leaving : bool
         It leaves, and is to get no new work.
-    rest : float
+    backoff_s : float
         Seconds for which it wants nothing from who asked.
     unreadable : tuple of str
         What it said that can't be read, as name and value.
@@ -298,7 +298,7 @@
 
     limit: float | None = None
     leaving: bool = False
-    rest: float = 0.0
+    backoff_s: float = 0.0
     unreadable: tuple[str, ...] = ()
 
 
@@ -333,4 +333,4 @@
     idle_time: float | None
     headers: tuple[tuple[str, str], ...]
     misdirected: bool = False
-    notice: Notice = Notice()
+    notice: EndpointNotice = EndpointNotice()
--- a/src/ebonydeal/_internal/models/rollouts.py
+++ b/src/ebonydeal/_internal/models/rollouts.py
@@ -17,7 +17,7 @@
 
     Attributes
     ----------
-    to : str
+    target_version : str
         The version that is to take the service's requests.
     duration : float
         Seconds from the order within which it is to be decided.
@@ -26,12 +26,12 @@
     """
 
     service: str
-    to: str
+    target_version: str
     duration: float
     revision: int
 
 
-class Gate(NamedTuple):
+class RolloutGate(NamedTuple):
     """What relays are told of one roll-out.
 
     Attributes
@@ -47,7 +47,7 @@
     """
 
     service: str
-    to: str
+    target_version: str
     revision: int
     phase: Phase
     shares: dict[str, float]
--- a/src/ebonydeal/_internal/models/shared.py
+++ b/src/ebonydeal/_internal/models/shared.py
@@ -14,14 +14,14 @@
     version: int
 
 
-class Changes(NamedTuple):
+class RowChanges(NamedTuple):
     """Rows changed since a version, in order, and the version to go on from."""
 
     rows: tuple[SharedRow, ...]
     version: int
 
 
-class RowChange(NamedTuple):
+class RowWrite(NamedTuple):
     """One write; ``value`` None removes the row.
 
     ``expected`` is the version that the row must have: ``NO_ROW`` for none,
--- a/src/ebonydeal/_internal/platform/duties.py
+++ b/src/ebonydeal/_internal/platform/duties.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.duties import DutyAnswer
+from ebonydeal._internal.models.duties import DutyReply
 from ebonydeal._internal.platform.calls import JsonCalls
 
 HOLDER = "Ebonydeal-Lease-Holder"
@@ -28,7 +28,7 @@
         self._calls = JsonCalls(timeout)
         self._holder = holder
 
-    async def _post(self, path: str, fence: int, message: Any) -> DutyAnswer:
+    async def _post(self, path: str, fence: int, message: Any) -> DutyReply:
         headers = {HOLDER: self._holder, FENCE: str(fence)}
         reply = await self._calls.call(
             "POST",
@@ -41,24 +41,24 @@
         text = reply.body.decode("utf-8", "replace")
         match status:
             case 200:
-                return DutyAnswer(True, False, text)
+                return DutyReply(True, False, text)
             case 409:
-                return DutyAnswer(False, True, text)
+                return DutyReply(False, True, text)
         if status in (429, 503):
             detail = f"POST {path} answered {status}"
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, detail)
-        return DutyAnswer(False, False, f"{status} {text}")
+        return DutyReply(False, False, f"{status} {text}")
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fence: int
-    ) -> DutyAnswer:
+    ) -> DutyReply:
         """Report how many requests of each account began in a window."""
         message = {"window_id": window, "request_counts": counts}
         return await self._post("/usage", fence, message)
 
     async def order(
         self, service: str, zone: str, count: int, reclaimable: bool, fence: int
-    ) -> DutyAnswer:
+    ) -> DutyReply:
         """Order that many endpoints of one kind for a service in a zone."""
         message: dict[str, Any] = {"service": service, "zone": zone, "desired": count}
         if reclaimable:
--- a/src/ebonydeal/_internal/platform/engines.py
+++ b/src/ebonydeal/_internal/platform/engines.py
@@ -1,7 +1,7 @@
 """Calls to model engines beside the requests themselves."""
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.forwarding import MoveAnswer
+from ebonydeal._internal.models.forwarding import MigrationReply
 from ebonydeal._internal.platform.calls import JsonCalls
 
 _MS = 1000.0
@@ -19,7 +19,9 @@
     def __init__(self, timeout: float) -> None:
         self._calls = JsonCalls(timeout)
 
-    async def move_run(self, source: str, request_id: str, target: str) -> MoveAnswer:
+    async def move_run(
+        self, source: str, request_id: str, target: str
+    ) -> MigrationReply:
         """Stop a run at ``source`` and pass its memory to ``target`` (addresses).
 
         Raises ENDPOINT_FAILED where no answer came: it may be stopped or not.
@@ -31,13 +33,13 @@
             message={"id": request_id, "to": target, "last": True},
         )
         if reply.status != 200:
-            return MoveAnswer("", f"status {reply.status}")
+            return MigrationReply("", f"status {reply.status}")
         try:
             handle = str(reply.read()["handle"])
         except (ValueError, KeyError, TypeError) as exc:
             detail = f"the answer of {source} can't be read: {exc!r}"
             raise EbonydealError(ErrorKind.ENDPOINT_FAILED, detail) from exc
-        return MoveAnswer(handle, "")
+        return MigrationReply(handle, "")
 
     async def leaves_in(self, address: str) -> float | None:
         """Return how soon an endpoint goes, seconds; None where it doesn't say.
--- a/src/ebonydeal/_internal/platform/headers.py
+++ b/src/ebonydeal/_internal/platform/headers.py
@@ -7,17 +7,17 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import (
     AnswerHead,
-    Forwarded,
-    Notice,
+    EndpointNotice,
+    ForwardedRequest,
     PromptPart,
-    Sending,
+    SendMetadata,
 )
 
 REQUEST_ID = "Ebonydeal-Request-Id"
 DEADLINE = "Ebonydeal-Deadline-Ms"
 EXPECT_ENDPOINT = "Ebonydeal-Expect-Replica"
 ACCOUNT = "Ebonydeal-Tenant"
-URGENCY = "Ebonydeal-Request-Priority"
+PRIORITY = "Ebonydeal-Request-Priority"
 TOKENS = "Ebonydeal-Token-Usage"
 PROMPT = "Ebonydeal-Prompt-Prefix"
 LENGTH_HINT = "Ebonydeal-Length-Hint"
@@ -60,7 +60,7 @@
         DEADLINE.lower(),
         EXPECT_ENDPOINT.lower(),
         ACCOUNT.lower(),
-        URGENCY.lower(),
+        PRIORITY.lower(),
         LAST_EVENT.lower(),
         "ebonydeal-expect-version",
         "ebonydeal-hold",
@@ -121,7 +121,7 @@
         raise _bad(f"{DEADLINE} must be a number") from None
 
 
-def read_request(method: str, target: str, pairs: Pairs) -> Forwarded:
+def read_request(method: str, target: str, pairs: Pairs) -> ForwardedRequest:
     """Return a client's request; raises BAD_REQUEST where it can't be read."""
     listed = list(pairs)
     first = {name.lower(): value for name, value in reversed(listed)}
@@ -134,13 +134,13 @@
     prompt, output = _tokens(first.get(TOKENS.lower()))
     hint = first.get(LENGTH_HINT.lower(), "")
     hops = _HOP | _SYSTEM | _named_hops(listed)
-    return Forwarded(
+    return ForwardedRequest(
         request_id=request_id,
         method=method,
         target=target,
         host=first.get("host", ""),
         credential=credential,
-        allowed=_seconds(first.get(DEADLINE.lower())),
+        client_timeout=_seconds(first.get(DEADLINE.lower())),
         prompt_tokens=prompt,
         output_tokens=output,
         parts=_parts(first.get(PROMPT.lower())),
@@ -150,15 +150,15 @@
     )
 
 
-def outgoing(req: Forwarded, send: Sending) -> list[tuple[str, str]]:
+def outgoing(req: ForwardedRequest, send: SendMetadata) -> list[tuple[str, str]]:
     """Return the header block of one send to an endpoint."""
     block = list(req.headers)
-    block.append((DEADLINE, str(max(1, int(send.allowed * _MS)))))
+    block.append((DEADLINE, str(max(1, int(send.time_left * _MS)))))
     block.append((EXPECT_ENDPOINT, send.endpoint_id))
     if send.account:
         block.append((ACCOUNT, send.account))
-    if send.urgency is not None:
-        block.append((URGENCY, str(send.urgency)))
+    if send.priority is not None:
+        block.append((PRIORITY, str(send.priority)))
     if send.last_event:
         block.append((LAST_EVENT, send.last_event))
     if send.carried is not None:
@@ -186,7 +186,7 @@
     return value if math.isfinite(value) and value >= 0.0 else None
 
 
-def _notice(status: int, first: Mapping[str, str]) -> Notice:
+def _notice(status: int, first: Mapping[str, str]) -> EndpointNotice:
     """Return what an endpoint says of itself; names are in lower case."""
     unreadable = []
 
@@ -202,7 +202,7 @@
     leaving = first.get(LEAVING.lower(), _NO)
     if leaving not in (_YES, _NO):
         unreadable.append(f"{LEAVING}: {leaving[:_MOST_QUOTED]}")
-    return Notice(limit, leaving == _YES, rest or 0.0, tuple(unreadable))
+    return EndpointNotice(limit, leaving == _YES, rest or 0.0, tuple(unreadable))
 
 
 def read_answer(status: int, pairs: Pairs) -> AnswerHead:
--- a/src/ebonydeal/_internal/platform/rehearsal.py
+++ b/src/ebonydeal/_internal/platform/rehearsal.py
@@ -11,7 +11,7 @@
 
 from ebonydeal._internal.models.forwarding import Member, Repeat
 from ebonydeal._internal.models.rollouts import RolloutOrder
-from ebonydeal._internal.models.shared import ANY_VERSION, RowChange, SharedRow
+from ebonydeal._internal.models.shared import ANY_VERSION, RowWrite, SharedRow
 from ebonydeal._internal.platform.duties import FENCE, HOLDER
 from ebonydeal._internal.platform.headers import (
     ACCOUNT,
@@ -153,7 +153,7 @@
     """Return a roll-out's order."""
     document = {
         "service": order.service,
-        "to": order.to,
+        "to": order.target_version,
         "duration_s": order.duration,
     }
     return json.dumps(document).encode()
@@ -243,14 +243,14 @@
     return query["table"], int(query["after"]), int(query["wait_ms"]) / _MS
 
 
-def read_write(message: Mapping[str, Any]) -> list[RowChange]:
+def read_write(message: Mapping[str, Any]) -> list[RowWrite]:
     """Return the changes of a write."""
     expected = {
         (place["table"], place["key"]): int(place["ver"])
         for place in message["precondition"]
     }
     return [
-        RowChange(
+        RowWrite(
             place["table"],
             place["key"],
             _value(place),
--- a/src/ebonydeal/_internal/platform/rows.py
+++ b/src/ebonydeal/_internal/platform/rows.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import (
     ClientLimits,
-    EngineShape,
+    EngineCapabilities,
     ForwardAccount,
     ForwardService,
     Member,
@@ -68,12 +68,12 @@
         objective=float(message.get("target_latency_ms") or 0.0) / _MS,
         priority=int(message.get("priority") or 0),
         targets=tuple(targets),
-        most_sends=max(1, int(message.get("max_attempts") or 1)),
+        max_sends=max(1, int(message.get("max_attempts") or 1)),
         anonymous=bool(message.get("allow_anonymous")),
         # The wire's name for routes whose requests name the parts of a prompt.
         has_prompt=bool(message.get("sticky")),
         resumable=bool(message.get("can_resume")),
-        gap=float(message.get("gap_aim_ms") or 0.0) / _MS,
+        max_event_gap=float(message.get("gap_aim_ms") or 0.0) / _MS,
     )
 
 
@@ -82,9 +82,9 @@
         return None
     spot = message.get("spot_price")
     return Scaling(
-        least=int(message["min"]),
-        most=int(message["max"]),
-        boot=float(message.get("boot_s") or 0.0),
+        min_endpoints=int(message["min"]),
+        max_endpoints=int(message["max"]),
+        boot_s=float(message.get("boot_s") or 0.0),
         spot_price=None if spot is None else float(spot),
         zone_prices={str(z): float(p) for z, p in message["zone_prices"].items()}
         if message.get("zone_prices")
@@ -96,17 +96,17 @@
     engine = message.get("engine")
     shape = None
     if engine:
-        shape = EngineShape(
+        shape = EngineCapabilities(
             slots=int(engine["max_slots"]),
             cache_tokens=int(engine.get("kv_capacity_tokens") or 0),
             token_bytes=int(engine.get("kv_token_bytes") or 0),
-            moves=bool(engine.get("moves")),
+            can_migrate_runs=bool(engine.get("moves")),
             event_tokens=max(1, int(engine.get("stride") or 1)),
         )
     return ForwardService(
         name=str(message["name"]),
         health_path=str(message.get("health_path") or "/"),
-        most_connections=int(message.get("max_connections") or 0),
+        max_connections=int(message.get("max_connections") or 0),
         engine=shape,
         scaling=_scaling(message.get("autoscale")),
     )
@@ -177,10 +177,10 @@
             leaving=_LEAVING[_text(message, "state")],
             leaves_in=_seconds(message, "leaves_ms"),
             reclaimable=_flag(message, "spot"),
-            warming=_seconds(message, "cold_left_ms") or 0.0,
+            warmup_left=_seconds(message, "cold_left_ms") or 0.0,
             revision=row.version,
             # The wire's name for when the endpoint started, in ms since 1970.
-            born=_whole(message, "born", least=0) if "born" in message else 0,
+            incarnation=_whole(message, "born", least=0) if "born" in message else 0,
             version=_version(message),
         )
     except (KeyError, TypeError, ValueError, RecursionError) as exc:
--- a/src/ebonydeal/_internal/platform/store.py
+++ b/src/ebonydeal/_internal/platform/store.py
@@ -4,8 +4,8 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.shared import (
-    Changes,
-    RowChange,
+    RowChanges,
+    RowWrite,
     SharedRow,
     TransactResult,
 )
@@ -92,7 +92,7 @@
                 return found, version
             start = rows[-1].key + "\0"
 
-    async def changes(self, table: str, after: int, wait: float) -> Changes | None:
+    async def changes(self, table: str, after: int, wait: float) -> RowChanges | None:
         """Wait for changes after a version; None where history is gone."""
         params = {"table": table, "after": str(after), "wait_ms": str(int(wait * 1000))}
         status, body = await self._call(
@@ -104,9 +104,9 @@
         )
         if status == 410:
             return None
-        return Changes(tuple(_decode_all(body)), int(body.get("ver", after)))
+        return RowChanges(tuple(_decode_all(body)), int(body.get("ver", after)))
 
-    async def transact(self, changes: list[RowChange]) -> TransactResult:
+    async def transact(self, changes: list[RowWrite]) -> TransactResult:
         """Apply all changes if each row has its expected version, or none."""
         places = [(c, {"table": c.table, "part": "", "key": c.key}) for c in changes]
         message = {
--- a/src/ebonydeal/_internal/platform/wire.py
+++ b/src/ebonydeal/_internal/platform/wire.py
@@ -4,13 +4,13 @@
 
 from ebonydeal._internal.models.forwarding import (
     AnswerHead,
-    Forwarded,
+    ForwardedRequest,
     Member,
     RouteTable,
-    Sending,
+    SendMetadata,
 )
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.models.shared import RowChange, SharedRow
+from ebonydeal._internal.models.shared import RowWrite, SharedRow
 from ebonydeal._internal.platform.headers import outgoing, read_answer, read_request
 from ebonydeal._internal.platform.rows import (
     CONFIG_KEY,
@@ -37,11 +37,13 @@
     members_table = MEMBERS_TABLE
     status_table = STATUS_TABLE
 
-    def read_request(self, method: str, target: str, pairs: Pairs) -> Forwarded:
+    def read_request(self, method: str, target: str, pairs: Pairs) -> ForwardedRequest:
         """Return a client's request; raises BAD_REQUEST."""
         return read_request(method, target, pairs)
 
-    def outgoing(self, req: Forwarded, send: Sending) -> list[tuple[str, str]]:
+    def outgoing(
+        self, req: ForwardedRequest, send: SendMetadata
+    ) -> list[tuple[str, str]]:
         """Return the header block of one send."""
         return outgoing(req, send)
 
@@ -69,7 +71,7 @@
         """Return a roll-out's phase and version; raises BAD_DOCUMENT."""
         return decode_status(row.value or b"")
 
-    def status_change(self, service: str, phase: Phase, to: str) -> RowChange:
+    def status_change(self, service: str, phase: Phase, to: str) -> RowWrite:
         """Return the write by which operators learn of a roll-out."""
         key = f"{ROLLOUT_PREFIX}{service}"
-        return RowChange(STATUS_TABLE, key, encode_status(phase, to))
+        return RowWrite(STATUS_TABLE, key, encode_status(phase, to))
--- a/src/ebonydeal/_internal/relay/crashes/crash_check.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_check.py
@@ -50,7 +50,7 @@
 
 
 def _start(member: Member) -> _Start:
-    return member.endpoint_id, member.born
+    return member.endpoint_id, member.incarnation
 
 
 class CrashCheck(Service):
@@ -81,7 +81,7 @@
         One that leaves, or is listed no more, was about to end.
         """
         listed = self._view.members.get(member.endpoint_id)
-        if listed is None or listed.leaving or listed.born != member.born:
+        if listed is None or listed.leaving or listed.incarnation != member.incarnation:
             return
         waiting = self._broken.get(_start(listed))
         if waiting is not None:
@@ -112,7 +112,7 @@
         logger.info(
             "Connections broke amid requests.",
             endpoint=member.endpoint_id,
-            born=member.born,
+            born=member.incarnation,
             zone=member.zone,
             requests=len(digests),
             digests=sorted(digests)[:_MOST_LOGGED],
--- a/src/ebonydeal/_internal/relay/crashes/crash_store.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_store.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
@@ -42,7 +42,7 @@
         # Whether what lies in the store was read: before that it isn't written over.
         self.known = False
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the write that keeps what changed since the last one, if anything."""
         self._writing = ""
         if not self.known or self._suspects.mark == self._written:
@@ -54,7 +54,7 @@
             logger.warning("Crashes are too many to keep.", size=len(value))
             return []
         self._writing = self._suspects.mark
-        return [RowChange(CRASHES_TABLE, _KEY, value)]
+        return [RowWrite(CRASHES_TABLE, _KEY, value)]
 
     def wrote(self) -> None:
         """Note that the last changes lie in the store."""
--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -125,7 +125,7 @@
         evidence, now = self._parts.evidence, self._parts.clock.now()
         if now - evidence.last_crash > _CONTRADICTED_S:
             return
-        if evidence.heard(member.endpoint_id, member.born, sent_at, now):
+        if evidence.heard(member.endpoint_id, member.incarnation, sent_at, now):
             logger.warning("Endpoint lives after all.", endpoint=member.endpoint_id)
             self._changed("itself")
 
@@ -135,7 +135,7 @@
         parts, member = self._parts, crashed.member
         parts.metrics.count(Event.ENDPOINTS_CRASHED)
         seen = SeenCrash(
-            member.endpoint_id, member.born, member.zone, parts.clock.now()
+            member.endpoint_id, member.incarnation, member.zone, parts.clock.now()
         )
         key = parts.evidence.crashed(seen, crashed.digests)
         if key is not None:
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -352,7 +352,7 @@
             logger.info(
                 "Endpoint's limit.",
                 endpoint=report.process.endpoint_id,
-                born=report.process.born,
+                born=report.process.incarnation,
                 limit=report.limit,
                 source=message["node"],
             )
@@ -365,7 +365,7 @@
             logger.info(
                 "Endpoint says that it leaves.",
                 endpoint=process.endpoint_id,
-                born=process.born,
+                born=process.incarnation,
                 source=message["node"],
             )
         return notices.leaving_reports(now)
--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -279,7 +279,7 @@
             fleet = zones.get(kind.zone, ZoneFleet())
             have = fleet.spot if kind.spot else fleet.fixed
             # What is beyond the zone's bound is accepted, and doesn't come.
-            room = max(0, scaling.most - fleet.spot - fleet.fixed)
+            room = max(0, scaling.max_endpoints - fleet.spot - fleet.fixed)
             coming = min(room, max(0, order.wanted - have))
             if kind.spot:
                 zones[kind.zone] = fleet._replace(spot_coming=coming)
@@ -328,7 +328,7 @@
         )
         if answer.accepted:
             self._metrics.count(Event.ORDERS_SENT)
-            until = now + scaling.boot + _BOOT_SLACK_S
+            until = now + scaling.boot_s + _BOOT_SLACK_S
             self._ordered[kind] = _Order(count, until)
             if count > have:
                 self._raised[kind] = now
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -8,7 +8,7 @@
 from mode import Service
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.shared import NO_ROW, RowChange
+from ebonydeal._internal.models.shared import NO_ROW, RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.usage_store import UsageStore
 from ebonydeal._internal.relay.ports import SharedStore
@@ -50,7 +50,7 @@
     def known(self) -> bool:
         """See above."""
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the writes that are due, if any."""
 
     def wrote(self) -> None:
@@ -200,8 +200,8 @@
             if self.holds and not kept.known:
                 await kept.read()
 
-    def _change(self, write: Write) -> RowChange:
-        return RowChange(LEASE_TABLE, _LEASE_KEY, write.row.encode(), write.expected)
+    def _change(self, write: Write) -> RowWrite:
+        return RowWrite(LEASE_TABLE, _LEASE_KEY, write.row.encode(), write.expected)
 
     async def _write(self, write: Write) -> None:
         changes = [self._change(write)]
--- a/src/ebonydeal/_internal/relay/duties/rollout_book.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_book.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.relay.duties.rollout_run import RolloutRun, Totals
 from ebonydeal._internal.routing.rollout.course import (
     Complete,
@@ -59,15 +59,15 @@
         known = self.runs.get(service)
         barred = self.barred.setdefault(service, set())
         if known is not None and known.is_running:
-            barred.add(known.course.order.to)
+            barred.add(known.course.order.target_version)
         own = self.own.setdefault(service, set())
         if not own:
-            own.update(before - {order.to} or before)
+            own.update(before - {order.target_version} or before)
         # The operator's newest word goes before an older verdict.
-        barred.discard(order.to)
+        barred.discard(order.target_version)
         run = RolloutRun(Course(order, now + order.duration, self.terms))
         self.runs[service] = run
-        if order.to in own:
+        if order.target_version in own:
             # Back to what the service runs: there is nothing to find out.
             run.course.phase = Phase.COMPLETED
             run.verdict = Complete(0)
@@ -81,12 +81,12 @@
         match verdict:
             case Complete():
                 run.course.phase = Phase.COMPLETED
-                self.own[order.service] = {order.to}
+                self.own[order.service] = {order.target_version}
             case RollBack():
                 run.course.phase = Phase.ROLLED_BACK
-                self.barred.setdefault(order.service, set()).add(order.to)
+                self.barred.setdefault(order.service, set()).add(order.target_version)
 
-    def gates(self) -> list[Gate]:
+    def gates(self) -> list[RolloutGate]:
         """Return what relays are told."""
         return [
             run.course.gate(run.verdict, tuple(sorted(self.barred_of(service))))
@@ -100,7 +100,7 @@
         for service, run in self.runs.items():
             course = run.course
             runs[service] = {
-                "to": course.order.to,
+                "to": course.order.target_version,
                 "duration": course.order.duration,
                 "revision": course.order.revision,
                 "until": round(course.until + ahead, 3),
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -6,7 +6,7 @@
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.models.shared import RowChange, SharedRow
+from ebonydeal._internal.models.shared import RowWrite, SharedRow
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.rollout_book import RolloutBook
 from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
@@ -111,12 +111,12 @@
         except EbonydealError as exc:
             logger.error("Status can't be read.", reason=str(exc))
             return
-        if to == order.to and phase is not Phase.RUNNING:
+        if to == order.target_version and phase is not Phase.RUNNING:
             run = self._book.begin(order, set(), self._clock.now())
             run.course.phase = phase
             run.status_due = False
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the writes that are due with the next renewal of the lease."""
         self._writing = []
         if not self.known:
@@ -126,13 +126,15 @@
             if run.status_due:
                 order, phase = run.course.order, run.course.phase
                 self._writing.append((service, order.revision, phase))
-                changes.append(self._wire.status_change(service, phase, order.to))
+                changes.append(
+                    self._wire.status_change(service, phase, order.target_version)
+                )
         self._sent = self._changes
         if changes or self._changes != self._written:
             memory = self._book.to_memory(self._store.ahead)
             value = pack(memory)
             if len(value) <= MOST_BYTES:
-                changes.append(RowChange(ROLLOUTS_TABLE, _KEY, value))
+                changes.append(RowWrite(ROLLOUTS_TABLE, _KEY, value))
             else:
                 logger.warning("Roll-outs are too large to keep.", size=len(value))
         return changes
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -12,7 +12,7 @@
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
@@ -91,7 +91,7 @@
         self.on_gates: Callable[[RolloutsMessage], object] = lambda _message: None
 
     # --- what others are told -------------------------------------------------
-    def gates(self) -> list[Gate] | None:
+    def gates(self) -> list[RolloutGate] | None:
         """Return what relays are told; None while this relay doesn't decide."""
         decides = self.kept.known and self._parts.coordinator.holds
         return self._book.gates() if decides else None
@@ -106,7 +106,11 @@
     def rolling(self, service: str) -> str | None:
         """Return the version that a service's roll-out under way is to, or None."""
         run = self._book.runs.get(service)
-        return run.course.order.to if run is not None and run.is_running else None
+        return (
+            run.course.order.target_version
+            if run is not None and run.is_running
+            else None
+        )
 
     def report(self) -> list[dict[str, Any]]:
         """Return what operators are shown of roll-outs."""
@@ -120,7 +124,7 @@
                 shares = run.verdict.shares
         return {
             "service": service,
-            "to": run.course.order.to,
+            "to": run.course.order.target_version,
             "phase": str(run.course.phase),
             "left_s": round(run.course.until - self._parts.clock.now(), 3),
             "evidence": round(standing.total, 2),
@@ -210,7 +214,7 @@
         logger.info(
             "Roll-out ordered.",
             service=order.service,
-            to=order.to,
+            to=order.target_version,
             duration_s=order.duration,
             revision=order.revision,
             own=sorted(self._book.own[order.service]),
@@ -233,13 +237,14 @@
         order = course.order
         barred = self._book.barred_of(order.service)
         listed = self._parts.view.of_service(order.service)
-        others = [m for m in listed if m.version != order.to]
+        others = [m for m in listed if m.version != order.target_version]
         old = tuple(m.endpoint_id for m in others if m.version not in barred)
         late = course.until - now < order.duration * _LAST_PART
         new = tuple(
             m.endpoint_id
             for m in listed
-            if m.version == order.to and (late or not self._starts_slow(m, now))
+            if m.version == order.target_version
+            and (late or not self._starts_slow(m, now))
         )
         loads = [word["loads"] for word in words]
         running = sum(int(load[e][0]) for load in loads for e in old if e in load)
@@ -248,7 +253,7 @@
     def _starts_slow(self, member: Member, now: float) -> bool:
         """Return whether an endpoint is still slow after its start."""
         seen = self._seen.setdefault(member.endpoint_id, now)
-        return now - seen < member.warming
+        return now - seen < member.warmup_left
 
     def _go_on(self, run: RolloutRun, verdict: Continue, fleet: Fleet) -> None:
         """Take new shares; log where the last step begins or is taken back."""
@@ -261,7 +266,7 @@
             if verdict.full
             else "Back to a part of the requests.",
             service=run.course.order.service,
-            to=run.course.order.to,
+            to=run.course.order.target_version,
             evidence=round(run.standing.total, 2),
             old=len(fleet.old),
             new=len(fleet.new),
@@ -279,7 +284,7 @@
                 logger.info(
                     "Roll-out completed.",
                     service=order.service,
-                    to=order.to,
+                    to=order.target_version,
                     left_s=round(run.course.until - self._parts.clock.now(), 3),
                     cut=cut,
                     **run.spent(),
@@ -289,7 +294,7 @@
                 logger.warning(
                     "Roll-out rolled back.",
                     service=order.service,
-                    to=order.to,
+                    to=order.target_version,
                     reason=reason,
                     evidence=round(standing.total, 2),
                     without_loudest=round(standing.without, 2),
--- a/src/ebonydeal/_internal/relay/duties/usage_store.py
+++ b/src/ebonydeal/_internal/relay/duties/usage_store.py
@@ -8,7 +8,7 @@
 
 import json
 
-from ebonydeal._internal.models.shared import NO_ROW, RowChange
+from ebonydeal._internal.models.shared import NO_ROW, RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.packed_row import MOST_BYTES, UNREADABLE, pack, unpack
 from ebonydeal._internal.relay.ports import SharedStore
@@ -41,13 +41,13 @@
         self._store = store
         self._ledger = ledger
 
-    def open_change(self) -> RowChange:
+    def open_change(self) -> RowWrite:
         """Return the write that keeps windows not reported yet."""
         told = pack(self._ledger.open_windows())
         if len(told) > MOST_BYTES:
             logger.warning("Open windows are too large to keep.", size=len(told))
             told = pack({})
-        return RowChange(USAGE_TABLE, _OPEN_KEY, told)
+        return RowWrite(USAGE_TABLE, _OPEN_KEY, told)
 
     async def read_open(self) -> None:
         """Take what the holder before kept of windows not reported yet."""
@@ -68,8 +68,8 @@
         None where it can't be known now.
         """
         body = json.dumps(due.counts, sort_keys=True).encode()
-        change = RowChange(USAGE_TABLE, _key(due.window), body, NO_ROW)
-        old = RowChange(USAGE_TABLE, _key(due.window - _ROWS_KEPT), None)
+        change = RowWrite(USAGE_TABLE, _key(due.window), body, NO_ROW)
+        old = RowWrite(USAGE_TABLE, _key(due.window - _ROWS_KEPT), None)
         result = await self._store.transact([change, old])
         if not result.applied:
             # Another holder, or a write without answer, was before us.
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -11,7 +11,7 @@
 from xxhash import xxh3_64_hexdigest
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.forwarding import ForwardAccount, Process
+from ebonydeal._internal.models.forwarding import EndpointProcess, ForwardAccount
 from ebonydeal._internal.relay.limits.messages import (
     LimitsReply,
     LimitsWord,
@@ -108,7 +108,7 @@
         self.notices = EndpointNotices()
         self.permits = QuotaBroker(ENDPOINT_BOUNDS, None, self._known_share)
         # By process, when the relay that was told to wait longest may ask again.
-        self._turns: dict[Process, float] = {}
+        self._turns: dict[EndpointProcess, float] = {}
         # What it has to grant as a new holder, before it has shares.
         self.startup = StartupGrant(bounds)
         # What this relay has to grant as stand-in.
@@ -373,7 +373,7 @@
         return PermitReply(granted=False, wait=turn, report=told)
 
     def _turn(
-        self, account: ForwardAccount, process: Process, now: float, wait: float
+        self, account: ForwardAccount, process: EndpointProcess, now: float, wait: float
     ) -> float:
         """Return when a relay may ask again, seconds: one after the other.
 
--- a/src/ebonydeal/_internal/relay/limits/permits.py
+++ b/src/ebonydeal/_internal/relay/limits/permits.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.models.forwarding import Member, Process
+from ebonydeal._internal.models.forwarding import EndpointProcess, Member
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.relay.limits.messages import PermitReply
 from ebonydeal._internal.routing.limits.endpoint_limits import (
@@ -57,7 +57,7 @@
         self._clock = clock
         self._metrics = metrics
         # By process: under which limit nothing was left, and until when.
-        self._empty: dict[Process, tuple[float, float]] = {}
+        self._empty: dict[EndpointProcess, tuple[float, float]] = {}
 
     @property
     def needed(self) -> bool:
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -8,7 +8,7 @@
 import json
 from collections.abc import Callable
 
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.limits.granter import Granter
 from ebonydeal._internal.relay.ports import SharedStore
@@ -69,28 +69,28 @@
     def _registry(self) -> ShareRegistry:
         return self._granter.registry
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the write of names that have changed, if any."""
         self._writing = self._writing_startup = False
         if not self.known:
             return []
         return [*self._startup_changes(), *self._names_changes()]
 
-    def _startup_changes(self) -> list[RowChange]:
+    def _startup_changes(self) -> list[RowWrite]:
         startup = self._granter.startup
         if not startup.wanted:
             return []
         self._writing_startup = True
         begun = startup.writes(self._clock.now(), self._store.ahead)
-        return [RowChange(SHARES_TABLE, _STARTUP_KEY, json.dumps(begun).encode())]
+        return [RowWrite(SHARES_TABLE, _STARTUP_KEY, json.dumps(begun).encode())]
 
-    def _names_changes(self) -> list[RowChange]:
+    def _names_changes(self) -> list[RowWrite]:
         wanted = self._registry.wanted(self._alive(), self._clock.now())
         if wanted == self._registry.row:
             return []
         self._registry.writes(wanted)
         self._writing = True
-        return [RowChange(SHARES_TABLE, _KEY, wanted.encode())]
+        return [RowWrite(SHARES_TABLE, _KEY, wanted.encode())]
 
     def wrote(self) -> None:
         """Note that the last changes lie in the store."""
--- a/src/ebonydeal/_internal/relay/peers/messages.py
+++ b/src/ebonydeal/_internal/relay/peers/messages.py
@@ -15,7 +15,7 @@
 
 
 class RolloutsMessage(TypedDict):
-    """What the coordinator decided of roll-outs: each `Gate` as a list.
+    """What the coordinator decided of roll-outs: each `RolloutGate` as a list.
 
     ``read_to`` is the store's version up to which it knows all orders.
     """
--- a/src/ebonydeal/_internal/relay/peers/rollouts.py
+++ b/src/ebonydeal/_internal/relay/peers/rollouts.py
@@ -5,7 +5,7 @@
 
 from mode import Service
 
-from ebonydeal._internal.models.rollouts import Gate, Phase
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.peers.messages import RolloutsMessage
 from ebonydeal._internal.relay.view.view import RelayView
@@ -18,15 +18,15 @@
 _TELL_S = 0.2
 
 
-def gates_message(gates: list[Gate], read_to: int) -> RolloutsMessage:
+def gates_message(gates: list[RolloutGate], read_to: int) -> RolloutsMessage:
     """Return gates as they are told, and how far orders were read."""
     return RolloutsMessage(read_to=read_to, gates=[list(gate) for gate in gates])
 
 
-def _gate(item: list[Any]) -> Gate:
+def _gate(item: list[Any]) -> RolloutGate:
     """Return a gate as it was told; raises ValueError, TypeError or IndexError."""
     service, to, revision, phase, shares, canaries, barred = item
-    return Gate(
+    return RolloutGate(
         str(service),
         str(to),
         int(revision),
@@ -69,7 +69,7 @@
                 logger.info(
                     "Roll-out told.",
                     service=gate.service,
-                    to=gate.to,
+                    to=gate.target_version,
                     revision=gate.revision,
                     phase=str(gate.phase),
                     shares=gate.shares,
@@ -91,7 +91,7 @@
                 self.hasten()
 
 
-def _differs(known: Gate, gate: Gate) -> bool:
+def _differs(known: RolloutGate, gate: RolloutGate) -> bool:
     """Return whether a gate is worth a line."""
     full = bool(known.shares) and min(known.shares.values()) >= 1.0
     is_full = bool(gate.shares) and min(gate.shares.values()) >= 1.0
--- a/src/ebonydeal/_internal/relay/ports.py
+++ b/src/ebonydeal/_internal/relay/ports.py
@@ -3,19 +3,19 @@
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
 
-from ebonydeal._internal.models.duties import DutyAnswer
+from ebonydeal._internal.models.duties import DutyReply
 from ebonydeal._internal.models.forwarding import (
     AnswerHead,
-    Forwarded,
+    ForwardedRequest,
     Member,
-    MoveAnswer,
+    MigrationReply,
     RouteTable,
-    Sending,
+    SendMetadata,
 )
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
 from ebonydeal._internal.models.shared import (
-    Changes,
-    RowChange,
+    RowChanges,
+    RowWrite,
     SharedRow,
     TransactResult,
 )
@@ -31,10 +31,12 @@
     members_table: str
     status_table: str
 
-    def read_request(self, method: str, target: str, pairs: Pairs) -> Forwarded:
+    def read_request(self, method: str, target: str, pairs: Pairs) -> ForwardedRequest:
         """Return a client's request; raises BAD_REQUEST."""
 
-    def outgoing(self, req: Forwarded, send: Sending) -> list[tuple[str, str]]:
+    def outgoing(
+        self, req: ForwardedRequest, send: SendMetadata
+    ) -> list[tuple[str, str]]:
         """Return the header block of one send."""
 
     def read_answer(self, status: int, pairs: Pairs) -> AnswerHead:
@@ -55,7 +57,7 @@
     def status(self, row: SharedRow) -> tuple[Phase, str]:
         """Return a roll-out's phase and version; raises BAD_DOCUMENT."""
 
-    def status_change(self, service: str, phase: Phase, to: str) -> RowChange:
+    def status_change(self, service: str, phase: Phase, to: str) -> RowWrite:
         """Return the write by which operators learn of a roll-out."""
 
 
@@ -77,10 +79,10 @@
     async def rows(self, table: str, start: str = "") -> tuple[list[SharedRow], int]:
         """Return all rows from a key on, and the newest version."""
 
-    async def changes(self, table: str, after: int, wait: float) -> Changes | None:
+    async def changes(self, table: str, after: int, wait: float) -> RowChanges | None:
         """Wait for changes after a version; None where history is gone."""
 
-    async def transact(self, changes: list[RowChange]) -> TransactResult:
+    async def transact(self, changes: list[RowWrite]) -> TransactResult:
         """Apply all changes if each row has its expected version, or none."""
 
     async def close(self) -> None:
@@ -92,12 +94,12 @@
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fence: int
-    ) -> DutyAnswer:
+    ) -> DutyReply:
         """Report requests begun in a window, by account."""
 
     async def order(
         self, service: str, zone: str, count: int, reclaimable: bool, fence: int
-    ) -> DutyAnswer:
+    ) -> DutyReply:
         """Order that many endpoints of one kind."""
 
     async def close(self) -> None:
@@ -107,7 +109,9 @@
 class Engines(Protocol):
     """Orders to model engines."""
 
-    async def move_run(self, source: str, request_id: str, target: str) -> MoveAnswer:
+    async def move_run(
+        self, source: str, request_id: str, target: str
+    ) -> MigrationReply:
         """Stop a run at one address and pass its memory to another.
 
         Raises ENDPOINT_FAILED where no answer came: it may be stopped or not.
--- a/src/ebonydeal/_internal/relay/requests/chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/chooser.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence, Set
 from typing import NamedTuple
 
-from ebonydeal._internal.models.forwarding import EngineShape, Member
+from ebonydeal._internal.models.forwarding import EngineCapabilities, Member
 from ebonydeal._internal.relay.requests.job import Job, SendParts
 from ebonydeal._internal.routing.crashes.crash_evidence import Standing
 from ebonydeal._internal.routing.placement.member_choice import Ask
@@ -38,7 +38,7 @@
         self.without_room: list[str] = []
 
     @property
-    def engine(self) -> EngineShape | None:
+    def engine(self) -> EngineCapabilities | None:
         """What the engines of the service can do; None for plain services."""
         index = self._parts.view.index
         service = None if index is None else index.table.services.get(self._job.service)
@@ -47,7 +47,7 @@
     def ask(self, connected: frozenset[str] = frozenset()) -> Ask:
         """Return what a choice needs to know; ``connected`` matters to it alone."""
         req, engine = self._job.req, self.engine
-        fetches = engine is not None and engine.moves
+        fetches = engine is not None and engine.can_migrate_runs
         tokens = req.prompt_tokens or 0
         return Ask(req.parts, tokens, self._parts.zone, fetches, connected)
 
--- a/src/ebonydeal/_internal/relay/requests/first_wait.py
+++ b/src/ebonydeal/_internal/relay/requests/first_wait.py
@@ -50,7 +50,7 @@
         """Return the wait for the send that was chosen last."""
         job, terms = sends.job, parts.terms
         left = max(0.001, job.until - parts.clock.now())
-        if job.once:
+        if job.at_most_once:
             # It can't be sent again, so nothing is gained by not waiting.
             return cls(parts, sends, left, left)
         patience = max(
--- a/src/ebonydeal/_internal/relay/requests/intake.py
+++ b/src/ebonydeal/_internal/relay/requests/intake.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import (
     ForwardAccount,
-    Forwarded,
+    ForwardedRequest,
     Repeat,
     Route,
 )
@@ -90,13 +90,13 @@
         self, http_req: web.BaseRequest, started: float
     ) -> web.StreamResponse:
         """Accept and forward; failures become the table's answers."""
-        req: Forwarded | None = None
+        req: ForwardedRequest | None = None
         left: float | None = None
         try:
             req = self._parts.wire.read_request(
                 http_req.method, http_req.raw_path, _pairs(http_req)
             )
-            left = req.allowed
+            left = req.client_timeout
             job = await self._accept(http_req, req, started)
             left = job.until - started
             return await self._forward(job, http_req)
@@ -123,7 +123,7 @@
         return resp
 
     async def _accept(
-        self, http_req: web.BaseRequest, req: Forwarded, started: float
+        self, http_req: web.BaseRequest, req: ForwardedRequest, started: float
     ) -> Job:
         """Return the job; raises what speaks against it."""
         index = await self._known(started)
@@ -135,8 +135,8 @@
         account = self._account(req, route)
         limits = index.table.limits
         allowed = route.timeout
-        if req.allowed is not None:
-            allowed = min(allowed, req.allowed)
+        if req.client_timeout is not None:
+            allowed = min(allowed, req.client_timeout)
         name = "" if account is None else account.name
         digest = RequestDigest(name, req.host, req.method, req.target)
         body = await _read_body(http_req, limits.body_bytes, allowed, digest)
@@ -169,7 +169,7 @@
             await clock.sleep(_KNOWN_STEP_S)
         return view.index
 
-    def _account(self, req: Forwarded, route: Route) -> ForwardAccount | None:
+    def _account(self, req: ForwardedRequest, route: Route) -> ForwardAccount | None:
         """Return who asks; raises UNAUTHORIZED."""
         index = self._parts.view.index
         assert index is not None
@@ -192,7 +192,7 @@
     ]
 
 
-def _amount(req: Forwarded, account: ForwardAccount) -> float:
+def _amount(req: ForwardedRequest, account: ForwardAccount) -> float:
     """Return what a request counts against its account's limit."""
     if not account.in_tokens:
         return 1.0
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -5,7 +5,7 @@
 
 from ebonydeal._internal.models.forwarding import (
     ForwardAccount,
-    Forwarded,
+    ForwardedRequest,
     Repeat,
     Route,
 )
@@ -39,7 +39,7 @@
     equal requests, whatever their ids. ``admission`` is by its account's limit.
     """
 
-    req: Forwarded
+    req: ForwardedRequest
     route: Route
     service: str
     account: ForwardAccount | None
@@ -50,7 +50,7 @@
     admission: Admission | None = None
 
     @property
-    def once(self) -> bool:
+    def at_most_once(self) -> bool:
         """Whether it may run once at most."""
         match self.route.repeat:
             case Repeat.IDEMPOTENT:
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/moves.py
@@ -13,7 +13,7 @@
 from mode import Service
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.models.forwarding import Carried, Member
+from ebonydeal._internal.models.forwarding import KvCacheRef, Member
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.ports import Engines
@@ -45,7 +45,7 @@
     """Where a stream goes on."""
 
     member: Member
-    carried: Carried
+    carried: KvCacheRef
 
 
 @dataclass(eq=False)
@@ -204,7 +204,7 @@
             target=target.endpoint_id,
             events=run.events,
         )
-        return Moved(target, Carried(run.member.address, answer.handle))
+        return Moved(target, KvCacheRef(run.member.address, answer.handle))
 
     def _target(self, run: LiveRun) -> Member | None:
         """Return the endpoint where the run waits least, or None."""
--- a/src/ebonydeal/_internal/relay/requests/notices.py
+++ b/src/ebonydeal/_internal/relay/requests/notices.py
@@ -30,8 +30,8 @@
         for said in notice.unreadable:
             self._metrics.count(Event.NOTICES_UNREADABLE)
             logger.warning("Notice unreadable.", endpoint=member.endpoint_id, said=said)
-        if notice.rest > 0.0:
-            self._rests(member, notice.rest)
+        if notice.backoff_s > 0.0:
+            self._rests(member, notice.backoff_s)
         if notice.leaving:
             self._leaves(member)
         # Nothing ends with what can't be read, or answers another request.
@@ -44,7 +44,7 @@
             logger.info(
                 "Endpoint's limit.",
                 endpoint=member.endpoint_id,
-                born=member.born,
+                born=member.incarnation,
                 limit=notice.limit,
                 source="answer",
             )
@@ -56,7 +56,7 @@
             logger.info(
                 "Endpoint says that it leaves.",
                 endpoint=member.endpoint_id,
-                born=member.born,
+                born=member.incarnation,
                 listed_as_leaving=member.leaving,
                 source="answer",
             )
@@ -68,6 +68,6 @@
             logger.info(
                 "Endpoint asks for rest.",
                 endpoint=member.endpoint_id,
-                born=member.born,
+                born=member.incarnation,
                 rest_s=seconds,
             )
--- a/src/ebonydeal/_internal/relay/requests/plain.py
+++ b/src/ebonydeal/_internal/relay/requests/plain.py
@@ -82,7 +82,7 @@
                 if isinstance(outcome, Answered | MayHaveRun):
                     sends.count_run(wall)
                 if isinstance(outcome, Answered):
-                    if outcome.head.status < 500 or job.once:
+                    if outcome.head.status < 500 or job.at_most_once:
                         sends.answered(outcome.head.status)
                         return to_client(outcome)
                     fallback = outcome
@@ -96,7 +96,7 @@
         """Make one send, with a limit on its time."""
         job = sends.job
         limit = sends.left
-        tries_left = job.route.most_sends > 1 and not sends.proof.may_have_run
+        tries_left = job.route.max_sends > 1 and not sends.proof.may_have_run
         share = self._parts.terms.plain
         if share and job.route.repeat is Repeat.IDEMPOTENT and tries_left:
             limit = min(limit, job.route.objective * share)
@@ -115,7 +115,7 @@
         parts, job = self._parts, sends.job
         headers = parts.wire.outgoing(job.req, sends.sending(job.req.last_event))
         got = await parts.pools.of(member).send(
-            job.req.method, job.req.target, headers, job.body, job.once
+            job.req.method, job.req.target, headers, job.body, job.at_most_once
         )
         if not isinstance(got, Exchange):
             return got
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -7,9 +7,9 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import (
     AnswerHead,
-    Carried,
+    KvCacheRef,
     Member,
-    Sending,
+    SendMetadata,
 )
 from ebonydeal._internal.observe.counters import Event, RetryReason
 from ebonydeal._internal.observe.logs import get_logger
@@ -55,7 +55,7 @@
         self._parts = parts
         self.job = job
         self.chooser = Chooser(parts, job)
-        self.proof = RunProof(not job.once)
+        self.proof = RunProof(not job.at_most_once)
         self._ran = 0
         self._unsent = 0
         self._tries = 0
@@ -66,7 +66,7 @@
         self.expected: float | None = None
         self.member: Member | None = None
         self._source = ""
-        self._carried: Carried | None = None
+        self._carried: KvCacheRef | None = None
         # The split's number of the answer that is waited for; 0 for none.
         self._pending = 0
 
@@ -216,11 +216,11 @@
     def _refuse_early(self, expected: float | None) -> None:
         """Raise SHED where the answer would surely be late."""
         job = self.job
-        if expected is None or self._tries or job.req.allowed is None:
+        if expected is None or self._tries or job.req.client_timeout is None:
             return
         wait = self._parts.refusal.wait(
             job.route.name,
-            job.req.allowed,
+            job.req.client_timeout,
             job.route.objective,
             self.urgency,
             expected,
@@ -237,8 +237,8 @@
         """
         job, parts = self.job, self._parts
         return (
-            job.once
-            or self._ran + 1 >= job.route.most_sends
+            job.at_most_once
+            or self._ran + 1 >= job.route.max_sends
             or not parts.retries.affords(job.service, self._tries)
         )
 
@@ -250,15 +250,15 @@
             return account.priority
         return self.job.route.priority
 
-    def sending(self, last_event: str = "") -> Sending:
+    def sending(self, last_event: str = "") -> SendMetadata:
         """Return what the next send tells its endpoint."""
         assert self.member is not None
         account = self.job.account
-        return Sending(
+        return SendMetadata(
             endpoint_id=self.member.endpoint_id,
             account="" if account is None else account.name,
-            allowed=self.left,
-            urgency=self._rank() if self.job.route.has_prompt else None,
+            time_left=self.left,
+            priority=self._rank() if self.job.route.has_prompt else None,
             last_event=last_event,
             carried=self._carried,
             fetch_from=self._source,
@@ -381,7 +381,7 @@
     def _still_listed(self, member: Member) -> bool:
         """Return whether an endpoint hasn't started again since it was chosen."""
         listed = self._parts.view.members.get(member.endpoint_id)
-        return listed is None or listed.born == member.born
+        return listed is None or listed.incarnation == member.incarnation
 
     def _forget_avoided(self) -> None:
         """Allow endpoints again where none other is left."""
@@ -409,14 +409,14 @@
                 pass
             case MayHaveRun() | Answered():
                 self._ran += 1
-                if self._ran >= job.route.most_sends:
+                if self._ran >= job.route.max_sends:
                     return error
         failure = Failure(
             kind=error.kind,
             deployment=job.service,
-            idempotent=not job.once,
+            idempotent=not job.at_most_once,
             ran_before=self.proof.may_have_run,
-            first_byte=delivered and job.once,
+            first_byte=delivered and job.at_most_once,
             deadline=job.until,
         )
         match self._parts.retries.next_try(failure, self._tries, now):
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -116,7 +116,7 @@
                     continue
                 self._count_failed(sends, outcome)
                 if isinstance(outcome, Answered) and out.resp is None:
-                    if outcome.head.status < 500 or job.once:
+                    if outcome.head.status < 500 or job.at_most_once:
                         return to_client(outcome)
                 splitter.drop_rest()
                 sends.after(outcome, delivered=out.resp is not None)
@@ -148,7 +148,7 @@
         """Make one send; None when the stream is complete."""
         limit = sends.left
         engine = sends.chooser.engine
-        if engine is not None and engine.moves:
+        if engine is not None and engine.can_migrate_runs:
             self._parts.moves.enter(run)
         try:
             async with sends.limited(limit):
@@ -172,7 +172,7 @@
         try:
             async with first.limit():
                 got = await parts.pools.of(member).send(
-                    job.req.method, job.req.target, headers, job.body, job.once
+                    job.req.method, job.req.target, headers, job.body, job.at_most_once
                 )
         except TimeoutError:
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, "no answer")
@@ -204,9 +204,9 @@
     def _pause(self, job: Job) -> asyncio.Timeout:
         """Return the limit of a pause between events, then another is tried."""
         left = max(0.001, job.until - self._parts.clock.now())
-        if job.once:
+        if job.at_most_once:
             return asyncio.timeout(left)
-        wait = job.route.gap * self._parts.terms.gap
+        wait = job.route.max_event_gap * self._parts.terms.gap
         return asyncio.timeout(min(left, max(LEAST_PATIENCE_S, wait)))
 
     async def _relay(
--- a/src/ebonydeal/_internal/relay/view/follower.py
+++ b/src/ebonydeal/_internal/relay/view/follower.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.models.rollouts import RolloutOrder
-from ebonydeal._internal.models.shared import Changes, SharedRow
+from ebonydeal._internal.models.shared import RowChanges, SharedRow
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.ports import SharedStore, Wire
@@ -74,7 +74,7 @@
         # While another relay tells us, nothing is asked of the store.
         self.fed: Callable[[], bool] = lambda: False
         self._answered_at: float | None = None
-        self._poll: asyncio.Task[Changes | None] | None = None
+        self._poll: asyncio.Task[RowChanges | None] | None = None
         self._poll_wait = 0.0
         self._hastened = False
 
--- a/src/ebonydeal/_internal/relay/view/leaving.py
+++ b/src/ebonydeal/_internal/relay/view/leaving.py
@@ -25,7 +25,7 @@
 
 
 def _key(member: Member) -> tuple[str, int]:
-    return member.endpoint_id, member.born
+    return member.endpoint_id, member.incarnation
 
 
 class LeavingTimes(Service):
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
-from ebonydeal._internal.models.forwarding import Member, Process, RouteTable
+from ebonydeal._internal.models.forwarding import EndpointProcess, Member, RouteTable
 from ebonydeal._internal.models.rollouts import RolloutOrder
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.view.versions import KnownVersions
@@ -40,10 +40,10 @@
 
 def _differs(known: Member, member: Member) -> bool:
     """Return whether a change of an entry is worth a line."""
-    return (known.leaving, known.withheld, known.born) != (
+    return (known.leaving, known.unreadable, known.incarnation) != (
         member.leaving,
-        member.withheld,
-        member.born,
+        member.unreadable,
+        member.incarnation,
     )
 
 
@@ -89,7 +89,9 @@
         self._changed: deque[str] = deque(maxlen=_CHANGES_KEPT)
         self._leaving_since: dict[str, float] = {}
         # What processes said themselves: since when they leave, and nothing else.
-        self.said_leaving: Callable[[Process], float | None] = lambda _process: None
+        self.said_leaving: Callable[[EndpointProcess], float | None] = lambda _process: (
+            None
+        )
         self._leaves_at: dict[str, float] = {}
 
     @property
@@ -126,7 +128,7 @@
         if self.versions.orders != known:
             logger.info(
                 "Orders of roll-outs.",
-                orders={s: [o.to, o.revision] for s, o in orders.items()},
+                orders={s: [o.target_version, o.revision] for s, o in orders.items()},
                 version=read_to,
                 source=source,
             )
@@ -177,7 +179,7 @@
         found = []
         for endpoint_id, since in self._leaving_since.items():
             member = self.members[endpoint_id]
-            if member.withheld or endpoint_id in self._unknown:
+            if member.unreadable or endpoint_id in self._unknown:
                 continue
             left = self._last_resort - (now - since)
             gone = self._leaves_at.get(endpoint_id)
@@ -226,10 +228,12 @@
         left = self._left.get(member.endpoint_id, _NEVER_LEFT)
         if left.version >= member.revision:
             return
-        if member.born < max(left.born, 0 if known is None else known.born):
+        if member.incarnation < max(
+            left.born, 0 if known is None else known.incarnation
+        ):
             # A late word of one that has since started again.
             return
-        if known is not None and member.born > known.born:
+        if known is not None and member.incarnation > known.incarnation:
             self._forget_restarted(known, member)
         if known is None or known.version != member.version:
             self._new_versions |= self.versions.listed(member)
@@ -248,8 +252,8 @@
                 leaving=member.leaving,
                 leaves_in=member.leaves_in,
                 reclaimable=member.reclaimable,
-                withheld=member.withheld,
-                born=member.born,
+                withheld=member.unreadable,
+                born=member.incarnation,
             )
         self._note_change(member.endpoint_id)
 
@@ -258,7 +262,7 @@
         if not self.is_told():
             logger.info(sentence, **values)
 
-    def leaves(self, process: Process) -> None:
+    def leaves(self, process: EndpointProcess) -> None:
         """Take a process's own word that it leaves, which `said_leaving` tells."""
         known = self.members.get(process.endpoint_id)
         since = self.said_leaving(process)
@@ -276,8 +280,8 @@
     def withhold(self, endpoint_id: str, version: int) -> None:
         """Give an endpoint no new work until its entry can be read again."""
         known = self.members.get(endpoint_id)
-        if known is not None and not known.withheld:
-            self.put(known._replace(revision=version, withheld=True))
+        if known is not None and not known.unreadable:
+            self.put(known._replace(revision=version, unreadable=True))
 
     def _forget_restarted(self, known: Member, member: Member) -> None:
         """Forget what was learned before an endpoint started again."""
@@ -287,8 +291,8 @@
         logger.info(
             "Endpoint started again.",
             endpoint=endpoint_id,
-            born=member.born,
-            before=known.born,
+            born=member.incarnation,
+            before=known.incarnation,
         )
         self.on_restart(endpoint_id)
 
@@ -307,7 +311,7 @@
         """Drop an endpoint that the list no longer has."""
         known = self.members.get(endpoint_id)
         before = self._left.pop(endpoint_id, _NEVER_LEFT)
-        born = before.born if known is None else max(before.born, known.born)
+        born = before.born if known is None else max(before.born, known.incarnation)
         self._left[endpoint_id] = _Left(max(version, before.version), born)
         if known is None or known.revision > version:
             return
@@ -385,7 +389,7 @@
                 self.on_waiting()
         grouped: dict[str, list[Member]] = {}
         for member in self.members.values():
-            if member.leaving or member.withheld:
+            if member.leaving or member.unreadable:
                 continue
             if member.endpoint_id not in self._unknown:
                 grouped.setdefault(member.service, []).append(member)
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -171,7 +171,7 @@
     wanted = need.short - (total - lost)
     if offered and state.wave and terms.use_wave:
         wanted = ceil(state.load / terms.use_wave)
-    least = dict.fromkeys(zones, scaling.least)
+    least = dict.fromkeys(zones, scaling.min_endpoints)
     if not terms.least_fixed:
         least.update(dict.fromkeys(state.dry, 0))
     fixed = _fill_fixed(scaling, zones, now, spot, wanted, kept, least)
@@ -209,10 +209,10 @@
 ) -> dict[str, int]:
     """Spread reclaimable endpoints so that the loss of zones leaves enough."""
     # Both kinds together have one upper bound.
-    room = {zone: max(0, scaling.most - kept[zone]) for zone in zones}
+    room = {zone: max(0, scaling.max_endpoints - kept[zone]) for zone in zones}
     # A zone that gives no more keeps what it has.
     spot = {
-        zone: min(now[zone].spot if zone in dry else scaling.least, room[zone])
+        zone: min(now[zone].spot if zone in dry else scaling.min_endpoints, room[zone])
         for zone in zones
     }
     while not need.met(list(spot.values())):
@@ -236,11 +236,14 @@
 ) -> dict[str, int]:
     """Return on-demand endpoints: ``wanted``, and those kept until others serve."""
     fixed = {
-        zone: min(max(kept[zone], least[zone] - spot[zone]), scaling.most - spot[zone])
+        zone: min(
+            max(kept[zone], least[zone] - spot[zone]),
+            scaling.max_endpoints - spot[zone],
+        )
         for zone in zones
     }
     while sum(fixed.values()) < wanted:
-        open_zones = [z for z in zones if spot[z] + fixed[z] < scaling.most]
+        open_zones = [z for z in zones if spot[z] + fixed[z] < scaling.max_endpoints]
         if not open_zones:
             break
         prices = scaling.zone_prices
--- a/src/ebonydeal/_internal/routing/limits/endpoint_limits.py
+++ b/src/ebonydeal/_internal/routing/limits/endpoint_limits.py
@@ -6,7 +6,7 @@
 account, one request counting 1, and what is tolerated beyond it.
 """
 
-from ebonydeal._internal.models.forwarding import ForwardAccount, Process
+from ebonydeal._internal.models.forwarding import EndpointProcess, ForwardAccount
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 
 WINDOW_S = 4.0
@@ -32,14 +32,14 @@
     return _BEARS * limit * WINDOW_S + _BEARS_REQUESTS
 
 
-def limit_account(process: Process, limit: float) -> ForwardAccount:
+def limit_account(process: EndpointProcess, limit: float) -> ForwardAccount:
     """Return an endpoint's limit, requests a second, as the brokers of limits know it.
 
     It counts in units of its own, so that what is tolerated holds for it.
     """
     rate = max(limit, _LEAST_RATE)
     return ForwardAccount(
-        name=f"{process.endpoint_id}/{process.born}",
+        name=f"{process.endpoint_id}/{process.incarnation}",
         keys=(),
         priority=None,
         rate=rate,
--- a/src/ebonydeal/_internal/routing/notices/notices.py
+++ b/src/ebonydeal/_internal/routing/notices/notices.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 
 # For so long after a limit rose, or ended, the one before is told to others, or holds.
 _WINDOW_S = 4.0
@@ -34,7 +34,7 @@
     since it was heard.
     """
 
-    process: Process
+    process: EndpointProcess
     limit: float | None
     age: float
 
@@ -47,7 +47,7 @@
         """Build from another relay's JSON; raises ValueError or TypeError."""
         endpoint_id, born, limit, age = message
         return cls(
-            Process(str(endpoint_id), int(born)),
+            EndpointProcess(str(endpoint_id), int(born)),
             None if limit is None else max(0.0, float(limit)),
             max(0.0, float(age)),
         )
@@ -69,16 +69,16 @@
     """What is known of all processes."""
 
     def __init__(self) -> None:
-        self._limits: dict[Process, _Limit] = {}
+        self._limits: dict[EndpointProcess, _Limit] = {}
         # Until when a process wants nothing from this relay.
-        self._rest: dict[Process, float] = {}
+        self._rest: dict[EndpointProcess, float] = {}
         # Since when a process says that it leaves.
-        self._leaving: dict[Process, float] = {}
+        self._leaving: dict[EndpointProcess, float] = {}
         # Told which process leaves.
-        self.on_leaving: Callable[[Process], None] = lambda _process: None
+        self.on_leaving: Callable[[EndpointProcess], None] = lambda _process: None
 
     # --- rest ----------------------------------------------------------------
-    def heard_rest(self, process: Process, seconds: float, now: float) -> bool:
+    def heard_rest(self, process: EndpointProcess, seconds: float, now: float) -> bool:
         """Take for how long a process wants nothing; return if that is longer."""
         until = now + min(seconds, _MOST_REST_S)
         if until <= self._rest.get(process, now):
@@ -87,12 +87,12 @@
         self._rest[process] = until
         return True
 
-    def rest(self, process: Process, now: float) -> float:
+    def rest(self, process: EndpointProcess, now: float) -> float:
         """Return the seconds for which a process still wants nothing."""
         return max(0.0, self._rest.get(process, now) - now)
 
     # --- leaving -------------------------------------------------------------
-    def heard_leaving(self, process: Process, at: float) -> bool:
+    def heard_leaving(self, process: EndpointProcess, at: float) -> bool:
         """Note that a process says that it leaves; return if that is news.
 
         It doesn't come back: a process that stays after all starts anew.
@@ -105,7 +105,7 @@
         self.on_leaving(process)
         return True
 
-    def leaving_since(self, process: Process) -> float | None:
+    def leaving_since(self, process: EndpointProcess) -> float | None:
         """Return when a process said that it leaves; None if it didn't."""
         return self._leaving.get(process)
 
@@ -117,18 +117,20 @@
             if now - at <= _LEAVING_TOLD_S
         ]
 
-    def take_leaving(self, messages: Iterable[list], now: float) -> list[Process]:
+    def take_leaving(
+        self, messages: Iterable[list], now: float
+    ) -> list[EndpointProcess]:
         """Take what another relay heard; return what is news."""
         news = []
         for endpoint_id, born, age in messages:
-            process = Process(str(endpoint_id), int(born))
+            process = EndpointProcess(str(endpoint_id), int(born))
             if self.heard_leaving(process, now - max(0.0, float(age))):
                 news.append(process)
         return news
 
     # --- limits --------------------------------------------------------------
     def heard_limit(
-        self, process: Process, limit: float | None, sent_at: float, now: float
+        self, process: EndpointProcess, limit: float | None, sent_at: float, now: float
     ) -> bool:
         """Take an answer to what was sent at ``sent_at``; return if that is news.
 
@@ -148,7 +150,12 @@
         return self._take(report.process, report.limit, at, False, now)
 
     def _take(
-        self, process: Process, limit: float | None, at: float, own: bool, now: float
+        self,
+        process: EndpointProcess,
+        limit: float | None,
+        at: float,
+        own: bool,
+        now: float,
     ) -> bool:
         known = self._limits.get(process)
         if known is None:
@@ -178,11 +185,11 @@
         """Whether any process may have a limit, or rest."""
         return bool(self._limits or self._rest)
 
-    def takes_runs(self, process: Process, now: float) -> bool:
+    def takes_runs(self, process: EndpointProcess, now: float) -> bool:
         """Return whether runs may be moved to a process without asking."""
         return self.limit(process, now) is None and not self.rest(process, now)
 
-    def limit(self, process: Process, now: float) -> float | None:
+    def limit(self, process: EndpointProcess, now: float) -> float | None:
         """Return the limit of a process, requests a second; None for none."""
         known = self._limits.get(process)
         if known is None or known.limit is None:
@@ -191,12 +198,12 @@
             return min(known.limit, known.before)
         return known.limit
 
-    def limited(self, now: float) -> dict[Process, float]:
+    def limited(self, now: float) -> dict[EndpointProcess, float]:
         """Return all processes that have a limit."""
         limits = {process: self.limit(process, now) for process in self._limits}
         return {p: limit for p, limit in limits.items() if limit is not None}
 
-    def limit_report(self, process: Process, now: float) -> LimitReport | None:
+    def limit_report(self, process: EndpointProcess, now: float) -> LimitReport | None:
         """Return what is known of a process's limit."""
         known = self._limits.get(process)
         if known is None:
--- a/src/ebonydeal/_internal/routing/placement/member_choice.py
+++ b/src/ebonydeal/_internal/routing/placement/member_choice.py
@@ -281,7 +281,7 @@
         read = self.speed.reading(missed) * self._terms.reread_weight
         fetch = _FETCH_S + fetched * _FETCH_WEIGHT / self.speed.rate if fetched else 0.0
         zone = 0.0 if member.zone == ask.zone else _OTHER_ZONE_S
-        total = wait + read + fetch + batch + zone + member.warming + failing
+        total = wait + read + fetch + batch + zone + member.warmup_left + failing
         if member.leaving:
             total += _LEAVING_S
         if member.endpoint_id not in ask.connected:
--- a/src/ebonydeal/_internal/routing/rollout/course.py
+++ b/src/ebonydeal/_internal/routing/rollout/course.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.routing.rollout.evidence import (
     Evidence,
     Mixture,
@@ -278,7 +278,7 @@
         ill = standing.loudest if standing.total >= self.terms.doubt else ""
         return tuple(sorted(fleet.new, key=lambda e: (e == ill, e)))
 
-    def gate(self, verdict: Verdict, barred: tuple[str, ...]) -> Gate:
+    def gate(self, verdict: Verdict, barred: tuple[str, ...]) -> RolloutGate:
         """Return what relays are told."""
         order = self.order
         shares: dict[str, float] = {}
@@ -286,9 +286,9 @@
         match verdict:
             case Continue():
                 shares, canaries = verdict.shares, verdict.canaries
-        return Gate(
+        return RolloutGate(
             order.service,
-            order.to,
+            order.target_version,
             order.revision,
             self.phase,
             shares,
--- a/src/ebonydeal/_internal/routing/rollout/split.py
+++ b/src/ebonydeal/_internal/routing/rollout/split.py
@@ -14,7 +14,7 @@
 from xxhash import xxh3_64_intdigest
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.routing.rollout.tally import (
     FAILED,
     Counts,
@@ -96,7 +96,7 @@
 
     def __init__(self, order: RolloutOrder, before: "_Watch | None" = None) -> None:
         self.order = order
-        self.gate: Gate | None = None
+        self.gate: RolloutGate | None = None
         # Versions that get nothing, as known before the coordinator speaks.
         self.barred = () if before is None else before.barred_after(order)
         self.told_at = 0.0
@@ -118,8 +118,8 @@
         """
         barred = set(self.barred if self.gate is None else self.gate.barred)
         if self.gate is None or self.gate.phase is not Phase.COMPLETED:
-            barred.add(self.order.to)
-        return tuple(sorted(barred - {order.to}))
+            barred.add(self.order.target_version)
+        return tuple(sorted(barred - {order.target_version}))
 
     @property
     def is_running(self) -> bool:
@@ -183,12 +183,14 @@
             if watch.gate is None:
                 del self._watched[service]
 
-    def told(self, gates: Sequence[Gate], now: float) -> None:
+    def told(self, gates: Sequence[RolloutGate], now: float) -> None:
         """Take what the coordinator says; a verdict is never turned back."""
         for gate in gates:
             watch = self._watched.get(gate.service)
             if watch is None or watch.order.revision < gate.revision:
-                order = RolloutOrder(gate.service, gate.to, 0.0, gate.revision)
+                order = RolloutOrder(
+                    gate.service, gate.target_version, 0.0, gate.revision
+                )
                 watch = self._watched[gate.service] = _Watch(order, watch)
             if watch.order.revision > gate.revision:
                 continue
@@ -202,7 +204,7 @@
                 # Nothing more is counted: endpoints come and go for long.
                 watch.tally = _decided(watch.tally)
 
-    def learn(self, gates: Sequence[Gate]) -> None:
+    def learn(self, gates: Sequence[RolloutGate]) -> None:
         """Take verdicts, not shares, of who only heard of them."""
         for gate in gates:
             watch = self._watched.get(gate.service)
@@ -234,7 +236,7 @@
         if watch is None:
             return Part(members)
         gate = watch.gate
-        to = watch.order.to
+        to = watch.order.target_version
         barred = watch.barred if gate is None else gate.barred
         new = [m for m in members if m.version == to]
         old = [m for m in members if m.version != to and m.version not in barred]
@@ -275,7 +277,7 @@
         tally = watch.tally
         if first:
             tally["requests"][route] = tally["requests"].get(route, 0) + 1
-        if member.version != watch.order.to:
+        if member.version != watch.order.target_version:
             return False
         tally["exposed"][route] = tally["exposed"].get(route, 0) + 1
         watch.credit[route] = max(0.0, self._credit(watch, route) - 1.0)
@@ -323,7 +325,7 @@
         if watch is None:
             return False
         self._count(service, route, member, FAILED)
-        return member.version == watch.order.to
+        return member.version == watch.order.target_version
 
     def _learn(self, route: str, seconds: float) -> None:
         known = self._usual.get(route, log(seconds))
@@ -331,7 +333,7 @@
 
     def _is_new(self, answer: Awaited) -> bool:
         watch = self._watched.get(answer.service)
-        return watch is not None and answer.member.version == watch.order.to
+        return watch is not None and answer.member.version == watch.order.target_version
 
     def _count_wait(self, wait: _Wait, took: float) -> None:
         answer = wait.answer
@@ -359,7 +361,7 @@
         if watch is None:
             return
         tally = watch.tally
-        if member.version == watch.order.to:
+        if member.version == watch.order.target_version:
             by_endpoint = tally["new"].setdefault(route, {})
             counts = by_endpoint.setdefault(member.endpoint_id, empty())
         else:
@@ -383,6 +385,6 @@
             watch.told_bad = bad
         return found
 
-    def gates(self) -> list[Gate]:
+    def gates(self) -> list[RolloutGate]:
         """Return what this relay was told, for one that asks it."""
         return [w.gate for w in self._watched.values() if w.gate is not None]
--- a/src/ebonydeal/_internal/soak/platform.py
+++ b/src/ebonydeal/_internal/soak/platform.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from ebonydeal._internal.models.shared import RowChange, SharedRow
+from ebonydeal._internal.models.shared import RowWrite, SharedRow
 from ebonydeal._internal.platform.rehearsal import (
     FEED_PATH,
     ORDER_PATH,
@@ -61,10 +61,10 @@
 
     async def put(self, table: str, key: str, value: bytes | None) -> float:
         """Write as the operator or an endpoint does; returns when it was done."""
-        await self._apply([RowChange(table, key, value)])
+        await self._apply([RowWrite(table, key, value)])
         return time.monotonic()
 
-    async def _apply(self, changes: list[RowChange]) -> None:
+    async def _apply(self, changes: list[RowWrite]) -> None:
         self._version += 1
         for change in changes:
             row = SharedRow(change.key, change.value, self._version)
--- a/tests/functional/platform/test_calls.py
+++ b/tests/functional/platform/test_calls.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.shared import NO_ROW, RowChange
+from ebonydeal._internal.models.shared import NO_ROW, RowWrite
 from ebonydeal._internal.platform.duties import PlatformDuties
 from ebonydeal._internal.platform.engines import PlatformEngines
 from ebonydeal._internal.platform.store import PlatformStore
@@ -76,7 +76,7 @@
         async with Service() as service:
             service.answers = [(412, {"rows": [wire_row("k", b"x", 7)]})]
             store = PlatformStore(service.url, 1.0, SystemClock())
-            result = await store.transact([RowChange("t", "k", b"y", NO_ROW)])
+            result = await store.transact([RowWrite("t", "k", b"y", NO_ROW)])
             await store.close()
         assert not result.applied
         assert result.rows[0].version == 7
@@ -99,7 +99,7 @@
             service.answers = [answer]
             store = PlatformStore(service.url, 1.0, SystemClock())
             with pytest.raises(EbonydealError) as caught:
-                await store.transact([RowChange("t", "k", b"y")])
+                await store.transact([RowWrite("t", "k", b"y")])
             await store.close()
         assert caught.value.kind is kind
 
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -27,11 +27,11 @@
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
-            await until(lambda: program.view.members["i1"].born == 1_000)
+            await until(lambda: program.view.members["i1"].incarnation == 1_000)
             again = whole(3, 4)
             one.script = [restarts(store, one, began=True), again]
             status, _headers, body = await ask(program, "/again/", method="POST")
-            await until(lambda: program.view.members["i1"].born == 2_000)
+            await until(lambda: program.view.members["i1"].incarnation == 2_000)
         assert (status, body) == (200, events(1, 4))
         assert "Last-Event-Id: 2" in one.seen[1]
 
@@ -39,10 +39,10 @@
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
-            await until(lambda: program.view.members["i1"].born == 1_000)
+            await until(lambda: program.view.members["i1"].incarnation == 1_000)
             one.script = [restarts(store, one, began=False)]
             status, _headers, _body = await ask(program, "/once/", method="POST")
-            await until(lambda: program.view.members["i1"].born == 2_000)
+            await until(lambda: program.view.members["i1"].incarnation == 2_000)
         assert status == 502
         assert len(one.seen) == 1
 
@@ -50,11 +50,11 @@
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
-            await until(lambda: program.view.members["i1"].born == 1_000)
+            await until(lambda: program.view.members["i1"].incarnation == 1_000)
             assert (await ask(program, "/safe/"))[0] == 200
             assert program._pools.connected() == {"i1"}
             await store.put("servers", "i1", one.row(born=2_000))
-            await until(lambda: program.view.members["i1"].born == 2_000)
+            await until(lambda: program.view.members["i1"].incarnation == 2_000)
             assert program._pools.connected() == frozenset()
             assert program._choice.own() == {}
             assert (await ask(program, "/safe/", rid="r2"))[0] == 200
--- a/tests/lib/endpoint_limit_model.py
+++ b/tests/lib/endpoint_limit_model.py
@@ -5,12 +5,12 @@
 """
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 from ebonydeal._internal.routing.limits.endpoint_limits import WINDOW_S, bears
 from tests.lib.limits_cluster import limited, tolerated
 from tests.lib.shares_model import Model
 
-ENDPOINT = Process("i1", 7)
+ENDPOINT = EndpointProcess("i1", 7)
 # From so long after it passed on an answer that names the limit, a relay is bound.
 _KNOWN_AFTER_S = 0.5
 # What a relay sends in a step while it knows of no limit.
--- a/tests/lib/relay_fakes.py
+++ b/tests/lib/relay_fakes.py
@@ -6,9 +6,9 @@
 from contextlib import asynccontextmanager
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.duties import DutyAnswer
-from ebonydeal._internal.models.forwarding import MoveAnswer
-from ebonydeal._internal.models.shared import Changes, SharedRow, TransactResult
+from ebonydeal._internal.models.duties import DutyReply
+from ebonydeal._internal.models.forwarding import MigrationReply
+from ebonydeal._internal.models.shared import RowChanges, SharedRow, TransactResult
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.platform.wire import PlatformWire
 from ebonydeal._internal.relay.ports import RelayPorts
@@ -67,10 +67,10 @@
                         await self._changed.wait()
                     self._check()
         except TimeoutError:
-            return Changes((), self.version)
+            return RowChanges((), self.version)
         if after < self.forgotten:
             return None
-        return Changes(tuple(found), found[-1].version)
+        return RowChanges(tuple(found), found[-1].version)
 
     def _since(self, table, after):
         return [r for t, r in self.log if t == table and r.version > after]
@@ -109,13 +109,13 @@
 
     async def report_usage(self, window, counts, fence):
         self.usage.append((window, counts, fence))
-        return DutyAnswer(True, False, "")
+        return DutyReply(True, False, "")
 
     async def order(self, service, zone, count, reclaimable, fence):
         if self.dry and reclaimable:
-            return DutyAnswer(False, True, "none")
+            return DutyReply(False, True, "none")
         self.orders.append((service, zone, count, reclaimable, fence))
-        return DutyAnswer(True, False, "")
+        return DutyReply(True, False, "")
 
     async def close(self):
         pass
@@ -140,7 +140,7 @@
         self.moves.append((source, request_id, target))
         if self.on_move is not None:
             await self.on_move(source, request_id, target)
-        return MoveAnswer(self.handle, "" if self.handle else "no room")
+        return MigrationReply(self.handle, "" if self.handle else "no room")
 
     async def leaves_in(self, address):
         self.asked.append(address)
--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -2,10 +2,10 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import (
-    Carried,
-    Notice,
+    EndpointNotice,
+    KvCacheRef,
     PromptPart,
-    Sending,
+    SendMetadata,
 )
 from ebonydeal._internal.platform.headers import outgoing, read_answer, read_request
 
@@ -22,7 +22,7 @@
     "Ebonydeal-Not-Executed",
 )
 HOPS = ("Connection", "Keep-Alive", "TE", "Trailer", "Transfer-Encoding", "Upgrade")
-SEND = Sending("i-1", "acme", 1.5, 2, "")
+SEND = SendMetadata("i-1", "acme", 1.5, 2, "")
 
 
 def request(*extra):
@@ -51,7 +51,7 @@
         assert (req.prompt_tokens, req.output_tokens) == (1460, 80)
         assert req.parts == (PromptPart("5c", 800), PromptPart("91", 410))
         assert (req.length_hint, req.last_event) == (40, "7")
-        assert (req.credential, req.allowed) == ("secret", 4.0)
+        assert (req.credential, req.client_timeout) == ("secret", 4.0)
         assert (req.path, req.target) == ("/p/x", "/p/x?q=1")
 
     @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 
     def test_without_a_deadline_has_none(self):
         pairs = [("Ebonydeal-Request-Id", "r")]
-        assert read_request("GET", "/", pairs).allowed is None
+        assert read_request("GET", "/", pairs).client_timeout is None
 
 
 class TestOutgoing:
@@ -115,7 +115,7 @@
         assert ("Ebonydeal-Request-Id", "r1") in listed
 
     def test_time_left_is_never_zero(self):
-        listed = dict(outgoing(request(), SEND._replace(allowed=0.0)))
+        listed = dict(outgoing(request(), SEND._replace(time_left=0.0)))
         assert listed["Ebonydeal-Deadline-Ms"] == "1"
 
 
@@ -148,7 +148,7 @@
 
 class TestMemory:
     def test_a_run_goes_on_from_where_its_memory_lies(self):
-        send = SEND._replace(carried=Carried("10.1.0.2:80", "h7"), last_event="4")
+        send = SEND._replace(carried=KvCacheRef("10.1.0.2:80", "h7"), last_event="4")
         block = dict(outgoing(request(), send))
         assert block["Kv-From"] == "10.1.0.2:80/h7"
         assert block["Last-Event-Id"] == "4"
@@ -164,31 +164,31 @@
     @pytest.mark.parametrize("status", [200, 404, 500, 503])
     def test_of_a_limit_is_in_each_answer(self, status):
         head = read_answer(status, [("server-limit", "1.4")])
-        assert head.notice == Notice(1.4)
+        assert head.notice == EndpointNotice(1.4)
         assert ("server-limit", "1.4") in head.headers
 
     @pytest.mark.parametrize("said", ["", "x", "-1", "nan", "1e999", "inf", "1 2"])
     def test_that_cant_be_read_is_kept_as_such(self, said):
         notice = read_answer(200, [("Server-Limit", said)]).notice
-        assert notice == Notice(unreadable=(f"Server-Limit: {said}",))
+        assert notice == EndpointNotice(unreadable=(f"Server-Limit: {said}",))
 
     def test_of_leaving(self):
         assert read_answer(503, [("Server-Leaving", "1")]).notice.leaving
         assert not read_answer(200, [("Server-Leaving", "0")]).notice.leaving
         notice = read_answer(200, [("Server-Leaving", "soon")]).notice
-        assert notice == Notice(unreadable=("Server-Leaving: soon",))
+        assert notice == EndpointNotice(unreadable=("Server-Leaving: soon",))
 
     @pytest.mark.parametrize(("said", "rest"), [("3", 3.0), ("0.25", 0.25), ("0", 0.0)])
     def test_of_rest_comes_with_503_alone(self, said, rest):
-        assert read_answer(503, [("Retry-After", said)]).notice.rest == rest
-        assert read_answer(429, [("Retry-After", said)]).notice.rest == 0.0
+        assert read_answer(503, [("Retry-After", said)]).notice.backoff_s == rest
+        assert read_answer(429, [("Retry-After", said)]).notice.backoff_s == 0.0
 
     @pytest.mark.parametrize(
         "said", ["", "-3", "soon", "Thu, 01 Jan 2026 00:00:00 GMT"]
     )
     def test_of_rest_that_cant_be_read_asks_for_none(self, said):
         notice = read_answer(503, [("Retry-After", said)]).notice
-        assert notice == Notice(unreadable=(f"Retry-After: {said}",))
+        assert notice == EndpointNotice(unreadable=(f"Retry-After: {said}",))
 
     def test_without_anything_said(self):
-        assert read_answer(200, []).notice == Notice()
+        assert read_answer(200, []).notice == EndpointNotice()
--- a/tests/unit/platform/test_rows.py
+++ b/tests/unit/platform/test_rows.py
@@ -156,9 +156,11 @@
 
     def test_its_start_is_told_where_endpoints_tell_it(self):
         value = json.dumps({**MEMBER, "born": 1_790_000_000_123}).encode()
-        assert decode_member(SharedRow("i-1", value, 1)).born == 1_790_000_000_123
+        assert (
+            decode_member(SharedRow("i-1", value, 1)).incarnation == 1_790_000_000_123
+        )
         value = json.dumps(MEMBER).encode()
-        assert decode_member(SharedRow("i-1", value, 1)).born == 0
+        assert decode_member(SharedRow("i-1", value, 1)).incarnation == 0
 
 
 class TestAnyBytes:
@@ -180,10 +182,10 @@
             return
         assert member.slots >= 1
         assert member.leaves_in is None or 0.0 <= member.leaves_in < 1e15
-        assert 0.0 <= member.warming < 1e15
+        assert 0.0 <= member.warmup_left < 1e15
         assert isinstance(member.leaving, bool)
         assert isinstance(member.reclaimable, bool)
-        assert isinstance(member.born, int)
+        assert isinstance(member.incarnation, int)
 
     @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
     def test_the_configuration(self, value):
--- a/tests/unit/relay/duties/test_fleet.py
+++ b/tests/unit/relay/duties/test_fleet.py
@@ -4,7 +4,7 @@
 
 from ebonydeal._internal.models.forwarding import (
     ClientLimits,
-    EngineShape,
+    EngineCapabilities,
     ForwardService,
     Member,
     RouteTable,
@@ -19,7 +19,7 @@
 
 PRICES = {"a": 1.0, "b": 1.0, "c": 1.0}
 SCALING = Scaling(1, 6, 4.0, 0.2, PRICES)
-SERVICE = ForwardService("s", "/h", 100, EngineShape(64, 1000, 8, True), SCALING)
+SERVICE = ForwardService("s", "/h", 100, EngineCapabilities(64, 1000, 8, True), SCALING)
 
 
 class Market:
@@ -84,24 +84,24 @@
 class TestAwaited:
     async def test_what_is_beyond_a_zones_bound_is_not_awaited(self):
         market = Market(0.0)
-        for number in range(SCALING.most):
+        for number in range(SCALING.max_endpoints):
             market.has(f"f{number}", "a", spot=False)
         market.has("f", "b", spot=False)
         await market.play(0.4)
         orders = {zone: n for _s, zone, n, spot, _f in market.duties.orders if spot}
         assert orders.get("a", 0) == 0
-        assert orders["b"] + orders["c"] >= SCALING.most + 1
+        assert orders["b"] + orders["c"] >= SCALING.max_endpoints + 1
 
     async def test_an_order_is_not_sent_again_before_it_could_come(self):
         market = Market(0.3)
         first = await market.play(0.2)
         assert first
-        assert await market.play(SCALING.boot) == []
+        assert await market.play(SCALING.boot_s) == []
 
     async def test_one_that_brought_nothing_is_sent_again(self):
         market = Market(0.3)
         await market.play(0.2)
-        assert await market.play(SCALING.boot + 2.0) != []
+        assert await market.play(SCALING.boot_s + 2.0) != []
 
 
 class TestWave:
--- a/tests/unit/relay/duties/test_lease_keeper.py
+++ b/tests/unit/relay/duties/test_lease_keeper.py
@@ -4,13 +4,13 @@
 from random import Random
 from types import SimpleNamespace
 
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.relay.duties.lease_keeper import LEASE_TABLE, LeaseKeeper
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease, LeaseRow
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryStore
 
-OPEN = RowChange("usage", "open", b"{}")
+OPEN = RowWrite("usage", "open", b"{}")
 
 
 class Relays:
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -16,7 +16,7 @@
 
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.platform.wire import PlatformWire
 from ebonydeal._internal.relay.duties.rollout_book import RolloutBook
@@ -95,7 +95,7 @@
 
     def renew(self):
         """Renew, with what is due; a holder that was replaced does nothing."""
-        changes = [RowChange(*LEASE, b"holder", self.lease_version)]
+        changes = [RowWrite(*LEASE, b"holder", self.lease_version)]
         changes += self.rollouts.kept.changes()
         result = asyncio.run(self.store.transact(changes))
         if not result.applied:
@@ -139,8 +139,8 @@
                 continue
             chosen = part.members[0]
             self.split.sent("s", "r", chosen, first=True)
-            over += chosen.version == ORDER.to
-            bad = failing and chosen.version == ORDER.to
+            over += chosen.version == ORDER.target_version
+            bad = failing and chosen.version == ORDER.target_version
             category = FAILED if bad else category_of(0.1, 0.1)
             self.split._count("s", "r", chosen, category)
         return over
@@ -273,7 +273,7 @@
 
     def test_a_version_given_up_midway_gets_nothing(self):
         book = self.book()
-        book.begin(ORDER._replace(to="v3", revision=6), set(), 1.0)
+        book.begin(ORDER._replace(target_version="v3", revision=6), set(), 1.0)
         assert book.barred_of("s") == {"v2"}
 
     def test_one_that_is_ordered_again_may_get_requests(self):
@@ -285,7 +285,7 @@
 
     def test_back_to_the_services_own_version(self):
         book = self.book()
-        run = book.begin(ORDER._replace(to="v1", revision=6), set(), 1.0)
+        run = book.begin(ORDER._replace(target_version="v1", revision=6), set(), 1.0)
         assert run.course.phase is Phase.COMPLETED
         assert book.barred_of("s") == {"v2"}
 
@@ -369,7 +369,7 @@
     @precondition(lambda self: self.holder.holds)
     @rule()
     def write_takes_effect_unheard(self):
-        changes = [RowChange(*LEASE, b"holder", self.holder.lease_version)]
+        changes = [RowWrite(*LEASE, b"holder", self.holder.lease_version)]
         changes += self.holder.rollouts.kept.changes()
         asyncio.run(self.store.transact(changes))
         self.holder.lease_version = self.store.tables[LEASE[0]][LEASE[1]].version
@@ -433,5 +433,9 @@
         holder.take_lease()
         holder.step()
         gate = holder.rollouts.gates()[0]
-        assert (gate.service, gate.to, gate.phase) == ("s", "v2", Phase.RUNNING)
+        assert (gate.service, gate.target_version, gate.phase) == (
+            "s",
+            "v2",
+            Phase.RUNNING,
+        )
         assert isinstance(holder.rollouts._book.runs["s"].verdict, Continue)
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -9,8 +9,8 @@
 
 from ebonydeal._internal.errors import ANSWERS, EbonydealError
 from ebonydeal._internal.models.forwarding import (
-    Carried,
-    Forwarded,
+    ForwardedRequest,
+    KvCacheRef,
     Member,
     Repeat,
     Route,
@@ -38,7 +38,7 @@
 MEMBERS = [
     Member(f"i{n}", "s", f"i{n}:1", "z", 8, False, None, True, 0.0, 1) for n in range(4)
 ]
-MOVED = Moved(MEMBERS[3], Carried("i0:1", "h1"))
+MOVED = Moved(MEMBERS[3], KvCacheRef("i0:1", "h1"))
 # What happens to one send; a moved run is stopped and has run.
 events = st.one_of(outcomes, st.just(MOVED))
 
@@ -94,7 +94,7 @@
         resumable,
         0.4,
     )
-    req = Forwarded("r1", "POST", "/p/x", "h", "", 9.0, 10, 5, (), None, "", ())
+    req = ForwardedRequest("r1", "POST", "/p/x", "h", "", 9.0, 10, 5, (), None, "", ())
     return Job(req, route, "s", None, b"", 100.0, 109.0)
 
 
@@ -149,7 +149,7 @@
             member=MEMBERS[0], missed=9000.0, expected=expected, source=""
         )
         sends._take(found)
-        return sends.sending().urgency
+        return sends.sending().priority
 
     def test_one_that_can_be_in_time_has_its_routes(self):
         assert self.rank(0.9) == 0
--- a/tests/unit/relay/test_endpoint_limit_model.py
+++ b/tests/unit/relay/test_endpoint_limit_model.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 from ebonydeal._internal.routing.limits.endpoint_limits import (
     ENDPOINT_BOUNDS,
     bears,
@@ -18,13 +18,13 @@
 class TestSum:
     @pytest.mark.parametrize("limit", [0.0, 0.3, 1.0, 1.4, 8.0, 60.0, 5000.0])
     def test_fits_what_the_endpoint_bears(self, limit):
-        account = limit_account(Process("i1", 0), limit)
+        account = limit_account(EndpointProcess("i1", 0), limit)
         allowed = ENDPOINT_BOUNDS.limit(account) + ENDPOINT_BOUNDS.tolerated(account)
         assert ENDPOINT_BOUNDS.fits(account)
         assert allowed <= bears(max(limit, account.rate)) + 1e-9
 
     def test_of_no_requests_at_all_leaves_room_to_hear_of_its_end(self):
-        account = limit_account(Process("i1", 0), 0.0)
+        account = limit_account(EndpointProcess("i1", 0), 0.0)
         assert account.rate > 0.0
         # Nothing of these limits is granted in advance, or lies at a stand-in.
         terms = {term.name: term.amount for term in ENDPOINT_BOUNDS.terms(account)}
--- a/tests/unit/relay/view/test_follower.py
+++ b/tests/unit/relay/view/test_follower.py
@@ -7,7 +7,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.models.shared import Changes, SharedRow
+from ebonydeal._internal.models.shared import RowChanges, SharedRow
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.platform.wire import PlatformWire
 from ebonydeal._internal.relay.view.follower import MembersFollower
@@ -33,7 +33,7 @@
         if self.polls == 1:
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, "away")
         if self.polls == 2:
-            return Changes((GONE,), 9)
+            return RowChanges((GONE,), 9)
         await asyncio.Future()
 
 
--- a/tests/unit/relay/view/test_view.py
+++ b/tests/unit/relay/view/test_view.py
@@ -239,7 +239,7 @@
     def none_before_the_newest_is_known(self):
         known = self.view.members.get("i1")
         if known is not None:
-            assert known.born == self.newest
+            assert known.incarnation == self.newest
             assert known.revision <= self.revision
 
     @invariant()
--- a/tests/unit/routing/fleet/test_fleet_plan.py
+++ b/tests/unit/routing/fleet/test_fleet_plan.py
@@ -60,7 +60,7 @@
         booting = {z: ZoneFleet(fixed=2, spot_coming=2) for z in PRICES}
         wanted = plan(3.0, booting)
         assert sum(t.fixed for t in wanted.values()) == 4
-        assert all(t.spot + t.fixed <= SCALING.most for t in wanted.values())
+        assert all(t.spot + t.fixed <= SCALING.max_endpoints for t in wanted.values())
 
     def test_they_go_when_the_reclaimable_ones_serve(self):
         served = {z: ZoneFleet(spot=2, fixed=2) for z in PRICES}
@@ -130,7 +130,7 @@
             zone: ZoneFleet(spot=counts[i], fixed=counts[i + 3])
             for i, zone in enumerate(PRICES)
         }
-        scaling = SCALING._replace(least=least, most=most)
+        scaling = SCALING._replace(min_endpoints=least, max_endpoints=most)
         there = ALL if dry else frozenset()
         terms = TERMS._replace(least_fixed=filled)
         wanted = plan(load, zones, there, scaling, terms=terms, wave=wave)
--- a/tests/unit/routing/notices/test_notices.py
+++ b/tests/unit/routing/notices/test_notices.py
@@ -1,9 +1,9 @@
 import pytest
 
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 from ebonydeal._internal.routing.notices.notices import EndpointNotices, LimitReport
 
-ONE, AGAIN = Process("i1", 5), Process("i1", 9)
+ONE, AGAIN = EndpointProcess("i1", 5), EndpointProcess("i1", 9)
 
 
 @pytest.fixture
@@ -48,9 +48,9 @@
     def test_of_thousands_of_processes_is_forgotten_oldest_first(self):
         notices = EndpointNotices()
         for number in range(4500):
-            notices.heard_limit(Process(f"i{number}", 0), 1.0, number, number)
-        assert notices.limit(Process("i0", 0), 5000.0) is None
-        assert notices.limit(Process("i4499", 0), 5000.0) == 1.0
+            notices.heard_limit(EndpointProcess(f"i{number}", 0), 1.0, number, number)
+        assert notices.limit(EndpointProcess("i0", 0), 5000.0) is None
+        assert notices.limit(EndpointProcess("i4499", 0), 5000.0) == 1.0
 
 
 class TestOthersWord:
--- a/tests/unit/routing/rollout/test_split.py
+++ b/tests/unit/routing/rollout/test_split.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.routing.rollout.split import Awaited, Split
 from ebonydeal._internal.routing.rollout.tally import FAILED, category_of
 
@@ -23,7 +23,7 @@
 
 def gate(share=0.0, phase=Phase.RUNNING, revision=7, to="v2", barred=()):
     canaries = tuple(m.endpoint_id for m in NEW[:2])
-    return Gate("s", to, revision, phase, {"r": share}, canaries, barred)
+    return RolloutGate("s", to, revision, phase, {"r": share}, canaries, barred)
 
 
 def split(name="n1", gates=(), orders=True):
@@ -138,13 +138,13 @@
         self, phase
     ):
         found = split(gates=[gate(phase=phase, barred=("v0",))])
-        found.ordered({"s": ORDER._replace(to="v3", revision=9)})
+        found.ordered({"s": ORDER._replace(target_version="v3", revision=9)})
         listed = [*BOTH, member("c", "v3"), member("z", "v0")]
         assert versions(found.part("s", "r", listed, 100.0)) == {"v1"}
 
     def test_one_that_was_is_the_old_version_of_the_next_order(self):
         found = split(gates=[gate(phase=Phase.COMPLETED)])
-        found.ordered({"s": ORDER._replace(to="v3", revision=9)})
+        found.ordered({"s": ORDER._replace(target_version="v3", revision=9)})
         listed = [*NEW, member("c", "v3")]
         assert versions(found.part("s", "r", listed, 100.0)) == {"v2"}
 
