--- a/src/ebonydeal/_internal/platform/engines.py
+++ b/src/ebonydeal/_internal/platform/engines.py
@@ -19,7 +19,7 @@
     def __init__(self, timeout: float) -> None:
         self._calls = JsonCalls(timeout)
 
-    async def move_run(
+    async def migrate_run(
         self, source: str, request_id: str, target: str
     ) -> MigrationReply:
         """Stop a run at ``source`` and pass its memory to ``target`` (addresses).
--- a/src/ebonydeal/_internal/relay/peers/word.py
+++ b/src/ebonydeal/_internal/relay/peers/word.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage, ExchangeReply
 from ebonydeal._internal.relay.peers.rollouts import RolloutHearer
 from ebonydeal._internal.relay.peers.roster import addresses_hash
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.view.news import NewsTaker
 from ebonydeal._internal.relay.view.view import RelayView
@@ -29,7 +29,7 @@
     incarnation: str
     usage: UsageMeter
     choice: MemberChoice
-    quota: QuotaGate
+    quota: QuotaLimiter
     limits: LimitsLink
     failing: FailureShares
     suspects: Suspects
--- a/src/ebonydeal/_internal/relay/ports.py
+++ b/src/ebonydeal/_internal/relay/ports.py
@@ -109,7 +109,7 @@
 class Engines(Protocol):
     """Orders to model engines."""
 
-    async def move_run(
+    async def migrate_run(
         self, source: str, request_id: str, target: str
     ) -> MigrationReply:
         """Stop a run at one address and pass its memory to another.
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -37,9 +37,9 @@
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.intake import Intake
 from ebonydeal._internal.relay.requests.job import SendParts, SendTerms
-from ebonydeal._internal.relay.requests.moves import MovesParts, StreamMoves
+from ebonydeal._internal.relay.requests.migrations import MigratorParts, StreamMigrator
 from ebonydeal._internal.relay.requests.notices import NoticeReader
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.shares import (
     FIRST_RELAYS,
@@ -127,8 +127,8 @@
         self._notices = EndpointNotices()
         self._notices.on_leaving = self.view.leaves
         self.view.said_leaving = self._notices.leaving_since
-        self._moves = StreamMoves(
-            MovesParts(
+        self._moves = StreamMigrator(
+            MigratorParts(
                 view=self.view,
                 choice=self._choice,
                 outliers=outliers,
@@ -202,7 +202,7 @@
             zone=self._node.zone,
             terms=SendTerms.from_config(self._policy),
         )
-        self._quota = QuotaGate(self._limits, clock, bounds, metrics)
+        self._quota = QuotaLimiter(self._limits, clock, bounds, metrics)
         self.intake = Intake(parts, self._quota, self._policy.quota_wait)
         self.clients = RawListener(self.intake.handle, self._cfg.address, opened)
         self._ready = RawListener(self._answer_ready, self._cfg.ready_address, opened)
@@ -428,14 +428,14 @@
         self._choice.forget(endpoint_id)
         self._failing.forget(endpoint_id)
         self._outliers.forget(endpoint_id)
-        self._pools.forget(endpoint_id)
+        self._pools.drop(endpoint_id)
 
     @Service.task
     async def _sweep(self) -> None:
         """Forget endpoints that are gone."""
         while not self.should_stop:
             await self._clock.sleep(_SWEEP_S)
-            self._pools.keep_only(self.view.members)
+            self._pools.retain_only(self.view.members)
             self._choice.keep_only(self.view.members)
 
     async def drain(self) -> None:
@@ -448,7 +448,7 @@
         self._word.leaving = True
         begun = self._clock.now()
         last = begun + self._cfg.grace_s - _EXIT_RESERVE_S
-        self.intake.close_by(begun + self._cfg.settle_s, last)
+        self.intake.drain(begun + self._cfg.settle_s, last)
         logger.info("Draining.", in_flight=self.intake.in_flight)
         await self.coordinator.release()
         await self._clock.sleep(self._cfg.settle_s)
--- a/src/ebonydeal/_internal/relay/requests/connections.py
+++ b/src/ebonydeal/_internal/relay/requests/connections.py
@@ -109,7 +109,7 @@
             self.seconds = min(_ONCE_IDLE_S, self.seconds * _GROWTH)
 
 
-class Exchange:
+class HttpExchange:
     """One request on one connection, and the beginning of its answer."""
 
     def __init__(
@@ -177,7 +177,7 @@
         headers: Iterable[tuple[str, str]],
         body: bytes,
         once: bool,
-    ) -> Exchange | NotSent | MayHaveRun:
+    ) -> HttpExchange | NotSent | MayHaveRun:
         """Send a request and wait for the head of its answer."""
         pooled = self._take(once)
         idle = pooled.idle(self._clock.now())
@@ -204,7 +204,7 @@
             raise
         if idle is not None:
             self._limit.good(idle)
-        return Exchange(self, pooled, resp)
+        return HttpExchange(self, pooled, resp)
 
     def has_idle(self, now: float) -> bool:
         """Return whether a connection is open that any request may go on."""
@@ -251,7 +251,7 @@
         self._limit = IdleLimit()
         self._pools: dict[tuple[str, str], EndpointPool] = {}
 
-    def of(self, member: Member) -> EndpointPool:
+    def get(self, member: Member) -> EndpointPool:
         """Return the connections to ``member``."""
         key = (member.endpoint_id, member.address)
         pool = self._pools.get(key)
@@ -262,7 +262,7 @@
             self._pools[key] = pool
         return pool
 
-    def connected(self) -> frozenset[str]:
+    def connected_endpoints(self) -> frozenset[str]:
         """Return the endpoints to which an idle connection is open."""
         now = self._clock.now()
         return frozenset(
@@ -271,12 +271,12 @@
             if pool.has_idle(now)
         )
 
-    def forget(self, endpoint_id: str) -> None:
+    def drop(self, endpoint_id: str) -> None:
         """Drop idle connections to an endpoint that started again."""
         for key in [key for key in self._pools if key[0] == endpoint_id]:
             self._pools.pop(key).close()
 
-    def keep_only(self, endpoint_ids: Iterable[str]) -> None:
+    def retain_only(self, endpoint_ids: Iterable[str]) -> None:
         """Drop idle connections to endpoints that are gone, and old ones."""
         known = set(endpoint_ids)
         for key in [key for key in self._pools if key[0] not in known]:
@@ -286,4 +286,4 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        self.keep_only(())
+        self.retain_only(())
--- a/src/ebonydeal/_internal/relay/requests/chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -12,7 +12,7 @@
 _DURATION_SPREAD = 1.5
 
 
-class Found(NamedTuple):
+class EndpointChoice(NamedTuple):
     """The endpoint for the next send.
 
     ``missed`` are the tokens that it must read, ``expected`` the seconds to
@@ -26,7 +26,7 @@
     source: str = ""
 
 
-class Chooser:
+class EndpointChooser:
     """Chooses among what the relay knows of endpoints, for one request."""
 
     def __init__(self, parts: SendParts, job: Job) -> None:
@@ -51,7 +51,7 @@
         tokens = req.prompt_tokens or 0
         return Ask(req.parts, tokens, self._parts.zone, fetches, connected)
 
-    def find(self, avoid: Set[str], again: bool = False) -> Found | None:
+    def find(self, avoid: Set[str], again: bool = False) -> EndpointChoice | None:
         """Return the best endpoint that isn't among ``avoid``, or None.
 
         ``again`` says that the request was sent before: while a new version is
@@ -96,17 +96,17 @@
         ]
         return min((wait for wait in waits if wait > 0.0), default=None)
 
-    def _best(self, listed: Sequence[Member], now: float) -> Found | None:
+    def _best(self, listed: Sequence[Member], now: float) -> EndpointChoice | None:
         """Return the best one of these endpoints, or None."""
         parts, job = self._parts, self._job
         allowed = parts.outliers.allowed(listed, now)
         if parts.suspects.standing(job.digest) is Standing.SUSPECT:
-            return self._apart(allowed)
+            return self._isolate(allowed)
         failing = parts.failing.failing(now)
         if job.req.prompt_tokens is None:
             member = parts.choice.plain(parts.zone, allowed, failing)
-            return None if member is None else Found(member, 0.0, None)
-        ask = self.ask(parts.pools.connected())
+            return None if member is None else EndpointChoice(member, 0.0, None)
+        ask = self.ask(parts.pools.connected_endpoints())
         score = parts.choice.engine(ask, allowed, now, failing)
         if score is None:
             return None
@@ -114,9 +114,11 @@
         expected = speed.base + score.wait + speed.reading(score.missed)
         members = parts.view.members
         source = members[score.source].address if score.source else ""
-        return Found(members[score.endpoint_id], score.missed, expected, source)
+        return EndpointChoice(
+            members[score.endpoint_id], score.missed, expected, source
+        )
 
-    def _apart(self, allowed: Sequence[Member]) -> Found | None:
+    def _isolate(self, allowed: Sequence[Member]) -> EndpointChoice | None:
         """Return where a request that may bring its endpoint down costs least.
 
         That is where no other such request is, so that a crash tells them apart, and
@@ -137,7 +139,7 @@
 
         # Without an expectation it isn't refused for being late there.
         tokens = self._job.req.prompt_tokens or 0
-        return Found(min(allowed, key=key), float(tokens), None)
+        return EndpointChoice(min(allowed, key=key), float(tokens), None)
 
     def _listed(self, now: float) -> list[Member]:
         """Return the endpoints that may get the request.
--- a/src/ebonydeal/_internal/relay/requests/first_wait.py
+++ b/src/ebonydeal/_internal/relay/requests/first_event_wait.py
@@ -16,7 +16,7 @@
 _ALIVE_S = 0.3
 
 
-class FirstWait:
+class FirstEventWait:
     """The wait for one send's first event.
 
     A long prompt takes as long as is expected of it. Beyond that the request is
@@ -46,7 +46,7 @@
         self._last = now + max(patience, longest)
 
     @classmethod
-    def of_send(cls, parts: SendParts, sends: JobSends) -> "FirstWait":
+    def of_send(cls, parts: SendParts, sends: JobSends) -> "FirstEventWait":
         """Return the wait for the send that was chosen last."""
         job, terms = sends.job, parts.terms
         left = max(0.001, job.until - parts.clock.now())
@@ -88,7 +88,7 @@
 class _Timer:
     """Looks at a wait when its time is up, and lets it go on or ends it."""
 
-    def __init__(self, wait: FirstWait, limit: asyncio.Timeout, clock: Clock):
+    def __init__(self, wait: FirstEventWait, limit: asyncio.Timeout, clock: Clock):
         self._wait = wait
         self._limit = limit
         self._clock = clock
--- a/src/ebonydeal/_internal/relay/requests/intake.py
+++ b/src/ebonydeal/_internal/relay/requests/intake.py
@@ -16,7 +16,7 @@
 from ebonydeal._internal.relay.requests.answers import error_answer
 from ebonydeal._internal.relay.requests.job import Job, SendParts
 from ebonydeal._internal.relay.requests.plain import PlainForwarder
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.requests.stream import StreamForwarder
 from ebonydeal._internal.routing.placement.route_index import RouteIndex, pick_service
 from ebonydeal._internal.utils.request_digest import RequestDigest
@@ -36,7 +36,7 @@
     """Handler of the clients' listener."""
 
     def __init__(
-        self, parts: SendParts, quota: QuotaGate, quota_wait: float = 0.0
+        self, parts: SendParts, quota: QuotaLimiter, quota_wait: float = 0.0
     ) -> None:
         self._parts = parts
         self._quota = quota
@@ -48,7 +48,7 @@
         self._last_calls = 0.0
         self._end = 0.0
 
-    def close_by(self, last_calls: float, end: float) -> None:
+    def drain(self, last_calls: float, end: float) -> None:
         """Answer what comes until ``end``, long requests until ``last_calls``."""
         self.closing = True
         self._last_calls = last_calls
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -16,7 +16,7 @@
 from ebonydeal._internal.relay.peers.long_reads import LongReads
 from ebonydeal._internal.relay.ports import Wire
 from ebonydeal._internal.relay.requests.connections import EndpointPools
-from ebonydeal._internal.relay.requests.moves import StreamMoves
+from ebonydeal._internal.relay.requests.migrations import StreamMigrator
 from ebonydeal._internal.relay.requests.notices import NoticeReader
 from ebonydeal._internal.relay.requests.quota import Admission
 from ebonydeal._internal.relay.requests.usage import UsageMeter
@@ -101,7 +101,7 @@
     retries: RetryPolicy
     pools: EndpointPools
     usage: UsageMeter
-    moves: StreamMoves
+    moves: StreamMigrator
     long_reads: LongReads
     crashes: CrashCheck
     suspects: Suspects
--- a/src/ebonydeal/_internal/relay/requests/moves.py
+++ b/src/ebonydeal/_internal/relay/requests/migrations.py
@@ -41,7 +41,7 @@
 _LIMITS = ReclaimLimits(hopeless=2.0)
 
 
-class Moved(NamedTuple):
+class MigratedRun(NamedTuple):
     """Where a stream goes on."""
 
     member: Member
@@ -49,7 +49,7 @@
 
 
 @dataclass(eq=False)
-class LiveRun:
+class StreamRun:
     """One stream's run at one endpoint.
 
     ``expected_tokens`` is the length of the whole answer as far as known;
@@ -64,7 +64,7 @@
     event_tokens: int
     begun_at: float = 0.0
     events: int = 0
-    moving: "asyncio.Task[Moved | None] | None" = None
+    moving: "asyncio.Task[MigratedRun | None] | None" = None
 
     def count(self, events: int, now: float) -> None:
         """Note events that came."""
@@ -88,7 +88,7 @@
         )
 
 
-class MovesParts(NamedTuple):
+class MigratorParts(NamedTuple):
     """What moves are made with."""
 
     view: RelayView
@@ -104,25 +104,25 @@
     enabled: bool = True
 
 
-class StreamMoves(Service):
+class StreamMigrator(Service):
     """Watches running streams, and moves those that would be cut off."""
 
-    def __init__(self, parts: MovesParts) -> None:
+    def __init__(self, parts: MigratorParts) -> None:
         super().__init__()
         self._parts = parts
-        self._runs: set[LiveRun] = set()
+        self._runs: set[StreamRun] = set()
         self._leaving_since: dict[str, float] = {}
 
-    def enter(self, run: LiveRun) -> None:
+    def enter(self, run: StreamRun) -> None:
         """Watch a run."""
         if self._parts.enabled:
             self._runs.add(run)
 
-    def leave(self, run: LiveRun) -> None:
+    def leave(self, run: StreamRun) -> None:
         """Watch a run no more."""
         self._runs.discard(run)
 
-    async def result(self, run: LiveRun) -> Moved | None:
+    async def result(self, run: StreamRun) -> MigratedRun | None:
         """Return where a run that broke off goes on, once that is known."""
         return None if run.moving is None else await run.moving
 
@@ -150,7 +150,7 @@
                 since[endpoint_id] = self._leaving_since.get(endpoint_id, now)
         self._leaving_since = since
 
-    def _is_due(self, run: LiveRun, now: float) -> bool:
+    def _is_due(self, run: StreamRun, now: float) -> bool:
         """Return whether a run has to move now.
 
         One that will likely end in time stays; one that surely won't moves at
@@ -178,7 +178,7 @@
             serves = min(serves, _LEAST_NOTICE_S)
         return serves - (now - since)
 
-    async def _move(self, run: LiveRun) -> Moved | None:
+    async def _move(self, run: StreamRun) -> MigratedRun | None:
         """Stop a run and pass its memory on; None where that failed."""
         parts = self._parts
         target = self._target(run)
@@ -187,7 +187,7 @@
             run.moving = None
             return None
         try:
-            answer = await parts.engines.move_run(
+            answer = await parts.engines.migrate_run(
                 run.member.address, run.request_id, target.address
             )
         except EbonydealError as exc:
@@ -204,9 +204,9 @@
             target=target.endpoint_id,
             events=run.events,
         )
-        return Moved(target, KvCacheRef(run.member.address, answer.handle))
+        return MigratedRun(target, KvCacheRef(run.member.address, answer.handle))
 
-    def _target(self, run: LiveRun) -> Member | None:
+    def _target(self, run: StreamRun) -> Member | None:
         """Return the endpoint where the run waits least, or None."""
         parts = self._parts
         now = parts.clock.now()
@@ -221,7 +221,7 @@
         score = parts.choice.engine(Ask((), 0, parts.zone), allowed, now)
         return None if score is None else parts.view.members[score.endpoint_id]
 
-    def _failed(self, run: LiveRun, target: Member, reason: str) -> None:
+    def _failed(self, run: StreamRun, target: Member, reason: str) -> None:
         self._parts.metrics.count(Event.KV_EXPORT_FAILED)
         logger.warning(
             "Stream not moved.",
--- a/src/ebonydeal/_internal/relay/requests/plain.py
+++ b/src/ebonydeal/_internal/relay/requests/plain.py
@@ -5,7 +5,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import AnswerHead, Member, Repeat
-from ebonydeal._internal.relay.requests.connections import Exchange
+from ebonydeal._internal.relay.requests.connections import HttpExchange
 from ebonydeal._internal.relay.requests.job import Job, SendParts
 from ebonydeal._internal.relay.requests.outcomes import (
     Answered,
@@ -40,7 +40,7 @@
     return None
 
 
-async def read_whole(exchange: Exchange, head: AnswerHead) -> Outcome:
+async def read_whole(exchange: HttpExchange, head: AnswerHead) -> Outcome:
     """Read the body; anything but a whole one is no answer.
 
     After a whole one the connection is kept.
@@ -83,10 +83,10 @@
                     sends.count_run(wall)
                 if isinstance(outcome, Answered):
                     if outcome.head.status < 500 or job.at_most_once:
-                        sends.answered(outcome.head.status)
+                        sends.record_answer(outcome.head.status)
                         return to_client(outcome)
                     fallback = outcome
-                sends.after(outcome)
+                sends.check_resend(outcome)
             except EbonydealError:
                 if fallback is None:
                     raise
@@ -108,16 +108,16 @@
                 return stopped
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, f"no answer in {limit:.3f} s")
         finally:
-            sends.ended()
+            sends.record_end()
 
     async def _exchange(self, sends: JobSends, member: Member) -> Outcome:
         """Send and read the answer."""
         parts, job = self._parts, sends.job
-        headers = parts.wire.outgoing(job.req, sends.sending(job.req.last_event))
-        got = await parts.pools.of(member).send(
+        headers = parts.wire.outgoing(job.req, sends.send_metadata(job.req.last_event))
+        got = await parts.pools.get(member).send(
             job.req.method, job.req.target, headers, job.body, job.at_most_once
         )
-        if not isinstance(got, Exchange):
+        if not isinstance(got, HttpExchange):
             return got
         try:
             head = parts.wire.read_answer(got.resp.status, raw_headers(got.resp))
--- a/src/ebonydeal/_internal/relay/requests/quota.py
+++ b/src/ebonydeal/_internal/relay/requests/quota.py
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    gate : QuotaGate
+    gate : QuotaLimiter
         Admits it anew.
     account : ForwardAccount
         Whose limit.
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, gate: "QuotaGate", account: ForwardAccount, amount: float, until: float
+        self, gate: "QuotaLimiter", account: ForwardAccount, amount: float, until: float
     ) -> None:
         self._gate = gate
         self._account = account
@@ -58,7 +58,7 @@
             self._until = again._until
 
 
-class QuotaGate:
+class QuotaLimiter:
     """Lets requests pass while their client account is within its limit."""
 
     def __init__(
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -13,9 +13,12 @@
 )
 from ebonydeal._internal.observe.counters import Event, RetryReason
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.requests.chooser import Chooser, Found
+from ebonydeal._internal.relay.requests.endpoint_chooser import (
+    EndpointChoice,
+    EndpointChooser,
+)
 from ebonydeal._internal.relay.requests.job import Job, SendParts
-from ebonydeal._internal.relay.requests.moves import Moved
+from ebonydeal._internal.relay.requests.migrations import MigratedRun
 from ebonydeal._internal.relay.requests.outcomes import (
     Answered,
     MayHaveRun,
@@ -54,7 +57,7 @@
     def __init__(self, parts: SendParts, job: Job) -> None:
         self._parts = parts
         self.job = job
-        self.chooser = Chooser(parts, job)
+        self.chooser = EndpointChooser(parts, job)
         self.proof = RunProof(not job.at_most_once)
         self._ran = 0
         self._unsent = 0
@@ -132,7 +135,7 @@
         except EbonydealError as exc:
             raise self.proof.refusal(exc) from None
 
-    async def go_on(self, moved: Moved) -> Member:
+    async def resume(self, moved: MigratedRun) -> Member:
         """Send the request where its run's memory was passed to."""
         self._check()
         # The run that was stopped counts as one: without its memory, only a
@@ -145,9 +148,9 @@
                 raise self.proof.refusal(error)
             return await self.choose()
         self._carried = moved.carried
-        return self._take(Found(moved.member, 0.0, None))
+        return self._take(EndpointChoice(moved.member, 0.0, None))
 
-    def _take(self, found: Found) -> Member:
+    def _take(self, found: EndpointChoice) -> Member:
         """Note the endpoint of the next send."""
         parts, job = self._parts, self.job
         member = self.member = found.member
@@ -250,7 +253,7 @@
             return account.priority
         return self.job.route.priority
 
-    def sending(self, last_event: str = "") -> SendMetadata:
+    def send_metadata(self, last_event: str = "") -> SendMetadata:
         """Return what the next send tells its endpoint."""
         assert self.member is not None
         account = self.job.account
@@ -285,7 +288,7 @@
         account = self.job.account
         if account is not None and not self._counted:
             self._counted = True
-            self._parts.usage.began(account.name, wall)
+            self._parts.usage.record_start(account.name, wall)
 
     def read_notice(self, head: AnswerHead) -> None:
         """Take what the endpoint says of itself."""
@@ -293,12 +296,12 @@
             request_id = self.job.req.request_id
             self._parts.notices.read(self.member, head, request_id, self.sent.at)
 
-    def heard(self) -> None:
+    def record_activity(self) -> None:
         """Note a sign of life of the endpoint."""
         if self.sent is not None and self.member is not None:
             self._parts.suspects.heard(self.member, self.sent.at)
 
-    def answered(self, status: int) -> None:
+    def record_answer(self, status: int) -> None:
         """Note a whole answer that goes to the client."""
         assert self.member is not None
         parts, endpoint_id = self._parts, self.member.endpoint_id
@@ -322,13 +325,13 @@
             with self._parts.suspects.at_work(digest, endpoint_id, limit):
                 yield
 
-    def began(self) -> None:
+    def record_first_event(self) -> None:
         """Note the first event or the answer."""
         self._note_answer()
         if self.sent is not None:
             self.sent = self._parts.choice.began(self.sent, self._parts.clock.now())
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Note that the send is over."""
         if self._pending:
             self._parts.split.over(self._pending, self._parts.clock.now())
@@ -336,7 +339,7 @@
             self._parts.choice.ended(self.sent)
             self.sent = None
 
-    def after(self, outcome: Outcome, delivered: bool = False) -> None:
+    def check_resend(self, outcome: Outcome, delivered: bool = False) -> None:
         """Return if another send may be made; else raise the final error.
 
         ``delivered`` says that a part of a stream reached the client.
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -11,10 +11,13 @@
 from ebonydeal._internal.models.forwarding import AnswerHead, Member
 from ebonydeal._internal.observe.counters import Timing
 from ebonydeal._internal.observe.logs import get_logger
-from ebonydeal._internal.relay.requests.connections import Exchange
-from ebonydeal._internal.relay.requests.first_wait import LEAST_PATIENCE_S, FirstWait
+from ebonydeal._internal.relay.requests.connections import HttpExchange
+from ebonydeal._internal.relay.requests.first_event_wait import (
+    LEAST_PATIENCE_S,
+    FirstEventWait,
+)
 from ebonydeal._internal.relay.requests.job import Job, SendParts
-from ebonydeal._internal.relay.requests.moves import LiveRun, Moved
+from ebonydeal._internal.relay.requests.migrations import MigratedRun, StreamRun
 from ebonydeal._internal.relay.requests.outcomes import Answered, MayHaveRun, Outcome
 from ebonydeal._internal.relay.requests.plain import (
     checked,
@@ -101,10 +104,10 @@
         splitter = EventSplitter()
         splitter.last_id = job.req.last_event
         out = _Out(http_req, splitter, closing)
-        moved: Moved | None = None
+        moved: MigratedRun | None = None
         while True:
             try:
-                member = await (sends.go_on(moved) if moved else sends.choose())
+                member = await (sends.resume(moved) if moved else sends.choose())
                 run = self._run_of(sends, member)
                 outcome = await self._send(sends, run, out)
                 if outcome is None:
@@ -119,7 +122,7 @@
                     if outcome.head.status < 500 or job.at_most_once:
                         return to_client(outcome)
                 splitter.drop_rest()
-                sends.after(outcome, delivered=out.resp is not None)
+                sends.check_resend(outcome, delivered=out.resp is not None)
             except Exception as exc:
                 if out.resp is None:
                     raise
@@ -132,10 +135,10 @@
                 out.cut()
                 return out.resp
 
-    def _run_of(self, sends: JobSends, member: Member) -> LiveRun:
+    def _run_of(self, sends: JobSends, member: Member) -> StreamRun:
         """Return what a send's run is watched by."""
         req, engine = sends.job.req, sends.chooser.engine
-        return LiveRun(
+        return StreamRun(
             request_id=req.request_id,
             service=sends.job.service,
             member=member,
@@ -144,7 +147,7 @@
             event_tokens=1 if engine is None else engine.event_tokens,
         )
 
-    async def _send(self, sends: JobSends, run: LiveRun, out: _Out) -> Outcome | None:
+    async def _send(self, sends: JobSends, run: StreamRun, out: _Out) -> Outcome | None:
         """Make one send; None when the stream is complete."""
         limit = sends.left
         engine = sends.chooser.engine
@@ -159,24 +162,26 @@
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, f"not done in {limit:.3f} s")
         finally:
             self._parts.moves.leave(run)
-            sends.ended()
+            sends.record_end()
 
     async def _exchange(
-        self, sends: JobSends, run: LiveRun, out: _Out
+        self, sends: JobSends, run: StreamRun, out: _Out
     ) -> Outcome | None:
         """Send and pass the answer on; None when the stream is complete."""
         parts, job = self._parts, sends.job
         member = run.member
-        headers = parts.wire.outgoing(job.req, sends.sending(out.splitter.last_id))
-        first = FirstWait.of_send(parts, sends)
+        headers = parts.wire.outgoing(
+            job.req, sends.send_metadata(out.splitter.last_id)
+        )
+        first = FirstEventWait.of_send(parts, sends)
         try:
             async with first.limit():
-                got = await parts.pools.of(member).send(
+                got = await parts.pools.get(member).send(
                     job.req.method, job.req.target, headers, job.body, job.at_most_once
                 )
         except TimeoutError:
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, "no answer")
-        if not isinstance(got, Exchange):
+        if not isinstance(got, HttpExchange):
             return got
         try:
             head = parts.wire.read_answer(got.resp.status, raw_headers(got.resp))
@@ -194,7 +199,7 @@
             got.done(head.idle_time)
         finally:
             got.close()
-        sends.answered(head.status)
+        sends.record_answer(head.status)
         now = parts.clock.now()
         if run.events > 1:
             tokens = (run.events - 1) * run.event_tokens
@@ -212,11 +217,11 @@
     async def _relay(
         self,
         sends: JobSends,
-        run: LiveRun,
-        got: Exchange,
+        run: StreamRun,
+        got: HttpExchange,
         head: AnswerHead,
         out: _Out,
-        first: FirstWait,
+        first: FirstEventWait,
     ) -> MayHaveRun | None:
         """Pass events on until the end; returns what broke the stream."""
         parts, job = self._parts, sends.job
@@ -241,7 +246,7 @@
             if not events:
                 continue
             parts.choice.heard(run.member.endpoint_id, parts.clock.now())
-            sends.heard()
+            sends.record_activity()
             run.count(out.splitter.count - before, parts.clock.now())
             if not begun:
                 begun = True
@@ -259,7 +264,7 @@
     def _first_event(self, sends: JobSends, out: _Out) -> None:
         """Note that the endpoint began to answer."""
         parts, job = self._parts, sends.job
-        sends.began()
+        sends.record_first_event()
         if out.resp is not None:
             return
         parts.metrics.timed(Timing.FIRST_TOKEN, parts.clock.now() - job.started)
--- a/src/ebonydeal/_internal/relay/requests/usage.py
+++ b/src/ebonydeal/_internal/relay/requests/usage.py
@@ -17,7 +17,7 @@
         self._window = window
         self._counts: dict[int, dict[str, int]] = {}
 
-    def began(self, account: str, wall: float) -> None:
+    def record_start(self, account: str, wall: float) -> None:
         """Count a request of ``account`` that began to run at ``wall``."""
         number = int(wall // self._window)
         counts = self._counts.setdefault(number, {})
--- a/tests/functional/platform/test_calls.py
+++ b/tests/functional/platform/test_calls.py
@@ -135,7 +135,7 @@
         async with Service() as service:
             service.answers = [(200, {"handle": "h7", "create_revision": 12})]
             engines = PlatformEngines(1.0)
-            answer = await engines.move_run(service.address, "r1", "10.0.0.2:80")
+            answer = await engines.migrate_run(service.address, "r1", "10.0.0.2:80")
             await engines.close()
         assert answer.handle == "h7"
         method, path, message, _headers = service.asked[0]
@@ -146,7 +146,7 @@
         async with Service() as service:
             service.answers = [(404, {})]
             engines = PlatformEngines(1.0)
-            answer = await engines.move_run(service.address, "r1", "10.0.0.2:80")
+            answer = await engines.migrate_run(service.address, "r1", "10.0.0.2:80")
             await engines.close()
         assert (answer.handle, answer.detail) == ("", "status 404")
 
@@ -156,7 +156,7 @@
             service.answers = [answer]
             engines = PlatformEngines(1.0)
             with pytest.raises(EbonydealError) as caught:
-                await engines.move_run(service.address, "r1", "10.0.0.2:80")
+                await engines.migrate_run(service.address, "r1", "10.0.0.2:80")
             await engines.close()
         assert caught.value.kind is ErrorKind.ENDPOINT_FAILED
 
--- a/tests/functional/relay/test_connections.py
+++ b/tests/functional/relay/test_connections.py
@@ -5,7 +5,7 @@
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.relay.requests.connections import (
     EndpointPools,
-    Exchange,
+    HttpExchange,
     IdleLimit,
 )
 from ebonydeal._internal.relay.requests.outcomes import MayHaveRun
@@ -28,13 +28,13 @@
         self.endpoint = endpoint
         self.clock = ManualClock(100.0)
         self.pools = EndpointPools(self.clock, 1.0)
-        self.pool = self.pools.of(
+        self.pool = self.pools.get(
             Member("i1", "s", endpoint.address, "z", 8, False, None, False, 0.0, 1)
         )
 
     async def ask(self, once):
         got = await self.pool.send("GET", "/x", HEADERS, b"", once)
-        if isinstance(got, Exchange):
+        if isinstance(got, HttpExchange):
             await got.resp.read()
             got.done(10.0)
         return got
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -52,10 +52,10 @@
             await store.put("servers", "i1", one.row(born=1_000))
             await until(lambda: program.view.members["i1"].incarnation == 1_000)
             assert (await ask(program, "/safe/"))[0] == 200
-            assert program._pools.connected() == {"i1"}
+            assert program._pools.connected_endpoints() == {"i1"}
             await store.put("servers", "i1", one.row(born=2_000))
             await until(lambda: program.view.members["i1"].incarnation == 2_000)
-            assert program._pools.connected() == frozenset()
+            assert program._pools.connected_endpoints() == frozenset()
             assert program._choice.own() == {}
             assert (await ask(program, "/safe/", rid="r2"))[0] == 200
         assert one.connections == 2
--- a/tests/lib/limits_cluster.py
+++ b/tests/lib/limits_cluster.py
@@ -21,7 +21,7 @@
 from ebonydeal._internal.relay.peers.exchange import Exchange, ExchangeParts
 from ebonydeal._internal.relay.peers.messages import EXCHANGE, GRANT, HOLDER
 from ebonydeal._internal.relay.peers.roster import addresses_hash
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.duties.duty_lease import DutyLease
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
@@ -120,7 +120,7 @@
             Place(),
         )
         self.limits.address = lambda: self.address
-        self.gate = QuotaGate(self.limits, clock, cluster.bounds, self.metrics)
+        self.gate = QuotaLimiter(self.limits, clock, cluster.bounds, self.metrics)
         self.exchange = Exchange(
             ExchangeParts(
                 self.coordinator,
--- a/tests/lib/relay_fakes.py
+++ b/tests/lib/relay_fakes.py
@@ -136,7 +136,7 @@
         self.left = {}
         self.asked = []
 
-    async def move_run(self, source, request_id, target):
+    async def migrate_run(self, source, request_id, target):
         self.moves.append((source, request_id, target))
         if self.on_move is not None:
             await self.on_move(source, request_id, target)
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -162,7 +162,7 @@
         relay = Relay()
         relay.crash(0, "other")
         sends = self.sends(relay)
-        sends.chooser._apart = lambda _allowed: pytest.fail("it isn't suspected")
+        sends.chooser._isolate = lambda _allowed: pytest.fail("it isn't suspected")
         assert await sends.choose()
 
     async def test_no_further_send_is_made_once_it_is_held(self):
@@ -171,7 +171,7 @@
         await sends.choose()
         for number in range(3):
             relay.crash(number, "fatal")
-        sends.after(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
+        sends.check_resend(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
         with pytest.raises(EbonydealError) as caught:
             await sends.choose()
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
@@ -185,7 +185,7 @@
         for number in range(3):
             relay.crash(number, "fatal")
         with pytest.raises(EbonydealError) as caught:
-            await sends.go_on(MOVED)
+            await sends.resume(MOVED)
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
 
     async def test_a_run_that_was_stopped_isnt_sent_again(self):
@@ -195,6 +195,6 @@
         for number in range(3):
             relay.crash(number, "fatal")
         with pytest.raises(EbonydealError) as caught:
-            sends.after(relay.suspects.stopped("fatal"))
+            sends.check_resend(relay.suspects.stopped("fatal"))
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
         assert caught.value.outcome is Outcome.UNKNOWN
--- a/tests/unit/relay/requests/test_first_wait.py
+++ b/tests/unit/relay/requests/test_first_event_wait.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ebonydeal._internal.models.forwarding import Repeat
-from ebonydeal._internal.relay.requests.first_wait import FirstWait
+from ebonydeal._internal.relay.requests.first_event_wait import FirstEventWait
 from ebonydeal._internal.relay.requests.job import SendTerms
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
 from tests.lib.clock import ManualClock
@@ -24,7 +24,7 @@
     sends = SimpleNamespace(
         job=task, member=MEMBERS[0], expected=expected, is_last=once or last
     )
-    return FirstWait.of_send(parts, sends), parts
+    return FirstEventWait.of_send(parts, sends), parts
 
 
 class TestPatience:
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -20,7 +20,7 @@
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.job import Job, SendTerms
-from ebonydeal._internal.relay.requests.moves import Moved
+from ebonydeal._internal.relay.requests.migrations import MigratedRun
 from ebonydeal._internal.relay.requests.outcomes import Answered, MayHaveRun
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.relay.view.view import RelayView
@@ -38,7 +38,7 @@
 MEMBERS = [
     Member(f"i{n}", "s", f"i{n}:1", "z", 8, False, None, True, 0.0, 1) for n in range(4)
 ]
-MOVED = Moved(MEMBERS[3], KvCacheRef("i0:1", "h1"))
+MOVED = MigratedRun(MEMBERS[3], KvCacheRef("i0:1", "h1"))
 # What happens to one send; a moved run is stopped and has run.
 events = st.one_of(outcomes, st.just(MOVED))
 
@@ -111,14 +111,14 @@
         runs = 0
         for event in sequence:
             # Each event is of a send from the beginning, unless memory is carried.
-            carried = sends.sending().carried is not None
+            carried = sends.send_metadata().carried is not None
             if event is MOVED:
                 runs += not carried
-                asyncio.run(sends.go_on(MOVED))
+                asyncio.run(sends.resume(MOVED))
                 continue
             runs += isinstance(event, MayHaveRun | Answered) and not carried
             try:
-                sends.after(event, delivered=delivered)
+                sends.check_resend(event, delivered=delivered)
             except EbonydealError as exc:
                 if runs:
                     assert ANSWERS[exc.kind].status not in PROMISES
@@ -136,7 +136,7 @@
         sends.member = MEMBERS[0]
         for event in sequence:
             if not isinstance(event, MayHaveRun):
-                sends.after(event)
+                sends.check_resend(event)
 
 
 class TestRank:
@@ -149,7 +149,7 @@
             member=MEMBERS[0], missed=9000.0, expected=expected, source=""
         )
         sends._take(found)
-        return sends.sending().priority
+        return sends.send_metadata().priority
 
     def test_one_that_can_be_in_time_has_its_routes(self):
         assert self.rank(0.9) == 0
--- a/tests/unit/relay/requests/test_late_admission.py
+++ b/tests/unit/relay/requests/test_late_admission.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind, Outcome
 from ebonydeal._internal.models.forwarding import Repeat
 from ebonydeal._internal.relay.requests.outcomes import MayHaveRun, ProvedNotRun
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.routing.admission.early_refusal import EarlyRefusal
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
@@ -42,7 +42,7 @@
     found = parts()
     found.refusal = EarlyRefusal(0.0)
     granted = Granted()
-    gate = QuotaGate(granted, found.clock, BOUNDS)
+    gate = QuotaLimiter(granted, found.clock, BOUNDS)
     admission = await gate.admit(ACCOUNT, 1.0, 0.0)
     made = job(Repeat.IDEMPOTENT, False)._replace(admission=admission, account=ACCOUNT)
     return granted, found.clock, JobSends(found, made)
@@ -76,7 +76,7 @@
     async def test_of_what_never_arrived_is_admitted_anew(self, waited):
         granted, clock, sends = waited
         await sends.choose()
-        sends.after(ProvedNotRun(503))
+        sends.check_resend(ProvedNotRun(503))
         clock._now += 1.0
         await sends.choose()
         assert granted.amounts == [1.0, 1.0]
@@ -84,7 +84,7 @@
     async def test_of_what_may_have_run_counts_no_more(self, waited):
         granted, clock, sends = waited
         await sends.choose()
-        sends.after(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
+        sends.check_resend(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
         clock._now += 1.0
         await sends.choose()
         assert granted.amounts == [1.0]
--- a/tests/unit/relay/requests/test_moves.py
+++ b/tests/unit/relay/requests/test_migrations.py
@@ -2,7 +2,11 @@
 
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.relay.requests.moves import LiveRun, MovesParts, StreamMoves
+from ebonydeal._internal.relay.requests.migrations import (
+    MigratorParts,
+    StreamMigrator,
+    StreamRun,
+)
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.notices.notices import EndpointNotices
 from ebonydeal._internal.routing.placement.member_choice import MemberChoice
@@ -32,8 +36,8 @@
             RetrySettings(budget=budget, budget_cap=budget), Random(1)
         )
         retries.first_send("s", 100.0)
-        self.moves = StreamMoves(
-            MovesParts(
+        self.moves = StreamMigrator(
+            MigratorParts(
                 self.view,
                 MemberChoice(8.0),
                 Outliers(RoutingSettings(), Random(1)),
@@ -46,7 +50,7 @@
                 DRAIN_S,
             )
         )
-        self.run = LiveRun("r1", "s", member("i1"), 100, expected_tokens, 1)
+        self.run = StreamRun("r1", "s", member("i1"), 100, expected_tokens, 1)
         self.moves.enter(self.run)
 
     async def makes(self, events, seconds):
