--- a/src/ebonydeal/_internal/platform/duties.py
+++ b/src/ebonydeal/_internal/platform/duties.py
@@ -6,8 +6,8 @@
 from ebonydeal._internal.models.duties import DutyReply
 from ebonydeal._internal.platform.calls import JsonCalls
 
-HOLDER = "Ebonydeal-Lease-Holder"
-FENCE = "Ebonydeal-Fencing-Token"
+HOLDER_HEADER = "Ebonydeal-Lease-Holder"
+FENCE_HEADER = "Ebonydeal-Fencing-Token"
 
 
 class PlatformDuties:
@@ -29,7 +29,7 @@
         self._holder = holder
 
     async def _post(self, path: str, fence: int, message: Any) -> DutyReply:
-        headers = {HOLDER: self._holder, FENCE: str(fence)}
+        headers = {HOLDER_HEADER: self._holder, FENCE_HEADER: str(fence)}
         reply = await self._calls.call(
             "POST",
             f"{self._url}{path}",
--- a/src/ebonydeal/_internal/platform/headers.py
+++ b/src/ebonydeal/_internal/platform/headers.py
@@ -150,7 +150,7 @@
     )
 
 
-def outgoing(req: ForwardedRequest, send: SendMetadata) -> list[tuple[str, str]]:
+def request_headers(req: ForwardedRequest, send: SendMetadata) -> list[tuple[str, str]]:
     """Return the header block of one send to an endpoint."""
     block = list(req.headers)
     block.append((DEADLINE, str(max(1, int(send.time_left * _MS)))))
--- a/src/ebonydeal/_internal/platform/rehearsal.py
+++ b/src/ebonydeal/_internal/platform/server_side.py
@@ -12,7 +12,7 @@
 from ebonydeal._internal.models.forwarding import Member, Repeat
 from ebonydeal._internal.models.rollouts import RolloutOrder
 from ebonydeal._internal.models.shared import ANY_VERSION, RowWrite, SharedRow
-from ebonydeal._internal.platform.duties import FENCE, HOLDER
+from ebonydeal._internal.platform.duties import FENCE_HEADER, HOLDER_HEADER
 from ebonydeal._internal.platform.headers import (
     ACCOUNT,
     CARRIED,
@@ -46,7 +46,7 @@
 }
 
 
-class PlayRoute(NamedTuple):
+class RouteSpec(NamedTuple):
     """A route as the operator of a rehearsal declares it; seconds."""
 
     prefix: str
@@ -55,7 +55,7 @@
     timeout: float = 5.0
 
 
-class PlayAccount(NamedTuple):
+class AccountSpec(NamedTuple):
     """A client account of a rehearsal; ``rate`` and ``burst`` in requests or tokens.
 
     A request that tells no tokens counts as ``plain_tokens``.
@@ -69,7 +69,7 @@
     plain_tokens: int = 1
 
 
-class Arrival(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request as an endpoint gets it."""
 
     request_id: str
@@ -83,8 +83,8 @@
     version: int,
     host: str,
     service: str,
-    routes: Iterable[PlayRoute],
-    accounts: Iterable[PlayAccount],
+    routes: Iterable[RouteSpec],
+    accounts: Iterable[AccountSpec],
 ) -> bytes:
     """Return a configuration's row."""
     document = {
@@ -174,9 +174,9 @@
     return headers
 
 
-def read_arrival(headers: Mapping[str, str]) -> Arrival:
+def read_received_request(headers: Mapping[str, str]) -> ReceivedRequest:
     """Return what an endpoint is told of a request."""
-    return Arrival(
+    return ReceivedRequest(
         headers.get(REQUEST_ID, ""),
         headers.get(EXPECT_ENDPOINT, ""),
         headers.get(ACCOUNT, ""),
@@ -212,12 +212,12 @@
     return {} if leaves_in is None else {"leaves_ms": round(leaves_in * _MS)}
 
 
-def read_move(message: Mapping[str, Any]) -> tuple[str, str]:
+def read_migration_order(message: Mapping[str, Any]) -> tuple[str, str]:
     """Return the request and the target's address of an order to move a run."""
     return str(message["id"]), str(message["to"])
 
 
-def moved_body(handle: str) -> dict[str, Any]:
+def migration_body(handle: str) -> dict[str, Any]:
     """Return the answer to an order to move a run."""
     return {"handle": handle, "create_revision": 0}
 
@@ -269,4 +269,9 @@
 ) -> tuple[int, dict[str, int], str, int]:
     """Return window, counts, holder and fence of a usage report."""
     counts = {str(k): int(v) for k, v in message["request_counts"].items()}
-    return int(message["window_id"]), counts, headers[HOLDER], int(headers[FENCE])
+    return (
+        int(message["window_id"]),
+        counts,
+        headers[HOLDER_HEADER],
+        int(headers[FENCE_HEADER]),
+    )
--- a/src/ebonydeal/_internal/platform/wire.py
+++ b/src/ebonydeal/_internal/platform/wire.py
@@ -11,7 +11,11 @@
 )
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
 from ebonydeal._internal.models.shared import RowWrite, SharedRow
-from ebonydeal._internal.platform.headers import outgoing, read_answer, read_request
+from ebonydeal._internal.platform.headers import (
+    read_answer,
+    read_request,
+    request_headers,
+)
 from ebonydeal._internal.platform.rows import (
     CONFIG_KEY,
     CONFIG_TABLE,
@@ -41,11 +45,11 @@
         """Return a client's request; raises BAD_REQUEST."""
         return read_request(method, target, pairs)
 
-    def outgoing(
+    def request_headers(
         self, req: ForwardedRequest, send: SendMetadata
     ) -> list[tuple[str, str]]:
         """Return the header block of one send."""
-        return outgoing(req, send)
+        return request_headers(req, send)
 
     def read_answer(self, status: int, pairs: Pairs) -> AnswerHead:
         """Return the head of an endpoint's answer."""
--- a/src/ebonydeal/_internal/relay/ports.py
+++ b/src/ebonydeal/_internal/relay/ports.py
@@ -34,7 +34,7 @@
     def read_request(self, method: str, target: str, pairs: Pairs) -> ForwardedRequest:
         """Return a client's request; raises BAD_REQUEST."""
 
-    def outgoing(
+    def request_headers(
         self, req: ForwardedRequest, send: SendMetadata
     ) -> list[tuple[str, str]]:
         """Return the header block of one send."""
--- a/src/ebonydeal/_internal/relay/requests/plain.py
+++ b/src/ebonydeal/_internal/relay/requests/plain.py
@@ -113,7 +113,9 @@
     async def _exchange(self, sends: JobSends, member: Member) -> Outcome:
         """Send and read the answer."""
         parts, job = self._parts, sends.job
-        headers = parts.wire.outgoing(job.req, sends.send_metadata(job.req.last_event))
+        headers = parts.wire.request_headers(
+            job.req, sends.send_metadata(job.req.last_event)
+        )
         got = await parts.pools.get(member).send(
             job.req.method, job.req.target, headers, job.body, job.at_most_once
         )
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -170,7 +170,7 @@
         """Send and pass the answer on; None when the stream is complete."""
         parts, job = self._parts, sends.job
         member = run.member
-        headers = parts.wire.outgoing(
+        headers = parts.wire.request_headers(
             job.req, sends.send_metadata(out.splitter.last_id)
         )
         first = FirstEventWait.of_send(parts, sends)
--- a/src/ebonydeal/_internal/soak/clients.py
+++ b/src/ebonydeal/_internal/soak/clients.py
@@ -8,9 +8,9 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 
-from ebonydeal._internal.platform.rehearsal import (
+from ebonydeal._internal.platform.server_side import (
     PROMPT_TOKENS,
-    PlayAccount,
+    AccountSpec,
     client_headers,
 )
 from ebonydeal._internal.soak.endpoints import RELAY_HEADER
@@ -48,7 +48,7 @@
         # A repeat by the library would be a second request with the same id.
         self._session._retry_connection = False
 
-    async def play(self, account: PlayAccount, pause: float) -> None:
+    async def play(self, account: AccountSpec, pause: float) -> None:
         """Ask until cancelled."""
         while True:
             kind = self._rng.choice(_KINDS)
@@ -58,14 +58,14 @@
 
     async def probe(self, relay: RelayProcess, key: str, version: int) -> None:
         """Ask on the route that only one version of the configuration has."""
-        account = PlayAccount("", key)
+        account = AccountSpec("", key)
         await self.ask(Kind.PROBE, relay, account, version)
 
     async def repeat(
         self, body: bytes, kind: Kind, relays: list[RelayProcess], key: str
     ) -> None:
         """Send one body to several relays at the same moment."""
-        account = PlayAccount("", key)
+        account = AccountSpec("", key)
         await asyncio.gather(
             *(self.ask(kind, relay, account, body=body) for relay in relays)
         )
@@ -74,7 +74,7 @@
         self,
         kind: Kind,
         relay: RelayProcess,
-        account: PlayAccount,
+        account: AccountSpec,
         version: int = 0,
         body: bytes = b"",
     ) -> None:
--- a/src/ebonydeal/_internal/soak/endpoints.py
+++ b/src/ebonydeal/_internal/soak/endpoints.py
@@ -9,15 +9,15 @@
 from aiohttp import web
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.platform.rehearsal import (
+from ebonydeal._internal.platform.server_side import (
     MOVE_PATH,
     REPORT_PATH,
     answer_headers,
-    moved_body,
+    migration_body,
     not_run_headers,
     notice_headers,
-    read_arrival,
-    read_move,
+    read_migration_order,
+    read_received_request,
     report_body,
 )
 from ebonydeal._internal.soak.proxy import Proxy
@@ -125,7 +125,7 @@
         return await self._run(req)
 
     async def _move(self, req: web.BaseRequest) -> web.Response:
-        request_id, _target = read_move(json.loads(await req.read()))
+        request_id, _target = read_migration_order(json.loads(await req.read()))
         stopped = self._stopped.get(request_id)
         if stopped is None:
             return web.Response(status=404)
@@ -133,10 +133,10 @@
         self._handles += 1
         handle = f"{self.name}-{self._handles}"
         self._memory[f"{self.proxy.address}/{handle}"] = request_id
-        return web.json_response(moved_body(handle))
+        return web.json_response(migration_body(handle))
 
     async def _run(self, req: web.BaseRequest) -> web.StreamResponse:
-        got = read_arrival(req.headers)
+        got = read_received_request(req.headers)
         body = await req.read()
         if got.expected != self.name:
             return web.Response(status=421)
--- a/src/ebonydeal/_internal/soak/platform.py
+++ b/src/ebonydeal/_internal/soak/platform.py
@@ -10,7 +10,8 @@
 from aiohttp import web
 
 from ebonydeal._internal.models.shared import RowWrite, SharedRow
-from ebonydeal._internal.platform.rehearsal import (
+from ebonydeal._internal.platform.rows import STATUS_TABLE, decode_status
+from ebonydeal._internal.platform.server_side import (
     FEED_PATH,
     ORDER_PATH,
     ROWS_PATH,
@@ -21,7 +22,6 @@
     read_write,
     rows_body,
 )
-from ebonydeal._internal.platform.rows import STATUS_TABLE, decode_status
 from ebonydeal._internal.soak.records import Log, Report, Status
 
 # Polls that are under way at the end are cut.
--- a/src/ebonydeal/_internal/soak/run.py
+++ b/src/ebonydeal/_internal/soak/run.py
@@ -12,19 +12,19 @@
 
 from ebonydeal._internal.models.forwarding import Repeat
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.platform.rehearsal import (
-    PlayAccount,
-    PlayRoute,
-    config_document,
-    member_document,
-    order_document,
-    order_key,
-)
 from ebonydeal._internal.platform.rows import (
     CONFIG_KEY,
     CONFIG_TABLE,
     MEMBERS_TABLE,
 )
+from ebonydeal._internal.platform.server_side import (
+    AccountSpec,
+    RouteSpec,
+    config_document,
+    member_document,
+    order_document,
+    order_key,
+)
 from ebonydeal._internal.soak.checks import check_all
 from ebonydeal._internal.soak.clients import HOST, Client
 from ebonydeal._internal.soak.endpoints import FATAL, SERVICE, Bad, PlayEndpoint
@@ -46,11 +46,11 @@
 _DRAIN_S = 2.0
 _NOTICE_S = 2.5
 _QUOTA_WINDOW_S = 2.0
-_LIMIT = PlayAccount("small", "key-small", rate=8.0, burst=8.0)
-_TOKENS = PlayAccount("tokens", "key-tokens", 1500.0, 1500.0, True, 50)
+_LIMIT = AccountSpec("small", "key-small", rate=8.0, burst=8.0)
+_TOKENS = AccountSpec("tokens", "key-tokens", 1500.0, 1500.0, True, 50)
 # Clients of each limited account, which ask for several times its limit.
 _PRESSING = 6
-_OPEN = PlayAccount("large", "key-large")
+_OPEN = AccountSpec("large", "key-large")
 _OVERSHOOT = 0.1
 TERMS = Terms(
     drain=_DRAIN_S,
@@ -201,11 +201,11 @@
         """Put the next configuration in force."""
         version = self._version + 1
         routes = [
-            PlayRoute(Kind.SAFE.value, Repeat.IDEMPOTENT),
-            PlayRoute(Kind.ONCE.value, Repeat.ONCE),
-            PlayRoute(Kind.LIVE.value, Repeat.STREAM),
-            PlayRoute(Kind.AGAIN.value, Repeat.STREAM, resumable=True),
-            PlayRoute(f"{Kind.PROBE.value}{version}/", Repeat.IDEMPOTENT),
+            RouteSpec(Kind.SAFE.value, Repeat.IDEMPOTENT),
+            RouteSpec(Kind.ONCE.value, Repeat.ONCE),
+            RouteSpec(Kind.LIVE.value, Repeat.STREAM),
+            RouteSpec(Kind.AGAIN.value, Repeat.STREAM, resumable=True),
+            RouteSpec(f"{Kind.PROBE.value}{version}/", Repeat.IDEMPOTENT),
         ]
         document = config_document(
             version, HOST, SERVICE, routes, [_LIMIT, _TOKENS, _OPEN]
--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -7,7 +7,11 @@
     PromptPart,
     SendMetadata,
 )
-from ebonydeal._internal.platform.headers import outgoing, read_answer, read_request
+from ebonydeal._internal.platform.headers import (
+    read_answer,
+    read_request,
+    request_headers,
+)
 
 FORGED = (
     "Ebonydeal-Tenant",
@@ -82,25 +86,25 @@
     @pytest.mark.parametrize("name", FORGED)
     def test_clients_value_of_a_system_header_is_dropped(self, name):
         req = request((name, "forged"), (name.lower(), "forged"))
-        assert all(value != "forged" for _n, value in outgoing(req, SEND))
+        assert all(value != "forged" for _n, value in request_headers(req, SEND))
 
     @pytest.mark.parametrize("name", HOPS)
     def test_header_of_one_connection_is_dropped(self, name):
-        block = outgoing(request((name, "x")), SEND)
+        block = request_headers(request((name, "x")), SEND)
         assert name.lower() not in names(block)
 
     def test_header_named_by_connection_is_dropped(self):
         req = request(("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-Kept", "1"))
-        assert "x-hop" not in names(outgoing(req, SEND))
-        assert "x-kept" in names(outgoing(req, SEND))
+        assert "x-hop" not in names(request_headers(req, SEND))
+        assert "x-kept" in names(request_headers(req, SEND))
 
     def test_key_is_never_passed_on(self):
-        block = outgoing(request(), SEND)
+        block = request_headers(request(), SEND)
         assert "authorization" not in names(block)
         assert all("secret" not in value for _name, value in block)
 
     def test_system_values_stand_once(self):
-        block = outgoing(request(("Ebonydeal-Tenant", "other")), SEND)
+        block = request_headers(request(("Ebonydeal-Tenant", "other")), SEND)
         listed = dict(block)
         assert names(block).count("ebonydeal-tenant") == 1
         assert listed["Ebonydeal-Tenant"] == "acme"
@@ -109,13 +113,13 @@
         assert listed["Ebonydeal-Request-Priority"] == "2"
 
     def test_other_headers_and_host_pass_unchanged(self):
-        listed = outgoing(request(("X-A", "1"), ("X-A", "2")), SEND)
+        listed = request_headers(request(("X-A", "1"), ("X-A", "2")), SEND)
         assert [v for n, v in listed if n == "X-A"] == ["1", "2"]
         assert ("Host", "a.example:80") in listed
         assert ("Ebonydeal-Request-Id", "r1") in listed
 
     def test_time_left_is_never_zero(self):
-        listed = dict(outgoing(request(), SEND._replace(time_left=0.0)))
+        listed = dict(request_headers(request(), SEND._replace(time_left=0.0)))
         assert listed["Ebonydeal-Deadline-Ms"] == "1"
 
 
@@ -149,13 +153,15 @@
 class TestMemory:
     def test_a_run_goes_on_from_where_its_memory_lies(self):
         send = SEND._replace(carried=KvCacheRef("10.1.0.2:80", "h7"), last_event="4")
-        block = dict(outgoing(request(), send))
+        block = dict(request_headers(request(), send))
         assert block["Kv-From"] == "10.1.0.2:80/h7"
         assert block["Last-Event-Id"] == "4"
         assert "Kv-Fetch" not in block
 
     def test_parts_are_fetched_from_another_endpoint(self):
-        block = dict(outgoing(request(), SEND._replace(fetch_from="10.1.0.3:80")))
+        block = dict(
+            request_headers(request(), SEND._replace(fetch_from="10.1.0.3:80"))
+        )
         assert block["Kv-Fetch"] == "10.1.0.3:80"
         assert "Kv-From" not in block
 
