--- a/src/ebonydeal/_internal/models/__init__.py
+++ b/src/ebonydeal/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Typed values shared by all programs."""
+"""Data types shared by all programs."""
--- a/src/ebonydeal/_internal/models/document.py
+++ b/src/ebonydeal/_internal/models/document.py
@@ -1,7 +1,7 @@
-"""The configuration document in the form that programs use.
+"""The configuration document as typed values.
 
-The wire shape is JSON (see ``config/schema.json``); these values are built from
-a document that has already been validated whole.
+Its format is JSON (see ``config/schema.json``); these values are built from a document
+that has already been validated.
 """
 
 from typing import Any, NamedTuple
@@ -20,11 +20,11 @@
     key_hashes : tuple of str
         Salted hashes of the account's API keys (see `utils.keys`).
     requests_per_s, tokens_per_s : float
-        Limits over all gateways together; 0 means none.
+        Limits over all gateways together; 0 means no limit.
     concurrency : int
         Requests in flight over all gateways together; 0 means no limit.
     priority : Priority
-        Highest class this account may ask for.
+        Highest priority class that this account may request.
     """
 
     name: str
@@ -48,10 +48,10 @@
 
 
 class CallRule(NamedTuple):
-    """Which calls of a plain service may be repeated.
+    """Whether certain calls of a plain service may be repeated.
 
-    ``path`` is a prefix; the longest matching rule of the method holds. A call
-    that no rule names may be repeated only for GET and HEAD.
+    ``path`` is a prefix; the rule of the method with the longest match applies. A call
+    without a matching rule may be repeated only if it is GET or HEAD.
     """
 
     method: str
@@ -65,9 +65,9 @@
 
 
 class Weights(NamedTuple):
-    """What counts for a deployment: money, and tokens that are recomputed.
+    """A deployment's weights of money and of recomputed tokens.
 
-    Both multiply a cost in the document's currency; 1 and 1 are neutral.
+    Each multiplies a cost in the document's currency; 1 is neutral.
     """
 
     cost: float
@@ -75,7 +75,7 @@
 
 
 class Deployment(NamedTuple):
-    """What operators asked for under one name.
+    """A deployment as operators configured it.
 
     Attributes
     ----------
@@ -84,27 +84,27 @@
     kind : str
         ``"engine"`` or ``"service"``.
     models, adapters : tuple of str
-        Model names that callers may ask for; adapters are served as models.
+        Model names that callers may request; adapters are served as models.
     accounts : tuple of str
         Client accounts that may use it.
     zones : tuple of Place
-        Where its endpoints may run.
+        Places where its endpoints may run.
     priority : Priority
-        Class of requests that ask for none.
+        Class of requests that specify none.
     price_ceiling : float
-        Most that all its instances together may cost an hour.
+        Highest cost per hour of all its instances together.
     first_token_s, between_tokens_s : float
-        Latency target, 95 in 100.
+        Latency targets for 95 % of requests.
     weights : Weights
-        What counts.
+        Weights of money and of recomputed tokens.
     deadline_work : bool
-        Whether accepted-for-later requests may wait for cheap hours.
+        Whether deferred requests may wait for cheap hours.
     checks_fence : bool
-        Whether its engines refuse orders with an old fencing number.
+        Whether its engines refuse orders with an old fencing token.
     min_replicas, max_replicas : int
         Bounds on replicas.
     calls : tuple of CallRule
-        For plain services.
+        Which calls may be repeated, for plain services.
     """
 
     name: str
@@ -167,7 +167,7 @@
 
 
 class Document(NamedTuple):
-    """A whole accepted configuration at one version."""
+    """One version of the accepted configuration."""
 
     version: int
     accounts: dict[str, Account]
--- a/src/ebonydeal/_internal/models/duties.py
+++ b/src/ebonydeal/_internal/models/duties.py
@@ -1,12 +1,12 @@
-"""Answers to the calls that one node makes for all."""
+"""Replies to the calls that only the coordinator makes."""
 
 from typing import NamedTuple
 
 
 class DutyReply(NamedTuple):
-    """What the platform said of a call of a duty.
+    """The platform's reply to a call of a duty.
 
-    ``conflict`` means a newer holder, or that nothing is to be had there.
+    ``conflict`` means that there is a newer lease holder, or no capacity in that zone.
     """
 
     accepted: bool
--- a/src/ebonydeal/_internal/models/endpoints.py
+++ b/src/ebonydeal/_internal/models/endpoints.py
@@ -1,4 +1,4 @@
-"""What is known of an endpoint: its identity, its load and its leaving."""
+"""What is known of an endpoint: its identity, load and leaving."""
 
 from enum import StrEnum
 from typing import NamedTuple, TypedDict
@@ -7,14 +7,14 @@
 
 
 class EndpointKind(StrEnum):
-    """What runs on an endpoint."""
+    """Kind of server that runs on an endpoint."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class EndpointState(StrEnum):
-    """Life of an endpoint as the instance list tells it."""
+    """State of an endpoint in the instance list."""
 
     STARTING = "starting"
     READY = "ready"
@@ -22,7 +22,7 @@
 
 
 class LoadMessage(TypedDict):
-    """Wire shape of a load report (``X-Engine-Load`` header and ``GET /load``)."""
+    """Wire format of a load report (``X-Engine-Load`` header and ``GET /load``)."""
 
     running: int
     waiting: int
@@ -33,14 +33,14 @@
 
 
 class LoadReport(NamedTuple):
-    """One endpoint's word about its own load.
+    """An endpoint's report of its own load.
 
     Attributes
     ----------
     running, waiting, slots : int
-        Requests being generated, requests queued, and the most that can run.
+        Requests running, requests queued, and the most that can run.
     kv_used : float
-        Share of KV cache in use, 0 to 1.
+        Share of the KV cache in use, 0 to 1.
     tokens_per_s : float
         Generation rate of one running stream, tokens per second.
     at : float
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_message(cls, message: LoadMessage) -> "LoadReport":
-        """Build from the wire shape; raises KeyError, TypeError or ValueError."""
+        """Build from the wire format; raises KeyError, TypeError or ValueError."""
         return cls(
             running=int(message["running"]),
             waiting=int(message["waiting"]),
@@ -67,7 +67,7 @@
         )
 
     def to_message(self) -> LoadMessage:
-        """Return the wire shape."""
+        """Return the wire format."""
         return LoadMessage(
             running=self.running,
             waiting=self.waiting,
@@ -79,14 +79,14 @@
 
 
 class EndpointView(NamedTuple):
-    """What a process knows of one endpoint when it decides.
+    """What a process knows of one endpoint.
 
     Attributes
     ----------
     endpoint_id : str
-        Id of the instance under the endpoint.
+        Id of the instance that the endpoint runs on.
     incarnation : int
-        Grows whenever the same id starts anew; a leaving mark holds for one.
+        Grows whenever the same id restarts; a leaving mark holds for one incarnation.
     kind : EndpointKind
         Model engine or plain service.
     address : str
@@ -98,13 +98,13 @@
     models : tuple of str
         Models and adapters that are loaded and warm.
     state : EndpointState
-        As last heard.
+        As last reported.
     reclaimable : bool
-        Whether the platform may take the instance back.
+        Whether the platform may reclaim the instance.
     evict_per_hour : float
-        Expected reclaims an hour, 0 or more.
+        Expected reclaims per hour, 0 or more.
     price_per_hour : float
-        Present price of the instance, in the document's currency.
+        Current price of the instance, in the document's currency.
     load : LoadReport or None
         Last report; None before the first.
     """
@@ -124,7 +124,7 @@
 
 
 class LeavingMark(NamedTuple):
-    """One incarnation of an endpoint, or a whole zone, is leaving; never undone.
+    """Mark that an incarnation of an endpoint, or a whole zone, leaves; never undone.
 
     Attributes
     ----------
@@ -135,12 +135,12 @@
     zone : str
         Availability zone of a zone-wide mark, else empty.
     deadline : float
-        Wall clock seconds at which the instance is taken; ``0.0`` if unknown.
+        Wall clock seconds at which the instance is reclaimed; ``0.0`` if unknown.
     source : str
-        Who said so: ``cloud``, ``engine``, ``peer`` or ``list``.
+        Where this is known from: ``cloud``, ``engine``, ``peer`` or ``list``.
     at : float
-        Wall clock seconds of the first notice; a zone mark covers the
-        incarnations that were started before it.
+        Wall clock seconds of the first notice; a zone-wide mark covers the
+        incarnations that started before it.
     """
 
     endpoint_id: str
--- a/src/ebonydeal/_internal/models/forwarding.py
+++ b/src/ebonydeal/_internal/models/forwarding.py
@@ -1,4 +1,4 @@
-"""What operators declare for forwarded routes, and what is known of endpoints.
+"""Configuration of forwarded routes, and what is known of their endpoints.
 
 A forwarded route sends requests by host and path prefix to a service without
 reading their bodies. All times are in seconds unless a name says otherwise.
@@ -9,7 +9,7 @@
 
 
 class Repeat(StrEnum):
-    """What may be done a second time with a request of a route."""
+    """How a request of a route may be resent."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -29,21 +29,21 @@
     Attributes
     ----------
     prefix : str
-        Begins the path; starts and ends with a slash.
+        Prefix of the path; starts and ends with a slash.
     timeout : float
-        Longest time that a request is kept waiting.
+        Longest time that a request may take.
     objective : float
-        Time to the answer, or a stream's first event, that earns full credit.
+        Latency objective: time to the answer, or to a stream's first event.
     priority : int
         0 is served first.
     max_sends : int
-        Endpoints that one request may be sent to.
+        Largest number of sends of one request that may have run.
     has_prompt : bool
-        Whether requests name the parts of their prompt.
+        Whether requests list the parts of their prompt.
     resumable : bool
-        Whether a stream may go on at another endpoint after its last event.
+        Whether a stream may continue at another endpoint after its last event.
     max_event_gap : float
-        Longest pause between events that is still on time; 0 for none.
+        Longest time between events that meets the objective; 0 for no objective.
     """
 
     name: str
@@ -62,14 +62,14 @@
 
 
 class EngineCapabilities(NamedTuple):
-    """What the engines of a service can hold and do.
+    """Capacity and features of the engines of a service.
 
     Attributes
     ----------
     token_bytes : int
-        Size of one token's memory.
+        Size of one token in the KV cache.
     can_migrate_runs : bool
-        Whether memory can be passed from engine to engine.
+        Whether a run's KV cache can be transferred to another engine.
     event_tokens : int
         Output tokens in one event of a stream.
     """
@@ -82,10 +82,11 @@
 
 
 class Scaling(NamedTuple):
-    """How many endpoints of a service may be ordered in each zone, and prices.
+    """Bounds on the endpoints of a service in each zone, and prices.
 
-    ``spot_price`` is the share of an on-demand endpoint's price, or None where
-    no reclaimable ones are offered.
+    ``boot_s`` is the time that a new endpoint needs to start. ``spot_price`` is the
+    share of an on-demand endpoint's price, or None if no reclaimable endpoints are
+    offered.
     """
 
     min_endpoints: int
@@ -108,8 +109,8 @@
 class ForwardAccount(NamedTuple):
     """A client account of forwarded routes.
 
-    ``rate`` is an amount a second (tokens or requests, as ``in_tokens`` says),
-    ``burst`` an amount; a rate of 0 is no limit. A request that doesn't tell
+    ``rate`` is an amount per second (tokens or requests, as ``in_tokens`` says),
+    ``burst`` an amount; a rate of 0 is no limit. A request that doesn't state
     its tokens counts as ``plain_tokens``.
     """
 
@@ -123,16 +124,16 @@
 
 
 class ClientLimits(NamedTuple):
-    """What a client may send, and how long it may be idle."""
+    """Limits on a client's requests and connections."""
 
     header_bytes: int
     body_bytes: int
-    header_time: float
-    idle_time: float
+    header_timeout: float
+    idle_timeout: float
 
 
 class RouteTable(NamedTuple):
-    """One version of what operators declared, whole."""
+    """One complete version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -142,9 +143,9 @@
 
 
 class EndpointProcess(NamedTuple):
-    """One process of an endpoint: what it said of itself holds for no other.
+    """One process of an endpoint; what it reports of itself holds for no other process.
 
-    ``incarnation`` as of `Member`.
+    ``incarnation`` is that of `Member`.
     """
 
     endpoint_id: str
@@ -152,26 +153,28 @@
 
 
 class Member(NamedTuple):
-    """An endpoint of a service as listed.
+    """An endpoint of a service, as listed.
 
     Attributes
     ----------
     leaving : bool
-        It has said that it leaves, and gets no new work.
+        It is about to stop, and gets no new requests.
     leaves_in : float or None
-        Time that was left when the entry was written, if known.
+        Time until it stops, from when the entry was written, if known.
     reclaimable : bool
-        The platform may take it back at short notice.
+        The platform may reclaim it at short notice.
+    warmup_left : float
+        Time until it is warm.
     revision : int
         Grows with each change of the entry.
     incarnation : int
-        When it started, in ms since 1970; 0 where endpoints don't tell. An endpoint
-        that starts again under its id has a later one, and is another endpoint:
-        nothing that was learned of the one before holds.
+        When it started, in ms since 1970; 0 if unknown. An endpoint that restarts
+        under its id has a higher one and counts as another endpoint: nothing known
+        of the earlier one holds for it.
     unreadable : bool
-        Its entry can't be read at the moment: it gets no new work.
+        Its entry can't be read at the moment: it gets no new requests.
     version : str
-        Version of its software; empty where it doesn't say.
+        Version of its software; empty if unknown.
     """
 
     endpoint_id: str
@@ -190,12 +193,12 @@
 
     @property
     def process(self) -> EndpointProcess:
-        """The process behind this entry."""
+        """The process that this entry describes."""
         return EndpointProcess(self.endpoint_id, self.incarnation)
 
 
 class PromptPart(NamedTuple):
-    """One part of a prompt, in order; equal ids mean equal text."""
+    """One part of a prompt; equal ids mean equal text."""
 
     part_id: str
     tokens: int
@@ -209,13 +212,13 @@
     target : str
         Path and query as the client encoded them.
     client_timeout : float or None
-        Time that the client waits, seconds.
+        Time that the client waits for its answer, seconds.
     length_hint : int or None
-        Output tokens as the client guesses them.
+        Output tokens that the client expects.
     last_event : str
-        The id after which a broken stream goes on; empty at the first time.
+        Id of the event after which a broken stream continues; empty for a new one.
     headers : tuple of (str, str)
-        What may be passed on, without what the system sets itself.
+        Headers that may be forwarded, without those that the system sets itself.
     """
 
     request_id: str
@@ -238,9 +241,9 @@
 
 
 class KvCacheRef(NamedTuple):
-    """The memory of a run that was stopped, for the same request to go on from.
+    """The KV cache of a stopped run, from which the same request can continue.
 
-    ``address`` is the endpoint that the run was at, ``handle`` its word for it.
+    ``address`` is the endpoint of that run, ``handle`` its name for the cache.
     """
 
     address: str
@@ -248,9 +251,9 @@
 
 
 class MigrationReply(NamedTuple):
-    """What an endpoint said to the order to pass a run's memory on.
+    """An endpoint's reply to the order to migrate a run.
 
-    ``handle`` is empty where it wasn't passed on; ``detail`` tells why.
+    ``handle`` is empty if the KV cache wasn't transferred; ``detail`` says why.
     """
 
     handle: str
@@ -258,16 +261,16 @@
 
 
 class SendMetadata(NamedTuple):
-    """What one send of a request tells its endpoint beside the request.
+    """What one send tells its endpoint in addition to the request.
 
     Attributes
     ----------
     time_left : float
-        Time left, seconds.
+        Time until the deadline, seconds.
     priority : int or None
         From 0 (first) to 9.
-    carried : Carried or None
-        Where the run's memory comes from, if it goes on.
+    kv_cache : KvCacheRef or None
+        KV cache of the run, if it was migrated.
     fetch_from : str
         Address of an endpoint that holds parts of the prompt; empty for none.
     """
@@ -277,23 +280,24 @@
     time_left: float
     priority: int | None
     last_event: str
-    carried: KvCacheRef | None = None
+    kv_cache: KvCacheRef | None = None
     fetch_from: str = ""
 
 
 class EndpointNotice(NamedTuple):
-    """What an endpoint says of itself in an answer.
+    """What an endpoint reports of itself in an answer.
 
     Attributes
     ----------
     limit : float or None
-        Requests a second that it takes from all relays together; None for no limit.
+        Requests per second that it accepts from all relays together; None for no
+        limit.
     leaving : bool
-        It leaves, and is to get no new work.
+        It is about to stop, and should get no new requests.
     backoff_s : float
-        Seconds for which it wants nothing from who asked.
+        Seconds for which it wants no requests from this relay.
     unreadable : tuple of str
-        What it said that can't be read, as name and value.
+        Headers that can't be parsed, as name and value.
     """
 
     limit: float | None = None
@@ -303,26 +307,26 @@
 
 
 class AnswerHead(NamedTuple):
-    """The beginning of an endpoint's answer.
+    """Status and headers of an endpoint's answer.
 
     Attributes
     ----------
     not_run : bool
-        The endpoint says that it did not run the request.
+        The endpoint states that it did not run the request.
     signed : bool
-        It bears the endpoint's signature, without which no success counts.
+        It has the endpoint's signature, without which no success is accepted.
     request_id : str
-        The request that it answers; empty if it doesn't say.
+        Id of the request that it answers; empty if not stated.
     encoded : bool
-        Its body is encoded, so it isn't what the endpoint made.
-    idle_time : float or None
-        How long the endpoint keeps the connection, where it says so.
+        Its body is encoded, so not as the endpoint wrote it.
+    keepalive_s : float or None
+        How long the endpoint keeps an idle connection, if stated.
     headers : tuple of (str, str)
-        What the client gets.
+        Headers for the client.
     misdirected : bool
-        The process that was meant isn't the one that answers.
-    notice : Notice
-        What the endpoint says of itself.
+        Another process than the one addressed has answered.
+    notice : EndpointNotice
+        What the endpoint reports of itself.
     """
 
     status: int
@@ -330,7 +334,7 @@
     signed: bool
     request_id: str
     encoded: bool
-    idle_time: float | None
+    keepalive_s: float | None
     headers: tuple[tuple[str, str], ...]
     misdirected: bool = False
     notice: EndpointNotice = EndpointNotice()
--- a/src/ebonydeal/_internal/models/places.py
+++ b/src/ebonydeal/_internal/models/places.py
@@ -20,7 +20,7 @@
 
 
 class Distance(IntEnum):
-    """How far two places are from each other."""
+    """Distance of two places."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -28,7 +28,7 @@
 
 
 def distance(a: Place, b: Place) -> Distance:
-    """Return how far ``a`` is from ``b``."""
+    """Return the distance of ``a`` and ``b``."""
     if a.zone == b.zone:
         return Distance.SAME_ZONE
     if a.region == b.region:
--- a/src/ebonydeal/_internal/models/records.py
+++ b/src/ebonydeal/_internal/models/records.py
@@ -1,7 +1,7 @@
-"""Journal records: the whole durable history of a request.
+"""Journal records: the complete durable history of a request.
 
-State is a pure fold over these. Each class carries ``record`` as its tag on the
-wire.
+A request's state follows from its records alone. The field ``record`` of each class is
+its type tag on the wire.
 """
 
 from dataclasses import asdict, dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """The request is promised: it will be answered, not run, or unknown."""
+    """The request is accepted: it will be answered, "not run" or "unknown"."""
 
     request: Request
     record: str = "accepted"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Completed:
-    """The first whole answer; later ones are dropped and counted."""
+    """The first complete answer; later ones are dropped and counted."""
 
     request_id: str
     attempt: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Unknown:
-    """The outcome can't be known any more; the request is never run again."""
+    """The outcome can no longer be known; the request is never run again."""
 
     request_id: str
     attempt: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Ended:
-    """Final without an answer, known not to have run: cancelled or refused."""
+    """Ended without an answer and known not to have run: cancelled or refused."""
 
     request_id: str
     kind: str
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Expired:
-    """Retention is over; the request is forgotten."""
+    """The retention time has passed; the request is deleted."""
 
     request_id: str
     record: str = "expired"
@@ -89,7 +89,7 @@
 
 
 def record_to_message(record: Record) -> dict[str, Any]:
-    """Return the wire shape of a record."""
+    """Return the wire format of a record."""
     match record:
         case Accepted(request=request):
             return {"record": record.record, "request": request.to_message()}
@@ -101,7 +101,7 @@
 
 
 def record_from_message(message: dict[str, Any]) -> Record:
-    """Build a record; raises KeyError, TypeError or ValueError on garbage."""
+    """Build a record; raises KeyError, TypeError or ValueError on invalid input."""
     fields = dict(message)
     cls = _CLASSES[fields.pop("record")]
     if cls is Accepted:
--- a/src/ebonydeal/_internal/models/requests.py
+++ b/src/ebonydeal/_internal/models/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests as the programs see them."""
+"""Callers' requests and stored answers."""
 
 from base64 import b64decode, b64encode
 from enum import IntEnum, StrEnum
@@ -14,7 +14,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a request asks for."""
+    """Kind of a request."""
 
     CHAT = "chat"
     COMPLETION = "completion"
@@ -22,7 +22,7 @@
 
 
 class RequestMessage(TypedDict):
-    """Wire shape of a request between our own processes and in the journal."""
+    """Wire format of a request between the system's processes and in the journal."""
 
     request_id: str
     account: str
@@ -49,7 +49,7 @@
     Attributes
     ----------
     request_id : str
-        Unique; names its journal shard.
+        Unique; determines its journal shard.
     account : str
         Client account.
     deployment : str
@@ -59,23 +59,23 @@
     method, path : str
         HTTP method and path at the endpoint.
     headers : dict of str to str
-        Caller's headers that are passed on.
+        Caller's headers that are forwarded.
     body : str
-        Body text; empty where ``body_object`` names an object.
+        Body text; empty if ``body_object`` names an object.
     body_object : str
         Object store name of a large body, else empty.
     body_digest : str
-        Digest of the body, for "same key, other body".
+        Digest of the body, to detect a reused key with another body.
     key : str
         Idempotency key, or empty.
     idempotent : bool
-        Whether running it twice is harmless.
+        Whether it may run more than once.
     priority : Priority
         Priority class.
     accepted_at, deadline : float
         Wall clock seconds; deadline 0.0 means none.
     prompt_tokens, max_tokens : int
-        Estimated prompt tokens and most output tokens; 0 for services.
+        Estimated prompt tokens and largest number of output tokens; 0 for services.
     """
 
     request_id: str
@@ -98,14 +98,14 @@
 
     @classmethod
     def from_message(cls, message: RequestMessage) -> "Request":
-        """Build from the wire shape; raises KeyError, TypeError or ValueError."""
+        """Build from the wire format; raises KeyError, TypeError or ValueError."""
         fields = {name: message[name] for name in cls._fields}  # type: ignore[literal-required]
         fields["kind"] = RequestKind(fields["kind"])
         fields["priority"] = Priority(fields["priority"])
         return cls(**fields)
 
     def to_message(self) -> RequestMessage:
-        """Return the wire shape."""
+        """Return the wire format."""
         fields = self._asdict()
         fields["kind"] = str(self.kind)
         fields["priority"] = int(self.priority)
@@ -113,20 +113,20 @@
 
 
 class StoredAnswer(NamedTuple):
-    """A whole answer that is kept for its caller.
+    """A complete answer, stored for its caller.
 
     Attributes
     ----------
     status : int
-        HTTP status that the endpoint gave.
+        HTTP status of the endpoint's answer.
     content_type : str
-        Of the body.
+        Content type of the body.
     body : str
-        Body text; empty where ``body_object`` names an object.
+        Body text; empty if ``body_object`` names an object.
     body_object : str
         Object store name of a large body, else empty.
     encoding : str
-        ``"base64"`` where the body is not text, else empty.
+        ``"base64"`` if the body is not text, else empty.
     """
 
     status: int
@@ -145,7 +145,7 @@
             return cls(status, content_type, text, encoding="base64")
 
     def data(self) -> bytes:
-        """Return the body's bytes as the endpoint gave them."""
+        """Return the body's bytes as the endpoint sent them."""
         if self.encoding == "base64":
             return b64decode(self.body)
         return self.body.encode()
--- a/src/ebonydeal/_internal/models/rollouts.py
+++ b/src/ebonydeal/_internal/models/rollouts.py
@@ -1,11 +1,11 @@
-"""Roll-outs: a service's traffic moves to endpoints of another version."""
+"""Roll-outs, which shift a service's traffic to endpoints of another version."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Phase(StrEnum):
-    """Where a roll-out stands; the last two are final for their order."""
+    """Phase of a roll-out; the last two are final for their order."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -13,16 +13,16 @@
 
 
 class RolloutOrder(NamedTuple):
-    """What an operator orders.
+    """An operator's order of a roll-out.
 
     Attributes
     ----------
     target_version : str
-        The version that is to take the service's requests.
+        Version that is to get all requests of the service.
     duration : float
-        Seconds from the order within which it is to be decided.
+        Seconds from the order within which the roll-out must be decided.
     revision : int
-        Grows with each order; another revision is another order.
+        Grows with each order and identifies it.
     """
 
     service: str
@@ -32,18 +32,18 @@
 
 
 class RolloutGate(NamedTuple):
-    """What relays are told of one roll-out.
+    """State of one roll-out, as relays get it from the coordinator.
 
     Attributes
     ----------
     revision : int
-        The order's.
+        Revision of the order.
     shares : dict of str to float
-        Part of a route's requests that the new version gets, by route.
+        Share of a route's requests that the new version gets, by route.
     canaries : tuple of str
-        Ids of the new endpoints that get them.
+        Ids of the new version's endpoints that get them.
     barred : tuple of str
-        Versions that get nothing: those rolled back before.
+        Versions that get no requests, because they were rolled back.
     """
 
     service: str
--- a/src/ebonydeal/_internal/models/shared.py
+++ b/src/ebonydeal/_internal/models/shared.py
@@ -1,4 +1,4 @@
-"""Rows that the system's own processes share through the platform's store."""
+"""Rows that the system's processes share through the platform's store."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class SharedRow(NamedTuple):
-    """A row; ``value`` is None where it was removed."""
+    """A row; ``value`` is None if it was removed."""
 
     key: str
     value: bytes | None
@@ -15,7 +15,7 @@
 
 
 class RowChanges(NamedTuple):
-    """Rows changed since a version, in order, and the version to go on from."""
+    """Rows changed since a version, in order, and the version to continue from."""
 
     rows: tuple[SharedRow, ...]
     version: int
@@ -24,8 +24,8 @@
 class RowWrite(NamedTuple):
     """One write; ``value`` None removes the row.
 
-    ``expected`` is the version that the row must have: ``NO_ROW`` for none,
-    ``ANY_VERSION`` for whatever it has.
+    ``expected`` is the version that the row must have: ``NO_ROW`` if it must not
+    exist, ``ANY_VERSION`` for any.
     """
 
     table: str
@@ -35,7 +35,7 @@
 
 
 class TransactResult(NamedTuple):
-    """Whether the writes took effect; if not, the rows as they are."""
+    """Whether the writes were applied; if not, the current rows."""
 
     applied: bool
     version: int
--- a/src/ebonydeal/_internal/platform/__init__.py
+++ b/src/ebonydeal/_internal/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter of the users' platform: names, formats and calls; no decisions."""
+"""Adapter of the users' platform: names, formats and calls, without decisions."""
--- a/src/ebonydeal/_internal/platform/calls.py
+++ b/src/ebonydeal/_internal/platform/calls.py
@@ -1,4 +1,4 @@
-"""JSON calls to one of the platform's services, on a session of their own."""
+"""JSON calls to one service of the platform."""
 
 import json
 from typing import Any, NamedTuple
@@ -9,23 +9,23 @@
 
 
 class Reply(NamedTuple):
-    """A whole answer; ``body`` is as it came."""
+    """A complete reply; ``body`` is unparsed."""
 
     status: int
     body: bytes
 
-    def read(self) -> Any:
-        """Return the body's JSON, None without one; raises ValueError."""
+    def parse(self) -> Any:
+        """Return the body's JSON, None for an empty body; raises ValueError."""
         return json.loads(self.body) if self.body else None
 
 
 class JsonCalls:
-    """Makes calls; owns one session, which is opened with the first of them.
+    """Makes calls; owns one session, which the first call opens.
 
     Parameters
     ----------
     timeout : float
-        Longest wait for one call, and for a connection, seconds.
+        Timeout of one call, and of connecting, seconds.
     """
 
     def __init__(self, timeout: float) -> None:
@@ -36,20 +36,20 @@
         self,
         method: str,
         url: str,
-        lost: ErrorKind,
+        no_reply: ErrorKind,
         *,
         wait: float = 0.0,
         headers: dict[str, str] | None = None,
         params: dict[str, str] | None = None,
         message: Any = None,
     ) -> Reply:
-        """Make one call; raises ``lost`` where no whole answer came.
+        """Make one call; raises ``no_reply`` if no complete reply came.
 
-        ``wait`` is how long the other side may keep the call waiting, seconds.
+        ``wait`` is the additional time that the service may take, seconds.
         """
         if self._session is None:
             self._session = ClientSession(connector=TCPConnector(limit=0))
-            # The library would repeat a GET whose connection broke by itself.
+            # aiohttp itself would repeat a GET whose connection broke.
             self._session._retry_connection = False
         timeout = ClientTimeout(total=self._timeout + wait, sock_connect=self._timeout)
         data = None
@@ -62,8 +62,8 @@
             ) as resp:
                 return Reply(resp.status, await resp.read())
         except (TimeoutError, ClientError, OSError) as exc:
-            detail = f"{method} {url}: no answer ({type(exc).__name__})"
-            raise EbonydealError(lost, detail) from exc
+            detail = f"{method} {url}: no reply ({type(exc).__name__})"
+            raise EbonydealError(no_reply, detail) from exc
 
     async def close(self) -> None:
         """Close the session."""
--- a/src/ebonydeal/_internal/platform/duties.py
+++ b/src/ebonydeal/_internal/platform/duties.py
@@ -1,4 +1,4 @@
-"""Calls that one node at a time makes of the platform."""
+"""Calls to the platform that only the coordinator makes."""
 
 from typing import Any
 
@@ -11,16 +11,16 @@
 
 
 class PlatformDuties:
-    """Usage reports and scale orders; owns one session.
+    """Sends usage reports and scale orders; owns one session.
 
     Parameters
     ----------
     url : str
         Base URL of the cloud API.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     holder : str
-        Name of this node.
+        Name of this node, as lease holder.
     """
 
     def __init__(self, url: str, timeout: float, holder: str) -> None:
@@ -45,21 +45,21 @@
             case 409:
                 return DutyReply(False, True, text)
         if status in (429, 503):
-            detail = f"POST {path} answered {status}"
+            detail = f"POST {path} returned {status}"
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, detail)
         return DutyReply(False, False, f"{status} {text}")
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fence: int
     ) -> DutyReply:
-        """Report how many requests of each account began in a window."""
+        """Report how many requests of each account started in a window."""
         message = {"window_id": window, "request_counts": counts}
         return await self._post("/usage", fence, message)
 
     async def order(
         self, service: str, zone: str, count: int, reclaimable: bool, fence: int
     ) -> DutyReply:
-        """Order that many endpoints of one kind for a service in a zone."""
+        """Order ``count`` endpoints of one kind for a service in a zone."""
         message: dict[str, Any] = {"service": service, "zone": zone, "desired": count}
         if reclaimable:
             message["spot"] = True
--- a/src/ebonydeal/_internal/platform/engines.py
+++ b/src/ebonydeal/_internal/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to model engines beside the requests themselves."""
+"""Calls to model engines other than forwarded requests."""
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import MigrationReply
@@ -8,12 +8,12 @@
 
 
 class PlatformEngines:
-    """Orders to engines; owns one session.
+    """Sends orders to engines; owns one session.
 
     Parameters
     ----------
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     """
 
     def __init__(self, timeout: float) -> None:
@@ -22,9 +22,9 @@
     async def migrate_run(
         self, source: str, request_id: str, target: str
     ) -> MigrationReply:
-        """Stop a run at ``source`` and pass its memory to ``target`` (addresses).
+        """Stop a run at ``source`` and transfer its KV cache to ``target`` (addresses).
 
-        Raises ENDPOINT_FAILED where no answer came: it may be stopped or not.
+        Raises ENDPOINT_FAILED if no reply came: the run may be stopped or not.
         """
         reply = await self._calls.call(
             "POST",
@@ -35,26 +35,26 @@
         if reply.status != 200:
             return MigrationReply("", f"status {reply.status}")
         try:
-            handle = str(reply.read()["handle"])
+            handle = str(reply.parse()["handle"])
         except (ValueError, KeyError, TypeError) as exc:
-            detail = f"the answer of {source} can't be read: {exc!r}"
+            detail = f"the reply of {source} can't be parsed: {exc!r}"
             raise EbonydealError(ErrorKind.ENDPOINT_FAILED, detail) from exc
         return MigrationReply(handle, "")
 
     async def leaves_in(self, address: str) -> float | None:
-        """Return how soon an endpoint goes, seconds; None where it doesn't say.
+        """Return the seconds until an endpoint leaves; None if it doesn't report them.
 
-        Raises ENDPOINT_FAILED without a readable answer.
+        Raises ENDPOINT_FAILED without a valid reply.
         """
         url = f"http://{address}/-/report"
         reply = await self._calls.call("GET", url, ErrorKind.ENDPOINT_FAILED)
         try:
-            leaves = reply.read()["leaves_ms"] if reply.status == 200 else None
-            return None if leaves is None else max(0.0, float(leaves) / _MS)
+            leaves_ms = reply.parse()["leaves_ms"] if reply.status == 200 else None
+            return None if leaves_ms is None else max(0.0, float(leaves_ms) / _MS)
         except KeyError:
             return None
         except (ValueError, TypeError) as exc:
-            detail = f"the report of {address} can't be read: {exc!r}"
+            detail = f"the report of {address} can't be parsed: {exc!r}"
             raise EbonydealError(ErrorKind.ENDPOINT_FAILED, detail) from exc
 
     async def close(self) -> None:
--- a/src/ebonydeal/_internal/platform/headers.py
+++ b/src/ebonydeal/_internal/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header blocks of the platform: from clients, to endpoints, and back."""
+"""HTTP headers of the platform: of clients' requests, of sends and of answers."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -23,22 +23,22 @@
 LENGTH_HINT = "Ebonydeal-Length-Hint"
 SIGNATURE = "Ebonydeal-Server-Signature"
 NOT_RUN = "Ebonydeal-Not-Executed"
-# Requests a second that the endpoint takes from all callers together.
+# Requests per second that the endpoint accepts from all callers together.
 LIMIT = "Server-Limit"
 LEAVING = "Server-Leaving"
-REST = "Retry-After"
+BACKOFF = "Retry-After"
 LAST_EVENT = "Last-Event-Id"
-CARRIED = "Kv-From"
-FETCH = "Kv-Fetch"
+KV_CACHE = "Kv-From"
+KV_FETCH = "Kv-Fetch"
 _BEARER = "bearer "
 _MS = 1000.0
 _YES, _NO = "1", "0"
-# Characters of a value that can't be read in a log line.
-_MOST_QUOTED = 40
+# Characters of an unreadable value that are kept for the log.
+_MAX_QUOTED_CHARS = 40
 
-# Concern one connection only (RFC 9110, 7.6.1), or are written anew by the
-# HTTP library. Lower case, as all sets of names here.
-_HOP = frozenset(
+# Hop-by-hop headers (RFC 9110, 7.6.1), and those that the HTTP library writes itself.
+# All sets of header names here are in lower case.
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -66,8 +66,8 @@
         "ebonydeal-hold",
         "ebonydeal-pin-ms",
         "ebonydeal-kv-backup",
-        CARRIED.lower(),
-        FETCH.lower(),
+        KV_CACHE.lower(),
+        KV_FETCH.lower(),
         NOT_RUN.lower(),
     }
 )
@@ -75,65 +75,65 @@
 Pairs = Iterable[tuple[str, str]]
 
 
-def _named_hops(pairs: list[tuple[str, str]]) -> frozenset[str]:
-    """Return the names that ``Connection`` declares to be of one connection."""
+def _connection_options(pairs: list[tuple[str, str]]) -> frozenset[str]:
+    """Return the header names that ``Connection`` declares to be hop-by-hop."""
     named = [v for name, v in pairs if name.lower() == "connection"]
     return frozenset(word.strip().lower() for v in named for word in v.split(","))
 
 
-def _bad(detail: str) -> EbonydealError:
+def _bad_request(detail: str) -> EbonydealError:
     return EbonydealError(ErrorKind.BAD_REQUEST, detail)
 
 
 def _tokens(text: str | None) -> tuple[int | None, int]:
-    """Return prompt tokens and most output tokens; (None, 0) if not told."""
+    """Return prompt tokens and maximum output tokens; (None, 0) if not stated."""
     if text is None:
         return None, 0
     try:
         prompt, output = (int(word) for word in text.split(","))
     except ValueError:
-        raise _bad(f"{TOKENS} must be two whole numbers") from None
+        raise _bad_request(f"{TOKENS} must be two whole numbers") from None
     if prompt < 0 or output < 0:
-        raise _bad(f"{TOKENS} must not be negative")
+        raise _bad_request(f"{TOKENS} must not be negative")
     return prompt, output
 
 
 def _parts(text: str | None) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt; a malformed list raises BAD_REQUEST."""
+    """Return the parts of a prompt; raises BAD_REQUEST for a malformed list."""
     if not text:
         return ()
     parts = []
     for entry in text.split(","):
         part_id, _sep, tokens = entry.strip().partition(":")
         if not tokens.isdigit():
-            raise _bad(f"{PROMPT} holds an entry without its tokens")
+            raise _bad_request(f"{PROMPT} has an entry without a token count")
         parts.append(PromptPart(part_id, int(tokens)))
     return tuple(parts)
 
 
 def _seconds(text: str | None) -> float | None:
-    """Return a count of milliseconds in seconds."""
+    """Return a time in ms as seconds; raises BAD_REQUEST."""
     if text is None:
         return None
     try:
         return max(0.0, float(text)) / _MS
     except ValueError:
-        raise _bad(f"{DEADLINE} must be a number") from None
+        raise _bad_request(f"{DEADLINE} must be a number") from None
 
 
 def read_request(method: str, target: str, pairs: Pairs) -> ForwardedRequest:
-    """Return a client's request; raises BAD_REQUEST where it can't be read."""
+    """Return a client's request; raises BAD_REQUEST if it is malformed."""
     listed = list(pairs)
     first = {name.lower(): value for name, value in reversed(listed)}
     request_id = first.get(REQUEST_ID.lower(), "")
     if not request_id:
-        raise _bad(f"the request has no {REQUEST_ID}")
+        raise _bad_request(f"the request has no {REQUEST_ID}")
     credential = first.get("authorization", "")
     if credential.lower().startswith(_BEARER):
         credential = credential[len(_BEARER) :].strip()
     prompt, output = _tokens(first.get(TOKENS.lower()))
     hint = first.get(LENGTH_HINT.lower(), "")
-    hops = _HOP | _SYSTEM | _named_hops(listed)
+    dropped = _HOP_BY_HOP | _SYSTEM | _connection_options(listed)
     return ForwardedRequest(
         request_id=request_id,
         method=method,
@@ -146,12 +146,12 @@
         parts=_parts(first.get(PROMPT.lower())),
         length_hint=int(hint) if hint.isdigit() else None,
         last_event=first.get(LAST_EVENT.lower(), ""),
-        headers=tuple((n, v) for n, v in listed if n.lower() not in hops),
+        headers=tuple((n, v) for n, v in listed if n.lower() not in dropped),
     )
 
 
 def request_headers(req: ForwardedRequest, send: SendMetadata) -> list[tuple[str, str]]:
-    """Return the header block of one send to an endpoint."""
+    """Return the headers of one send to an endpoint."""
     block = list(req.headers)
     block.append((DEADLINE, str(max(1, int(send.time_left * _MS)))))
     block.append((EXPECT_ENDPOINT, send.endpoint_id))
@@ -161,14 +161,14 @@
         block.append((PRIORITY, str(send.priority)))
     if send.last_event:
         block.append((LAST_EVENT, send.last_event))
-    if send.carried is not None:
-        block.append((CARRIED, f"{send.carried.address}/{send.carried.handle}"))
+    if send.kv_cache is not None:
+        block.append((KV_CACHE, f"{send.kv_cache.address}/{send.kv_cache.handle}"))
     if send.fetch_from:
-        block.append((FETCH, send.fetch_from))
+        block.append((KV_FETCH, send.fetch_from))
     return block
 
 
-def _idle_time(text: str | None) -> float | None:
+def _keepalive_s(text: str | None) -> float | None:
     """Return the timeout of a ``Keep-Alive`` header, seconds."""
     for word in (text or "").split(","):
         key, _sep, value = word.strip().partition("=")
@@ -178,7 +178,7 @@
 
 
 def _number(text: str) -> float | None:
-    """Return a decimal number from 0 on, or None for anything else."""
+    """Return a number that is finite and not negative, or None for anything else."""
     try:
         value = float(text)
     except ValueError:
@@ -187,29 +187,29 @@
 
 
 def _notice(status: int, first: Mapping[str, str]) -> EndpointNotice:
-    """Return what an endpoint says of itself; names are in lower case."""
+    """Return what an endpoint reports of itself; names are in lower case."""
     unreadable = []
 
     def number(name: str) -> float | None:
-        said = first.get(name.lower())
-        value = None if said is None else _number(said)
-        if said is not None and value is None:
-            unreadable.append(f"{name}: {said[:_MOST_QUOTED]}")
+        text = first.get(name.lower())
+        value = None if text is None else _number(text)
+        if text is not None and value is None:
+            unreadable.append(f"{name}: {text[:_MAX_QUOTED_CHARS]}")
         return value
 
     limit = number(LIMIT)
-    rest = number(REST) if status == HTTPStatus.SERVICE_UNAVAILABLE else None
+    backoff_s = number(BACKOFF) if status == HTTPStatus.SERVICE_UNAVAILABLE else None
     leaving = first.get(LEAVING.lower(), _NO)
     if leaving not in (_YES, _NO):
-        unreadable.append(f"{LEAVING}: {leaving[:_MOST_QUOTED]}")
-    return EndpointNotice(limit, leaving == _YES, rest or 0.0, tuple(unreadable))
+        unreadable.append(f"{LEAVING}: {leaving[:_MAX_QUOTED_CHARS]}")
+    return EndpointNotice(limit, leaving == _YES, backoff_s or 0.0, tuple(unreadable))
 
 
 def read_answer(status: int, pairs: Pairs) -> AnswerHead:
     """Return the head of an endpoint's answer."""
     listed = list(pairs)
     first = {name.lower(): value for name, value in reversed(listed)}
-    hops = _HOP | _named_hops(listed)
+    dropped = _HOP_BY_HOP | _connection_options(listed)
     encoding = first.get("content-encoding", "identity").lower()
     return AnswerHead(
         status=status,
@@ -217,8 +217,8 @@
         signed=SIGNATURE.lower() in first,
         request_id=first.get(REQUEST_ID.lower(), ""),
         encoded=encoding not in ("identity", ""),
-        idle_time=_idle_time(first.get("keep-alive")),
-        headers=tuple((n, v) for n, v in listed if n.lower() not in hops),
+        keepalive_s=_keepalive_s(first.get("keep-alive")),
+        headers=tuple((n, v) for n, v in listed if n.lower() not in dropped),
         misdirected=status == _MISDIRECTED,
         notice=_notice(status, first),
     )
--- a/src/ebonydeal/_internal/platform/rows.py
+++ b/src/ebonydeal/_internal/platform/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store, as values of the product."""
+"""Conversion of the platform's rows to the data types of the product."""
 
 import json
 from base64 import b64decode, b64encode
@@ -25,7 +25,7 @@
 CONFIG_KEY = "config"
 MEMBERS_TABLE = "servers"
 STATUS_TABLE = "status"
-# Rows of roll-outs, in the tables of orders and of status, begin so.
+# Prefix of the keys of roll-outs, in the tables of orders and of status.
 ROLLOUT_PREFIX = "rollout/"
 _REPEATS = {
     "idempotent": Repeat.IDEMPOTENT,
@@ -33,24 +33,24 @@
     "streaming": Repeat.STREAM,
 }
 _LEAVING = {"ready": False, "draining": True}
-_MOST_PORT = 65535
-# Milliseconds since 1970 stay below it for ages, and a float holds it exactly.
-_MOST_WHOLE = 2**53
+_MAX_PORT = 65535
+# Milliseconds since 1970 stay far below it, and a float holds it exactly.
+_MAX_INTEGER = 2**53
 _MS = 1000.0
 
 
 def decode_row(message: dict[str, Any]) -> SharedRow:
-    """Return a row of the wire; raises KeyError, TypeError or ValueError."""
-    gone = bool(message.get("tombstone"))
+    """Return a row in wire format; raises KeyError, TypeError or ValueError."""
+    removed = bool(message.get("tombstone"))
     return SharedRow(
         key=str(message["key"]),
-        value=None if gone else b64decode(message["value"]),
+        value=None if removed else b64decode(message["value"]),
         version=int(message["ver"]),
     )
 
 
 def encode_value(value: bytes) -> str:
-    """Return a value as rows carry it."""
+    """Return a value in wire format."""
     return b64encode(value).decode("ascii")
 
 
@@ -70,7 +70,7 @@
         targets=tuple(targets),
         max_sends=max(1, int(message.get("max_attempts") or 1)),
         anonymous=bool(message.get("allow_anonymous")),
-        # The wire's name for routes whose requests name the parts of a prompt.
+        # The platform's name for routes whose requests list the parts of a prompt.
         has_prompt=bool(message.get("sticky")),
         resumable=bool(message.get("can_resume")),
         max_event_gap=float(message.get("gap_aim_ms") or 0.0) / _MS,
@@ -116,8 +116,8 @@
     return ClientLimits(
         header_bytes=int(message.get("max_header_bytes") or 16384),
         body_bytes=int(message.get("max_body_bytes") or 4 * 1024 * 1024),
-        header_time=float(message.get("header_timeout_ms") or 10000) / _MS,
-        idle_time=float(message.get("idle_timeout_ms") or 60000) / _MS,
+        header_timeout=float(message.get("header_timeout_ms") or 10000) / _MS,
+        idle_timeout=float(message.get("idle_timeout_ms") or 60000) / _MS,
     )
 
 
@@ -135,7 +135,7 @@
 
 
 def decode_table(value: bytes) -> RouteTable:
-    """Return the configuration; raises BAD_DOCUMENT where it can't be read."""
+    """Return the configuration; raises BAD_DOCUMENT if it is invalid."""
     try:
         message = json.loads(value)
         services = [_service(item) for item in message.get("services") or ()]
@@ -154,33 +154,35 @@
         RecursionError,
         OverflowError,
     ) as exc:
-        detail = f"the configuration can't be read: {exc!r}"
+        detail = f"the configuration can't be parsed: {exc!r}"
         raise EbonydealError(ErrorKind.BAD_DOCUMENT, detail) from exc
 
 
 def decode_member(row: SharedRow) -> Member:
-    """Return a listed endpoint; raises BAD_DOCUMENT where it can't be read.
+    """Return a listed endpoint; raises BAD_DOCUMENT if its entry is invalid.
 
-    The table is open to other writers: a field of another type names no endpoint,
-    and is never read as something that it might have meant.
+    Others may write to the table too: an entry with a field of the wrong type is
+    refused, and such a field is never converted.
     """
     try:
         message = json.loads(row.value or b"")
         if not isinstance(message, dict):
-            raise TypeError("no object")
+            raise TypeError("not an object")
         return Member(
             endpoint_id=row.key,
             service=_text(message, "service"),
             address=_address(message),
             zone=_text(message, "zone"),
-            slots=_whole(message, "max_slots", least=1),
+            slots=_integer(message, "max_slots", minimum=1),
             leaving=_LEAVING[_text(message, "state")],
             leaves_in=_seconds(message, "leaves_ms"),
             reclaimable=_flag(message, "spot"),
             warmup_left=_seconds(message, "cold_left_ms") or 0.0,
             revision=row.version,
-            # The wire's name for when the endpoint started, in ms since 1970.
-            incarnation=_whole(message, "born", least=0) if "born" in message else 0,
+            # The platform's name for the start of the endpoint, in ms since 1970.
+            incarnation=(
+                _integer(message, "born", minimum=0) if "born" in message else 0
+            ),
             version=_version(message),
         )
     except (KeyError, TypeError, ValueError, RecursionError) as exc:
@@ -194,12 +196,12 @@
     if type(value) is int:
         return str(value)
     if not isinstance(value, str):
-        raise TypeError("version is no text")
+        raise TypeError("version is not a string")
     return value
 
 
 def rollout_service(key: str) -> str | None:
-    """Return the service whose roll-out a row is about, None for other rows."""
+    """Return the service of a roll-out's row, None for other rows."""
     service = key.removeprefix(ROLLOUT_PREFIX)
     return service if service and service != key else None
 
@@ -209,32 +211,34 @@
     try:
         message = json.loads(row.value or b"")
         if not isinstance(message, dict):
-            raise TypeError("no object")
+            raise TypeError("not an object")
         service = _text(message, "service")
         if service != rollout_service(row.key):
-            raise ValueError("service is another than the row's")
+            raise ValueError("service differs from the row's key")
         duration = message["duration_s"]
         if type(duration) not in (int, float):
-            raise TypeError("duration_s is no number")
-        if not 0 < duration <= _MOST_WHOLE:
+            raise TypeError("duration_s is not a number")
+        if not 0 < duration <= _MAX_INTEGER:
             raise ValueError("duration_s is out of range")
         target = {"version": message["to"]}
-        return RolloutOrder(service, _named(target), float(duration), row.version)
+        return RolloutOrder(
+            service, _required_version(target), float(duration), row.version
+        )
     except (KeyError, TypeError, ValueError, RecursionError) as exc:
-        detail = f"order {row.key}, version {row.version}: {exc!r}"
+        detail = f"roll-out order {row.key}, version {row.version}: {exc!r}"
         raise EbonydealError(ErrorKind.BAD_DOCUMENT, detail) from exc
 
 
-def _named(message: dict[str, Any]) -> str:
-    """Return a version that must be there; raises TypeError."""
+def _required_version(message: dict[str, Any]) -> str:
+    """Return a version that must not be empty; raises TypeError."""
     version = _version(message)
     if not version:
-        raise TypeError("no version is named")
+        raise TypeError("no version")
     return version
 
 
 def encode_status(phase: Phase, to: str) -> bytes:
-    """Return what operators read of a roll-out."""
+    """Return the status of a roll-out, which operators read."""
     return json.dumps({"state": str(phase), "to": to}).encode()
 
 
@@ -249,10 +253,10 @@
 
 
 def _text(message: dict[str, Any], name: str) -> str:
-    """Return a field's text; raises KeyError or TypeError."""
+    """Return a field's non-empty string; raises KeyError or TypeError."""
     value = message[name]
     if not isinstance(value, str) or not value:
-        raise TypeError(f"{name} is no text")
+        raise TypeError(f"{name} is not a string or is empty")
     return value
 
 
@@ -261,37 +265,37 @@
     address = _text(message, "address")
     host, _, port = address.rpartition(":")
     IPv4Address(host)
-    if not (port.isascii() and port.isdecimal() and 0 < int(port) <= _MOST_PORT):
-        raise ValueError("address has no port")
+    if not (port.isascii() and port.isdecimal() and 0 < int(port) <= _MAX_PORT):
+        raise ValueError("address has no valid port")
     return address
 
 
-def _whole(message: dict[str, Any], name: str, least: int) -> int:
-    """Return a field's whole number; raises KeyError, TypeError or ValueError."""
+def _integer(message: dict[str, Any], name: str, minimum: int) -> int:
+    """Return a field's integer; raises KeyError, TypeError or ValueError."""
     value = message[name]
     if type(value) is not int:
-        raise TypeError(f"{name} is no whole number")
-    if not least <= value <= _MOST_WHOLE:
+        raise TypeError(f"{name} is not an integer")
+    if not minimum <= value <= _MAX_INTEGER:
         raise ValueError(f"{name} is out of range")
     return value
 
 
 def _flag(message: dict[str, Any], name: str) -> bool:
-    """Return a field that may be left out; raises TypeError."""
+    """Return an optional boolean field, False by default; raises TypeError."""
     value = message.get(name, False)
     if not isinstance(value, bool):
-        raise TypeError(f"{name} is no boolean")
+        raise TypeError(f"{name} is not a boolean")
     return value
 
 
 def _seconds(message: dict[str, Any], name: str) -> float | None:
-    """Return a time in ms that may be left out; raises TypeError or ValueError."""
+    """Return an optional field in ms as seconds; raises TypeError or ValueError."""
     value = message.get(name)
     if value is None:
         return None
     if type(value) not in (int, float):
-        raise TypeError(f"{name} is no number")
-    # Compared before it is converted: a whole number may be too large for that.
-    if not 0 <= value <= _MOST_WHOLE:
+        raise TypeError(f"{name} is not a number")
+    # Checked before the conversion: an integer may be too large for a float.
+    if not 0 <= value <= _MAX_INTEGER:
         raise ValueError(f"{name} is out of range")
     return float(value) / _MS
--- a/src/ebonydeal/_internal/platform/server_side.py
+++ b/src/ebonydeal/_internal/platform/server_side.py
@@ -1,7 +1,7 @@
-"""The platform's side of the wire, for stand-ins: names and formats only.
+"""The platform's side of the wire format, for simulated platforms.
 
-What `headers`, `rows`, `store`, `duties` and `engines` send is read here, and what
-they read is written. Stand-ins themselves, and all that they decide, are elsewhere.
+Parses what `headers`, `rows`, `store`, `duties` and `engines` send, and builds what
+they parse. The simulated platforms themselves are elsewhere.
 """
 
 import json
@@ -15,15 +15,15 @@
 from ebonydeal._internal.platform.duties import FENCE_HEADER, HOLDER_HEADER
 from ebonydeal._internal.platform.headers import (
     ACCOUNT,
-    CARRIED,
+    BACKOFF,
     DEADLINE,
     EXPECT_ENDPOINT,
+    KV_CACHE,
     LAST_EVENT,
     LEAVING,
     LIMIT,
     NOT_RUN,
     REQUEST_ID,
-    REST,
     SIGNATURE,
     TOKENS,
 )
@@ -37,7 +37,7 @@
 MOVE_PATH = "/-/kv-move"
 REPORT_PATH = "/-/report"
 _MS = 1000
-# Of each request that tells its tokens.
+# Prompt tokens of each request that states its tokens.
 PROMPT_TOKENS = 10
 _KINDS = {
     Repeat.IDEMPOTENT: "idempotent",
@@ -47,7 +47,7 @@
 
 
 class RouteSpec(NamedTuple):
-    """A route as the operator of a rehearsal declares it; seconds."""
+    """A configured route of a simulated platform; times in seconds."""
 
     prefix: str
     repeat: Repeat
@@ -56,9 +56,9 @@
 
 
 class AccountSpec(NamedTuple):
-    """A client account of a rehearsal; ``rate`` and ``burst`` in requests or tokens.
+    """A client account; ``rate`` and ``burst`` are in requests or tokens.
 
-    A request that tells no tokens counts as ``plain_tokens``.
+    A request that doesn't state its tokens counts as ``plain_tokens``.
     """
 
     name: str
@@ -70,13 +70,13 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request as an endpoint gets it."""
+    """A request as an endpoint receives it."""
 
     request_id: str
-    expected: str
+    expected_endpoint: str
     account: str
     last_event: str
-    carried: str
+    kv_cache: str
 
 
 def config_document(
@@ -86,7 +86,7 @@
     routes: Iterable[RouteSpec],
     accounts: Iterable[AccountSpec],
 ) -> bytes:
-    """Return a configuration's row."""
+    """Return the value of a configuration's row."""
     document = {
         "version": version,
         "routes": [
@@ -130,7 +130,7 @@
 
 
 def member_document(member: Member) -> bytes:
-    """Return an endpoint's row."""
+    """Return the value of an endpoint's row."""
     document = {
         "service": member.service,
         "address": member.address,
@@ -145,12 +145,12 @@
 
 
 def order_key(service: str) -> str:
-    """Return the key of a roll-out's order."""
+    """Return the key of a roll-out order's row."""
     return f"{ROLLOUT_PREFIX}{service}"
 
 
 def order_document(order: RolloutOrder) -> bytes:
-    """Return a roll-out's order."""
+    """Return the value of a roll-out order's row."""
     document = {
         "service": order.service,
         "to": order.target_version,
@@ -160,13 +160,13 @@
 
 
 def client_headers(
-    host: str, request_id: str, key: str, wait: float, tokens: int
+    host: str, request_id: str, key: str, timeout: float, tokens: int
 ) -> dict[str, str]:
-    """Return a client's header block; ``wait`` in seconds."""
+    """Return a client's headers; ``timeout`` is in seconds."""
     headers = {
         "Host": host,
         REQUEST_ID: request_id,
-        DEADLINE: str(round(wait * _MS)),
+        DEADLINE: str(round(timeout * _MS)),
         "Authorization": f"Bearer {key}",
     }
     if tokens:
@@ -175,62 +175,64 @@
 
 
 def read_received_request(headers: Mapping[str, str]) -> ReceivedRequest:
-    """Return what an endpoint is told of a request."""
+    """Return what the headers tell an endpoint of a request."""
     return ReceivedRequest(
         headers.get(REQUEST_ID, ""),
         headers.get(EXPECT_ENDPOINT, ""),
         headers.get(ACCOUNT, ""),
         headers.get(LAST_EVENT, ""),
-        headers.get(CARRIED, ""),
+        headers.get(KV_CACHE, ""),
     )
 
 
 def answer_headers(request_id: str) -> dict[str, str]:
-    """Return the header block of an endpoint's own answer."""
+    """Return the headers of an endpoint's own answer."""
     return {REQUEST_ID: request_id, SIGNATURE: "rehearsal"}
 
 
 def not_run_headers() -> dict[str, str]:
-    """Return the header block of an answer that proves that nothing ran."""
+    """Return the headers of an answer that proves that the request didn't run."""
     return {NOT_RUN: "1"}
 
 
-def notice_headers(limit: float | None, leaving: bool, rest: float) -> dict[str, str]:
-    """Return what an endpoint's answer says of itself; seconds, requests a second."""
+def notice_headers(
+    limit: float | None, leaving: bool, backoff_s: float
+) -> dict[str, str]:
+    """Return the headers of a notice; ``limit`` is in requests per second."""
     headers = {}
     if limit is not None:
         headers[LIMIT] = f"{limit:g}"
     if leaving:
         headers[LEAVING] = "1"
-    if rest > 0.0:
-        headers[REST] = f"{rest:g}"
+    if backoff_s > 0.0:
+        headers[BACKOFF] = f"{backoff_s:g}"
     return headers
 
 
 def report_body(leaves_in: float | None) -> dict[str, Any]:
-    """Return an endpoint's report."""
+    """Return the body of an endpoint's report."""
     return {} if leaves_in is None else {"leaves_ms": round(leaves_in * _MS)}
 
 
 def read_migration_order(message: Mapping[str, Any]) -> tuple[str, str]:
-    """Return the request and the target's address of an order to move a run."""
+    """Return the request and the target's address of an order to migrate a run."""
     return str(message["id"]), str(message["to"])
 
 
 def migration_body(handle: str) -> dict[str, Any]:
-    """Return the answer to an order to move a run."""
+    """Return the body of the reply to an order to migrate a run."""
     return {"handle": handle, "create_revision": 0}
 
 
 def encode_row(row: SharedRow) -> dict[str, Any]:
-    """Return a row as the store answers it."""
+    """Return a row as the store sends it."""
     if row.value is None:
         return {"key": row.key, "ver": row.version, "tombstone": True}
     return {"key": row.key, "ver": row.version, "value": encode_value(row.value)}
 
 
 def rows_body(rows: Iterable[SharedRow], version: int, now: float) -> dict[str, Any]:
-    """Return the body of an answer with rows; ``now`` is the store's clock, seconds."""
+    """Return the body of a reply with rows; ``now`` is the store's time, seconds."""
     return {
         "rows": [encode_row(row) for row in rows],
         "ver": version,
@@ -239,12 +241,12 @@
 
 
 def read_poll(query: Mapping[str, str]) -> tuple[str, int, float]:
-    """Return table, version and seconds to wait of a long poll."""
+    """Return table, version and wait (seconds) of a long poll."""
     return query["table"], int(query["after"]), int(query["wait_ms"]) / _MS
 
 
 def read_write(message: Mapping[str, Any]) -> list[RowWrite]:
-    """Return the changes of a write."""
+    """Return the writes of a transaction."""
     expected = {
         (place["table"], place["key"]): int(place["ver"])
         for place in message["precondition"]
@@ -267,7 +269,7 @@
 def read_usage(
     message: Mapping[str, Any], headers: Mapping[str, str]
 ) -> tuple[int, dict[str, int], str, int]:
-    """Return window, counts, holder and fence of a usage report."""
+    """Return window, counts, lease holder and fencing token of a usage report."""
     counts = {str(k): int(v) for k, v in message["request_counts"].items()}
     return (
         int(message["window_id"]),
--- a/src/ebonydeal/_internal/platform/store.py
+++ b/src/ebonydeal/_internal/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store."""
+"""Client of the platform's store."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 from ebonydeal._internal.platform.rows import decode_row, encode_value
 from ebonydeal._internal.utils.clock import Clock
 
-# Longer than the answer that a long poll asks for: the way there and back.
+# Added to the timeout of a long poll, for the network round trip.
 _POLL_SLACK_S = 2.0
 _MS = 1000.0
 _READ_FAILED = ErrorKind.STORE_UNAVAILABLE
@@ -28,9 +28,9 @@
     url : str
         Base URL.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     clock : Clock
-        This process's time, put beside the store's.
+        This process's clock, to which the store's is compared.
     """
 
     def __init__(self, url: str, timeout: float, clock: Clock) -> None:
@@ -43,30 +43,30 @@
         self,
         method: str,
         path: str,
-        lost: ErrorKind,
+        no_reply: ErrorKind,
         *,
         wait: float = 0.0,
         params: dict[str, str] | None = None,
         message: Any = None,
     ) -> tuple[int, dict[str, Any]]:
-        """Return status and body of one call; ``lost`` is raised without answer."""
+        """Return status and body; raises ``no_reply`` without a valid reply."""
         reply = await self._calls.call(
             method,
             f"{self._url}{path}",
-            lost,
+            no_reply,
             wait=wait,
             params=params,
             message=message,
         )
         if reply.status in (429, 503, 507):
-            detail = f"{method} {path} answered {reply.status}"
+            detail = f"{method} {path} returned {reply.status}"
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, detail)
         try:
-            body = reply.read()
+            body = reply.parse()
         except ValueError as exc:
-            raise EbonydealError(lost, f"{method} {path}: not JSON") from exc
+            raise EbonydealError(no_reply, f"{method} {path}: not JSON") from exc
         if reply.status not in (200, 410, 412):
-            raise EbonydealError(lost, f"{method} {path} answered {reply.status}")
+            raise EbonydealError(no_reply, f"{method} {path} returned {reply.status}")
         body = body if isinstance(body, dict) else {}
         now_ms = body.get("now_ms")
         if isinstance(now_ms, int | float):
@@ -86,14 +86,14 @@
             )
             rows = _decode_all(body)
             found.extend(rows)
-            # The oldest of several pages: a change after it is seen again.
+            # The first page's version: changes after it are then read again.
             version = version or int(body.get("ver", 0))
             if not body.get("truncated") or not rows:
                 return found, version
             start = rows[-1].key + "\0"
 
     async def changes(self, table: str, after: int, wait: float) -> RowChanges | None:
-        """Wait for changes after a version; None where history is gone."""
+        """Wait for changes after a version; None if the store no longer has them."""
         params = {"table": table, "after": str(after), "wait_ms": str(int(wait * 1000))}
         status, body = await self._call(
             "GET",
@@ -106,19 +106,19 @@
             return None
         return RowChanges(tuple(_decode_all(body)), int(body.get("ver", after)))
 
-    async def transact(self, changes: list[RowWrite]) -> TransactResult:
-        """Apply all changes if each row has its expected version, or none."""
-        places = [(c, {"table": c.table, "part": "", "key": c.key}) for c in changes]
+    async def transact(self, writes: list[RowWrite]) -> TransactResult:
+        """Apply all writes if each row has its expected version, or none."""
+        places = [(w, {"table": w.table, "part": "", "key": w.key}) for w in writes]
         message = {
             "precondition": [
-                {**place, "ver": c.expected} for c, place in places if c.expected >= 0
+                {**place, "ver": w.expected} for w, place in places if w.expected >= 0
             ],
             "puts": [
-                {**place, "value": encode_value(c.value)}
-                for c, place in places
-                if c.value is not None
+                {**place, "value": encode_value(w.value)}
+                for w, place in places
+                if w.value is not None
             ],
-            "remove": [place for c, place in places if c.value is None],
+            "remove": [place for w, place in places if w.value is None],
         }
         status, body = await self._call(
             "POST", "/-/rows-tx", _WRITE_FAILED, message=message
@@ -133,9 +133,9 @@
 
 
 def _decode_all(body: dict[str, Any]) -> list[SharedRow]:
-    """Return the rows of an answer; raises STORE_UNAVAILABLE on garbage."""
+    """Return the rows of a reply; raises STORE_UNAVAILABLE for invalid ones."""
     try:
         return [decode_row(item) for item in body.get("rows") or ()]
     except (KeyError, TypeError, ValueError) as exc:
-        detail = f"a row can't be read: {exc!r}"
+        detail = f"a row can't be parsed: {exc!r}"
         raise EbonydealError(_READ_FAILED, detail) from exc
--- a/src/ebonydeal/_internal/platform/wire.py
+++ b/src/ebonydeal/_internal/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's header blocks and rows behind the relay's interface."""
+"""The platform's headers and rows, behind the relay's interface."""
 
 from collections.abc import Iterable
 
@@ -34,7 +34,7 @@
 
 
 class PlatformWire:
-    """Names and formats of the platform; holds no state."""
+    """Names and formats of the platform; stateless."""
 
     config_table = CONFIG_TABLE
     config_key = CONFIG_KEY
@@ -48,7 +48,7 @@
     def request_headers(
         self, req: ForwardedRequest, send: SendMetadata
     ) -> list[tuple[str, str]]:
-        """Return the header block of one send."""
+        """Return the headers of one send."""
         return request_headers(req, send)
 
     def read_answer(self, status: int, pairs: Pairs) -> AnswerHead:
@@ -64,7 +64,7 @@
         return decode_member(row)
 
     def rollout_service(self, key: str) -> str | None:
-        """Return the service whose roll-out a row is about, None for other rows."""
+        """Return the service of a roll-out's row, None for other rows."""
         return rollout_service(key)
 
     def order(self, row: SharedRow) -> RolloutOrder:
@@ -76,6 +76,6 @@
         return decode_status(row.value or b"")
 
     def status_change(self, service: str, phase: Phase, to: str) -> RowWrite:
-        """Return the write by which operators learn of a roll-out."""
+        """Return the write that publishes a roll-out's status to operators."""
         key = f"{ROLLOUT_PREFIX}{service}"
         return RowWrite(STATUS_TABLE, key, encode_status(phase, to))
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -36,7 +36,7 @@
 from ebonydeal._internal.relay.ports import RelayPorts
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.intake import Intake
-from ebonydeal._internal.relay.requests.job import SendParts, SendTerms
+from ebonydeal._internal.relay.requests.job import SendConfig, SendParts
 from ebonydeal._internal.relay.requests.migrations import MigratorParts, StreamMigrator
 from ebonydeal._internal.relay.requests.notices import NoticeReader
 from ebonydeal._internal.relay.requests.quota import QuotaLimiter
@@ -189,7 +189,7 @@
             retries=self._retries,
             pools=self._pools,
             usage=self.usage,
-            moves=self._moves,
+            migrator=self._moves,
             long_reads=self._long_reads,
             crashes=self._crashes,
             suspects=self._suspects,
@@ -200,7 +200,7 @@
             clock=clock,
             rng=rng,
             zone=self._node.zone,
-            terms=SendTerms.from_config(self._policy),
+            config=SendConfig.from_config(self._policy),
         )
         self._quota = QuotaLimiter(self._limits, clock, bounds, metrics)
         self.intake = Intake(parts, self._quota, self._policy.quota_wait)
--- a/src/ebonydeal/_internal/relay/requests/connections.py
+++ b/src/ebonydeal/_internal/relay/requests/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: one request at a time, and none that is in doubt."""
+"""Connections to endpoints: one request at a time, and reused only if known clean."""
 
 import asyncio
 from collections.abc import Iterable
@@ -24,120 +24,122 @@
 from ebonydeal._internal.relay.requests.outcomes import MayHaveRun, NotSent
 from ebonydeal._internal.utils.clock import Clock
 
-# An endpoint that states no idle time may close any moment.
-_UNSTATED_IDLE_S = 0.5
-# Share of the stated idle time within which a connection is used again: the
+# Keep-alive timeout of an endpoint that states none: it may close at any moment.
+_DEFAULT_KEEPALIVE_S = 0.5
+# Share of the stated keep-alive timeout within which a connection is reused: the
 # endpoint's timer began before ours, and its close takes time to be seen.
-_IDLE_SHARE = 0.6
-# A request that may run once is lost where it meets a silent close, so it only
-# goes on connections that were idle for less than this, or less than what closes
-# that were met have shown. A new connection costs about a fiftieth of a request.
-_ONCE_IDLE_S = 2.0
-_LEAST_ONCE_IDLE_S = 0.3
-# Share of the idle time at which a connection was found closed that is used from
-# then on, and growth with each connection that was good at the limit.
+_KEEPALIVE_SHARE = 0.6
+# An at-most-once request is lost if the endpoint has silently closed its connection,
+# so it is sent only on connections that were idle for less than this, or less than
+# observed closes suggest. A new connection costs about a fiftieth of a request.
+_MAX_ONCE_IDLE_S = 2.0
+_MIN_ONCE_IDLE_S = 0.3
+# After a connection was found closed, the limit falls to this share of its idle time;
+# it grows by the factor with each connection that was good near the limit.
 _CLOSED_SHARE = 0.5
-_GROWTH = 1.02
-# How a connection shows that its other end was gone before the request came.
-_CLOSED = (ServerDisconnectedError, ConnectionResetError, ClientOSError)
-_SKIP = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
-_KEEP_FOREVER = 3600.0
+_GROWTH_FACTOR = 1.02
+# Errors which show that the other end was gone before the request arrived.
+_CLOSED_ERRORS = (ServerDisconnectedError, ConnectionResetError, ClientOSError)
+_SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+_UNLIMITED_IDLE_S = 3600.0
 
 
-class _OneConnector(TCPConnector):
-    """Holds one connection, shows it, and tells whether it ended by a reset."""
+class _SingleConnector(TCPConnector):
+    """Holds one connection, exposes it, and records whether it ended by a reset."""
 
     proto: ResponseHandler | None = None
     was_reset = False
 
     async def _create_connection(self, *args: Any, **kwargs: Any) -> ResponseHandler:
         proto = await super()._create_connection(*args, **kwargs)
-        ended = proto.closed
-        if ended is not None:
-            ended.add_done_callback(self._note_end)
+        closed = proto.closed
+        if closed is not None:
+            closed.add_done_callback(self._record_close)
         self.proto = proto
         return proto
 
-    def _note_end(self, ended: "asyncio.Future[None]") -> None:
-        self.was_reset = not ended.cancelled() and ended.exception() is not None
+    def _record_close(self, closed: "asyncio.Future[None]") -> None:
+        self.was_reset = not closed.cancelled() and closed.exception() is not None
 
 
-class _Pooled:
+class _PooledConnection:
     """One connection to an endpoint; its connector holds no other."""
 
     def __init__(self) -> None:
-        self.connector = _OneConnector(limit=1, keepalive_timeout=_KEEP_FOREVER)
+        self.connector = _SingleConnector(limit=1, keepalive_timeout=_UNLIMITED_IDLE_S)
         self.session = ClientSession(connector=self.connector, auto_decompress=False)
-        # The library would send a request with an idempotent method again by
-        # itself when its connection closes: whether to is decided elsewhere.
+        # aiohttp itself would resend a request with an idempotent method when its
+        # connection closes; resends are decided by `JobSends`.
         self.session._retry_connection = False
         self.idle_since = 0.0
-        self.idle_time = _UNSTATED_IDLE_S
+        self.keepalive_s = _DEFAULT_KEEPALIVE_S
 
     def idle(self, now: float) -> float | None:
-        """Return how long a connection that was used before has been idle."""
+        """Return how long the connection has been idle; None if it was never used."""
         return None if self.connector.proto is None else now - self.idle_since
 
-    def usable(self, now: float, most_idle: float) -> bool:
-        """Return whether nothing speaks against another request on it."""
+    def usable(self, now: float, max_idle_s: float) -> bool:
+        """Return whether another request may be sent on it."""
         proto = self.connector.proto
         if proto is None or not proto.is_connected():
             return False
-        # Bytes that came without a request belong to no request.
+        # It received bytes that belong to no request.
         if proto.should_close:
             return False
-        return now - self.idle_since < min(most_idle, self.idle_time * _IDLE_SHARE)
+        return now - self.idle_since < min(
+            max_idle_s, self.keepalive_s * _KEEPALIVE_SHARE
+        )
 
 
 class IdleLimit:
-    """How long a connection may be idle for a request that may run once.
+    """Longest idle time of a connection that an at-most-once request may use.
 
-    It falls where endpoints are found to drop connections sooner than they say,
-    and rises again while none does.
+    It falls when endpoints close connections sooner than they state, and rises again
+    while none does.
     """
 
     def __init__(self) -> None:
-        self.seconds = _ONCE_IDLE_S
+        self.seconds = _MAX_ONCE_IDLE_S
 
-    def closed(self, idle: float) -> None:
-        """Note a connection that ended when it was used again."""
-        self.seconds = max(_LEAST_ONCE_IDLE_S, min(self.seconds, idle * _CLOSED_SHARE))
+    def record_closed(self, idle: float) -> None:
+        """Record a connection that was found closed when it was reused."""
+        self.seconds = max(_MIN_ONCE_IDLE_S, min(self.seconds, idle * _CLOSED_SHARE))
 
-    def good(self, idle: float) -> None:
-        """Note a connection that was used again and brought an answer."""
+    def record_reused(self, idle: float) -> None:
+        """Record a connection that was reused and brought an answer."""
         if idle >= self.seconds * _CLOSED_SHARE:
-            self.seconds = min(_ONCE_IDLE_S, self.seconds * _GROWTH)
+            self.seconds = min(_MAX_ONCE_IDLE_S, self.seconds * _GROWTH_FACTOR)
 
 
 class HttpExchange:
-    """One request on one connection, and the beginning of its answer."""
+    """One request on one connection, and the head of its answer."""
 
     def __init__(
-        self, pool: "EndpointPool", pooled: _Pooled, resp: ClientResponse
+        self, pool: "EndpointPool", pooled: _PooledConnection, resp: ClientResponse
     ) -> None:
         self._pool = pool
         self._pooled = pooled
         self.resp = resp
-        self._over = False
+        self._finished = False
 
-    async def cut_off(self) -> bool:
+    async def was_reset(self) -> bool:
         """Return whether a body without length ended by a reset, not a close."""
-        # The end of the body is told before the end of the connection.
+        # aiohttp reports the end of the body before that of the connection.
         await asyncio.sleep(0)
         return self._pooled.connector.was_reset
 
-    def done(self, idle_time: float | None) -> None:
-        """Keep the connection: the answer was read whole and is sound."""
-        if self._over:
+    def release(self, keepalive_s: float | None) -> None:
+        """Return the connection to the pool: the whole answer was read and is valid."""
+        if self._finished:
             return
-        self._over = True
-        self._pool.give_back(self._pooled, idle_time)
+        self._finished = True
+        self._pool.give_back(self._pooled, keepalive_s)
 
     def close(self) -> None:
-        """Close the connection; the endpoint stops working on the request."""
-        if self._over:
+        """Close the connection; the endpoint then stops working on the request."""
+        if self._finished:
             return
-        self._over = True
+        self._finished = True
         self.resp.close()
         self._pool.discard(self._pooled)
 
@@ -152,23 +154,23 @@
         self._clock = clock
         self._limit = limit
         self._timeout = ClientTimeout(total=None, sock_connect=connect_s)
-        self._idle: list[_Pooled] = []
+        self._idle: list[_PooledConnection] = []
         self._closing: set[asyncio.Task] = set()
         self._closed = False
 
-    def _take(self, once: bool) -> _Pooled:
-        """Return the connection that was used last, or a new one."""
+    def _take(self, at_most_once: bool) -> _PooledConnection:
+        """Return the most recently used connection, or a new one."""
         now = self._clock.now()
         while self._idle:
             pooled = self._idle[-1]
-            if not pooled.usable(now, _KEEP_FOREVER):
+            if not pooled.usable(now, _UNLIMITED_IDLE_S):
                 self.discard(self._idle.pop())
                 continue
-            if once and not pooled.usable(now, self._limit.seconds):
-                # Those below were idle for longer; they serve other requests.
+            if at_most_once and not pooled.usable(now, self._limit.seconds):
+                # The others were idle for longer; they serve repeatable requests.
                 break
             return self._idle.pop()
-        return _Pooled()
+        return _PooledConnection()
 
     async def send(
         self,
@@ -176,10 +178,10 @@
         target: str,
         headers: Iterable[tuple[str, str]],
         body: bytes,
-        once: bool,
+        at_most_once: bool,
     ) -> HttpExchange | NotSent | MayHaveRun:
         """Send a request and wait for the head of its answer."""
-        pooled = self._take(once)
+        pooled = self._take(at_most_once)
         idle = pooled.idle(self._clock.now())
         try:
             resp = await pooled.session.request(
@@ -187,7 +189,7 @@
                 URL(f"http://{self.address}{target}", encoded=True),
                 headers=CIMultiDict(headers),
                 data=body or None,
-                skip_auto_headers=_SKIP,
+                skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                 allow_redirects=False,
                 timeout=self._timeout,
             )
@@ -196,31 +198,31 @@
             return NotSent(ErrorKind.CONNECT_FAILED, f"{type(exc).__name__}")
         except (TimeoutError, ClientError, OSError, ValueError) as exc:
             self.discard(pooled)
-            if idle is not None and isinstance(exc, _CLOSED):
-                self._limit.closed(idle)
+            if idle is not None and isinstance(exc, _CLOSED_ERRORS):
+                self._limit.record_closed(idle)
             return MayHaveRun(ErrorKind.ENDPOINT_FAILED, f"{type(exc).__name__}")
         except BaseException:
             self.discard(pooled)
             raise
         if idle is not None:
-            self._limit.good(idle)
+            self._limit.record_reused(idle)
         return HttpExchange(self, pooled, resp)
 
     def has_idle(self, now: float) -> bool:
-        """Return whether a connection is open that any request may go on."""
+        """Return whether an idle connection is open that any request may use."""
         return bool(self._idle) and self._idle[-1].usable(now, self._limit.seconds)
 
-    def give_back(self, pooled: _Pooled, idle_time: float | None) -> None:
+    def give_back(self, pooled: _PooledConnection, keepalive_s: float | None) -> None:
         """Keep a connection for the next request."""
         pooled.idle_since = self._clock.now()
-        if idle_time is not None:
-            pooled.idle_time = idle_time
-        if not self._closed and pooled.usable(pooled.idle_since, _KEEP_FOREVER):
+        if keepalive_s is not None:
+            pooled.keepalive_s = keepalive_s
+        if not self._closed and pooled.usable(pooled.idle_since, _UNLIMITED_IDLE_S):
             self._idle.append(pooled)
         else:
             self.discard(pooled)
 
-    def discard(self, pooled: _Pooled) -> None:
+    def discard(self, pooled: _PooledConnection) -> None:
         """Close a connection."""
         task = asyncio.ensure_future(pooled.session.close())
         self._closing.add(task)
@@ -229,7 +231,7 @@
     def sweep(self) -> None:
         """Close connections that were idle for too long."""
         now = self._clock.now()
-        kept = [p for p in self._idle if p.usable(now, _KEEP_FOREVER)]
+        kept = [p for p in self._idle if p.usable(now, _UNLIMITED_IDLE_S)]
         for pooled in set(self._idle) - set(kept):
             self.discard(pooled)
         self._idle = kept
@@ -272,14 +274,14 @@
         )
 
     def drop(self, endpoint_id: str) -> None:
-        """Drop idle connections to an endpoint that started again."""
+        """Drop idle connections to an endpoint that restarted."""
         for key in [key for key in self._pools if key[0] == endpoint_id]:
             self._pools.pop(key).close()
 
     def retain_only(self, endpoint_ids: Iterable[str]) -> None:
-        """Drop idle connections to endpoints that are gone, and old ones."""
-        known = set(endpoint_ids)
-        for key in [key for key in self._pools if key[0] not in known]:
+        """Drop idle connections to other endpoints, and those idle for too long."""
+        retained = set(endpoint_ids)
+        for key in [key for key in self._pools if key[0] not in retained]:
             self._pools.pop(key).close()
         for pool in self._pools.values():
             pool.sweep()
--- a/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to, of those that are listed."""
+"""Choice of the endpoint for a request among those listed."""
 
 from collections.abc import Sequence, Set
 from typing import NamedTuple
@@ -8,85 +8,86 @@
 from ebonydeal._internal.routing.crashes.crash_evidence import Standing
 from ebonydeal._internal.routing.placement.member_choice import Ask
 
-# Requests' lengths are guesses, right at the median: so much longer is allowed.
-_DURATION_SPREAD = 1.5
+# Expected durations are right at the median only: a request may take this many times
+# longer.
+_DURATION_MARGIN = 1.5
 
 
 class EndpointChoice(NamedTuple):
     """The endpoint for the next send.
 
-    ``missed`` are the tokens that it must read, ``expected`` the seconds to
-    the first event where that is known. ``source`` is the address of an
-    endpoint to fetch parts of the prompt from, or empty.
+    ``uncached_tokens`` are those that it must prefill, ``expected`` the seconds to
+    the first event, if known. ``source`` is the address of an endpoint to fetch the
+    KV cache of parts of the prompt from, or empty.
     """
 
     member: Member
-    missed: float
+    uncached_tokens: float
     expected: float | None
     source: str = ""
 
 
 class EndpointChooser:
-    """Chooses among what the relay knows of endpoints, for one request."""
+    """Chooses endpoints for one request by what the relay knows of them."""
 
     def __init__(self, parts: SendParts, job: Job) -> None:
         self._parts = parts
         self._job = job
-        # Whether the request was already counted for the new version's part.
-        self._asked = False
-        # Endpoints that rested, or had no room in their limits, at the last choice.
-        self.without_room: list[str] = []
+        # Whether the request already took part in the roll-out's traffic split.
+        self._split_done = False
+        # Endpoints in backoff, or at their rate limit, at the last choice.
+        self.unavailable: list[str] = []
 
     @property
     def engine(self) -> EngineCapabilities | None:
-        """What the engines of the service can do; None for plain services."""
+        """Capabilities of the service's engines; None for plain services."""
         index = self._parts.view.index
         service = None if index is None else index.table.services.get(self._job.service)
         return None if service is None else service.engine
 
     def ask(self, connected: frozenset[str] = frozenset()) -> Ask:
-        """Return what a choice needs to know; ``connected`` matters to it alone."""
+        """Return the input of a choice; ``connected`` ones have an idle connection."""
         req, engine = self._job.req, self.engine
-        fetches = engine is not None and engine.can_migrate_runs
+        can_fetch = engine is not None and engine.can_migrate_runs
         tokens = req.prompt_tokens or 0
-        return Ask(req.parts, tokens, self._parts.zone, fetches, connected)
+        return Ask(req.parts, tokens, self._parts.zone, can_fetch, connected)
 
-    def find(self, avoid: Set[str], again: bool = False) -> EndpointChoice | None:
+    def find(self, avoid: Set[str], resend: bool = False) -> EndpointChoice | None:
         """Return the best endpoint that isn't among ``avoid``, or None.
 
-        ``again`` says that the request was sent before: while a new version is
-        watched, repeats go to the old one.
+        ``resend`` says that the request was sent before: during a roll-out, resends
+        go to the old version.
         """
         parts, job = self._parts, self._job
         now = parts.clock.now()
-        listed = self._open(avoid, now)
+        listed = self._available(avoid, now)
         if not parts.split.watches(job.service):
             return self._best(listed, now)
-        first, self._asked = not self._asked, True
-        part = parts.split.part(job.service, job.route.name, listed, now, again, first)
+        first, self._split_done = not self._split_done, True
+        part = parts.split.part(job.service, job.route.name, listed, now, resend, first)
         found = self._best(part.members, now)
         if found is None and part.new:
-            # None of the new endpoints can be asked now.
+            # No endpoint of the new version can take the request now.
             part = parts.split.part(
                 job.service, job.route.name, listed, now, again=True, first=False
             )
             found = self._best(part.members, now)
         return found
 
-    def _open(self, avoid: Set[str], now: float) -> list[Member]:
-        """Return the endpoints that may be asked now."""
+    def _available(self, avoid: Set[str], now: float) -> list[Member]:
+        """Return the endpoints that may get a request now."""
         permits = self._parts.permits
         listed = [m for m in self._listed(now) if m.endpoint_id not in avoid]
         if not permits.needed:
             return listed
-        closed = {m.endpoint_id for m in listed if permits.wait(m, now) > 0.0}
-        self.without_room = sorted(closed)
-        return [m for m in listed if m.endpoint_id not in closed]
+        unavailable = {m.endpoint_id for m in listed if permits.wait(m, now) > 0.0}
+        self.unavailable = sorted(unavailable)
+        return [m for m in listed if m.endpoint_id not in unavailable]
 
-    def opens_in(self, avoid: Set[str]) -> float | None:
-        """Return when the first one that rests or lacks room may be asked, seconds.
+    def available_in(self, avoid: Set[str]) -> float | None:
+        """Return the seconds until the first backoff or limit permits a send.
 
-        None where there is no such endpoint.
+        None if no endpoint is in backoff or at its limit.
         """
         now = self._parts.clock.now()
         waits = [
@@ -119,10 +120,10 @@
         )
 
     def _isolate(self, allowed: Sequence[Member]) -> EndpointChoice | None:
-        """Return where a request that may bring its endpoint down costs least.
+        """Return the endpoint where a request suspected of crashes does least harm.
 
-        That is where no other such request is, so that a crash tells them apart, and
-        where fewest requests are at work, which a crash would take with it.
+        That is one without another suspect, so that a crash tells them apart, and
+        with the fewest requests in flight, which a crash would break off.
         """
         if not allowed:
             return None
@@ -137,26 +138,26 @@
                 endpoint_id,
             )
 
-        # Without an expectation it isn't refused for being late there.
+        # Without an expected time it isn't refused as late.
         tokens = self._job.req.prompt_tokens or 0
         return EndpointChoice(min(allowed, key=key), float(tokens), None)
 
     def _listed(self, now: float) -> list[Member]:
         """Return the endpoints that may get the request.
 
-        One that leaves gets what likely ends in time, since zones that are
-        taken back are missed most in their last seconds; all requests where no
-        other is left.
+        One that leaves gets requests that likely end in time, since capacity is
+        scarcest in the last seconds of a zone that is reclaimed. If no other endpoint
+        is left, it gets all requests.
         """
         parts, job = self._parts, self._job
-        listed = list(parts.view.of_service(job.service))
+        staying = list(parts.view.of_service(job.service))
         leaving = parts.view.leaving_of(job.service, now)
-        if not listed:
+        if not staying:
             return [member for member, _left in leaving]
-        if not parts.terms.use_leaving:
-            return listed
-        needed = self._duration() * _DURATION_SPREAD
-        return listed + [member for member, left in leaving if needed < left]
+        if not parts.config.use_leaving:
+            return staying
+        needed = self._duration() * _DURATION_MARGIN
+        return staying + [member for member, left in leaving if needed < left]
 
     def _duration(self) -> float:
         """Return the seconds that the request is expected to run."""
--- a/src/ebonydeal/_internal/relay/requests/first_event_wait.py
+++ b/src/ebonydeal/_internal/relay/requests/first_event_wait.py
@@ -1,4 +1,4 @@
-"""How long the first event of a stream may take before it is sent elsewhere."""
+"""Timeout of a stream's first event, after which the request is resent."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,70 +8,72 @@
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.utils.clock import Clock
 
-# Shorter silences are common: a chunk of another prompt takes some tens of
+# Shorter pauses are common: prefill of a chunk of another prompt takes some tens of
 # milliseconds, and busy relays add to it.
-LEAST_PATIENCE_S = 0.4
-# An endpoint that made an event on any stream so lately is alive: engines make one
-# every few milliseconds, and a chunk of another prompt delays it by some tens.
-_ALIVE_S = 0.3
+MIN_EVENT_TIMEOUT_S = 0.4
+# An endpoint that sent an event on any stream within this time is alive: engines send
+# one every few milliseconds, and prefill of another prompt delays it by some tens.
+_ALIVE_TIMEOUT_S = 0.3
 
 
 class FirstEventWait:
     """The wait for one send's first event.
 
-    A long prompt takes as long as is expected of it. Beyond that the request is
-    late wherever it is sent again, and the reading so far would be lost: so it
-    stays where it is while its endpoint shows life on other streams, and to its end
-    where no other send may follow.
+    A long prompt may take as long as is expected for it. After that the request is
+    late wherever it is resent, and the prefill so far would be lost: so it stays at
+    its endpoint while that sends events on other streams, and until its deadline if
+    no other send may follow.
 
     Parameters
     ----------
     parts : SendParts
-        Clock, and signs of life.
+        Clock, and the endpoints' activity.
     sends : JobSends
-        The sends of the request; the last one is waited for.
-    patience, longest : float
-        Seconds of waiting without and with signs of life.
+        The sends of the request; the last possible one has no shorter timeout.
+    timeout, active_timeout : float
+        Seconds to wait for an inactive and for an active endpoint.
     """
 
     def __init__(
-        self, parts: SendParts, sends: JobSends, patience: float, longest: float
+        self, parts: SendParts, sends: JobSends, timeout: float, active_timeout: float
     ) -> None:
         assert sends.member is not None
         self._parts = parts
         self._sends = sends
         self._endpoint_id = sends.member.endpoint_id
         now = parts.clock.now()
-        self._by = now + patience
-        self._last = now + max(patience, longest)
+        self._until = now + timeout
+        self._active_until = now + max(timeout, active_timeout)
 
     @classmethod
     def of_send(cls, parts: SendParts, sends: JobSends) -> "FirstEventWait":
         """Return the wait for the send that was chosen last."""
-        job, terms = sends.job, parts.terms
-        left = max(0.001, job.until - parts.clock.now())
+        job, config = sends.job, parts.config
+        time_left = max(0.001, job.deadline - parts.clock.now())
         if job.at_most_once:
-            # It can't be sent again, so nothing is gained by not waiting.
-            return cls(parts, sends, left, left)
-        patience = max(
-            LEAST_PATIENCE_S,
-            job.route.objective * terms.first_objectives,
-            (sends.expected or 0.0) * terms.first_spread,
+            # It can't be resent, so a shorter timeout gains nothing.
+            return cls(parts, sends, time_left, time_left)
+        timeout = max(
+            MIN_EVENT_TIMEOUT_S,
+            job.route.objective * config.first_objectives,
+            (sends.expected or 0.0) * config.first_spread,
+        )
+        active_timeout = job.route.objective * config.first_longest
+        return cls(
+            parts, sends, min(time_left, timeout), min(time_left, active_timeout)
         )
-        longest = job.route.objective * terms.first_longest
-        return cls(parts, sends, min(left, patience), min(left, longest))
 
     def until(self, now: float) -> float:
-        """Return the time to wait until, as far as is known at ``now``."""
-        if now < self._by:
-            return self._by
+        """Return the time to wait until, by what is known at ``now``."""
+        if now < self._until:
+            return self._until
         if self._sends.is_last:
-            # Looked at again, since retries may be had by then.
-            return max(now, min(self._sends.job.until, now + _ALIVE_S))
+            # Checked again, since the retry budget may permit a resend by then.
+            return max(now, min(self._sends.job.deadline, now + _ALIVE_TIMEOUT_S))
         silent = self._parts.choice.silent_for(self._endpoint_id, now)
-        if silent >= _ALIVE_S:
+        if silent >= _ALIVE_TIMEOUT_S:
             return now
-        return min(self._last, now + _ALIVE_S - silent)
+        return min(self._active_until, now + _ALIVE_TIMEOUT_S - silent)
 
     @asynccontextmanager
     async def limit(self) -> AsyncIterator[None]:
@@ -86,7 +88,7 @@
 
 
 class _Timer:
-    """Looks at a wait when its time is up, and lets it go on or ends it."""
+    """Checks a wait when its time is up, and extends or ends it."""
 
     def __init__(self, wait: FirstEventWait, limit: asyncio.Timeout, clock: Clock):
         self._wait = wait
@@ -96,7 +98,7 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def check(self) -> None:
-        """End the wait, or look again when there may be a reason to."""
+        """End the wait, or schedule the next check."""
         now = self._clock.now()
         until = self._wait.until(now)
         if until <= now:
@@ -105,6 +107,6 @@
         self._handle = self._loop.call_later(until - now, self.check)
 
     def cancel(self) -> None:
-        """Look no more."""
+        """Stop checking."""
         if self._handle is not None:
             self._handle.cancel()
--- a/src/ebonydeal/_internal/relay/requests/intake.py
+++ b/src/ebonydeal/_internal/relay/requests/intake.py
@@ -1,4 +1,4 @@
-"""From a client's connection to an accepted job, and to its final answer."""
+"""Accepts clients' requests as jobs, has them forwarded, and answers."""
 
 import asyncio
 
@@ -23,17 +23,17 @@
 
 logger = get_logger("relay.intake")
 
-_READ_SLICE = 65536
-# The first requests after a start come before the configuration, which is read
-# within some ten milliseconds where the store answers.
-_KNOWN_WAIT_S = 0.15
-_KNOWN_STEP_S = 0.005
-# A plain request is expected to take no longer than this many objectives.
-_OBJECTIVES = 4.0
+_READ_CHUNK_BYTES = 65536
+# The first requests after a start arrive before the configuration, which is read
+# within some ten milliseconds if the store answers.
+_CONFIG_TIMEOUT_S = 0.15
+_CONFIG_POLL_INTERVAL_S = 0.005
+# A plain request is expected to take at most this many times its latency objective.
+_MAX_PLAIN_OBJECTIVES = 4.0
 
 
 class Intake:
-    """Handler of the clients' listener."""
+    """Request handler of the clients' listener."""
 
     def __init__(
         self, parts: SendParts, quota: QuotaLimiter, quota_wait: float = 0.0
@@ -43,25 +43,28 @@
         self._quota_wait = quota_wait
         self._plain = PlainForwarder(parts)
         self._stream = StreamForwarder(parts)
-        self.closing = False
+        self.draining = False
         self.in_flight = 0
-        self._last_calls = 0.0
+        self._accepts_all_until = 0.0
         self._end = 0.0
 
-    def drain(self, last_calls: float, end: float) -> None:
-        """Answer what comes until ``end``, long requests until ``last_calls``."""
-        self.closing = True
-        self._last_calls = last_calls
+    def drain(self, accepts_all_until: float, end: float) -> None:
+        """Accept all requests for a while, then those that finish before ``end``."""
+        self.draining = True
+        self._accepts_all_until = accepts_all_until
         self._end = end
 
     def _may_finish(self, route: Route) -> bool:
-        """Return whether a request that comes now ends before this process."""
+        """Return whether a request that arrives now will finish in time."""
         now = self._parts.clock.now()
-        if not self.closing or now < self._last_calls:
+        if not self.draining or now < self._accepts_all_until:
             return True
         if route.repeat is Repeat.STREAM:
             return False
-        return now + min(route.timeout, route.objective * _OBJECTIVES) < self._end
+        return (
+            now + min(route.timeout, route.objective * _MAX_PLAIN_OBJECTIVES)
+            < self._end
+        )
 
     async def handle(self, http_req: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
@@ -76,12 +79,12 @@
             self._parts.metrics.refused(ErrorKind.CALLER_LEFT)
             raise
         except Exception as exc:
-            logger.error("A handler failed.", path=http_req.path, exc_info=exc)
+            logger.error("Request handler failed.", path=http_req.path, exc_info=exc)
             error = EbonydealError(ErrorKind.INTERNAL, "an internal error")
             resp = self._refuse(error, "", None)
         finally:
             self.in_flight -= 1
-        if self.closing and not resp.prepared:
+        if self.draining and not resp.prepared:
             resp.force_close()
         self._parts.metrics.timed(Timing.REQUEST, self._parts.clock.now() - started)
         return resp
@@ -89,24 +92,24 @@
     async def _answer(
         self, http_req: web.BaseRequest, started: float
     ) -> web.StreamResponse:
-        """Accept and forward; failures become the table's answers."""
+        """Accept and forward; errors become answers by the table of error kinds."""
         req: ForwardedRequest | None = None
-        left: float | None = None
+        time_left: float | None = None
         try:
             req = self._parts.wire.read_request(
                 http_req.method, http_req.raw_path, _pairs(http_req)
             )
-            left = req.client_timeout
+            time_left = req.client_timeout
             job = await self._accept(http_req, req, started)
-            left = job.until - started
+            time_left = job.deadline - started
             return await self._forward(job, http_req)
         except EbonydealError as exc:
-            if left is not None:
-                left -= self._parts.clock.now() - started
-            return self._refuse(exc, req.request_id if req else "", left)
+            if time_left is not None:
+                time_left -= self._parts.clock.now() - started
+            return self._refuse(exc, req.request_id if req else "", time_left)
 
     def _refuse(
-        self, error: EbonydealError, request_id: str, left: float | None
+        self, error: EbonydealError, request_id: str, time_left: float | None
     ) -> web.Response:
         self._parts.metrics.refused(error.kind)
         logger.info(
@@ -117,7 +120,7 @@
             outcome=str(error.outcome),
             detail=error.detail,
         )
-        resp = error_answer(error, left)
+        resp = error_answer(error, time_left)
         if error.kind is ErrorKind.BAD_REQUEST:
             resp.force_close()
         return resp
@@ -125,28 +128,28 @@
     async def _accept(
         self, http_req: web.BaseRequest, req: ForwardedRequest, started: float
     ) -> Job:
-        """Return the job; raises what speaks against it."""
-        index = await self._known(started)
+        """Return the job; raises the error by which the request is refused."""
+        index = await self._wait_for_config(started)
         route = index.route(req.host, req.path)
         if route is None:
             raise EbonydealError(ErrorKind.NOT_FOUND, f"no route for {req.path}")
         if not self._may_finish(route):
-            raise EbonydealError(ErrorKind.DRAINING, "this instance stops")
+            raise EbonydealError(ErrorKind.DRAINING, "this instance is stopping")
         account = self._account(req, route)
         limits = index.table.limits
-        allowed = route.timeout
+        timeout = route.timeout
         if req.client_timeout is not None:
-            allowed = min(allowed, req.client_timeout)
+            timeout = min(timeout, req.client_timeout)
         name = "" if account is None else account.name
         digest = RequestDigest(name, req.host, req.method, req.target)
-        body = await _read_body(http_req, limits.body_bytes, allowed, digest)
-        # Before it draws on its account's limit: it isn't going to run.
+        body = await _read_body(http_req, limits.body_bytes, timeout, digest)
+        # A quarantined request won't run, so it mustn't use up its account's limit.
         self._parts.suspects.check(digest.text())
         admission = None
         if account is not None:
-            patience = min(allowed, route.objective * self._quota_wait)
+            max_wait_s = min(timeout, route.objective * self._quota_wait)
             amount = _amount(req, account)
-            admission = await self._quota.admit(account, amount, patience)
+            admission = await self._quota.admit(account, amount, max_wait_s)
         return Job(
             req=req,
             route=route,
@@ -154,38 +157,38 @@
             account=account,
             body=body,
             started=started,
-            until=started + allowed,
+            deadline=started + timeout,
             digest=digest.text(),
             admission=admission,
         )
 
-    async def _known(self, started: float) -> RouteIndex:
-        """Return the configuration, once it and endpoints are known."""
+    async def _wait_for_config(self, started: float) -> RouteIndex:
+        """Return the routes once configuration and endpoints are known."""
         view, clock = self._parts.view, self._parts.clock
         while view.index is None or not view.members_known:
-            if clock.now() - started >= _KNOWN_WAIT_S:
+            if clock.now() - started >= _CONFIG_TIMEOUT_S:
                 detail = "no configuration is known yet"
                 raise EbonydealError(ErrorKind.NO_ENDPOINT, detail, retry_after=0.5)
-            await clock.sleep(_KNOWN_STEP_S)
+            await clock.sleep(_CONFIG_POLL_INTERVAL_S)
         return view.index
 
     def _account(self, req: ForwardedRequest, route: Route) -> ForwardAccount | None:
-        """Return who asks; raises UNAUTHORIZED."""
+        """Return the client account of a request; raises UNAUTHORIZED."""
         index = self._parts.view.index
         assert index is not None
-        found = index.account(req.credential) if req.credential else None
-        if found is None and index.table.accounts and not route.anonymous:
+        account = index.account(req.credential) if req.credential else None
+        if account is None and index.table.accounts and not route.anonymous:
             raise EbonydealError(ErrorKind.UNAUTHORIZED, "the API key is not known")
-        return found
+        return account
 
     async def _forward(self, job: Job, http_req: web.BaseRequest) -> web.StreamResponse:
         if job.route.repeat is Repeat.STREAM:
-            return await self._stream.answer(job, http_req, self.closing)
+            return await self._stream.answer(job, http_req, self.draining)
         return await self._plain.answer(job)
 
 
 def _pairs(http_req: web.BaseRequest) -> list[tuple[str, str]]:
-    """Return a client's header block as text."""
+    """Return a client's headers as text."""
     return [
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in http_req.raw_headers
@@ -193,7 +196,7 @@
 
 
 def _amount(req: ForwardedRequest, account: ForwardAccount) -> float:
-    """Return what a request counts against its account's limit."""
+    """Return the amount that a request uses of its account's limit."""
     if not account.in_tokens:
         return 1.0
     if req.prompt_tokens is None:
@@ -202,27 +205,31 @@
 
 
 async def _read_body(
-    http_req: web.BaseRequest, most_bytes: int, allowed: float, digest: RequestDigest
+    http_req: web.BaseRequest, max_bytes: int, timeout: float, digest: RequestDigest
 ) -> bytes:
-    """Return the body, added to ``digest``.
+    """Return the body, and add it to ``digest``.
 
     Raises BODY_TOO_LARGE, SLOW_SENDER or BAD_REQUEST.
     """
     if not http_req.body_exists:
         return b""
-    slices: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     try:
-        async with asyncio.timeout(allowed):
-            while data := await http_req.content.read(_READ_SLICE):
+        async with asyncio.timeout(timeout):
+            while data := await http_req.content.read(_READ_CHUNK_BYTES):
                 size += len(data)
-                if size > most_bytes:
-                    detail = f"more than {most_bytes} bytes"
+                if size > max_bytes:
+                    detail = f"the body is larger than {max_bytes} bytes"
                     raise EbonydealError(ErrorKind.BODY_TOO_LARGE, detail)
                 digest.update(data)
-                slices.append(data)
+                chunks.append(data)
     except TimeoutError:
-        raise EbonydealError(ErrorKind.SLOW_SENDER, "the body is not in") from None
+        raise EbonydealError(
+            ErrorKind.SLOW_SENDER, "the body did not arrive in time"
+        ) from None
     except web.RequestPayloadError as exc:
-        raise EbonydealError(ErrorKind.BAD_REQUEST, f"the body broke: {exc}") from exc
-    return b"".join(slices)
+        raise EbonydealError(
+            ErrorKind.BAD_REQUEST, f"the body could not be read: {exc}"
+        ) from exc
+    return b"".join(chunks)
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -1,4 +1,4 @@
-"""One accepted request of a forwarded route, and what its sends are made with."""
+"""One accepted request of a forwarded route, and the collaborators of its sends."""
 
 from random import Random
 from typing import NamedTuple
@@ -34,9 +34,10 @@
 class Job(NamedTuple):
     """An accepted request.
 
-    ``started`` and ``until`` are monotonic seconds; ``until`` is the earlier
+    ``started`` and ``deadline`` are monotonic seconds; ``deadline`` is the earlier
     of the client's deadline and the route's timeout. ``digest`` is the same for
-    equal requests, whatever their ids. ``admission`` is by its account's limit.
+    equal requests, whatever their ids. ``admission`` is the admission by the rate
+    limit of its client account.
     """
 
     req: ForwardedRequest
@@ -45,13 +46,13 @@
     account: ForwardAccount | None
     body: bytes
     started: float
-    until: float
+    deadline: float
     digest: str = ""
     admission: Admission | None = None
 
     @property
     def at_most_once(self) -> bool:
-        """Whether it may run once at most."""
+        """Whether the request may run at most once."""
         match self.route.repeat:
             case Repeat.IDEMPOTENT:
                 return False
@@ -60,11 +61,11 @@
         return True
 
 
-class SendTerms(NamedTuple):
-    """Terms of waiting and sending again; `PolicySettings` says what each does.
+class SendConfig(NamedTuple):
+    """Timeouts of sends as factors; `PolicySettings` describes each.
 
-    ``first_*`` are of the wait for a stream's first event, ``gap`` of that for the
-    next one, ``plain`` of that for a plain answer.
+    ``first_*`` apply to the wait for a stream's first event, ``gap`` to that for the
+    next one, ``plain`` to that for a plain answer.
     """
 
     first_objectives: float = 1.0
@@ -76,7 +77,7 @@
     late_last: bool = True
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "SendTerms":
+    def from_config(cls, cfg: PolicySettings) -> "SendConfig":
         """Build from settings."""
         return cls(
             cfg.first_patience,
@@ -90,7 +91,7 @@
 
 
 class SendParts(NamedTuple):
-    """What sends are made with."""
+    """Collaborators that sends use."""
 
     wire: Wire
     view: RelayView
@@ -101,7 +102,7 @@
     retries: RetryPolicy
     pools: EndpointPools
     usage: UsageMeter
-    moves: StreamMigrator
+    migrator: StreamMigrator
     long_reads: LongReads
     crashes: CrashCheck
     suspects: Suspects
@@ -112,4 +113,4 @@
     clock: Clock
     rng: Random
     zone: str
-    terms: SendTerms = SendTerms()
+    config: SendConfig = SendConfig()
--- a/src/ebonydeal/_internal/relay/requests/migrations.py
+++ b/src/ebonydeal/_internal/relay/requests/migrations.py
@@ -1,9 +1,9 @@
-"""Streams whose endpoints leave: their memory is passed on before that.
+"""Migration of running streams from endpoints that leave.
 
-An endpoint that leaves cuts off what still runs there when it is gone, and most
-streams may not be run again. So the run is stopped in time, its memory goes to
-another endpoint, and the stream goes on there after its last event, as the same
-run and without reading the prompt again.
+An endpoint that leaves breaks off the runs that it still has at its end, and most
+streams may not be run again. So the run is stopped in time, its KV cache goes to
+another endpoint, and the stream continues there after its last event, as the same
+run and without another prefill.
 """
 
 import asyncio
@@ -32,28 +32,28 @@
 
 logger = get_logger("relay.moves")
 
-_STEP_S = 0.1
-# Moves start at the latest when this much of an endpoint's time is left: some
-# hundred streams at a few milliseconds each, twice over.
-_LAST_CHANCE_S = 0.8
-# Time that a reclaimable endpoint is taken to have until it says more.
-_LEAST_NOTICE_S = 1.0
+_CHECK_INTERVAL_S = 0.1
+# Migrations start at the latest when an endpoint has this much time left: twice what
+# some hundred streams need at a few milliseconds each.
+_FINAL_WINDOW_S = 0.8
+# Time that a reclaimable endpoint is assumed to have left until it reports more.
+_MIN_NOTICE_S = 1.0
 _LIMITS = ReclaimLimits(hopeless=2.0)
 
 
 class MigratedRun(NamedTuple):
-    """Where a stream goes on."""
+    """The endpoint where a migrated run continues, and its KV cache."""
 
     member: Member
-    carried: KvCacheRef
+    kv_cache: KvCacheRef
 
 
 @dataclass(eq=False)
 class StreamRun:
-    """One stream's run at one endpoint.
+    """The run of one stream at one endpoint.
 
-    ``expected_tokens`` is the length of the whole answer as far as known;
-    ``event_tokens`` how many of them one event holds.
+    ``expected_tokens`` is the expected length of the whole answer, ``event_tokens``
+    the tokens in one event.
     """
 
     request_id: str
@@ -62,34 +62,34 @@
     prompt_tokens: int
     expected_tokens: int
     event_tokens: int
-    begun_at: float = 0.0
+    first_event_at: float = 0.0
     events: int = 0
-    moving: "asyncio.Task[MigratedRun | None] | None" = None
+    migration: "asyncio.Task[MigratedRun | None] | None" = None
 
-    def count(self, events: int, now: float) -> None:
-        """Note events that came."""
+    def record_events(self, events: int, now: float) -> None:
+        """Count events that arrived."""
         if not self.events:
-            self.begun_at = now
+            self.first_event_at = now
         self.events += events
 
     def estimate(self, now: float) -> RunningStream:
-        """Return what the run is expected to need still."""
-        made = self.events * self.event_tokens
-        ran = max(0.001, now - self.begun_at)
+        """Return what the run is expected to need until its end."""
+        generated = self.events * self.event_tokens
+        duration = max(0.001, now - self.first_event_at)
         return RunningStream(
             request_id=self.request_id,
             endpoint_id=self.member.endpoint_id,
-            context_tokens=self.prompt_tokens + made,
+            context_tokens=self.prompt_tokens + generated,
             remaining_tokens_estimate=max(
-                float(self.event_tokens), self.expected_tokens - made
+                float(self.event_tokens), self.expected_tokens - generated
             ),
-            tokens_per_s=made / ran,
+            tokens_per_s=generated / duration,
             kv_gb=0.0,
         )
 
 
 class MigratorParts(NamedTuple):
-    """What moves are made with."""
+    """Collaborators that migrations use."""
 
     view: RelayView
     choice: MemberChoice
@@ -105,7 +105,7 @@
 
 
 class StreamMigrator(Service):
-    """Watches running streams, and moves those that would be cut off."""
+    """Watches running streams, and migrates those that would be broken off."""
 
     def __init__(self, parts: MigratorParts) -> None:
         super().__init__()
@@ -113,34 +113,34 @@
         self._runs: set[StreamRun] = set()
         self._leaving_since: dict[str, float] = {}
 
-    def enter(self, run: StreamRun) -> None:
-        """Watch a run."""
+    def watch(self, run: StreamRun) -> None:
+        """Start watching a run."""
         if self._parts.enabled:
             self._runs.add(run)
 
-    def leave(self, run: StreamRun) -> None:
-        """Watch a run no more."""
+    def unwatch(self, run: StreamRun) -> None:
+        """Stop watching a run."""
         self._runs.discard(run)
 
     async def result(self, run: StreamRun) -> MigratedRun | None:
-        """Return where a run that broke off goes on, once that is known."""
-        return None if run.moving is None else await run.moving
+        """Wait for a run's migration; return its target, or None if it has none."""
+        return None if run.migration is None else await run.migration
 
     @Service.task
     async def _watch(self) -> None:
         while not self.should_stop:
-            await self._parts.clock.sleep(_STEP_S)
-            self._step(self._parts.clock.now())
+            await self._parts.clock.sleep(_CHECK_INTERVAL_S)
+            self._start_due(self._parts.clock.now())
 
-    def _step(self, now: float) -> None:
-        """Begin the moves that are due."""
+    def _start_due(self, now: float) -> None:
+        """Start the migrations that are due."""
         self._note_leaving(now)
         for run in self._runs:
-            if run.moving is None and self._is_due(run, now):
-                run.moving = asyncio.ensure_future(self._move(run))
+            if run.migration is None and self._is_due(run, now):
+                run.migration = asyncio.ensure_future(self._migrate(run))
 
     def _note_leaving(self, now: float) -> None:
-        """Note since when endpoints with runs are known to leave, or gone."""
+        """Record since when endpoints with runs are known to leave, or to be gone."""
         members = self._parts.view.members
         since = {}
         for run in self._runs:
@@ -151,66 +151,66 @@
         self._leaving_since = since
 
     def _is_due(self, run: StreamRun, now: float) -> bool:
-        """Return whether a run has to move now.
+        """Return whether a run must be migrated now.
 
-        One that will likely end in time stays; one that surely won't moves at
-        once, and the others wait, since each that ends meanwhile needs no move.
+        One that will likely end in time stays; one that surely won't is migrated at
+        once. The others wait, since those that end meanwhile need no migration.
         """
         since = self._leaving_since.get(run.member.endpoint_id)
         if since is None or not run.events:
             return False
-        left = self._left(run.member, since, now)
+        time_left = self._time_left(run.member, since, now)
         stream = run.estimate(now)
-        if seconds_to_finish(stream) > _LIMITS.hopeless * left:
+        if seconds_to_finish(stream) > _LIMITS.hopeless * time_left:
             return True
         return (
-            left <= _LAST_CHANCE_S
-            and outlasts(stream, max(0.0, left), _LIMITS) > _LIMITS.break_chance
+            time_left <= _FINAL_WINDOW_S
+            and outlasts(stream, max(0.0, time_left), _LIMITS) > _LIMITS.break_chance
         )
 
-    def _left(self, member: Member, since: float, now: float) -> float:
+    def _time_left(self, member: Member, since: float, now: float) -> float:
         """Return the seconds for which an endpoint that leaves still serves."""
-        gone = self._parts.view.leaves_at(member.endpoint_id)
-        if gone is not None:
-            return gone - now
-        serves = self._parts.drain_s
+        end = self._parts.view.leaves_at(member.endpoint_id)
+        if end is not None:
+            return end - now
+        drain_s = self._parts.drain_s
         if member.reclaimable:
-            serves = min(serves, _LEAST_NOTICE_S)
-        return serves - (now - since)
+            drain_s = min(drain_s, _MIN_NOTICE_S)
+        return drain_s - (now - since)
 
-    async def _move(self, run: StreamRun) -> MigratedRun | None:
-        """Stop a run and pass its memory on; None where that failed."""
+    async def _migrate(self, run: StreamRun) -> MigratedRun | None:
+        """Stop a run and transfer its KV cache; None if that failed."""
         parts = self._parts
         target = self._target(run)
         if target is None or not parts.retries.spend(run.service):
-            # There may be one, or budget, at the next step.
-            run.moving = None
+            # Retried at the next check, which may find a target and retry budget.
+            run.migration = None
             return None
         try:
-            answer = await parts.engines.migrate_run(
+            reply = await parts.engines.migrate_run(
                 run.member.address, run.request_id, target.address
             )
         except EbonydealError as exc:
-            self._failed(run, target, str(exc))
+            self._record_failure(run, target, str(exc))
             return None
-        if not answer.handle:
-            self._failed(run, target, answer.detail)
+        if not reply.handle:
+            self._record_failure(run, target, reply.detail)
             return None
         parts.metrics.count(Event.STREAMS_MOVED)
         logger.info(
-            "Stream moved.",
+            "Stream migrated.",
             request=run.request_id,
             endpoint=run.member.endpoint_id,
             target=target.endpoint_id,
             events=run.events,
         )
-        return MigratedRun(target, KvCacheRef(run.member.address, answer.handle))
+        return MigratedRun(target, KvCacheRef(run.member.address, reply.handle))
 
     def _target(self, run: StreamRun) -> Member | None:
         """Return the endpoint where the run waits least, or None."""
         parts = self._parts
         now = parts.clock.now()
-        # What one version made of a prompt is nothing to another.
+        # One version can't use the KV cache of another.
         listed = [
             member
             for member in parts.view.of_service(run.service)
@@ -221,7 +221,7 @@
         score = parts.choice.engine(Ask((), 0, parts.zone), allowed, now)
         return None if score is None else parts.view.members[score.endpoint_id]
 
-    def _failed(self, run: StreamRun, target: Member, reason: str) -> None:
+    def _record_failure(self, run: StreamRun, target: Member, reason: str) -> None:
         self._parts.metrics.count(Event.KV_EXPORT_FAILED)
         logger.warning(
             "Stream not moved.",
--- a/src/ebonydeal/_internal/relay/requests/notices.py
+++ b/src/ebonydeal/_internal/relay/requests/notices.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in answers: taken, counted and told in the log."""
+"""Notices: what endpoints report of themselves in answers; applied, counted, logged."""
 
 from ebonydeal._internal.models.forwarding import AnswerHead, Member
 from ebonydeal._internal.observe.counters import Event, Metrics
@@ -10,7 +10,7 @@
 
 
 class NoticeReader:
-    """Takes what an endpoint says of itself from the heads of its answers."""
+    """Applies the notices in the heads of an endpoint's answers."""
 
     def __init__(
         self, notices: EndpointNotices, metrics: Metrics, clock: Clock
@@ -22,21 +22,24 @@
     def read(
         self, member: Member, head: AnswerHead, request_id: str, sent_at: float
     ) -> None:
-        """Take the head of an answer to a request that was sent at ``sent_at``."""
+        """Apply the notice in an answer to a request that was sent at ``sent_at``."""
         if head.misdirected:
-            # Another process answers at this address.
+            # The answer is from another process at this address.
             return
         notice = head.notice
-        for said in notice.unreadable:
+        for header in notice.unreadable:
             self._metrics.count(Event.NOTICES_UNREADABLE)
-            logger.warning("Notice unreadable.", endpoint=member.endpoint_id, said=said)
+            logger.warning(
+                "Notice unreadable.", endpoint=member.endpoint_id, said=header
+            )
         if notice.backoff_s > 0.0:
-            self._rests(member, notice.backoff_s)
+            self._note_backoff(member, notice.backoff_s)
         if notice.leaving:
-            self._leaves(member)
-        # Nothing ends with what can't be read, or answers another request.
-        answers = head.request_id == request_id or head.not_run
-        if notice.limit is None and (notice.unreadable or not answers):
+            self._note_leaving(member)
+        # An answer without a limit ends the known one, unless it holds an unreadable
+        # notice or belongs to another request.
+        is_answer = head.request_id == request_id or head.not_run
+        if notice.limit is None and (notice.unreadable or not is_answer):
             return
         now = self._clock.now()
         if self.notices.heard_limit(member.process, notice.limit, sent_at, now):
@@ -49,8 +52,8 @@
                 source="answer",
             )
 
-    def _leaves(self, member: Member) -> None:
-        """Note that an endpoint says that it leaves."""
+    def _note_leaving(self, member: Member) -> None:
+        """Record that an endpoint reports that it leaves."""
         if self.notices.heard_leaving(member.process, self._clock.now()):
             self._metrics.count(Event.ENDPOINTS_SAID_LEAVING)
             logger.info(
@@ -61,8 +64,8 @@
                 source="answer",
             )
 
-    def _rests(self, member: Member, seconds: float) -> None:
-        """Take for how long an endpoint wants nothing from this relay."""
+    def _note_backoff(self, member: Member, seconds: float) -> None:
+        """Record for how long an endpoint wants no requests from this relay."""
         if self.notices.heard_rest(member.process, seconds, self._clock.now()):
             self._metrics.count(Event.ENDPOINTS_RESTED)
             logger.info(
--- a/src/ebonydeal/_internal/relay/requests/outcomes.py
+++ b/src/ebonydeal/_internal/relay/requests/outcomes.py
@@ -1,14 +1,14 @@
-"""What became of one send of a request: the closed list, and what follows.
+"""The possible outcomes of one send of a request, and what may follow them.
 
-Safety rests on this type alone. Only `NotSent` and `ProvedNotRun` prove that
-the endpoint did not run the request and never will; after any other outcome a
-request that may run once is neither sent again nor called "not run".
+At-most-once execution rests on this type alone. Only `NotSent` and `ProvedNotRun`
+prove that the endpoint did not run the request and never will; after any other
+outcome an at-most-once request is neither sent again nor reported as "not run".
 """
 
 from dataclasses import dataclass
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.errors import Outcome as Told
+from ebonydeal._internal.errors import Outcome as ReportedOutcome
 from ebonydeal._internal.models.forwarding import AnswerHead
 
 
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True)
 class ProvedNotRun:
-    """The endpoint said that it did not run the request."""
+    """The endpoint answered that it did not run the request."""
 
     status: int
 
 
 @dataclass(frozen=True)
 class MayHaveRun:
-    """The request was sent and there is no whole answer to it."""
+    """The request was sent, but no complete answer came."""
 
     kind: ErrorKind
     detail: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The endpoint's whole answer."""
+    """The endpoint's complete answer."""
 
     head: AnswerHead
     body: bytes
@@ -47,20 +47,20 @@
 
 
 class RunProof:
-    """What is known of the runs of one request over all of its sends.
+    """What is known of the runs of one request, over all of its sends.
 
     Parameters
     ----------
     repeatable : bool
-        Whether running it twice is harmless.
+        Whether it may run more than once.
     """
 
     def __init__(self, repeatable: bool) -> None:
         self.repeatable = repeatable
         self.may_have_run = False
 
-    def note(self, outcome: Outcome) -> None:
-        """Take the outcome of one send."""
+    def record(self, outcome: Outcome) -> None:
+        """Record the outcome of one send."""
         match outcome:
             case MayHaveRun() | Answered():
                 self.may_have_run = True
@@ -69,15 +69,17 @@
 
     @property
     def may_send(self) -> bool:
-        """Whether another send can't run it twice against its kind."""
+        """Whether another send is safe: it can't run an at-most-once request twice."""
         return self.repeatable or not self.may_have_run
 
-    def refusal(self, error: EbonydealError) -> EbonydealError:
-        """Return ``error``, or one without a promise if the request may have run."""
+    def final_error(self, error: EbonydealError) -> EbonydealError:
+        """Return ``error``, or one that doesn't claim "not run" if it may have run."""
         if not self.may_have_run:
             return error
         if error.answer.status in (502, 504):
             return error
         if error.kind is ErrorKind.REQUEST_QUARANTINED:
-            return EbonydealError(error.kind, error.detail, outcome=Told.UNKNOWN)
+            return EbonydealError(
+                error.kind, error.detail, outcome=ReportedOutcome.UNKNOWN
+            )
         return EbonydealError(ErrorKind.OUTCOME_UNKNOWN, error.detail)
--- a/src/ebonydeal/_internal/relay/requests/plain.py
+++ b/src/ebonydeal/_internal/relay/requests/plain.py
@@ -1,4 +1,4 @@
-"""Requests of plain services: the whole answer is read, then passed on."""
+"""Requests of plain services: the whole answer is read, then forwarded."""
 
 from aiohttp import ClientError, ClientResponse, web
 from multidict import CIMultiDict
@@ -17,46 +17,46 @@
 
 
 def raw_headers(resp: ClientResponse) -> list[tuple[str, str]]:
-    """Return an answer's header block as text."""
+    """Return an answer's headers as text."""
     return [
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in resp.raw_headers
     ]
 
 
-def checked(head: AnswerHead, request_id: str) -> Outcome | None:
-    """Return what is wrong with the head of an answer, or None."""
+def head_failure(head: AnswerHead, request_id: str) -> Outcome | None:
+    """Return the outcome of an answer whose head is invalid or a refusal, else None."""
     if head.not_run:
         return ProvedNotRun(head.status)
     if head.request_id != request_id:
-        detail = "the answer bears another request's id"
+        detail = "the answer has another request's id"
         return MayHaveRun(ErrorKind.ENDPOINT_GARBAGE, detail)
     if 200 <= head.status < 300 and (head.encoded or not head.signed):
-        detail = "a success is not the endpoint's own"
+        detail = "the answer is unsigned or encoded, so not the endpoint's own"
         return MayHaveRun(ErrorKind.ENDPOINT_GARBAGE, detail)
     if not 200 <= head.status <= 599:
-        detail = f"status {head.status} is no final answer"
+        detail = f"status {head.status} is not a final status"
         return MayHaveRun(ErrorKind.ENDPOINT_GARBAGE, detail)
     return None
 
 
-async def read_whole(exchange: HttpExchange, head: AnswerHead) -> Outcome:
-    """Read the body; anything but a whole one is no answer.
+async def read_body(exchange: HttpExchange, head: AnswerHead) -> Outcome:
+    """Return the outcome of reading the body; an incomplete one is no answer.
 
-    After a whole one the connection is kept.
+    After a complete one the connection is kept.
     """
     try:
         body = await exchange.resp.read()
     except (TimeoutError, ClientError, OSError) as exc:
         return MayHaveRun(ErrorKind.ENDPOINT_FAILED, f"body: {type(exc).__name__}")
-    if await exchange.cut_off():
+    if await exchange.was_reset():
         return MayHaveRun(ErrorKind.ENDPOINT_FAILED, "body: connection reset")
-    exchange.done(head.idle_time)
+    exchange.release(head.keepalive_s)
     return Answered(head, body)
 
 
-def to_client(answer: Answered) -> web.Response:
-    """Return an endpoint's answer as it was given."""
+def client_response(answer: Answered) -> web.Response:
+    """Return an endpoint's answer unchanged, for the client."""
     return web.Response(
         status=answer.head.status,
         headers=CIMultiDict(answer.head.headers),
@@ -65,7 +65,7 @@
 
 
 class PlainForwarder:
-    """Forwards requests whose answers are small and whole."""
+    """Forwards requests whose answers are small and not streamed."""
 
     def __init__(self, parts: SendParts) -> None:
         self._parts = parts
@@ -84,29 +84,31 @@
                 if isinstance(outcome, Answered):
                     if outcome.head.status < 500 or job.at_most_once:
                         sends.record_answer(outcome.head.status)
-                        return to_client(outcome)
+                        return client_response(outcome)
                     fallback = outcome
                 sends.check_resend(outcome)
             except EbonydealError:
                 if fallback is None:
                     raise
-                return to_client(fallback)
+                return client_response(fallback)
 
     async def _send(self, sends: JobSends, member: Member) -> Outcome:
-        """Make one send, with a limit on its time."""
+        """Make one send, with a timeout."""
         job = sends.job
-        limit = sends.left
-        tries_left = job.route.max_sends > 1 and not sends.proof.may_have_run
-        share = self._parts.terms.plain
-        if share and job.route.repeat is Repeat.IDEMPOTENT and tries_left:
-            limit = min(limit, job.route.objective * share)
+        timeout = sends.time_left
+        may_resend = job.route.max_sends > 1 and not sends.proof.may_have_run
+        share = self._parts.config.plain
+        if share and job.route.repeat is Repeat.IDEMPOTENT and may_resend:
+            timeout = min(timeout, job.route.objective * share)
         try:
-            async with sends.limited(limit):
+            async with sends.limited(timeout):
                 return await self._exchange(sends, member)
         except TimeoutError:
             if stopped := self._parts.suspects.stopped(job.digest):
                 return stopped
-            return MayHaveRun(ErrorKind.ENDPOINT_STALLED, f"no answer in {limit:.3f} s")
+            return MayHaveRun(
+                ErrorKind.ENDPOINT_STALLED, f"no answer in {timeout:.3f} s"
+            )
         finally:
             sends.record_end()
 
@@ -116,19 +118,19 @@
         headers = parts.wire.request_headers(
             job.req, sends.send_metadata(job.req.last_event)
         )
-        got = await parts.pools.get(member).send(
+        sent = await parts.pools.get(member).send(
             job.req.method, job.req.target, headers, job.body, job.at_most_once
         )
-        if not isinstance(got, HttpExchange):
-            return got
+        if not isinstance(sent, HttpExchange):
+            return sent
         try:
-            head = parts.wire.read_answer(got.resp.status, raw_headers(got.resp))
+            head = parts.wire.read_answer(sent.resp.status, raw_headers(sent.resp))
             sends.read_notice(head)
-            wrong = checked(head, job.req.request_id)
-            if isinstance(wrong, MayHaveRun):
-                return wrong
-            # Read in any case: the connection may be used again.
-            whole = await read_whole(got, head)
-            return wrong or whole
+            failure = head_failure(head, job.req.request_id)
+            if isinstance(failure, MayHaveRun):
+                return failure
+            # A refusal's body is read too, so that the connection can be reused.
+            outcome = await read_body(sent, head)
+            return failure or outcome
         finally:
-            got.close()
+            sent.close()
--- a/src/ebonydeal/_internal/relay/requests/quota.py
+++ b/src/ebonydeal/_internal/relay/requests/quota.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts at one relay."""
+"""Rate limits of client accounts at one relay."""
 
 from typing import Protocol
 
@@ -13,53 +13,58 @@
 
 logger = get_logger("relay.quota")
 
-_DEMAND_S = 2.0
-_LEAST_WAIT_S = 0.01
+_DEMAND_WINDOW_S = 2.0
+_MIN_WAIT_S = 0.01
 
 
 class GrantPort(Protocol):
-    """Where parts of limits come from."""
+    """Source of grants: amounts of an account's limit that this relay may use."""
 
     balances: Balances
 
     async def grant(self, account: ForwardAccount, amount: float) -> Grant:
-        """Ask for an amount; raises LIMIT_UNAVAILABLE where nobody is reached."""
+        """Request an amount; raises LIMIT_UNAVAILABLE if no granter is reachable."""
 
 
 class Admission:
-    """A request's admission by its account's limit, good for a while.
+    """Admission of a request by its account's limit, with an expiry time.
 
-    What is sent later than that would count in another window than it was granted in.
+    A request sent after that would run in another window than its amount was granted
+    for.
 
     Parameters
     ----------
-    gate : QuotaLimiter
-        Admits it anew.
+    limiter : QuotaLimiter
+        Admits the request again.
     account : ForwardAccount
-        Whose limit.
+        Account whose limit applies.
     amount : float
-        What the request counts.
+        Amount that the request uses of the limit.
     until : float
-        When the admission ends.
+        When the admission expires, monotonic seconds.
     """
 
     def __init__(
-        self, gate: "QuotaLimiter", account: ForwardAccount, amount: float, until: float
+        self,
+        limiter: "QuotaLimiter",
+        account: ForwardAccount,
+        amount: float,
+        until: float,
     ) -> None:
-        self._gate = gate
+        self._limiter = limiter
         self._account = account
         self._amount = amount
         self._until = until
 
     async def renew(self, now: float) -> None:
-        """Admit the request anew where its admission has ended; raises RATE_LIMITED."""
+        """Admit the request again if its admission has expired; raises RATE_LIMITED."""
         if now > self._until:
-            again = await self._gate.admit(self._account, self._amount, 0.0)
-            self._until = again._until
+            renewed = await self._limiter.admit(self._account, self._amount, 0.0)
+            self._until = renewed._until
 
 
 class QuotaLimiter:
-    """Lets requests pass while their client account is within its limit."""
+    """Admits requests while their client account is within its rate limit."""
 
     def __init__(
         self,
@@ -75,60 +80,60 @@
         self._meters: dict[str, RateMeter] = {}
 
     def demand(self, now: float) -> dict[str, list[float]]:
-        """Return demand a second and unused balance by account."""
-        left = self._grants.balances.left
+        """Return demand per second and unused balance, by account."""
+        balance = self._grants.balances.left
         return {
-            name: [round(meter.rate(now), 1), round(left(name, now), 1)]
+            name: [round(meter.rate(now), 1), round(balance(name, now), 1)]
             for name, meter in self._meters.items()
         }
 
     async def admit(
-        self, account: ForwardAccount, amount: float, patience: float
+        self, account: ForwardAccount, amount: float, max_wait_s: float
     ) -> Admission:
-        """Return when ``amount`` may be used; raises RATE_LIMITED and its kin.
+        """Return once ``amount`` may be used, after ``max_wait_s`` at most.
 
-        What will be there within ``patience`` seconds is waited for.
+        Raises RATE_LIMITED, LIMIT_TOO_SMALL or LIMIT_UNAVAILABLE.
         """
         if account.rate > 0.0:
-            await self._take(account, amount, patience)
+            await self._take(account, amount, max_wait_s)
         until = self._clock.now() + self._bounds.late_s(account)
         return Admission(self, account, amount, until)
 
     async def _take(
-        self, account: ForwardAccount, amount: float, patience: float
+        self, account: ForwardAccount, amount: float, max_wait_s: float
     ) -> None:
         now = self._clock.now()
         meter = self._meters.get(account.name)
         if meter is None:
-            meter = self._meters[account.name] = RateMeter(_DEMAND_S)
+            meter = self._meters[account.name] = RateMeter(_DEMAND_WINDOW_S)
         meter.add(amount, now)
         if self._grants.balances.take(account.name, amount, now):
             self._metrics.count(Event.ADMITTED_IN_ADVANCE)
             return
-        until = now + patience
+        deadline = now + max_wait_s
         while True:
             try:
-                got = await self._grants.grant(account, amount)
+                grant = await self._grants.grant(account, amount)
             except EbonydealError as exc:
                 wait = exc.retry_after or 0.0
-                if self._clock.now() + wait > until:
+                if self._clock.now() + wait > deadline:
                     raise
                 await self._clock.sleep(wait)
                 continue
-            if got.amount >= amount:
+            if grant.amount >= amount:
                 return
-            if got.wait is None:
+            if grant.wait is None:
                 raise EbonydealError(
                     ErrorKind.LIMIT_TOO_SMALL,
-                    f"{amount:.0f} is more than the limit of {account.name} holds"
-                    f" at once: {account.burst:.0f}",
+                    f"{amount:.0f} exceeds the burst of client account"
+                    f" {account.name}: {account.burst:.0f}",
                 )
-            if self._clock.now() + got.wait > until:
+            if self._clock.now() + grant.wait > deadline:
                 detail = (
-                    f"client account {account.name} asked for {amount:.0f}"
-                    f" beyond its limit of {account.rate:.0f}/s"
+                    f"client account {account.name} exceeds its limit of"
+                    f" {account.rate:.0f}/s with {amount:.0f} more"
                 )
                 raise EbonydealError(
-                    ErrorKind.RATE_LIMITED, detail, retry_after=got.wait
+                    ErrorKind.RATE_LIMITED, detail, retry_after=grant.wait
                 )
-            await self._clock.sleep(max(_LEAST_WAIT_S, got.wait))
+            await self._clock.sleep(max(_MIN_WAIT_S, grant.wait))
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -1,4 +1,4 @@
-"""The sends of one job: which endpoint next, and whether there is a next."""
+"""The sends of one job: the next endpoint, and whether a resend is allowed."""
 
 from asyncio import timeout
 from collections.abc import AsyncIterator
@@ -33,14 +33,14 @@
 
 logger = get_logger("relay.job")
 
-# Sends that never left this process are free, but an end there must be.
-_MOST_UNSENT = 6
-_WAIT_STEP_S = 0.02
-# Engines rank requests from 0, the first, to this.
-_LEAST_URGENT = 9
-# Endpoints in one line.
-_MOST_LOGGED = 4
-# Share of the objective that a request waits for an endpoint to appear.
+# Sends of which no byte left this process cost no endpoint anything, but are bounded.
+_MAX_UNSENT = 6
+_POLL_INTERVAL_S = 0.02
+# Engines serve priorities from 0, the first, to this.
+_LOWEST_PRIORITY = 9
+# Endpoints in one log line.
+_MAX_LOGGED = 4
+# Share of the latency objective that a request waits for an endpoint to appear.
 _WAIT_SHARE = 0.2
 
 
@@ -52,73 +52,78 @@
 
 
 class JobSends:
-    """The sends of one job: which endpoint next, and whether there is a next."""
+    """The sends of one job: the next endpoint, and whether a resend is allowed."""
 
     def __init__(self, parts: SendParts, job: Job) -> None:
         self._parts = parts
         self.job = job
         self.chooser = EndpointChooser(parts, job)
         self.proof = RunProof(not job.at_most_once)
-        self._ran = 0
+        # Sends that may have run, that never left, and all of them.
+        self._possible_runs = 0
         self._unsent = 0
-        self._tries = 0
+        self._sends = 0
         self._avoid: set[str] = set()
-        self._counted = False
+        self._usage_counted = False
         self.sent: Sent | None = None
-        # Seconds to the first event of the last send, where that is known.
+        # Expected seconds to the first event of the last send, if known.
         self.expected: float | None = None
         self.member: Member | None = None
         self._source = ""
-        self._carried: KvCacheRef | None = None
-        # The split's number of the answer that is waited for; 0 for none.
-        self._pending = 0
+        self._kv_cache: KvCacheRef | None = None
+        # The split's number of the answer that it expects; 0 for none.
+        self._expected_answer = 0
 
     @property
-    def left(self) -> float:
-        """Time left, seconds."""
-        return self.job.until - self._parts.clock.now()
+    def time_left(self) -> float:
+        """Time until the request's deadline, seconds."""
+        return self.job.deadline - self._parts.clock.now()
 
     async def choose(self) -> Member:
         """Return the next endpoint; raises NO_ENDPOINT or DEADLINE_EXCEEDED."""
         parts, job = self._parts, self.job
         if self.member is not None:
             await parts.crashes.checked(self.member)
-        patience = parts.clock.now() + job.route.objective * _WAIT_SHARE
+        wait_until = parts.clock.now() + job.route.objective * _WAIT_SHARE
         while True:
-            self._check()
-            if self.left <= 0.0:
-                raise self.proof.refusal(_late())
-            found = self.chooser.find(self._avoid, again=self._tries > 0)
+            self._check_quarantine()
+            if self.time_left <= 0.0:
+                raise self.proof.final_error(_deadline_exceeded())
+            found = self.chooser.find(self._avoid, resend=self._sends > 0)
             if found is None:
-                self._refuse_limited(patience)
-                if parts.clock.now() >= patience:
-                    error = EbonydealError(ErrorKind.NO_ENDPOINT, f"of {job.service}")
-                    raise self.proof.refusal(error)
-                await parts.clock.sleep(_WAIT_STEP_S)
+                self._refuse_limited(wait_until)
+                if parts.clock.now() >= wait_until:
+                    error = EbonydealError(
+                        ErrorKind.NO_ENDPOINT, f"no endpoint of {job.service}"
+                    )
+                    raise self.proof.final_error(error)
+                await parts.clock.sleep(_POLL_INTERVAL_S)
                 continue
             self._refuse_early(found.expected)
             await self._renew_admission()
             if await parts.permits.take(found.member):
                 break
-        if self._tries == 0:
+        if self._sends == 0:
             parts.retries.first_send(job.service, parts.clock.now())
-        self._carried = None
-        return self._take(found)
-
-    def _refuse_limited(self, patience: float) -> None:
-        """Raise ENDPOINTS_LIMITED where no endpoint has room until ``patience``."""
-        wait = self.chooser.opens_in(self._avoid)
-        if wait is not None and self._parts.clock.now() + wait > patience:
-            detail = f"all endpoints of {self.job.service} rest or have a limit"
+        self._kv_cache = None
+        return self._use(found)
+
+    def _refuse_limited(self, wait_until: float) -> None:
+        """Raise ENDPOINTS_LIMITED if no endpoint is available by ``wait_until``."""
+        wait = self.chooser.available_in(self._avoid)
+        if wait is not None and self._parts.clock.now() + wait > wait_until:
+            detail = (
+                f"all endpoints of {self.job.service} are in backoff or at their limit"
+            )
             error = EbonydealError(
                 ErrorKind.ENDPOINTS_LIMITED, detail, retry_after=wait
             )
-            raise self.proof.refusal(error)
+            raise self.proof.final_error(error)
 
     async def _renew_admission(self) -> None:
-        """Admit the request anew where it waited too long; raises RATE_LIMITED.
+        """Admit the request again if its admission has expired; raises RATE_LIMITED.
 
-        One that may have run counts in the window in which it first arrived.
+        One that may have run counts in the window in which it was first sent.
         """
         admission = self.job.admission
         if admission is None or self.proof.may_have_run:
@@ -126,42 +131,44 @@
         try:
             await admission.renew(self._parts.clock.now())
         except EbonydealError as exc:
-            raise self.proof.refusal(exc) from None
+            raise self.proof.final_error(exc) from None
 
-    def _check(self) -> None:
-        """Raise REQUEST_QUARANTINED where this request brings endpoints down."""
+    def _check_quarantine(self) -> None:
+        """Raise REQUEST_QUARANTINED if this request crashes endpoints."""
         try:
             self._parts.suspects.check(self.job.digest)
         except EbonydealError as exc:
-            raise self.proof.refusal(exc) from None
+            raise self.proof.final_error(exc) from None
 
-    async def resume(self, moved: MigratedRun) -> Member:
-        """Send the request where its run's memory was passed to."""
-        self._check()
-        # The run that was stopped counts as one: without its memory, only a
-        # request that may be repeated is run again.
+    async def resume(self, migrated: MigratedRun) -> Member:
+        """Return the endpoint that got the run's KV cache, for the next send."""
+        self._check_quarantine()
+        # The stopped run counts as a run: without its KV cache, only a repeatable
+        # request is run again.
         self.proof.may_have_run = True
-        if not await self._parts.permits.take(moved.member):
+        if not await self._parts.permits.take(migrated.member):
             if not self.proof.may_send:
-                detail = f"{moved.member.endpoint_id} rests or has a limit"
+                detail = f"{migrated.member.endpoint_id} is in backoff or at its limit"
                 error = EbonydealError(ErrorKind.ENDPOINTS_LIMITED, detail)
-                raise self.proof.refusal(error)
+                raise self.proof.final_error(error)
             return await self.choose()
-        self._carried = moved.carried
-        return self._take(EndpointChoice(moved.member, 0.0, None))
+        self._kv_cache = migrated.kv_cache
+        return self._use(EndpointChoice(migrated.member, 0.0, None))
 
-    def _take(self, found: EndpointChoice) -> Member:
-        """Note the endpoint of the next send."""
+    def _use(self, found: EndpointChoice) -> Member:
+        """Record the endpoint of the next send."""
         parts, job = self._parts, self.job
         member = self.member = found.member
         self._source = found.source
-        self._tries += 1
+        self._sends += 1
         now = parts.clock.now()
-        self.sent = parts.choice.sent(self.chooser.ask(), member, found.missed, now)
-        self._note_version(member, now)
+        self.sent = parts.choice.sent(
+            self.chooser.ask(), member, found.uncached_tokens, now
+        )
+        self._record_version(member, now)
         expected = self.expected = found.expected
         if expected is not None:
-            reading = parts.choice.speed.reading(found.missed)
+            reading = parts.choice.speed.reading(found.uncached_tokens)
             parts.long_reads.sent(member.endpoint_id, reading, expected)
         logger.info(
             "Sent.",
@@ -172,60 +179,60 @@
             zone=member.zone,
             version=member.version,
             expected_s=None if expected is None else round(expected, 3),
-            to_read=round(found.missed),
+            to_read=round(found.uncached_tokens),
             fetches=bool(found.source),
-            carried=self._carried is not None,
+            carried=self._kv_cache is not None,
             running=parts.choice.running(member.endpoint_id),
             told_age_s=parts.choice.told_age(member.endpoint_id, now),
             config=parts.view.version,
-            send=self._tries,
+            send=self._sends,
             waited_s=round(now - job.started, 4),
-            without_room=self.chooser.without_room[:_MOST_LOGGED],
+            without_room=self.chooser.unavailable[:_MAX_LOGGED],
         )
         return member
 
-    def _note_version(self, member: Member, now: float) -> None:
-        """Count the send where the service has a roll-out."""
+    def _record_version(self, member: Member, now: float) -> None:
+        """Count the send for its version during a roll-out of the service."""
         parts, job = self._parts, self.job
         split = parts.split
-        self._pending = 0
+        self._expected_answer = 0
         if not split.watches(job.service):
             return
         route = job.route.name
-        if split.sent(job.service, route, member, first=self._tries == 1):
+        if split.sent(job.service, route, member, first=self._sends == 1):
             parts.metrics.count(Event.SENT_TO_NEW_VERSION)
-        self._pending = split.awaits(
+        self._expected_answer = split.awaits(
             Awaited(job.service, route, member, self.expected, job.route.objective, now)
         )
 
-    def _note_answer(self) -> None:
+    def _record_version_answer(self) -> None:
         """Count an answer, or a stream's first event, for its version."""
-        if self._pending:
-            self._parts.split.answered(self._pending, self._parts.clock.now())
-            self._pending = 0
+        if self._expected_answer:
+            self._parts.split.answered(self._expected_answer, self._parts.clock.now())
+            self._expected_answer = 0
 
-    def _note_failure(self, member: Member) -> None:
-        """Count a failure that may be the version's."""
-        self._forget_answer()
+    def _record_version_failure(self, member: Member) -> None:
+        """Count a failure that the version may have caused."""
+        self._cancel_expected_answer()
         if self._parts.split.failed(self.job.service, self.job.route.name, member):
             self._parts.metrics.count(Event.NEW_VERSION_FAILED)
 
-    def _forget_answer(self) -> None:
-        """Wait for no answer any more, which says nothing of the version."""
-        if self._pending:
-            self._parts.split.gave_up(self._pending)
-            self._pending = 0
+    def _cancel_expected_answer(self) -> None:
+        """Stop expecting an answer, without a conclusion about the version."""
+        if self._expected_answer:
+            self._parts.split.gave_up(self._expected_answer)
+            self._expected_answer = 0
 
     def _refuse_early(self, expected: float | None) -> None:
-        """Raise SHED where the answer would surely be late."""
+        """Raise SHED if the answer would surely be late."""
         job = self.job
-        if expected is None or self._tries or job.req.client_timeout is None:
+        if expected is None or self._sends or job.req.client_timeout is None:
             return
         wait = self._parts.refusal.wait(
             job.route.name,
             job.req.client_timeout,
             job.route.objective,
-            self.urgency,
+            self.priority,
             expected,
         )
         if wait is not None:
@@ -234,44 +241,45 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether no send may follow the one under way, so that it is waited for.
+        """Whether no send may follow the current one.
 
-        To end a silent one then loses an answer that may still come.
+        Ending it early would then lose an answer that may still come.
         """
         job, parts = self.job, self._parts
         return (
             job.at_most_once
-            or self._ran + 1 >= job.route.max_sends
-            or not parts.retries.affords(job.service, self._tries)
+            or self._possible_runs + 1 >= job.route.max_sends
+            or not parts.retries.affords(job.service, self._sends)
         )
 
     @property
-    def urgency(self) -> int:
-        """0 is served first; a client account's rank goes before the route's."""
+    def priority(self) -> int:
+        """Priority, 0 is served first; the client account's overrides the route's."""
         account = self.job.account
         if account is not None and account.priority is not None:
             return account.priority
         return self.job.route.priority
 
     def send_metadata(self, last_event: str = "") -> SendMetadata:
-        """Return what the next send tells its endpoint."""
+        """Return the metadata of the next send."""
         assert self.member is not None
         account = self.job.account
         return SendMetadata(
             endpoint_id=self.member.endpoint_id,
             account="" if account is None else account.name,
-            time_left=self.left,
-            priority=self._rank() if self.job.route.has_prompt else None,
+            time_left=self.time_left,
+            priority=self._engine_priority() if self.job.route.has_prompt else None,
             last_event=last_event,
-            carried=self._carried,
+            kv_cache=self._kv_cache,
             fetch_from=self._source,
         )
 
-    def _rank(self) -> int:
-        """Return the urgency that an engine is told.
+    def _engine_priority(self) -> int:
+        """Return the priority that is sent to an engine.
 
-        One that will be late wherever it runs earns the same a little later, and a
-        long prompt makes all that wait behind it late: so it lets others go first.
+        A request that will be late wherever it runs loses nothing by being served a
+        little later, and a long prompt delays all requests queued behind it: so such
+        a request gets the lowest priority.
         """
         job = self.job
         waited = self._parts.clock.now() - job.started
@@ -279,46 +287,46 @@
             self.expected is not None
             and waited + self.expected > job.route.objective > 0.0
         )
-        if late and self._parts.terms.late_last:
-            return _LEAST_URGENT
-        return min(_LEAST_URGENT, self.urgency)
+        if late and self._parts.config.late_last:
+            return _LOWEST_PRIORITY
+        return min(_LOWEST_PRIORITY, self.priority)
 
     def count_run(self, wall: float) -> None:
-        """Count the request once as begun, however often it is sent."""
+        """Count the request as started, once however often it is sent."""
         account = self.job.account
-        if account is not None and not self._counted:
-            self._counted = True
+        if account is not None and not self._usage_counted:
+            self._usage_counted = True
             self._parts.usage.record_start(account.name, wall)
 
     def read_notice(self, head: AnswerHead) -> None:
-        """Take what the endpoint says of itself."""
+        """Apply what the endpoint reports of itself in an answer."""
         if self.sent is not None and self.member is not None:
             request_id = self.job.req.request_id
             self._parts.notices.read(self.member, head, request_id, self.sent.at)
 
     def record_activity(self) -> None:
-        """Note a sign of life of the endpoint."""
+        """Record that the endpoint is alive."""
         if self.sent is not None and self.member is not None:
             self._parts.suspects.heard(self.member, self.sent.at)
 
     def record_answer(self, status: int) -> None:
-        """Note a whole answer that goes to the client."""
+        """Record a complete answer that goes to the client."""
         assert self.member is not None
         parts, endpoint_id = self._parts, self.member.endpoint_id
         now = parts.clock.now()
         parts.outliers.succeeded(endpoint_id, now)
         parts.failing.answered(endpoint_id, now)
         if status >= 500:
-            self._note_failure(self.member)
+            self._record_version_failure(self.member)
         else:
-            self._note_answer()
+            self._record_version_answer()
         if status < 300:
-            # An endpoint that fails part of its requests may do so before it runs them.
+            # Other statuses prove no run: a failing endpoint may answer before running.
             parts.suspects.served(self.job.digest)
 
     @asynccontextmanager
     async def limited(self, seconds: float) -> AsyncIterator[None]:
-        """Raise TimeoutError after so long, or once the request is quarantined."""
+        """Raise TimeoutError after ``seconds``, or once the request is quarantined."""
         assert self.member is not None
         digest, endpoint_id = self.job.digest, self.member.endpoint_id
         async with timeout(seconds) as limit:
@@ -326,28 +334,28 @@
                 yield
 
     def record_first_event(self) -> None:
-        """Note the first event or the answer."""
-        self._note_answer()
+        """Record the first event or the answer."""
+        self._record_version_answer()
         if self.sent is not None:
             self.sent = self._parts.choice.began(self.sent, self._parts.clock.now())
 
     def record_end(self) -> None:
-        """Note that the send is over."""
-        if self._pending:
-            self._parts.split.over(self._pending, self._parts.clock.now())
+        """Record that the send has ended."""
+        if self._expected_answer:
+            self._parts.split.over(self._expected_answer, self._parts.clock.now())
         if self.sent is not None:
             self._parts.choice.ended(self.sent)
             self.sent = None
 
     def check_resend(self, outcome: Outcome, delivered: bool = False) -> None:
-        """Return if another send may be made; else raise the final error.
+        """Return if another send is allowed after ``outcome``; else raise the error.
 
         ``delivered`` says that a part of a stream reached the client.
         """
         parts, job = self._parts, self.job
         assert self.member is not None
         endpoint = self.member.endpoint_id
-        self.proof.note(outcome)
+        self.proof.record(outcome)
         self._avoid.add(endpoint)
         now = parts.clock.now()
         error = _error_of(outcome)
@@ -356,15 +364,15 @@
                 parts.crashes.broke(self.member, job.digest)
         match outcome:
             case MayHaveRun() | Answered():
-                self._note_failure(self.member)
+                self._record_version_failure(self.member)
             case NotSent() | ProvedNotRun():
-                # A full queue and a broken link say nothing of the version.
-                self._forget_answer()
+                # A full queue or a broken link says nothing about the version.
+                self._cancel_expected_answer()
         if self._still_listed(self.member):
             parts.outliers.failed(endpoint, error.kind, now)
             parts.failing.failed(endpoint, error.kind, now)
-        self._forget_avoided()
-        verdict = self._verdict(outcome, error, delivered, now)
+        self._reset_avoided()
+        final_error = self._resend_error(outcome, error, delivered, now)
         logger.info(
             "Send failed.",
             request=job.req.request_id,
@@ -373,21 +381,21 @@
             outcome=type(outcome).__name__,
             kind=str(error.kind),
             detail=error.detail,
-            tries=self._tries,
-            again=verdict is None,
+            tries=self._sends,
+            again=final_error is None,
         )
-        if verdict is not None:
-            raise self.proof.refusal(verdict)
+        if final_error is not None:
+            raise self.proof.final_error(final_error)
         reason = _REASONS.get(error.kind, RetryReason.ENDPOINT_FAILED)
         parts.metrics.retried(reason)
 
     def _still_listed(self, member: Member) -> bool:
-        """Return whether an endpoint hasn't started again since it was chosen."""
+        """Return whether an endpoint hasn't restarted since it was chosen."""
         listed = self._parts.view.members.get(member.endpoint_id)
         return listed is None or listed.incarnation == member.incarnation
 
-    def _forget_avoided(self) -> None:
-        """Allow endpoints again where none other is left."""
+    def _reset_avoided(self) -> None:
+        """Allow avoided endpoints again if no other is available."""
         parts, now = self._parts, self._parts.clock.now()
         if not any(
             member.endpoint_id not in self._avoid
@@ -396,23 +404,23 @@
         ):
             self._avoid.clear()
 
-    def _verdict(
+    def _resend_error(
         self, outcome: Outcome, error: EbonydealError, delivered: bool, now: float
     ) -> EbonydealError | None:
-        """Return None to send again, or the error to give up with."""
+        """Return None to resend, or the error to give up with."""
         job = self.job
         if not self.proof.may_send:
-            # Also where this send never left: an earlier one may have run.
+            # Even if this send never left: an earlier one may have run.
             return error
         match outcome:
             case NotSent():
                 self._unsent += 1
-                return error if self._unsent >= _MOST_UNSENT else None
+                return error if self._unsent >= _MAX_UNSENT else None
             case ProvedNotRun():
                 pass
             case MayHaveRun() | Answered():
-                self._ran += 1
-                if self._ran >= job.route.max_sends:
+                self._possible_runs += 1
+                if self._possible_runs >= job.route.max_sends:
                     return error
         failure = Failure(
             kind=error.kind,
@@ -420,20 +428,20 @@
             idempotent=not job.at_most_once,
             ran_before=self.proof.may_have_run,
             first_byte=delivered and job.at_most_once,
-            deadline=job.until,
+            deadline=job.deadline,
         )
-        match self._parts.retries.next_try(failure, self._tries, now):
+        match self._parts.retries.next_try(failure, self._sends, now):
             case GiveUp(kind=kind, retry_after=wait, why=why):
                 return EbonydealError(kind, f"{error.detail}; {why}", retry_after=wait)
         return None
 
 
-def _late() -> EbonydealError:
-    return EbonydealError(ErrorKind.DEADLINE_EXCEEDED, "no time is left")
+def _deadline_exceeded() -> EbonydealError:
+    return EbonydealError(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed")
 
 
 def _error_of(outcome: Outcome) -> EbonydealError:
-    """Return the error kind of a send that gave no good answer."""
+    """Return the error for a send without a good answer."""
     match outcome:
         case NotSent(kind=kind, detail=detail):
             return EbonydealError(kind, detail)
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -1,4 +1,4 @@
-"""Streams of events: passed on as they come, and gone on with elsewhere."""
+"""Streams of events: forwarded as they arrive, and resumed at another endpoint."""
 
 import asyncio
 import re
@@ -13,17 +13,17 @@
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.requests.connections import HttpExchange
 from ebonydeal._internal.relay.requests.first_event_wait import (
-    LEAST_PATIENCE_S,
+    MIN_EVENT_TIMEOUT_S,
     FirstEventWait,
 )
 from ebonydeal._internal.relay.requests.job import Job, SendParts
 from ebonydeal._internal.relay.requests.migrations import MigratedRun, StreamRun
 from ebonydeal._internal.relay.requests.outcomes import Answered, MayHaveRun, Outcome
 from ebonydeal._internal.relay.requests.plain import (
-    checked,
+    client_response,
+    head_failure,
     raw_headers,
-    read_whole,
-    to_client,
+    read_body,
 )
 from ebonydeal._internal.relay.requests.sends import JobSends
 
@@ -34,7 +34,7 @@
 
 
 class EventSplitter:
-    """Cuts a stream of bytes at the ends of whole events."""
+    """Splits a stream of bytes at the ends of events."""
 
     def __init__(self) -> None:
         self._rest = b""
@@ -42,11 +42,11 @@
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are complete now."""
+        """Return the events that ``data`` completes."""
         data = self._rest + data
         end = 0
-        for found in _EVENT_END.finditer(data):
-            end = found.end()
+        for match in _EVENT_END.finditer(data):
+            end = match.end()
             self.count += 1
         whole, self._rest = data[:end], data[end:]
         ids = _EVENT_ID.findall(whole)
@@ -55,35 +55,35 @@
         return whole
 
     def rest(self) -> bytes:
-        """Return what follows the last whole event."""
+        """Return the bytes after the last complete event."""
         return self._rest
 
     def drop_rest(self) -> None:
-        """Forget a torn event."""
+        """Discard an incomplete event."""
         self._rest = b""
 
 
 @dataclass
-class _Out:
+class _ClientStream:
     """The client's side of one stream."""
 
     http_req: web.BaseRequest
     splitter: EventSplitter
-    closing: bool
+    draining: bool
     resp: web.StreamResponse | None = None
 
     async def begin(self, head: AnswerHead) -> web.StreamResponse:
         """Start the answer with the first endpoint's head."""
         resp = web.StreamResponse(status=head.status, headers=CIMultiDict(head.headers))
         resp.enable_chunked_encoding()
-        if self.closing:
+        if self.draining:
             resp.force_close()
         await resp.prepare(self.http_req)
         self.resp = resp
         return resp
 
-    def cut(self) -> None:
-        """End the connection so that the answer can't look complete."""
+    def abort(self) -> None:
+        """Abort the connection so that the answer can't look complete."""
         self.http_req.protocol.force_close()
 
 
@@ -94,37 +94,37 @@
         self._parts = parts
 
     async def answer(
-        self, job: Job, http_req: web.BaseRequest, closing: bool
+        self, job: Job, http_req: web.BaseRequest, draining: bool
     ) -> web.StreamResponse:
-        """Relay the stream; raises the final error while nothing was passed on.
+        """Forward the stream; raises the final error if nothing was forwarded.
 
-        With ``closing`` the client's connection ends with this answer.
+        With ``draining`` the client's connection is closed after this answer.
         """
         sends = JobSends(self._parts, job)
         splitter = EventSplitter()
         splitter.last_id = job.req.last_event
-        out = _Out(http_req, splitter, closing)
-        moved: MigratedRun | None = None
+        client = _ClientStream(http_req, splitter, draining)
+        migrated: MigratedRun | None = None
         while True:
             try:
-                member = await (sends.resume(moved) if moved else sends.choose())
-                run = self._run_of(sends, member)
-                outcome = await self._send(sends, run, out)
+                member = await (sends.resume(migrated) if migrated else sends.choose())
+                run = self._new_run(sends, member)
+                outcome = await self._send(sends, run, client)
                 if outcome is None:
-                    assert out.resp is not None
-                    return out.resp
-                moved = await self._parts.moves.result(run)
-                if moved is not None:
+                    assert client.resp is not None
+                    return client.resp
+                migrated = await self._parts.migrator.result(run)
+                if migrated is not None:
                     splitter.drop_rest()
                     continue
                 self._count_failed(sends, outcome)
-                if isinstance(outcome, Answered) and out.resp is None:
+                if isinstance(outcome, Answered) and client.resp is None:
                     if outcome.head.status < 500 or job.at_most_once:
-                        return to_client(outcome)
+                        return client_response(outcome)
                 splitter.drop_rest()
-                sends.check_resend(outcome, delivered=out.resp is not None)
+                sends.check_resend(outcome, delivered=client.resp is not None)
             except Exception as exc:
-                if out.resp is None:
+                if client.resp is None:
                     raise
                 logger.warning(
                     "Stream broken off.",
@@ -132,11 +132,11 @@
                     last_event=splitter.last_id,
                     reason=str(exc),
                 )
-                out.cut()
-                return out.resp
+                client.abort()
+                return client.resp
 
-    def _run_of(self, sends: JobSends, member: Member) -> StreamRun:
-        """Return what a send's run is watched by."""
+    def _new_run(self, sends: JobSends, member: Member) -> StreamRun:
+        """Return the record by which a send's run is watched."""
         req, engine = sends.job.req, sends.chooser.engine
         return StreamRun(
             request_id=req.request_id,
@@ -147,125 +147,129 @@
             event_tokens=1 if engine is None else engine.event_tokens,
         )
 
-    async def _send(self, sends: JobSends, run: StreamRun, out: _Out) -> Outcome | None:
-        """Make one send; None when the stream is complete."""
-        limit = sends.left
+    async def _send(
+        self, sends: JobSends, run: StreamRun, client: _ClientStream
+    ) -> Outcome | None:
+        """Make one send; return None once the stream is complete."""
+        timeout = sends.time_left
         engine = sends.chooser.engine
         if engine is not None and engine.can_migrate_runs:
-            self._parts.moves.enter(run)
+            self._parts.migrator.watch(run)
         try:
-            async with sends.limited(limit):
-                return await self._exchange(sends, run, out)
+            async with sends.limited(timeout):
+                return await self._exchange(sends, run, client)
         except TimeoutError:
             if stopped := self._parts.suspects.stopped(sends.job.digest):
                 return stopped
-            return MayHaveRun(ErrorKind.ENDPOINT_STALLED, f"not done in {limit:.3f} s")
+            return MayHaveRun(
+                ErrorKind.ENDPOINT_STALLED, f"not complete in {timeout:.3f} s"
+            )
         finally:
-            self._parts.moves.leave(run)
+            self._parts.migrator.unwatch(run)
             sends.record_end()
 
     async def _exchange(
-        self, sends: JobSends, run: StreamRun, out: _Out
+        self, sends: JobSends, run: StreamRun, client: _ClientStream
     ) -> Outcome | None:
-        """Send and pass the answer on; None when the stream is complete."""
+        """Send and forward the answer; return None once the stream is complete."""
         parts, job = self._parts, sends.job
         member = run.member
         headers = parts.wire.request_headers(
-            job.req, sends.send_metadata(out.splitter.last_id)
+            job.req, sends.send_metadata(client.splitter.last_id)
         )
         first = FirstEventWait.of_send(parts, sends)
         try:
             async with first.limit():
-                got = await parts.pools.get(member).send(
+                sent = await parts.pools.get(member).send(
                     job.req.method, job.req.target, headers, job.body, job.at_most_once
                 )
         except TimeoutError:
             return MayHaveRun(ErrorKind.ENDPOINT_STALLED, "no answer")
-        if not isinstance(got, HttpExchange):
-            return got
+        if not isinstance(sent, HttpExchange):
+            return sent
         try:
-            head = parts.wire.read_answer(got.resp.status, raw_headers(got.resp))
+            head = parts.wire.read_answer(sent.resp.status, raw_headers(sent.resp))
             sends.read_notice(head)
-            wrong = checked(head, job.req.request_id)
-            if isinstance(wrong, MayHaveRun):
-                return wrong
-            if wrong is not None or head.status != 200:
-                # Read in any case: the connection may be used again.
-                whole = await read_whole(got, head)
-                return wrong or whole
-            broken = await self._relay(sends, run, got, head, out, first)
-            if broken is not None:
-                return broken
-            got.done(head.idle_time)
+            failure = head_failure(head, job.req.request_id)
+            if isinstance(failure, MayHaveRun):
+                return failure
+            if failure is not None or head.status != 200:
+                # A refusal's body is read too, so that the connection can be reused.
+                outcome = await read_body(sent, head)
+                return failure or outcome
+            failure = await self._relay(sends, run, sent, head, client, first)
+            if failure is not None:
+                return failure
+            sent.release(head.keepalive_s)
         finally:
-            got.close()
+            sent.close()
         sends.record_answer(head.status)
         now = parts.clock.now()
         if run.events > 1:
             tokens = (run.events - 1) * run.event_tokens
-            parts.choice.speed.paced(tokens, now - run.begun_at)
+            parts.choice.speed.paced(tokens, now - run.first_event_at)
         return None
 
-    def _pause(self, job: Job) -> asyncio.Timeout:
-        """Return the limit of a pause between events, then another is tried."""
-        left = max(0.001, job.until - self._parts.clock.now())
+    def _event_timeout(self, job: Job) -> asyncio.Timeout:
+        """Return the timeout of the next event, after which the request is resent."""
+        time_left = max(0.001, job.deadline - self._parts.clock.now())
         if job.at_most_once:
-            return asyncio.timeout(left)
-        wait = job.route.max_event_gap * self._parts.terms.gap
-        return asyncio.timeout(min(left, max(LEAST_PATIENCE_S, wait)))
+            return asyncio.timeout(time_left)
+        wait = job.route.max_event_gap * self._parts.config.gap
+        return asyncio.timeout(min(time_left, max(MIN_EVENT_TIMEOUT_S, wait)))
 
     async def _relay(
         self,
         sends: JobSends,
         run: StreamRun,
-        got: HttpExchange,
+        exchange: HttpExchange,
         head: AnswerHead,
-        out: _Out,
+        client: _ClientStream,
         first: FirstEventWait,
     ) -> MayHaveRun | None:
-        """Pass events on until the end; returns what broke the stream."""
+        """Forward events until the end; return what broke the stream, or None."""
         parts, job = self._parts, sends.job
-        content = got.resp.content
-        begun = False
+        content = exchange.resp.content
+        has_events = False
         while True:
             try:
-                async with self._pause(job) if begun else first.limit():
+                async with self._event_timeout(job) if has_events else first.limit():
                     data = await content.readany()
             except TimeoutError:
-                if begun and sends.is_last and sends.left > 0.0:
-                    # Silence is no reason to end an answer that nobody else can give.
+                if has_events and sends.is_last and sends.time_left > 0.0:
+                    # No other endpoint can give the answer: keep waiting.
                     continue
-                return MayHaveRun(ErrorKind.ENDPOINT_STALLED, "silent")
+                return MayHaveRun(ErrorKind.ENDPOINT_STALLED, "no event in time")
             except (ClientError, OSError) as exc:
                 detail = f"stream: {type(exc).__name__}"
                 return MayHaveRun(ErrorKind.ENDPOINT_FAILED, detail)
             if not data:
                 break
-            before = out.splitter.count
-            events = out.splitter.feed(data)
+            before = client.splitter.count
+            events = client.splitter.feed(data)
             if not events:
                 continue
             parts.choice.heard(run.member.endpoint_id, parts.clock.now())
             sends.record_activity()
-            run.count(out.splitter.count - before, parts.clock.now())
-            if not begun:
-                begun = True
-                self._first_event(sends, out)
-            resp = out.resp or await out.begin(head)
+            run.record_events(client.splitter.count - before, parts.clock.now())
+            if not has_events:
+                has_events = True
+                self._record_first_event(sends, client)
+            resp = client.resp or await client.begin(head)
             await resp.write(events)
-        if await got.cut_off():
+        if await exchange.was_reset():
             return MayHaveRun(ErrorKind.ENDPOINT_FAILED, "stream: connection reset")
-        resp = out.resp or await out.begin(head)
-        if out.splitter.rest():
-            await resp.write(out.splitter.rest())
+        resp = client.resp or await client.begin(head)
+        if client.splitter.rest():
+            await resp.write(client.splitter.rest())
         await resp.write_eof()
         return None
 
-    def _first_event(self, sends: JobSends, out: _Out) -> None:
-        """Note that the endpoint began to answer."""
+    def _record_first_event(self, sends: JobSends, client: _ClientStream) -> None:
+        """Record that the endpoint began to answer."""
         parts, job = self._parts, sends.job
         sends.record_first_event()
-        if out.resp is not None:
+        if client.resp is not None:
             return
         parts.metrics.timed(Timing.FIRST_TOKEN, parts.clock.now() - job.started)
         sends.count_run(parts.clock.wall())
@@ -273,7 +277,7 @@
     def _count_failed(self, sends: JobSends, outcome: Outcome) -> None:
         """Count a run that failed before its first event.
 
-        One that only fell silent most likely still waited in a queue.
+        One that timed out most likely was still queued, so it isn't counted.
         """
         match outcome:
             case Answered():
--- a/src/ebonydeal/_internal/relay/requests/usage.py
+++ b/src/ebonydeal/_internal/relay/requests/usage.py
@@ -1,16 +1,16 @@
 """Requests that began to run, counted by client account and usage window."""
 
-# Windows are told again until the coordinator has reported them.
-_WINDOWS_KEPT = 8
+# Windows are reported again until the coordinator has reported them to the platform.
+_MAX_WINDOWS = 8
 
 
 class UsageMeter:
-    """Counts of one relay.
+    """Counts started requests at one relay.
 
     Parameters
     ----------
     window : float
-        Length of a window, wall clock seconds.
+        Length of a usage window, wall clock seconds.
     """
 
     def __init__(self, window: float) -> None:
@@ -19,12 +19,12 @@
 
     def record_start(self, account: str, wall: float) -> None:
         """Count a request of ``account`` that began to run at ``wall``."""
-        number = int(wall // self._window)
-        counts = self._counts.setdefault(number, {})
+        window_number = int(wall // self._window)
+        counts = self._counts.setdefault(window_number, {})
         counts[account] = counts.get(account, 0) + 1
-        while len(self._counts) > _WINDOWS_KEPT:
+        while len(self._counts) > _MAX_WINDOWS:
             del self._counts[min(self._counts)]
 
     def to_message(self, since: int) -> dict[str, dict[str, int]]:
-        """Return counts by window number, as text, from ``since`` on."""
+        """Return counts by window number (as text), from window ``since`` on."""
         return {str(n): dict(c) for n, c in self._counts.items() if n >= since}
--- a/src/ebonydeal/_internal/soak/endpoints.py
+++ b/src/ebonydeal/_internal/soak/endpoints.py
@@ -138,7 +138,7 @@
     async def _run(self, req: web.BaseRequest) -> web.StreamResponse:
         got = read_received_request(req.headers)
         body = await req.read()
-        if got.expected != self.name:
+        if got.expected_endpoint != self.name:
             return web.Response(status=421)
         relay = req.headers.get(RELAY_HEADER, "")
         self._log.arrived.append(
@@ -147,7 +147,7 @@
         says = self._says(relay)
         if self.rest > 0.0:
             return web.Response(status=503, headers=not_run_headers() | says)
-        if got.carried and self._memory.pop(got.carried, "") != got.request_id:
+        if got.kv_cache and self._memory.pop(got.kv_cache, "") != got.request_id:
             return web.Response(status=503, headers=not_run_headers())
         self._log.runs.append(
             Run(
@@ -157,7 +157,7 @@
                 got.account,
                 time.monotonic(),
                 time.time(),
-                bool(got.carried),
+                bool(got.kv_cache),
                 self.version,
             )
         )
--- a/tests/functional/relay/test_connections.py
+++ b/tests/functional/relay/test_connections.py
@@ -1,4 +1,4 @@
-"""Which connection to an endpoint a request goes on."""
+"""Which connection to an endpoint a request uses."""
 
 from contextlib import asynccontextmanager
 
@@ -13,16 +13,16 @@
 from tests.lib.raw_endpoints import RawEndpoint, answer
 
 HEADERS = (("Host", "a"), ("Ebonydeal-Request-Id", "r1"))
-KEEPS = answer(extra=b"Keep-Alive: timeout=10\r\n")
+KEEP_ALIVE = answer(extra=b"Keep-Alive: timeout=10\r\n")
 
 
-async def closes(_reader, writer, _headers):
-    """Drop the connection as an endpoint does whose idle time was over."""
+async def silent_close(_reader, writer, _headers):
+    """Drop the connection, as an endpoint does after its keep-alive timeout."""
     writer.transport.abort()
 
 
 class Case:
-    """One endpoint, and a relay's connections to it, on a clock of ours."""
+    """One endpoint, and a relay's connections to it, with a manual clock."""
 
     def __init__(self, endpoint):
         self.endpoint = endpoint
@@ -32,11 +32,11 @@
             Member("i1", "s", endpoint.address, "z", 8, False, None, False, 0.0, 1)
         )
 
-    async def ask(self, once):
-        got = await self.pool.send("GET", "/x", HEADERS, b"", once)
+    async def ask(self, at_most_once):
+        got = await self.pool.send("GET", "/x", HEADERS, b"", at_most_once)
         if isinstance(got, HttpExchange):
             await got.resp.read()
-            got.done(10.0)
+            got.release(10.0)
         return got
 
 
@@ -52,60 +52,62 @@
 
 
 class TestReuse:
-    async def test_a_request_that_may_run_once_takes_a_fresh_one(self):
-        async with endpoint_with(KEEPS, KEEPS, KEEPS) as case:
-            await case.ask(once=True)
+    async def test_at_most_once_request_avoids_long_idle_connection(self):
+        async with endpoint_with(KEEP_ALIVE, KEEP_ALIVE, KEEP_ALIVE) as case:
+            await case.ask(at_most_once=True)
             await case.clock.advance(1.5)
-            await case.ask(once=True)
+            await case.ask(at_most_once=True)
             assert case.endpoint.connections == 1
             await case.clock.advance(2.5)
-            await case.ask(once=True)
+            await case.ask(at_most_once=True)
             assert case.endpoint.connections == 2
 
-    async def test_others_take_one_that_was_idle_for_longer(self):
-        async with endpoint_with(KEEPS, KEEPS, KEEPS) as case:
-            await case.ask(once=False)
+    async def test_repeatable_request_uses_long_idle_connection(self):
+        async with endpoint_with(KEEP_ALIVE, KEEP_ALIVE, KEEP_ALIVE) as case:
+            await case.ask(at_most_once=False)
             await case.clock.advance(4.0)
-            await case.ask(once=True)
+            await case.ask(at_most_once=True)
             assert case.endpoint.connections == 2
-            await case.ask(once=False)
-            await case.ask(once=False)
+            await case.ask(at_most_once=False)
+            await case.ask(at_most_once=False)
             assert case.endpoint.connections == 2
 
-    async def test_none_is_used_after_most_of_its_stated_time(self):
-        async with endpoint_with(KEEPS, KEEPS) as case:
-            await case.ask(once=False)
+    async def test_connection_near_its_keepalive_timeout_is_not_reused(self):
+        async with endpoint_with(KEEP_ALIVE, KEEP_ALIVE) as case:
+            await case.ask(at_most_once=False)
             await case.clock.advance(6.5)
-            await case.ask(once=False)
+            await case.ask(at_most_once=False)
             assert case.endpoint.connections == 2
 
-    async def test_a_silent_close_lowers_the_limit(self):
-        async with endpoint_with(KEEPS, closes, KEEPS, KEEPS) as case:
-            await case.ask(once=True)
+    async def test_silent_close_lowers_the_idle_limit(self):
+        async with endpoint_with(
+            KEEP_ALIVE, silent_close, KEEP_ALIVE, KEEP_ALIVE
+        ) as case:
+            await case.ask(at_most_once=True)
             await case.clock.advance(1.6)
-            assert isinstance(await case.ask(once=True), MayHaveRun)
-            await case.ask(once=True)
+            assert isinstance(await case.ask(at_most_once=True), MayHaveRun)
+            await case.ask(at_most_once=True)
             await case.clock.advance(1.0)
-            await case.ask(once=True)
+            await case.ask(at_most_once=True)
             assert case.endpoint.connections == 3
 
 
 class TestIdleLimit:
-    def test_falls_below_the_time_at_which_one_was_closed(self):
+    def test_falls_below_the_idle_time_of_a_closed_connection(self):
         limit = IdleLimit()
-        limit.closed(1.0)
+        limit.record_closed(1.0)
         assert limit.seconds < 1.0
         for _ in range(20):
-            limit.closed(0.2)
+            limit.record_closed(0.2)
         assert limit.seconds > 0.0
 
-    def test_rises_only_by_connections_that_tried_it(self):
+    def test_rises_only_by_connections_idle_near_the_limit(self):
         limit = IdleLimit()
-        first = limit.seconds
-        limit.closed(1.0)
-        low = limit.seconds
-        limit.good(0.01)
-        assert limit.seconds == low
+        initial = limit.seconds
+        limit.record_closed(1.0)
+        lowered = limit.seconds
+        limit.record_reused(0.01)
+        assert limit.seconds == lowered
         for _ in range(1000):
-            limit.good(limit.seconds)
-        assert limit.seconds == first
+            limit.record_reused(limit.seconds)
+        assert limit.seconds == initial
