--- a/tests/functional/relay/test_leaving_notices.py
+++ b/tests/functional/relay/test_leaving_notices.py
@@ -1,16 +1,16 @@
-"""An endpoint that says in an answer that it leaves gets nothing new, listed or not."""
+"""An endpoint that reports that it leaves gets no new requests, listed so or not."""
 
 import asyncio
 
 from tests.lib.noticing import NoticingEndpoint, press, relays
 
-# What a client sends later than this after its relay was told doesn't go there.
+# Requests that arrive later than this after the notice must not be sent there.
 DRAIN_S = 2.0
 LEAVING = b"Server-Leaving: 1\r\n"
 
 
-def late(endpoint):
-    """Return how often a relay sent later than allowed after it was told."""
+def late_sends(endpoint):
+    """Return how many requests relays sent later than allowed after the notice."""
     return sum(
         at > endpoint.told[asked] + DRAIN_S
         for at, asked in endpoint.arrivals
@@ -18,40 +18,40 @@
     )
 
 
-class TestSaidInAnswers:
-    async def test_the_others_get_it(self):
-        leaves = NoticingEndpoint("i1", LEAVING)
-        stays = NoticingEndpoint("i2")
-        async with relays(2, leaves, stays) as (programs, _store):
+class TestLeavingNotice:
+    async def test_requests_go_to_other_endpoints(self):
+        leaving = NoticingEndpoint("i1", LEAVING)
+        staying = NoticingEndpoint("i2")
+        async with relays(2, leaving, staying) as (programs, _store):
             statuses = await press(programs, 4.0)
-        assert late(leaves) == 0
+        assert late_sends(leaving) == 0
         assert set(statuses) == {200}
 
-    async def test_where_no_other_is_left_it_is_refused(self):
-        leaves = NoticingEndpoint("i1", LEAVING)
-        async with relays(1, leaves) as (programs, _store):
+    async def test_requests_are_refused_without_another_endpoint(self):
+        leaving = NoticingEndpoint("i1", LEAVING)
+        async with relays(1, leaving) as (programs, _store):
             await press(programs, 0.5)
             await asyncio.sleep(DRAIN_S)
             statuses = await press(programs, 1.0)
-        assert late(leaves) == 0
+        assert late_sends(leaving) == 0
         assert set(statuses) == {503}
 
-    async def test_an_older_word_of_the_list_doesnt_bring_it_back(self):
-        leaves = NoticingEndpoint("i1", LEAVING)
-        stays = NoticingEndpoint("i2")
-        async with relays(1, leaves, stays) as (programs, store):
+    async def test_older_list_entry_does_not_override_the_notice(self):
+        leaving = NoticingEndpoint("i1", LEAVING)
+        staying = NoticingEndpoint("i2")
+        async with relays(1, leaving, staying) as (programs, store):
             await press(programs, 0.5)
-            await store.put("servers", "i1", leaves.row(cold_left_ms=5))
+            await store.put("servers", "i1", leaving.row(cold_left_ms=5))
             await asyncio.sleep(DRAIN_S)
             await press(programs, 1.0)
-        assert late(leaves) == 0
+        assert late_sends(leaving) == 0
 
-    async def test_a_process_that_starts_anew_is_used(self):
-        leaves = NoticingEndpoint("i1", LEAVING)
-        async with relays(1, leaves) as (programs, store):
+    async def test_restarted_process_is_used(self):
+        leaving = NoticingEndpoint("i1", LEAVING)
+        async with relays(1, leaving) as (programs, store):
             await press(programs, 0.3)
-            leaves.says = b""
-            await store.put("servers", "i1", leaves.row(born=99))
+            leaving.says = b""
+            await store.put("servers", "i1", leaving.row(born=99))
             await asyncio.sleep(0.2)
             statuses = await press(programs, 0.5)
         assert set(statuses) == {200}
--- a/tests/functional/relay/test_plain.py
+++ b/tests/functional/relay/test_plain.py
@@ -22,7 +22,7 @@
 UNSIGNED = (
     b"HTTP/1.1 200 OK\r\nEbonydeal-Request-Id: {id}\r\nContent-Length: 2\r\n\r\nok"
 )
-OTHERS = answer().replace(b"{id}", b"r-other")
+OTHER_ID = answer().replace(b"{id}", b"r-other")
 SHORT = answer().replace(b"hello", b"hel")
 ENCODED = answer(extra=b"Content-Encoding: gzip\r\n")
 GARBAGE = b"\x00\x01 not http\r\n\r\n"
@@ -32,21 +32,21 @@
     writer.transport.abort()
 
 
-async def cut(_reader, writer, headers):
+async def truncate(_reader, writer, headers):
     writer.write(SHORT.replace(b"{id}", headers["ebonydeal-request-id"].encode()))
     await writer.drain()
     writer.close()
 
 
-async def mute(reader, _writer, _headers):
+async def no_answer(reader, _writer, _headers):
     await reader.read()
 
 
-BAD = [UNSIGNED, OTHERS, ENCODED, GARBAGE, reset, cut]
+BAD_ANSWERS = [UNSIGNED, OTHER_ID, ENCODED, GARBAGE, reset, truncate]
 
 
 class TestAnswer:
-    async def test_is_the_endpoints_own(self):
+    async def test_is_forwarded_unchanged(self):
         one = RawEndpoint("i1", [answer(body=b"42", extra=b"X-Own: 1\r\n")])
         async with running(one) as (program, _store):
             status, headers, body = await ask(
@@ -61,7 +61,7 @@
         assert "Ebonydeal-Tenant: acme" in one.seen[0]
         assert "Ebonydeal-Expect-Replica: i1" in one.seen[0]
 
-    async def test_a_failure_of_a_call_that_runs_once_is_passed_on(self):
+    async def test_failure_of_at_most_once_call_is_forwarded(self):
         one = RawEndpoint("i1", [answer(status=b"500 Broken", body=b"no")])
         async with running(one) as (program, _store):
             status, headers, body = await ask(program, "/once/", method="POST")
@@ -81,9 +81,9 @@
         assert one.bodies == [b"abcde"]
 
 
-class TestOnce:
-    @pytest.mark.parametrize("bad", BAD)
-    async def test_never_a_second_send_and_no_promise(self, bad):
+class TestAtMostOnce:
+    @pytest.mark.parametrize("bad", BAD_ANSWERS)
+    async def test_no_resend_and_no_claim_that_it_did_not_run(self, bad):
         one, two = RawEndpoint("i1", [bad]), RawEndpoint("i2", [bad])
         async with running(one, two) as (program, _store):
             status, headers, _body = await ask(program, "/once/", method="POST")
@@ -92,14 +92,14 @@
         assert "retry-after" not in headers
         assert "ebonydeal-server-signature" not in headers
 
-    async def test_proof_that_it_did_not_run_allows_another(self):
+    async def test_proof_of_no_run_allows_a_resend(self):
         one, two = RawEndpoint("i1", [NOT_RUN]), RawEndpoint("i2", [NOT_RUN])
         async with running(one, two) as (program, _store):
             status, _headers, body = await ask(program, "/once/", method="POST")
             assert status in (200, 503)
             assert len(one.seen) + len(two.seen) == 2
 
-    async def test_refused_connection_is_tried_elsewhere(self):
+    async def test_refused_connection_is_resent_elsewhere(self):
         one, two = RawEndpoint("i1"), RawEndpoint("i2")
         async with running(one, two) as (program, _store):
             await one.stop()
@@ -110,8 +110,8 @@
                 assert status == 200
         assert two.ids() == ["r0", "r1", "r2", "r3"]
 
-    async def test_no_answer_until_the_routes_timeout(self):
-        one = RawEndpoint("i1", [mute])
+    async def test_missing_answer_ends_at_the_routes_timeout(self):
+        one = RawEndpoint("i1", [no_answer])
         async with running(one) as (program, _store):
             status, headers, _body = await ask(program, "/quick/", method="POST")
             await asyncio.wait_for(one.closed.wait(), 2)
@@ -120,18 +120,18 @@
 
 
 class TestIdempotent:
-    @pytest.mark.parametrize("bad", [*BAD, answer(status=b"500 Broken")])
-    async def test_is_sent_again_elsewhere(self, bad):
+    @pytest.mark.parametrize("bad", [*BAD_ANSWERS, answer(status=b"500 Broken")])
+    async def test_is_resent_elsewhere(self, bad):
         one, two = RawEndpoint("i1", [bad]), RawEndpoint("i2", [bad])
         async with running(one, two) as (program, _store):
-            # The second endpoint's first answer is bad too, its own next good.
+            # For the second request the other endpoint answers badly.
             one.script, two.script = [bad], []
             first = await ask(program, "/safe/")
             two.script, one.script = [bad], []
             second = await ask(program, "/safe/", rid="r2")
         assert first[0] == second[0] == 200
 
-    async def test_a_failure_everywhere_is_the_endpoints_own(self):
+    async def test_failure_at_all_endpoints_is_forwarded(self):
         broken = answer(status=b"500 Broken", body=b"no")
         one, two = RawEndpoint("i1", [broken]), RawEndpoint("i2", [broken])
         async with running(one, two) as (program, _store):
@@ -139,29 +139,29 @@
         assert (status, body) == (500, b"no")
         assert headers["ebonydeal-server-signature"] == "sig"
 
-    async def test_not_on_more_endpoints_than_the_route_allows(self):
-        ends = [RawEndpoint(f"i{n}", [reset, reset]) for n in range(4)]
-        async with running(*ends) as (program, _store):
+    async def test_is_not_sent_more_often_than_the_route_allows(self):
+        endpoints = [RawEndpoint(f"i{n}", [reset, reset]) for n in range(4)]
+        async with running(*endpoints) as (program, _store):
             status, _headers, _body = await ask(program, "/safe/")
         assert status == 502
-        assert sum(len(end.seen) for end in ends) == 2
+        assert sum(len(endpoint.seen) for endpoint in endpoints) == 2
 
 
 class TestConnections:
-    async def test_is_kept_for_the_next_request(self):
+    async def test_connection_is_kept_for_the_next_request(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, _store):
             for n in range(3):
                 await ask(program, "/safe/", rid=f"r{n}")
         assert one.connections == 1
 
-    async def test_a_second_answer_belongs_to_nobody(self):
-        async def twice(_reader, writer, headers):
+    async def test_unsolicited_second_answer_is_discarded(self):
+        async def two_answers(_reader, writer, headers):
             text = answer(headers)
             writer.write(text + text.replace(b"hello", b"wrong"))
             await writer.drain()
 
-        one = RawEndpoint("i1", [twice])
+        one = RawEndpoint("i1", [two_answers])
         async with running(one) as (program, _store):
             assert (await ask(program, "/safe/"))[2] == b"hello"
             await asyncio.sleep(0.05)
@@ -170,10 +170,10 @@
             )
         assert one.connections == 2
 
-    async def test_body_without_length_that_ends_by_reset_is_no_answer(self):
+    async def test_body_without_length_that_ends_by_reset_is_incomplete(self):
         unframed = answer().split(b"Content-Length")[0] + b"\r\nhel"
 
-        async def half(_reader, writer, headers):
+        async def partial_then_reset(_reader, writer, headers):
             rid = headers["ebonydeal-request-id"].encode()
             writer.write(unframed.replace(b"{id}", rid))
             await writer.drain()
@@ -184,13 +184,13 @@
             )
             writer.transport.abort()
 
-        one = RawEndpoint("i1", [half])
+        one = RawEndpoint("i1", [partial_then_reset])
         async with running(one) as (program, _store):
             status, _headers, _body = await ask(program, "/once/", method="POST")
         assert status == 502
 
-    async def test_endpoint_is_let_go_when_the_client_leaves(self):
-        one = RawEndpoint("i1", [mute])
+    async def test_connection_is_closed_when_the_client_disconnects(self):
+        one = RawEndpoint("i1", [no_answer])
         async with running(one) as (program, _store):
             async with Client(program) as client:
                 await client.send("/once/", method="POST")
@@ -199,7 +199,7 @@
 
 
 class TestRefusals:
-    async def test_unknown_route_key_and_malformed_request(self):
+    async def test_unknown_route_or_key_and_malformed_request(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, _store):
             assert (await ask(program, "/none/"))[0] == 404
@@ -216,21 +216,21 @@
         async with running(one, doc=doc) as (program, _store):
             assert (await ask(program, "/open/", key=""))[0] == 200
 
-    async def test_length_and_chunks_at_once_hide_no_second_request(self):
+    async def test_length_with_chunked_encoding_smuggles_no_request(self):
         one = RawEndpoint("i1")
-        hidden = b"0\r\n\r\nGET /safe/ HTTP/1.1\r\nHost: a.example\r\n\r\n"
+        smuggled = b"0\r\n\r\nGET /safe/ HTTP/1.1\r\nHost: a.example\r\n\r\n"
         async with running(one) as (program, _store), Client(program) as client:
             await client.send(
                 "/safe/",
                 method="POST",
-                body=hidden,
+                body=smuggled,
                 headers=[("Transfer-Encoding", "chunked")],
             )
             status, _headers, _body = await client.receive()
         assert status == 400
         assert one.seen == []
 
-    async def test_too_large_a_body(self):
+    async def test_too_large_body(self):
         one = RawEndpoint("i1")
         async with running(one) as (program, _store):
             status, _headers, _body = await ask(
@@ -239,7 +239,7 @@
         assert status == 413
         assert one.seen == []
 
-    async def test_no_endpoint_tells_when_to_come_back(self):
+    async def test_without_endpoint_the_refusal_has_retry_after(self):
         async with running() as (program, _store):
             status, headers, _body = await ask(program, "/once/", method="POST")
         assert status == 503
--- a/tests/functional/relay/test_stream.py
+++ b/tests/functional/relay/test_stream.py
@@ -16,12 +16,12 @@
 )
 
 
-def whole(first, last):
+def whole_stream(first, last):
     return stream_head() + chunk(events(first, last)) + b"0\r\n\r\n"
 
 
 def breaks_after(data):
-    """Send ``data`` as one chunk and break off."""
+    """Send ``data`` as one chunk, then abort the connection."""
 
     async def step(_reader, writer, headers):
         rid = headers["ebonydeal-request-id"].encode()
@@ -33,7 +33,7 @@
     return step
 
 
-def falls_silent_after(data):
+def stalls_after(data):
     async def step(reader, writer, headers):
         rid = headers["ebonydeal-request-id"].encode()
         writer.write(stream_head().replace(b"{id}", rid) + chunk(data))
@@ -44,25 +44,25 @@
 
 
 class TestWhole:
-    async def test_events_come_as_they_are_made(self):
-        go_on = asyncio.Event()
+    async def test_events_are_forwarded_as_they_arrive(self):
+        proceed = asyncio.Event()
 
         async def slow(_reader, writer, headers):
             rid = headers["ebonydeal-request-id"].encode()
             writer.write(stream_head().replace(b"{id}", rid) + chunk(events(1, 2)))
             await writer.drain()
-            await go_on.wait()
+            await proceed.wait()
             writer.write(chunk(events(3, 3)) + b"0\r\n\r\n")
 
         one = RawEndpoint("i1", [slow])
         async with running(one) as (program, _store), Client(program) as client:
             await client.send("/live/", method="POST")
             await client.reader.readuntil(b"data: x2\n\n")
-            go_on.set()
+            proceed.set()
             rest = await client.reader.readuntil(b"0\r\n\r\n")
         assert b"data: x3" in rest
 
-    async def test_several_events_and_torn_chunks(self):
+    async def test_events_split_over_chunks(self):
         data = events(1, 5)
         parts = [data[i : i + 7] for i in range(0, len(data), 7)]
         step = stream_head() + b"".join(chunk(p) for p in parts) + b"0\r\n\r\n"
@@ -70,38 +70,41 @@
         async with running(one) as (program, _store):
             assert (await ask(program, "/live/", method="POST"))[2] == data
 
-    async def test_refusal_before_the_stream_goes_elsewhere(self):
-        one, two = RawEndpoint("i1", [NOT_RUN]), RawEndpoint("i2", [whole(1, 3)])
+    async def test_refused_stream_is_resent_elsewhere(self):
+        one, two = RawEndpoint("i1", [NOT_RUN]), RawEndpoint("i2", [whole_stream(1, 3)])
         async with running(one, two) as (program, _store):
-            one.script, two.script = [whole(1, 3)], [NOT_RUN, whole(1, 3)]
+            one.script, two.script = [whole_stream(1, 3)], [NOT_RUN, whole_stream(1, 3)]
             status, _headers, body = await ask(program, "/live/", method="POST")
         assert (status, body) == (200, events(1, 3))
 
 
 class TestBroken:
-    @pytest.mark.parametrize("torn", [b"", b"id: 4\nda", b"id: 4\ndata: x4\n"])
-    async def test_resumable_goes_on_after_its_last_whole_event(self, torn):
-        first = breaks_after(events(1, 3) + torn)
+    @pytest.mark.parametrize("partial", [b"", b"id: 4\nda", b"id: 4\ndata: x4\n"])
+    async def test_resumable_stream_continues_after_its_last_whole_event(self, partial):
+        first = breaks_after(events(1, 3) + partial)
         one, two = RawEndpoint("i1", [first]), RawEndpoint("i2", [first])
         async with running(one, two) as (program, _store):
-            one.script, two.script = [first, whole(4, 6)], [first, whole(4, 6)]
+            one.script, two.script = (
+                [first, whole_stream(4, 6)],
+                [first, whole_stream(4, 6)],
+            )
             one.script = [first]
             two.script = [first]
 
-            # Whichever is second continues; its script is set when first is hit.
-            async def ask_it():
+            # The endpoint that wasn't chosen first gets the script to continue.
+            async def send_request():
                 return await ask(program, "/again/", method="POST")
 
-            task = asyncio.create_task(ask_it())
+            task = asyncio.create_task(send_request())
             while not one.seen and not two.seen:
                 await asyncio.sleep(0.001)
             second = two if one.seen else one
-            second.script = [whole(4, 6)]
+            second.script = [whole_stream(4, 6)]
             status, _headers, body = await task
         assert (status, body) == (200, events(1, 6))
         assert "Last-Event-Id: 3" in second.seen[0]
 
-    async def test_other_streams_end_without_looking_complete(self):
+    async def test_other_streams_end_visibly_incomplete(self):
         one = RawEndpoint("i1", [breaks_after(events(1, 3))])
         two = RawEndpoint("i2", [breaks_after(events(1, 3))])
         async with running(one, two) as (program, _store), Client(program) as client:
@@ -110,30 +113,30 @@
                 await client.receive()
         assert len(one.seen) + len(two.seen) == 1
 
-    async def test_silence_in_a_resumable_stream_closes_the_old_run_first(self):
-        quiet = falls_silent_after(events(1, 2))
-        one, two = RawEndpoint("i1", [quiet]), RawEndpoint("i2", [quiet])
+    async def test_stalled_run_is_closed_before_the_resend(self):
+        stalled = stalls_after(events(1, 2))
+        one, two = RawEndpoint("i1", [stalled]), RawEndpoint("i2", [stalled])
         async with running(one, two) as (program, _store):
             task = asyncio.create_task(ask(program, "/again/", method="POST"))
             while not one.seen and not two.seen:
                 await asyncio.sleep(0.001)
             first, second = (one, two) if one.seen else (two, one)
 
-            async def goes_on(_reader, writer, headers):
+            async def continues(_reader, writer, headers):
                 assert first.closed.is_set()
                 rid = headers["ebonydeal-request-id"].encode()
-                writer.write(whole(3, 4).replace(b"{id}", rid))
+                writer.write(whole_stream(3, 4).replace(b"{id}", rid))
 
-            second.script = [goes_on]
+            second.script = [continues]
             status, _headers, body = await task
         assert (status, body) == (200, events(1, 4))
 
-    async def test_the_last_send_may_be_silent_until_the_deadline(self):
+    async def test_last_send_may_pause_until_the_deadline(self):
         async def pauses(_reader, writer, headers):
             rid = headers["ebonydeal-request-id"].encode()
             writer.write(stream_head().replace(b"{id}", rid) + chunk(events(4, 4)))
             await writer.drain()
-            # Longer than a pause that another send would follow.
+            # Longer than the event timeout that applies while a resend is possible.
             await asyncio.sleep(1.0)
             writer.write(chunk(events(5, 5)) + b"0\r\n\r\n")
 
@@ -148,8 +151,8 @@
             status, _headers, body = await task
         assert (status, body) == (200, events(1, 5))
 
-    async def test_client_that_leaves_ends_the_run(self):
-        one = RawEndpoint("i1", [falls_silent_after(events(1, 2))])
+    async def test_client_that_disconnects_ends_the_run(self):
+        one = RawEndpoint("i1", [stalls_after(events(1, 2))])
         async with running(one) as (program, _store):
             async with Client(program) as client:
                 await client.send("/live/", method="POST")
--- a/tests/functional/relay/test_stream_migration.py
+++ b/tests/functional/relay/test_stream_migration.py
@@ -1,4 +1,4 @@
-"""Streams whose endpoints leave go on elsewhere with their run's memory."""
+"""Streams whose endpoints leave continue elsewhere with their run's KV cache."""
 
 import asyncio
 
@@ -25,16 +25,16 @@
     routes=[route("/live/", "streaming", gap_aim_ms=400, sticky=True)],
     services=[{"name": "s", "health_path": "/h", "engine": ENGINE}],
 )
-# Far more tokens than three events hold: it won't end before its endpoint.
-PROMPT = (("Ebonydeal-Token-Usage", "100,4000"),)
+# Far more output tokens than three events hold, so it won't end in time.
+TOKEN_USAGE = (("Ebonydeal-Token-Usage", "100,4000"),)
 
 
-def rest(first, last):
+def remainder(first, last):
     return stream_head() + chunk(events(first, last)) + b"0\r\n\r\n"
 
 
 class Source:
-    """An endpoint that sends events and stops when its run is moved."""
+    """An endpoint that sends events and stops when its run is migrated."""
 
     def __init__(self, data):
         self._data = data
@@ -48,72 +48,72 @@
         writer.transport.abort()
 
 
-class Moving:
-    """Two endpoints, a stream at one of them, and that one's word of leaving."""
+class Case:
+    """Two endpoints with a stream at one of them, which then leaves."""
 
-    def __init__(self, data, then):
+    def __init__(self, data, next_answer):
         self.source = Source(data)
         self.engines = MemoryEngines()
         self.engines.on_move = self._stop
         self.one = RawEndpoint("i1", [self.source])
         self.two = RawEndpoint("i2", [self.source])
-        self._then = then
+        self._next_answer = next_answer
 
     async def _stop(self, _source, _request, _target):
         self.source.stopped.set()
 
-    async def play(self, store, client):
-        """Start the stream, then let its endpoint say that it leaves."""
-        await client.send("/live/", method="POST", headers=PROMPT)
+    async def start_and_leave(self, store, client):
+        """Start the stream, then list its endpoint as leaving."""
+        await client.send("/live/", method="POST", headers=TOKEN_USAGE)
         await client.reader.readuntil(b"data: x3\n\n")
         first, second = (self.one, self.two) if self.one.seen else (self.two, self.one)
-        second.script = [self._then]
+        second.script = [self._next_answer]
         await store.put("servers", first.name, first.row(state="draining"))
         return first, second
 
 
-class TestMove:
-    async def test_goes_on_after_its_last_event_as_the_same_run(self):
-        case = Moving(events(1, 3) + b"id: 4\nda", rest(4, 6))
+class TestMigration:
+    async def test_stream_continues_after_its_last_event_as_the_same_run(self):
+        case = Case(events(1, 3) + b"id: 4\nda", remainder(4, 6))
         async with (
             running(case.one, case.two, doc=DOC, engines=case.engines) as (_p, store),
             Client(_p) as client,
         ):
-            first, second = await case.play(store, client)
-            left = await client.reader.readuntil(b"0\r\n\r\n")
-        assert b"data: x4" in left and b"data: x6" in left
-        assert left.count(b"id: 4") == 1
+            first, second = await case.start_and_leave(store, client)
+            received = await client.reader.readuntil(b"0\r\n\r\n")
+        assert b"data: x4" in received and b"data: x6" in received
+        assert received.count(b"id: 4") == 1
         head = second.seen[0]
         assert f"Kv-From: {first.address}/h1" in head
         assert "Last-Event-Id: 3" in head
         assert case.engines.moves == [(first.address, "r1", second.address)]
 
-    async def test_a_memory_that_is_refused_breaks_the_stream_off(self):
-        case = Moving(events(1, 3), NOT_RUN)
+    async def test_refused_kv_cache_breaks_the_stream_off(self):
+        case = Case(events(1, 3), NOT_RUN)
         async with (
             running(case.one, case.two, doc=DOC, engines=case.engines) as (_p, store),
             Client(_p) as client,
         ):
-            _first, second = await case.play(store, client)
+            _first, second = await case.start_and_leave(store, client)
             with pytest.raises(asyncio.IncompleteReadError):
                 await client.reader.readuntil(b"0\r\n\r\n")
-        # It may not be run again from its beginning.
+        # The stream may not be run again from its beginning.
         assert len(second.seen) == 1
 
-    async def test_a_target_that_cannot_be_reached_starts_no_second_run(self):
-        case = Moving(events(1, 3), rest(4, 6))
-        three = RawEndpoint("i3", [rest(1, 6)])
+    async def test_unreachable_target_causes_no_second_run(self):
+        case = Case(events(1, 3), remainder(4, 6))
+        three = RawEndpoint("i3", [remainder(1, 6)])
         async with (
             running(case.one, case.two, doc=DOC, engines=case.engines) as (_p, store),
             Client(_p) as client,
         ):
-            await client.send("/live/", method="POST", headers=PROMPT)
+            await client.send("/live/", method="POST", headers=TOKEN_USAGE)
             await client.reader.readuntil(b"data: x3\n\n")
             first, second = (
                 (case.one, case.two) if case.one.seen else (case.two, case.one)
             )
             await three.start()
-            # The target: of those that wait alike, the first by name.
+            # It is the target: with equal waits the first by name is chosen.
             await second.stop()
             await store.put("servers", three.name, three.row())
             await store.put("servers", first.name, first.row(state="draining"))
@@ -122,15 +122,15 @@
             await three.stop()
         assert second.seen == [] and three.seen == []
 
-    async def test_a_refused_order_leaves_the_run_where_it_is(self):
-        case = Moving(events(1, 3), rest(4, 6))
+    async def test_refused_migration_order_leaves_the_run_in_place(self):
+        case = Case(events(1, 3), remainder(4, 6))
         case.engines.handle = ""
         case.engines.on_move = None
         async with (
             running(case.one, case.two, doc=DOC, engines=case.engines) as (_p, store),
             Client(_p) as client,
         ):
-            _first, second = await case.play(store, client)
+            _first, second = await case.start_and_leave(store, client)
             await until(lambda: case.engines.moves)
             case.source.stopped.set()
             with pytest.raises(asyncio.IncompleteReadError):
@@ -138,7 +138,7 @@
         assert second.seen == []
         assert len(case.engines.moves) == 1
 
-    async def test_nothing_moves_without_another_endpoint(self):
+    async def test_no_migration_without_another_endpoint(self):
         source = Source(events(1, 3))
         engines = MemoryEngines()
         one = RawEndpoint("i1", [source])
@@ -146,7 +146,7 @@
             running(one, doc=DOC, engines=engines) as (_p, store),
             Client(_p) as client,
         ):
-            await client.send("/live/", method="POST", headers=PROMPT)
+            await client.send("/live/", method="POST", headers=TOKEN_USAGE)
             await client.reader.readuntil(b"data: x3\n\n")
             await store.put("servers", one.name, one.row(state="draining"))
             await until(lambda: _p.view.members["i1"].leaving)
--- a/tests/lib/raw_endpoints.py
+++ b/tests/lib/raw_endpoints.py
@@ -1,14 +1,14 @@
-"""Endpoints of forwarded routes whose answers are given byte by byte."""
+"""Endpoints of forwarded routes whose answers are given as raw bytes."""
 
 import asyncio
 import json
 
 
 class RawEndpoint:
-    """An endpoint whose answers are given byte by byte.
+    """An endpoint whose answers are given as raw bytes.
 
-    ``script`` holds one item a request: bytes to send, or a coroutine function
-    that gets the reader, the writer and the request's header block.
+    ``script`` holds one item per request: bytes to send, or a coroutine function
+    that gets the reader, the writer and the request's headers.
     """
 
     def __init__(self, name, script=()):
@@ -78,7 +78,7 @@
 
 
 def answer(headers=None, body=b"hello", status=b"200 OK", extra=b""):
-    """Return a sound answer; ``{id}`` stands for the request's id."""
+    """Return a valid answer; ``{id}`` stands for the request's id."""
     rid = b"{id}" if headers is None else request_id(headers)
     return (
         b"HTTP/1.1 %b\r\nEbonydeal-Request-Id: %b\r\n"
--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -25,7 +25,14 @@
     "Kv-Fetch",
     "Ebonydeal-Not-Executed",
 )
-HOPS = ("Connection", "Keep-Alive", "TE", "Trailer", "Transfer-Encoding", "Upgrade")
+HOP_BY_HOP = (
+    "Connection",
+    "Keep-Alive",
+    "TE",
+    "Trailer",
+    "Transfer-Encoding",
+    "Upgrade",
+)
 SEND = SendMetadata("i-1", "acme", 1.5, 2, "")
 
 
@@ -45,7 +52,7 @@
 
 
 class TestRequest:
-    def test_is_read_whole(self):
+    def test_all_headers_are_parsed(self):
         req = request(
             ("Ebonydeal-Token-Usage", "1460,80"),
             ("Ebonydeal-Prompt-Prefix", "5c:800, 91:410"),
@@ -67,29 +74,29 @@
             ("Ebonydeal-Prompt-Prefix", "5c:x"),
         ],
     )
-    def test_malformed_header_is_refused_by_name(self, pair):
+    def test_error_names_the_malformed_header(self, pair):
         with pytest.raises(EbonydealError) as caught:
             request(pair)
         assert caught.value.kind is ErrorKind.BAD_REQUEST
         assert pair[0] in caught.value.detail
 
-    def test_without_an_id_is_refused(self):
+    def test_request_without_an_id_is_refused(self):
         with pytest.raises(EbonydealError):
             read_request("GET", "/", [("Host", "a")])
 
-    def test_without_a_deadline_has_none(self):
+    def test_missing_deadline_means_no_timeout(self):
         pairs = [("Ebonydeal-Request-Id", "r")]
         assert read_request("GET", "/", pairs).client_timeout is None
 
 
 class TestOutgoing:
     @pytest.mark.parametrize("name", FORGED)
-    def test_clients_value_of_a_system_header_is_dropped(self, name):
+    def test_system_header_of_a_client_is_dropped(self, name):
         req = request((name, "forged"), (name.lower(), "forged"))
         assert all(value != "forged" for _n, value in request_headers(req, SEND))
 
-    @pytest.mark.parametrize("name", HOPS)
-    def test_header_of_one_connection_is_dropped(self, name):
+    @pytest.mark.parametrize("name", HOP_BY_HOP)
+    def test_hop_by_hop_header_is_dropped(self, name):
         block = request_headers(request((name, "x")), SEND)
         assert name.lower() not in names(block)
 
@@ -98,12 +105,12 @@
         assert "x-hop" not in names(request_headers(req, SEND))
         assert "x-kept" in names(request_headers(req, SEND))
 
-    def test_key_is_never_passed_on(self):
+    def test_api_key_is_never_forwarded(self):
         block = request_headers(request(), SEND)
         assert "authorization" not in names(block)
         assert all("secret" not in value for _name, value in block)
 
-    def test_system_values_stand_once(self):
+    def test_system_headers_are_set_once(self):
         block = request_headers(request(("Ebonydeal-Tenant", "other")), SEND)
         listed = dict(block)
         assert names(block).count("ebonydeal-tenant") == 1
@@ -112,7 +119,7 @@
         assert listed["Ebonydeal-Deadline-Ms"] == "1500"
         assert listed["Ebonydeal-Request-Priority"] == "2"
 
-    def test_other_headers_and_host_pass_unchanged(self):
+    def test_other_headers_and_host_are_unchanged(self):
         listed = request_headers(request(("X-A", "1"), ("X-A", "2")), SEND)
         assert [v for n, v in listed if n == "X-A"] == ["1", "2"]
         assert ("Host", "a.example:80") in listed
@@ -124,12 +131,12 @@
 
 
 class TestAnswer:
-    def test_proof_that_it_did_not_run(self):
+    def test_proof_of_no_run(self):
         assert read_answer(503, [("Ebonydeal-Not-Executed", "1")]).not_run
         assert read_answer(421, []).not_run
         assert not read_answer(503, []).not_run
 
-    def test_marks_of_a_sound_answer(self):
+    def test_headers_of_a_valid_answer(self):
         head = read_answer(
             200,
             [
@@ -139,7 +146,7 @@
                 ("Connection", "keep-alive"),
             ],
         )
-        assert (head.signed, head.request_id, head.idle_time) == (True, "r1", 5.0)
+        assert (head.signed, head.request_id, head.keepalive_s) == (True, "r1", 5.0)
         assert names(head.headers) == [
             "ebonydeal-request-id",
             "ebonydeal-server-signature",
@@ -150,15 +157,15 @@
         assert not read_answer(200, [("Content-Encoding", "identity")]).encoded
 
 
-class TestMemory:
-    def test_a_run_goes_on_from_where_its_memory_lies(self):
-        send = SEND._replace(carried=KvCacheRef("10.1.0.2:80", "h7"), last_event="4")
+class TestKvCache:
+    def test_migrated_run_names_its_kv_cache(self):
+        send = SEND._replace(kv_cache=KvCacheRef("10.1.0.2:80", "h7"), last_event="4")
         block = dict(request_headers(request(), send))
         assert block["Kv-From"] == "10.1.0.2:80/h7"
         assert block["Last-Event-Id"] == "4"
         assert "Kv-Fetch" not in block
 
-    def test_parts_are_fetched_from_another_endpoint(self):
+    def test_prompt_parts_are_fetched_from_another_endpoint(self):
         block = dict(
             request_headers(request(), SEND._replace(fetch_from="10.1.0.3:80"))
         )
@@ -168,33 +175,35 @@
 
 class TestNotice:
     @pytest.mark.parametrize("status", [200, 404, 500, 503])
-    def test_of_a_limit_is_in_each_answer(self, status):
+    def test_limit_is_accepted_in_each_answer(self, status):
         head = read_answer(status, [("server-limit", "1.4")])
         assert head.notice == EndpointNotice(1.4)
         assert ("server-limit", "1.4") in head.headers
 
-    @pytest.mark.parametrize("said", ["", "x", "-1", "nan", "1e999", "inf", "1 2"])
-    def test_that_cant_be_read_is_kept_as_such(self, said):
-        notice = read_answer(200, [("Server-Limit", said)]).notice
-        assert notice == EndpointNotice(unreadable=(f"Server-Limit: {said}",))
+    @pytest.mark.parametrize("text", ["", "x", "-1", "nan", "1e999", "inf", "1 2"])
+    def test_invalid_limit_is_reported_as_unreadable(self, text):
+        notice = read_answer(200, [("Server-Limit", text)]).notice
+        assert notice == EndpointNotice(unreadable=(f"Server-Limit: {text}",))
 
-    def test_of_leaving(self):
+    def test_leaving(self):
         assert read_answer(503, [("Server-Leaving", "1")]).notice.leaving
         assert not read_answer(200, [("Server-Leaving", "0")]).notice.leaving
         notice = read_answer(200, [("Server-Leaving", "soon")]).notice
         assert notice == EndpointNotice(unreadable=("Server-Leaving: soon",))
 
-    @pytest.mark.parametrize(("said", "rest"), [("3", 3.0), ("0.25", 0.25), ("0", 0.0)])
-    def test_of_rest_comes_with_503_alone(self, said, rest):
-        assert read_answer(503, [("Retry-After", said)]).notice.backoff_s == rest
-        assert read_answer(429, [("Retry-After", said)]).notice.backoff_s == 0.0
+    @pytest.mark.parametrize(
+        ("text", "backoff_s"), [("3", 3.0), ("0.25", 0.25), ("0", 0.0)]
+    )
+    def test_backoff_is_accepted_only_with_503(self, text, backoff_s):
+        assert read_answer(503, [("Retry-After", text)]).notice.backoff_s == backoff_s
+        assert read_answer(429, [("Retry-After", text)]).notice.backoff_s == 0.0
 
     @pytest.mark.parametrize(
-        "said", ["", "-3", "soon", "Thu, 01 Jan 2026 00:00:00 GMT"]
+        "text", ["", "-3", "soon", "Thu, 01 Jan 2026 00:00:00 GMT"]
     )
-    def test_of_rest_that_cant_be_read_asks_for_none(self, said):
-        notice = read_answer(503, [("Retry-After", said)]).notice
-        assert notice == EndpointNotice(unreadable=(f"Retry-After: {said}",))
+    def test_invalid_backoff_is_reported_as_unreadable(self, text):
+        notice = read_answer(503, [("Retry-After", text)]).notice
+        assert notice == EndpointNotice(unreadable=(f"Retry-After: {text}",))
 
-    def test_without_anything_said(self):
+    def test_answer_without_a_notice(self):
         assert read_answer(200, []).notice == EndpointNotice()
--- a/tests/unit/platform/test_rows.py
+++ b/tests/unit/platform/test_rows.py
@@ -64,14 +64,14 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=8,
 )
-# One field, or several, of an entry that is otherwise sound.
-CHANGED = st.dictionaries(
+# Some changed fields of an otherwise valid entry.
+CHANGED_FIELDS = st.dictionaries(
     st.sampled_from([*MEMBER, "born", "spot", "leaves_ms", "cold_left_ms"]), JSON
 )
 
 
 class TestTable:
-    def test_is_read_in_the_products_units(self):
+    def test_is_converted_to_the_products_units(self):
         table = decode_table(json.dumps(CONFIG).encode())
         (route,) = table.routes
         assert (route.host, route.repeat) == ("a.example", Repeat.STREAM)
@@ -79,7 +79,7 @@
         assert route.targets == (Target("a", 90.0), Target("b", 10.0))
         assert table.services["a"].scaling.spot_price is None
         assert table.accounts[0].in_tokens
-        assert table.limits.idle_time == 15.0
+        assert table.limits.idle_timeout == 15.0
 
     @pytest.mark.parametrize(
         "value",
@@ -96,7 +96,7 @@
             b"[" * 100_000,
         ],
     )
-    def test_unknown_shape_is_refused_and_nothing_else(self, value):
+    def test_invalid_value_raises_bad_document(self, value):
         with pytest.raises(EbonydealError) as caught:
             decode_table(value)
         assert caught.value.kind is ErrorKind.BAD_DOCUMENT
@@ -112,7 +112,7 @@
         assert (leaving.leaves_in, leaving.revision) == (2.5, 10)
 
     @pytest.mark.parametrize("value", [b"", b"1", b"{}", b'{"service": "a"}'])
-    def test_unreadable_is_refused_by_its_id(self, value):
+    def test_error_names_the_unreadable_entry(self, value):
         with pytest.raises(EbonydealError, match="i-9"):
             decode_member(SharedRow("i-9", value, 1))
 
@@ -143,18 +143,18 @@
             {"born": None},
         ],
     )
-    def test_a_field_of_another_type_names_no_endpoint(self, wrong):
+    def test_entry_with_an_invalid_field_is_refused(self, wrong):
         value = json.dumps({**MEMBER, **wrong}).encode()
         with pytest.raises(EbonydealError) as caught:
             decode_member(SharedRow("i-9", value, 1))
         assert caught.value.kind is ErrorKind.BAD_DOCUMENT
 
-    def test_a_number_beyond_all_bounds_names_no_endpoint(self):
+    def test_entry_with_an_infinite_number_is_refused(self):
         value = json.dumps(MEMBER).replace(": 6", ": 1e999").encode()
         with pytest.raises(EbonydealError, match="max_slots"):
             decode_member(SharedRow("i-9", value, 1))
 
-    def test_its_start_is_told_where_endpoints_tell_it(self):
+    def test_incarnation_is_optional(self):
         value = json.dumps({**MEMBER, "born": 1_790_000_000_123}).encode()
         assert (
             decode_member(SharedRow("i-1", value, 1)).incarnation == 1_790_000_000_123
@@ -164,17 +164,17 @@
 
 
 class TestAnyBytes:
-    """Other writers may put anything: the one error, or a sound value."""
+    """Others may write anything: it raises BAD_DOCUMENT or gives a valid value."""
 
     @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
-    def test_an_endpoint(self, value):
-        self._member(value)
+    def test_endpoint(self, value):
+        self._check_member(value)
 
-    @given(CHANGED)
-    def test_an_endpoint_with_some_fields_changed(self, changed):
-        self._member(json.dumps({**MEMBER, **changed}).encode())
+    @given(CHANGED_FIELDS)
+    def test_endpoint_with_changed_fields(self, changed):
+        self._check_member(json.dumps({**MEMBER, **changed}).encode())
 
-    def _member(self, value):
+    def _check_member(self, value):
         try:
             member = decode_member(SharedRow("i-1", value, 1))
         except EbonydealError as exc:
@@ -188,14 +188,14 @@
         assert isinstance(member.incarnation, int)
 
     @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
-    def test_the_configuration(self, value):
-        self._table(value)
+    def test_configuration(self, value):
+        self._check_table(value)
 
     @given(st.dictionaries(st.sampled_from([*CONFIG]), JSON))
-    def test_the_configuration_with_some_parts_changed(self, changed):
-        self._table(json.dumps({**CONFIG, **changed}).encode())
+    def test_configuration_with_changed_sections(self, changed):
+        self._check_table(json.dumps({**CONFIG, **changed}).encode())
 
-    def _table(self, value):
+    def _check_table(self, value):
         try:
             table = decode_table(value)
         except EbonydealError as exc:
@@ -205,11 +205,11 @@
 
 
 class TestRow:
-    def test_value_and_removal(self):
+    def test_value_and_tombstone(self):
         row = {"table": "t", "key": "k", "value": encode_value(b"v"), "ver": 3}
         assert decode_row(row) == SharedRow("k", b"v", 3)
-        gone = {"table": "t", "key": "k", "tombstone": True, "ver": 4}
-        assert decode_row(gone) == SharedRow("k", None, 4)
+        removed = {"table": "t", "key": "k", "tombstone": True, "ver": 4}
+        assert decode_row(removed) == SharedRow("k", None, 4)
 
 
 class TestRollouts:
@@ -218,7 +218,7 @@
         message = {name: value for name, value in message.items() if value != "gone"}
         return SharedRow("rollout/s", json.dumps(message).encode(), 7)
 
-    def test_reads_an_order(self):
+    def test_order_is_decoded(self):
         assert decode_order(self.order()) == RolloutOrder("s", "v2", 30.0, 7)
 
     @pytest.mark.parametrize(
@@ -239,25 +239,25 @@
             {"duration_s": "gone"},
         ],
     )
-    def test_refuses_what_orders_nothing(self, change):
+    def test_invalid_order_is_refused(self, change):
         with pytest.raises(EbonydealError) as info:
             decode_order(self.order(**change))
         assert info.value.kind is ErrorKind.BAD_DOCUMENT
 
     @pytest.mark.parametrize("value", [b"", b"[]", b"7", b"{", b"\xff"])
-    def test_refuses_what_is_no_object(self, value):
+    def test_order_that_is_not_an_object_is_refused(self, value):
         with pytest.raises(EbonydealError):
             decode_order(SharedRow("rollout/s", value, 7))
 
     @pytest.mark.parametrize("key", ["config", "rollout", "rollout/", ""])
-    def test_other_rows_are_no_orders(self, key):
+    def test_other_keys_name_no_service(self, key):
         assert rollout_service(key) is None
 
     @pytest.mark.parametrize("phase", list(Phase))
-    def test_reads_back_the_status_it_writes(self, phase):
+    def test_encoded_status_is_decoded(self, phase):
         assert decode_status(encode_status(phase, "v2")) == (phase, "v2")
 
     @pytest.mark.parametrize("value", [b"{}", b'{"state": "done", "to": "v2"}', b"["])
-    def test_refuses_another_status(self, value):
+    def test_invalid_status_is_refused(self, value):
         with pytest.raises(EbonydealError):
             decode_status(value)
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -16,7 +16,7 @@
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.routing.crashes.crash_evidence import CrashEvidence
 from tests.lib.clock import ManualClock
-from tests.unit.relay.requests.test_job_sends import MEMBERS, MOVED, job, parts
+from tests.unit.relay.requests.test_job_sends import MEMBERS, MIGRATED, job, parts
 
 
 class Relay:
@@ -185,7 +185,7 @@
         for number in range(3):
             relay.crash(number, "fatal")
         with pytest.raises(EbonydealError) as caught:
-            await sends.resume(MOVED)
+            await sends.resume(MIGRATED)
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
 
     async def test_a_run_that_was_stopped_isnt_sent_again(self):
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -1,4 +1,4 @@
-"""No sequence of sends and moves runs a request twice against its kind."""
+"""No sequence of sends and migrations runs an at-most-once request twice."""
 
 import asyncio
 from random import Random
@@ -19,7 +19,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.relay.limits.permits import EndpointPermits
 from ebonydeal._internal.relay.requests.connections import EndpointPools
-from ebonydeal._internal.relay.requests.job import Job, SendTerms
+from ebonydeal._internal.relay.requests.job import Job, SendConfig
 from ebonydeal._internal.relay.requests.migrations import MigratedRun
 from ebonydeal._internal.relay.requests.outcomes import Answered, MayHaveRun
 from ebonydeal._internal.relay.requests.sends import JobSends
@@ -33,28 +33,28 @@
 from ebonydeal._internal.routing.rollout.split import Split
 from ebonydeal._internal.settings.routing import RetrySettings, RoutingSettings
 from tests.lib.clock import ManualClock
-from tests.unit.relay.requests.test_outcomes import PROMISES, outcomes
+from tests.unit.relay.requests.test_outcomes import NOT_RUN_STATUSES, outcomes
 
 MEMBERS = [
     Member(f"i{n}", "s", f"i{n}:1", "z", 8, False, None, True, 0.0, 1) for n in range(4)
 ]
-MOVED = MigratedRun(MEMBERS[3], KvCacheRef("i0:1", "h1"))
-# What happens to one send; a moved run is stopped and has run.
-events = st.one_of(outcomes, st.just(MOVED))
+MIGRATED = MigratedRun(MEMBERS[3], KvCacheRef("i0:1", "h1"))
+# What happens to one send; a migrated run was stopped, so it has run.
+events = st.one_of(outcomes, st.just(MIGRATED))
 
 
-async def at_once(_member):
+async def no_check(_member):
     pass
 
 
-def parts(**terms):
+def parts(**config):
     clock = ManualClock(100.0)
     view = RelayView(2.0)
     for member in MEMBERS:
         view.put(member)
-    # Nothing but the proof may hold a further send back.
-    generous = RetrySettings(budget=1.0, budget_cap=100.0, attempts=100, backoff=0.0)
-    retries = RetryPolicy(generous, Random(1))
+    # Only the proof may prevent another send.
+    unlimited = RetrySettings(budget=1.0, budget_cap=100.0, attempts=100, backoff=0.0)
+    retries = RetryPolicy(unlimited, Random(1))
     for _ in range(20):
         retries.first_send("s", 100.0)
     return SimpleNamespace(
@@ -67,14 +67,14 @@
         retries=retries,
         metrics=Metrics(),
         long_reads=SimpleNamespace(sent=lambda *_read: None),
-        crashes=SimpleNamespace(broke=lambda *_broke: None, checked=at_once),
+        crashes=SimpleNamespace(broke=lambda *_broke: None, checked=no_check),
         suspects=SimpleNamespace(
             check=lambda _digest: None, standing=lambda _digest: Standing.CLEAR
         ),
         pools=EndpointPools(clock, 1.0),
         clock=clock,
         zone="z",
-        terms=SendTerms(**terms),
+        config=SendConfig(**config),
     )
 
 
@@ -105,33 +105,35 @@
         repeat=st.sampled_from([Repeat.ONCE, Repeat.STREAM]),
         delivered=st.booleans(),
     )
-    def test_what_may_run_once_does(self, sequence, repeat, delivered):
+    def test_at_most_once_request_runs_once(self, sequence, repeat, delivered):
         sends = JobSends(parts(), job(repeat, resumable=False))
         sends.member = MEMBERS[0]
         runs = 0
         for event in sequence:
-            # Each event is of a send from the beginning, unless memory is carried.
-            carried = sends.send_metadata().carried is not None
-            if event is MOVED:
-                runs += not carried
-                asyncio.run(sends.resume(MOVED))
+            # A send starts a new run, unless it has a KV cache.
+            continues = sends.send_metadata().kv_cache is not None
+            if event is MIGRATED:
+                runs += not continues
+                asyncio.run(sends.resume(MIGRATED))
                 continue
-            runs += isinstance(event, MayHaveRun | Answered) and not carried
+            runs += isinstance(event, MayHaveRun | Answered) and not continues
             try:
                 sends.check_resend(event, delivered=delivered)
             except EbonydealError as exc:
                 if runs:
-                    assert ANSWERS[exc.kind].status not in PROMISES
+                    assert ANSWERS[exc.kind].status not in NOT_RUN_STATUSES
                 break
-            sends._take(
-                SimpleNamespace(member=MEMBERS[1], missed=0.0, expected=None, source="")
+            sends._use(
+                SimpleNamespace(
+                    member=MEMBERS[1], uncached_tokens=0.0, expected=None, source=""
+                )
             )
-            sends._carried = None
+            sends._kv_cache = None
         assert runs <= 1
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(sequence=st.lists(outcomes, min_size=1, max_size=3))
-    def test_a_resumable_stream_is_sent_again_after_any_of_them(self, sequence):
+    def test_resumable_stream_may_be_resent_after_any_outcome(self, sequence):
         sends = JobSends(parts(), job(Repeat.STREAM, resumable=True))
         sends.member = MEMBERS[0]
         for event in sequence:
@@ -139,30 +141,30 @@
                 sends.check_resend(event)
 
 
-class TestRank:
-    """The objective of the route is 1 s, its urgency 0."""
+class TestPriority:
+    """The latency objective of the route is 1 s, its priority 0."""
 
-    def rank(self, expected, waited=0.0, **terms):
-        started = job(Repeat.STREAM, resumable=True)._replace(started=100.0 - waited)
-        sends = JobSends(parts(**terms), started)
+    def priority(self, expected, waited=0.0, **config):
+        waiting = job(Repeat.STREAM, resumable=True)._replace(started=100.0 - waited)
+        sends = JobSends(parts(**config), waiting)
         found = SimpleNamespace(
-            member=MEMBERS[0], missed=9000.0, expected=expected, source=""
+            member=MEMBERS[0], uncached_tokens=9000.0, expected=expected, source=""
         )
-        sends._take(found)
+        sends._use(found)
         return sends.send_metadata().priority
 
-    def test_one_that_can_be_in_time_has_its_routes(self):
-        assert self.rank(0.9) == 0
+    def test_request_in_time_has_the_routes_priority(self):
+        assert self.priority(0.9) == 0
 
-    def test_one_that_will_be_late_lets_all_others_go_first(self):
-        assert self.rank(1.1) == 9
+    def test_late_request_has_the_lowest_priority(self):
+        assert self.priority(1.1) == 9
 
-    def test_so_does_one_that_waited_too_long_before_this_send(self):
-        assert self.rank(0.4, waited=0.5) == 0
-        assert self.rank(0.4, waited=0.7) == 9
+    def test_waiting_before_the_send_counts(self):
+        assert self.priority(0.4, waited=0.5) == 0
+        assert self.priority(0.4, waited=0.7) == 9
 
-    def test_it_is_off_by_its_setting(self):
-        assert self.rank(1.1, late_last=False) == 0
+    def test_setting_switches_it_off(self):
+        assert self.priority(1.1, late_last=False) == 0
 
-    def test_one_of_which_nothing_is_expected_has_its_routes(self):
-        assert self.rank(None) == 0
+    def test_unknown_expected_time_has_the_routes_priority(self):
+        assert self.priority(None) == 0
--- a/tests/unit/relay/requests/test_late_admission.py
+++ b/tests/unit/relay/requests/test_late_admission.py
@@ -1,7 +1,7 @@
-"""A request that waited after its admission is admitted anew before its first send.
+"""A request that waited after its admission is admitted again before its first send.
 
-It counts in the window in which it arrives: all that had waited for an endpoint, or at
-relays that were suspended, would come on top of what that window grants.
+Requests count in the window in which they are sent: those that had waited for an
+endpoint, or at suspended relays, would exceed what that window grants.
 """
 
 import pytest
@@ -21,7 +21,7 @@
 BOUNDS = QuotaBounds(4.0, 0.1, 0.0)
 
 
-class Granted:
+class StubGrants:
     """Grants everything, or nothing."""
 
     def __init__(self):
@@ -37,33 +37,33 @@
 
 
 @pytest.fixture
-async def waited():
-    """Return what grants, the clock, and the sends of a request just admitted."""
+async def admitted():
+    """Return the grants, the clock, and the sends of a request just admitted."""
     found = parts()
     found.refusal = EarlyRefusal(0.0)
-    granted = Granted()
-    gate = QuotaLimiter(granted, found.clock, BOUNDS)
-    admission = await gate.admit(ACCOUNT, 1.0, 0.0)
+    grants = StubGrants()
+    limiter = QuotaLimiter(grants, found.clock, BOUNDS)
+    admission = await limiter.admit(ACCOUNT, 1.0, 0.0)
     made = job(Repeat.IDEMPOTENT, False)._replace(admission=admission, account=ACCOUNT)
-    return granted, found.clock, JobSends(found, made)
+    return grants, found.clock, JobSends(found, made)
 
 
 class TestFirstSend:
-    async def test_at_once_counts_once(self, waited):
-        granted, clock, sends = waited
+    async def test_before_expiry_uses_the_admission(self, admitted):
+        grants, clock, sends = admitted
         clock._now += BOUNDS.late_s(ACCOUNT) * 0.9
         await sends.choose()
-        assert granted.amounts == [1.0]
+        assert grants.amounts == [1.0]
 
-    async def test_later_is_admitted_anew(self, waited):
-        granted, clock, sends = waited
+    async def test_after_expiry_is_admitted_again(self, admitted):
+        grants, clock, sends = admitted
         clock._now += BOUNDS.late_s(ACCOUNT) * 1.1
         await sends.choose()
-        assert granted.amounts == [1.0, 1.0]
+        assert grants.amounts == [1.0, 1.0]
 
-    async def test_later_may_be_refused(self, waited):
-        granted, clock, sends = waited
-        granted.wait = 0.7
+    async def test_after_expiry_may_be_refused(self, admitted):
+        grants, clock, sends = admitted
+        grants.wait = 0.7
         clock._now += 2.0
         with pytest.raises(EbonydealError) as caught:
             await sends.choose()
@@ -72,19 +72,19 @@
         assert caught.value.retry_after == 0.7
 
 
-class TestFurtherSend:
-    async def test_of_what_never_arrived_is_admitted_anew(self, waited):
-        granted, clock, sends = waited
+class TestResend:
+    async def test_after_proof_of_no_run_is_admitted_again(self, admitted):
+        grants, clock, sends = admitted
         await sends.choose()
         sends.check_resend(ProvedNotRun(503))
         clock._now += 1.0
         await sends.choose()
-        assert granted.amounts == [1.0, 1.0]
+        assert grants.amounts == [1.0, 1.0]
 
-    async def test_of_what_may_have_run_counts_no_more(self, waited):
-        granted, clock, sends = waited
+    async def test_after_a_possible_run_is_not_counted_again(self, admitted):
+        grants, clock, sends = admitted
         await sends.choose()
         sends.check_resend(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
         clock._now += 1.0
         await sends.choose()
-        assert granted.amounts == [1.0]
+        assert grants.amounts == [1.0]
--- a/tests/unit/relay/requests/test_outcomes.py
+++ b/tests/unit/relay/requests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""No sequence of faults runs a request twice or makes a refusal false."""
+"""No sequence of faults runs a request twice or falsely reports it as not run."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,40 +13,41 @@
     RunProof,
 )
 
-PROMISES = {408, 421, 429, 503}
-FAILED = AnswerHead(500, False, True, "r", False, None, ())
+# Statuses which tell the client that the request did not run.
+NOT_RUN_STATUSES = {408, 421, 429, 503}
+FAILED_HEAD = AnswerHead(500, False, True, "r", False, None, ())
 KINDS = list(ErrorKind)
 outcomes = st.one_of(
     st.builds(NotSent, st.sampled_from(KINDS), st.just("")),
     st.builds(ProvedNotRun, st.sampled_from([421, 429, 503])),
     st.builds(MayHaveRun, st.sampled_from(KINDS), st.just("")),
-    st.just(Answered(FAILED, b"")),
+    st.just(Answered(FAILED_HEAD, b"")),
 )
 
 
 class TestRunProof:
     @settings(max_examples=400, derandomize=True, deadline=None)
     @given(sequence=st.lists(outcomes, max_size=6), kind=st.sampled_from(KINDS))
-    def test_once_only_and_refusals_true(self, sequence, kind):
+    def test_at_most_one_run_and_no_false_not_run(self, sequence, kind):
         proof = RunProof(repeatable=False)
-        ran = 0
+        runs = 0
         for outcome in sequence:
             if not proof.may_send:
                 break
-            proof.note(outcome)
-            ran += isinstance(outcome, MayHaveRun | Answered)
-        assert ran <= 1
-        answer = proof.refusal(EbonydealError(kind, "x"))
-        if ran:
-            assert ANSWERS[answer.kind].status not in PROMISES
+            proof.record(outcome)
+            runs += isinstance(outcome, MayHaveRun | Answered)
+        assert runs <= 1
+        answer = proof.final_error(EbonydealError(kind, "x"))
+        if runs:
+            assert ANSWERS[answer.kind].status not in NOT_RUN_STATUSES
 
-    def test_without_a_run_the_refusal_is_kept(self):
+    def test_error_is_unchanged_without_a_run(self):
         proof = RunProof(repeatable=False)
-        proof.note(ProvedNotRun(503))
+        proof.record(ProvedNotRun(503))
         error = EbonydealError(ErrorKind.ENDPOINT_REFUSED)
-        assert proof.refusal(error) is error
+        assert proof.final_error(error) is error
 
-    def test_a_repeatable_request_may_be_sent_again(self):
+    def test_repeatable_request_may_be_resent(self):
         proof = RunProof(repeatable=True)
-        proof.note(MayHaveRun(ErrorKind.ENDPOINT_FAILED, ""))
+        proof.record(MayHaveRun(ErrorKind.ENDPOINT_FAILED, ""))
         assert proof.may_send
--- a/tests/unit/relay/test_suspension.py
+++ b/tests/unit/relay/test_suspension.py
@@ -75,7 +75,7 @@
         made = parts()
         found = job(Repeat.IDEMPOTENT, False)
         sends = JobSends(made, found)
-        made.clock._now = found.until + 1.0
+        made.clock._now = found.deadline + 1.0
         with pytest.raises(EbonydealError) as caught:
             await sends.choose()
         assert caught.value.kind is ErrorKind.DEADLINE_EXCEEDED
