--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -89,9 +89,7 @@
         self._changed: deque[str] = deque(maxlen=_CHANGES_KEPT)
         self._leaving_since: dict[str, float] = {}
         # What processes said themselves: since when they leave, and nothing else.
-        self.said_leaving: Callable[[EndpointProcess], float | None] = lambda _process: (
-            None
-        )
+        self.said_leaving: Callable[[EndpointProcess], float | None] = lambda _: None
         self._leaves_at: dict[str, float] = {}
 
     @property
