--- a/src/ebonydeal/_internal/relay/requests/migrations.py
+++ b/src/ebonydeal/_internal/relay/requests/migrations.py
@@ -1,6 +1,6 @@
 """Migration of running streams from endpoints that leave.
 
-An endpoint that leaves breaks off the runs that it still has at its end, and most
+An endpoint that leaves breaks off the runs that it still has when it stops, and most
 streams may not be run again. So the run is stopped in time, its KV cache goes to
 another endpoint, and the stream continues there after its last event, as the same
 run and without another prefill.
--- a/src/ebonydeal/_internal/relay/requests/outcomes.py
+++ b/src/ebonydeal/_internal/relay/requests/outcomes.py
@@ -69,11 +69,11 @@
 
     @property
     def may_send(self) -> bool:
-        """Whether another send is safe: it can't run an at-most-once request twice."""
+        """Whether another send can't run an at-most-once request twice."""
         return self.repeatable or not self.may_have_run
 
     def final_error(self, error: EbonydealError) -> EbonydealError:
-        """Return ``error``, or one that doesn't claim "not run" if it may have run."""
+        """Return ``error``, or one without the claim "not run" if it may have run."""
         if not self.may_have_run:
             return error
         if error.answer.status in (502, 504):
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -59,7 +59,7 @@
         self.job = job
         self.chooser = EndpointChooser(parts, job)
         self.proof = RunProof(not job.at_most_once)
-        # Sends that may have run, that never left, and all of them.
+        # Counts of sends that may have run, that never left this process, and of all.
         self._possible_runs = 0
         self._unsent = 0
         self._sends = 0
@@ -410,7 +410,7 @@
         """Return None to resend, or the error to give up with."""
         job = self.job
         if not self.proof.may_send:
-            # Even if this send never left: an earlier one may have run.
+            # Even if this send never left the process: an earlier one may have run.
             return error
         match outcome:
             case NotSent():
