--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.functional.relay.test_stream import whole
+from tests.functional.relay.test_stream import whole_stream
 from tests.lib.raw_endpoints import RawEndpoint, chunk, events, stream_head
 from tests.lib.relay_fakes import ask, running, until
 
@@ -28,7 +28,7 @@
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
             await until(lambda: program.view.members["i1"].incarnation == 1_000)
-            again = whole(3, 4)
+            again = whole_stream(3, 4)
             one.script = [restarts(store, one, began=True), again]
             status, _headers, body = await ask(program, "/again/", method="POST")
             await until(lambda: program.view.members["i1"].incarnation == 2_000)
--- a/tests/unit/platform/test_rows.py
+++ b/tests/unit/platform/test_rows.py
@@ -75,7 +75,7 @@
         table = decode_table(json.dumps(CONFIG).encode())
         (route,) = table.routes
         assert (route.host, route.repeat) == ("a.example", Repeat.STREAM)
-        assert (route.timeout, route.objective, route.gap) == (4.0, 0.6, 0.4)
+        assert (route.timeout, route.objective, route.max_event_gap) == (4.0, 0.6, 0.4)
         assert route.targets == (Target("a", 90.0), Target("b", 10.0))
         assert table.services["a"].scaling.spot_price is None
         assert table.accounts[0].in_tokens
--- a/tests/unit/relay/crashes/test_crash_check.py
+++ b/tests/unit/relay/crashes/test_crash_check.py
@@ -84,8 +84,8 @@
             assert seen == []
 
     async def test_nor_one_that_started_again_since(self, closed_port):
-        async with checking(member(closed_port, born=2)) as (check, seen):
-            check.broke(member(closed_port, born=1), "a")
+        async with checking(member(closed_port, incarnation=2)) as (check, seen):
+            check.broke(member(closed_port, incarnation=1), "a")
             await asyncio.sleep(0.05)
             assert seen == []
 
