--- a/src/ebonydeal/_internal/platform/wire.py
+++ b/src/ebonydeal/_internal/platform/wire.py
@@ -1,17 +1,21 @@
-"""The platform's header blocks and rows behind the relay's interface."""
+"""The platform's headers and rows, behind the relay's interface."""
 
 from collections.abc import Iterable
 
 from ebonydeal._internal.models.forwarding import (
     AnswerHead,
-    Forwarded,
+    ForwardedRequest,
     Member,
     RouteTable,
-    Sending,
+    SendMetadata,
 )
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.models.shared import RowChange, SharedRow
-from ebonydeal._internal.platform.headers import outgoing, read_answer, read_request
+from ebonydeal._internal.models.shared import RowWrite, SharedRow
+from ebonydeal._internal.platform.headers import (
+    read_answer,
+    read_request,
+    request_headers,
+)
 from ebonydeal._internal.platform.rows import (
     CONFIG_KEY,
     CONFIG_TABLE,
@@ -30,20 +34,22 @@
 
 
 class PlatformWire:
-    """Names and formats of the platform; holds no state."""
+    """Names and formats of the platform; stateless."""
 
     config_table = CONFIG_TABLE
     config_key = CONFIG_KEY
     members_table = MEMBERS_TABLE
     status_table = STATUS_TABLE
 
-    def read_request(self, method: str, target: str, pairs: Pairs) -> Forwarded:
+    def read_request(self, method: str, target: str, pairs: Pairs) -> ForwardedRequest:
         """Return a client's request; raises BAD_REQUEST."""
         return read_request(method, target, pairs)
 
-    def outgoing(self, req: Forwarded, send: Sending) -> list[tuple[str, str]]:
-        """Return the header block of one send."""
-        return outgoing(req, send)
+    def request_headers(
+        self, req: ForwardedRequest, send: SendMetadata
+    ) -> list[tuple[str, str]]:
+        """Return the headers of one send."""
+        return request_headers(req, send)
 
     def read_answer(self, status: int, pairs: Pairs) -> AnswerHead:
         """Return the head of an endpoint's answer."""
@@ -58,7 +64,7 @@
         return decode_member(row)
 
     def rollout_service(self, key: str) -> str | None:
-        """Return the service whose roll-out a row is about, None for other rows."""
+        """Return the service of a roll-out's row, None for other rows."""
         return rollout_service(key)
 
     def order(self, row: SharedRow) -> RolloutOrder:
@@ -69,7 +75,7 @@
         """Return a roll-out's phase and version; raises BAD_DOCUMENT."""
         return decode_status(row.value or b"")
 
-    def status_change(self, service: str, phase: Phase, to: str) -> RowChange:
-        """Return the write by which operators learn of a roll-out."""
+    def status_change(self, service: str, phase: Phase, to: str) -> RowWrite:
+        """Return the write that publishes a roll-out's status to operators."""
         key = f"{ROLLOUT_PREFIX}{service}"
-        return RowChange(STATUS_TABLE, key, encode_status(phase, to))
+        return RowWrite(STATUS_TABLE, key, encode_status(phase, to))
--- a/src/ebonydeal/_internal/relay/crashes/crash_detector.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_detector.py
@@ -51,7 +51,7 @@
 
 
 def _start_key(member: Member) -> _StartKey:
-    return member.endpoint_id, member.born
+    return member.endpoint_id, member.incarnation
 
 
 class CrashDetector(Service):
@@ -82,7 +82,7 @@
         One that is leaving, or isn't listed any more, was expected to end.
         """
         listed = self._view.members.get(member.endpoint_id)
-        if listed is None or listed.leaving or listed.born != member.born:
+        if listed is None or listed.leaving or listed.incarnation != member.incarnation:
             return
         running = self._checks.get(_start_key(listed))
         if running is not None:
@@ -113,7 +113,7 @@
         logger.info(
             "Connections broke amid requests.",
             endpoint=member.endpoint_id,
-            born=member.born,
+            born=member.incarnation,
             zone=member.zone,
             requests=len(digests),
             digests=sorted(digests)[:_MAX_LOGGED_DIGESTS],
--- a/src/ebonydeal/_internal/relay/crashes/crash_store.py
+++ b/src/ebonydeal/_internal/relay/crashes/crash_store.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.crashes.suspects import Suspects
 from ebonydeal._internal.relay.packed_row import (
@@ -49,7 +49,7 @@
         # Whether the row was read: it isn't overwritten before.
         self.loaded = False
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the write that persists the evidence, if it has changed."""
         self._writing = ""
         if not self.loaded or self._suspects.fingerprint == self._written:
@@ -61,7 +61,7 @@
             logger.warning("Crash evidence is too large to persist.", size=len(value))
             return []
         self._writing = self._suspects.fingerprint
-        return [RowChange(CRASHES_TABLE, _KEY, value)]
+        return [RowWrite(CRASHES_TABLE, _KEY, value)]
 
     def wrote(self) -> None:
         """Note that the last changes took effect."""
--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -129,7 +129,7 @@
         evidence, now = self._parts.evidence, self._parts.clock.now()
         if now - evidence.last_crash > _ACTIVITY_WINDOW_S:
             return
-        if evidence.record_activity(member.endpoint_id, member.born, sent_at, now):
+        if evidence.record_activity(member.endpoint_id, member.incarnation, sent_at, now):
             logger.warning("Endpoint lives after all.", endpoint=member.endpoint_id)
             self._on_change("itself")
 
@@ -139,7 +139,7 @@
         parts, member = self._parts, crashed.member
         parts.metrics.count(Event.ENDPOINTS_CRASHED)
         observed = ObservedCrash(
-            member.endpoint_id, member.born, member.zone, parts.clock.now()
+            member.endpoint_id, member.incarnation, member.zone, parts.clock.now()
         )
         key = parts.evidence.record_crash(observed, crashed.digests)
         if key is not None:
--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -284,7 +284,7 @@
             have = fleet.spot if pool.spot else fleet.on_demand
             # Orders beyond the zone's bound are accepted, but those endpoints never
             # arrive.
-            room = max(0, scaling.most - fleet.spot - fleet.on_demand)
+            room = max(0, scaling.max_endpoints - fleet.spot - fleet.on_demand)
             pending = min(room, max(0, order.wanted - have))
             if pool.spot:
                 zones[pool.zone] = fleet._replace(spot_pending=pending)
@@ -333,7 +333,7 @@
         )
         if answer.accepted:
             self._metrics.count(Event.ORDERS_SENT)
-            expected_until = now + scaling.boot + _BOOT_SLACK_S
+            expected_until = now + scaling.boot_s + _BOOT_SLACK_S
             self._orders[pool] = _Order(count, expected_until)
             if count > have:
                 self._increased_at[pool] = now
--- a/src/ebonydeal/_internal/relay/duties/rollout_registry.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_registry.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.relay.duties.rollout_run import RequestTotals, RolloutRun
 from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
@@ -59,15 +59,15 @@
         known = self.runs.get(service)
         barred = self.barred.setdefault(service, set())
         if known is not None and known.is_running:
-            barred.add(known.state.order.to)
+            barred.add(known.state.order.target_version)
         current = self.current.setdefault(service, set())
         if not current:
-            current.update(before - {order.to} or before)
+            current.update(before - {order.target_version} or before)
         # A newer order overrides an older verdict.
-        barred.discard(order.to)
+        barred.discard(order.target_version)
         run = RolloutRun(RolloutState(order, now + order.duration, self.config))
         self.runs[service] = run
-        if order.to in current:
+        if order.target_version in current:
             # The service runs this version already: there is nothing to test.
             run.state.phase = Phase.COMPLETED
             run.verdict = Complete(0)
@@ -81,12 +81,12 @@
         match verdict:
             case Complete():
                 run.state.phase = Phase.COMPLETED
-                self.current[order.service] = {order.to}
+                self.current[order.service] = {order.target_version}
             case RollBack():
                 run.state.phase = Phase.ROLLED_BACK
-                self.barred.setdefault(order.service, set()).add(order.to)
+                self.barred.setdefault(order.service, set()).add(order.target_version)
 
-    def gates(self) -> list[Gate]:
+    def gates(self) -> list[RolloutGate]:
         """Return the gates that relays get."""
         return [
             run.state.gate(run.verdict, tuple(sorted(self.barred_versions(service))))
@@ -100,7 +100,7 @@
         for service, run in self.runs.items():
             state = run.state
             runs[service] = {
-                "to": state.order.to,
+                "to": state.order.target_version,
                 "duration": state.order.duration,
                 "revision": state.order.revision,
                 "until": round(state.deadline + clock_ahead_s, 3),
--- a/src/ebonydeal/_internal/relay/duties/rollout_store.py
+++ b/src/ebonydeal/_internal/relay/duties/rollout_store.py
@@ -7,7 +7,7 @@
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.models.shared import RowChange, SharedRow
+from ebonydeal._internal.models.shared import RowWrite, SharedRow
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
 from ebonydeal._internal.relay.packed_row import (
@@ -119,12 +119,12 @@
         except EbonydealError as exc:
             logger.error("Roll-out status is unreadable.", reason=str(exc))
             return
-        if to == order.to and phase is not Phase.RUNNING:
+        if to == order.target_version and phase is not Phase.RUNNING:
             run = self._registry.start(order, set(), self._clock.now())
             run.state.phase = phase
             run.status_due = False
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the writes that are due with the next renewal of the lease."""
         self._writing_status = []
         if not self.loaded:
@@ -134,13 +134,15 @@
             if run.status_due:
                 order, phase = run.state.order, run.state.phase
                 self._writing_status.append((service, order.revision, phase))
-                changes.append(self._wire.status_change(service, phase, order.to))
+                changes.append(
+                    self._wire.status_change(service, phase, order.target_version)
+                )
         self._writing_count = self._change_count
         if changes or self._change_count != self._written_count:
             stored = self._registry.to_stored(self._store.clock_ahead_s)
             value = pack(stored)
             if len(value) <= MAX_PACKED_BYTES:
-                changes.append(RowChange(ROLLOUTS_TABLE, _KEY, value))
+                changes.append(RowWrite(ROLLOUTS_TABLE, _KEY, value))
             else:
                 logger.warning("Roll-outs are too large to persist.", size=len(value))
         return changes
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -12,7 +12,7 @@
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.duties.coordinator import Coordinator
@@ -91,7 +91,7 @@
         self.on_gates: Callable[[RolloutsMessage], object] = lambda _message: None
 
     # --- output -------------------------------------------------------------------
-    def gates(self) -> list[Gate] | None:
+    def gates(self) -> list[RolloutGate] | None:
         """Return the gates that relays get; None while this relay doesn't decide."""
         decides = self.store.loaded and self._parts.coordinator.holds
         return self._registry.gates() if decides else None
@@ -106,7 +106,11 @@
     def target_version(self, service: str) -> str | None:
         """Return the target version of a service's roll-out under way, or None."""
         run = self._registry.runs.get(service)
-        return run.state.order.to if run is not None and run.is_running else None
+        return (
+            run.state.order.target_version
+            if run is not None and run.is_running
+            else None
+        )
 
     def report(self) -> list[dict[str, Any]]:
         """Return the state of all roll-outs, for operators."""
@@ -122,7 +126,7 @@
                 shares = run.verdict.shares
         return {
             "service": service,
-            "to": run.state.order.to,
+            "to": run.state.order.target_version,
             "phase": str(run.state.phase),
             "left_s": round(run.state.deadline - self._parts.clock.now(), 3),
             "evidence": round(evidence.total, 2),
@@ -212,7 +216,7 @@
         logger.info(
             "Roll-out ordered.",
             service=order.service,
-            to=order.to,
+            to=order.target_version,
             duration_s=order.duration,
             revision=order.revision,
             own=sorted(self._registry.current[order.service]),
@@ -237,13 +241,14 @@
         order = state.order
         barred = self._registry.barred_versions(order.service)
         listed = self._parts.view.of_service(order.service)
-        others = [m for m in listed if m.version != order.to]
+        others = [m for m in listed if m.version != order.target_version]
         old = tuple(m.endpoint_id for m in others if m.version not in barred)
         late = state.deadline - now < order.duration * _IGNORE_WARMING_PART
         new = tuple(
             m.endpoint_id
             for m in listed
-            if m.version == order.to and (late or not self._is_warming(m, now))
+            if m.version == order.target_version
+            and (late or not self._is_warming(m, now))
         )
         loads = [report["loads"] for report in reports]
         in_flight = sum(int(load[e][0]) for load in loads for e in old if e in load)
@@ -252,7 +257,7 @@
     def _is_warming(self, member: Member, now: float) -> bool:
         """Return whether an endpoint is still slow after its start."""
         seen = self._first_seen.setdefault(member.endpoint_id, now)
-        return now - seen < member.warming
+        return now - seen < member.warmup_left
 
     def _continue(
         self, run: RolloutRun, verdict: Continue, endpoints: ServiceEndpoints
@@ -267,7 +272,7 @@
             if verdict.full
             else "New version gets a part of the requests again.",
             service=run.state.order.service,
-            to=run.state.order.to,
+            to=run.state.order.target_version,
             evidence=round(run.evidence_summary.total, 2),
             old=len(endpoints.old),
             new=len(endpoints.new),
@@ -285,7 +290,7 @@
                 logger.info(
                     "Roll-out completed.",
                     service=order.service,
-                    to=order.to,
+                    to=order.target_version,
                     left_s=round(run.state.deadline - self._parts.clock.now(), 3),
                     cut=old_in_flight,
                     **run.counts(),
@@ -295,7 +300,7 @@
                 logger.warning(
                     "Roll-out rolled back.",
                     service=order.service,
-                    to=order.to,
+                    to=order.target_version,
                     reason=reason,
                     evidence=round(evidence.total, 2),
                     without_loudest=round(evidence.total_without_worst, 2),
--- a/src/ebonydeal/_internal/relay/duties/usage_store.py
+++ b/src/ebonydeal/_internal/relay/duties/usage_store.py
@@ -8,7 +8,7 @@
 
 import json
 
-from ebonydeal._internal.models.shared import NO_ROW, RowChange
+from ebonydeal._internal.models.shared import NO_ROW, RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.packed_row import (
     MAX_PACKED_BYTES,
@@ -46,7 +46,7 @@
         self._store = store
         self._ledger = ledger
 
-    def open_change(self) -> RowChange:
+    def open_change(self) -> RowWrite:
         """Return the write that stores windows not reported yet."""
         value = pack(self._ledger.open_windows())
         if len(value) > MAX_PACKED_BYTES:
@@ -54,7 +54,7 @@
                 "Open usage windows are too large to store.", size=len(value)
             )
             value = pack({})
-        return RowChange(USAGE_TABLE, _OPEN_KEY, value)
+        return RowWrite(USAGE_TABLE, _OPEN_KEY, value)
 
     async def read_open(self) -> None:
         """Load the previous holder's windows that aren't reported yet."""
@@ -75,8 +75,8 @@
         Returns None where they can't be read.
         """
         body = json.dumps(due.counts, sort_keys=True).encode()
-        change = RowChange(USAGE_TABLE, _key(due.window), body, NO_ROW)
-        old = RowChange(USAGE_TABLE, _key(due.window - _MAX_STORED_WINDOWS), None)
+        change = RowWrite(USAGE_TABLE, _key(due.window), body, NO_ROW)
+        old = RowWrite(USAGE_TABLE, _key(due.window - _MAX_STORED_WINDOWS), None)
         result = await self._store.transact([change, old])
         if not result.applied:
             # Another holder, or an earlier write without a reply, stored counts before.
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -11,7 +11,7 @@
 from xxhash import xxh3_64_hexdigest
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.models.forwarding import ForwardAccount, Process
+from ebonydeal._internal.models.forwarding import EndpointProcess, ForwardAccount
 from ebonydeal._internal.relay.limits.messages import (
     PermitReply,
     ShareReply,
@@ -115,7 +115,7 @@
         self.notices = EndpointNotices()
         self.permits = QuotaBroker(ENDPOINT_BOUNDS, None, self._current_share)
         # By process, when the relay that was told to wait longest may ask again.
-        self._next_permit_at: dict[Process, float] = {}
+        self._next_permit_at: dict[EndpointProcess, float] = {}
         # What this relay may grant as a new lease holder, before it has shares.
         self.startup = StartupGrant(bounds)
         # What this relay may grant as standby.
@@ -397,7 +397,7 @@
         return PermitReply(granted=False, wait=wait, report=encoded)
 
     def _permit_wait(
-        self, account: ForwardAccount, process: Process, now: float, wait: float
+        self, account: ForwardAccount, process: EndpointProcess, now: float, wait: float
     ) -> float:
         """Return the seconds until a relay may ask again, spaced between relays.
 
--- a/src/ebonydeal/_internal/relay/limits/permits.py
+++ b/src/ebonydeal/_internal/relay/limits/permits.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.models.forwarding import Member, Process
+from ebonydeal._internal.models.forwarding import EndpointProcess, Member
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.relay.limits.messages import PermitReply
 from ebonydeal._internal.routing.limits.endpoint_limits import (
@@ -60,7 +60,7 @@
         self._clock = clock
         self._metrics = metrics
         # By process, the limit under which a permit was refused, and until when.
-        self._refused: dict[Process, tuple[float, float]] = {}
+        self._refused: dict[EndpointProcess, tuple[float, float]] = {}
 
     @property
     def needed(self) -> bool:
--- a/src/ebonydeal/_internal/relay/limits/registry_store.py
+++ b/src/ebonydeal/_internal/relay/limits/registry_store.py
@@ -8,7 +8,7 @@
 import json
 from collections.abc import Callable
 
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.limits.granter import Granter
 from ebonydeal._internal.relay.ports import SharedStore
@@ -69,28 +69,28 @@
     def _registry(self) -> ShareRegistry:
         return self._granter.registry
 
-    def changes(self) -> list[RowChange]:
+    def changes(self) -> list[RowWrite]:
         """Return the writes of rows that have changed."""
         self._writing_registry = self._writing_startup = False
         if not self.loaded:
             return []
         return [*self._startup_changes(), *self._registry_changes()]
 
-    def _startup_changes(self) -> list[RowChange]:
+    def _startup_changes(self) -> list[RowWrite]:
         startup = self._granter.startup
         if not startup.is_requested:
             return []
         self._writing_startup = True
         started_at = startup.begin_write(self._clock.now(), self._store.clock_ahead_s)
-        return [RowChange(SHARES_TABLE, _STARTUP_KEY, json.dumps(started_at).encode())]
+        return [RowWrite(SHARES_TABLE, _STARTUP_KEY, json.dumps(started_at).encode())]
 
-    def _registry_changes(self) -> list[RowChange]:
+    def _registry_changes(self) -> list[RowWrite]:
         row = self._registry.next_row(self._alive(), self._clock.now())
         if row == self._registry.row:
             return []
         self._registry.begin_write(row)
         self._writing_registry = True
-        return [RowChange(SHARES_TABLE, _KEY, row.encode())]
+        return [RowWrite(SHARES_TABLE, _KEY, row.encode())]
 
     def wrote(self) -> None:
         """Note that the last changes are stored."""
--- a/src/ebonydeal/_internal/relay/peers/messages.py
+++ b/src/ebonydeal/_internal/relay/peers/messages.py
@@ -15,7 +15,7 @@
 
 
 class RolloutsMessage(TypedDict):
-    """The coordinator's decisions on roll-outs: each `Gate` as a list.
+    """The coordinator's decisions on roll-outs: each `RolloutGate` as a list.
 
     ``read_to`` is the store version up to which it has read all orders.
     """
--- a/src/ebonydeal/_internal/relay/peers/relay_reporter.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reporter.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.relay.peers.messages import ExchangeMessage, ExchangeReply
 from ebonydeal._internal.relay.peers.relay_reports import addresses_hash
 from ebonydeal._internal.relay.peers.rollouts import RolloutReceiver
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.view.deltas import DeltaReceiver
 from ebonydeal._internal.relay.view.view import RelayView
@@ -29,7 +29,7 @@
     incarnation: str
     usage: UsageMeter
     choice: EndpointSelector
-    quota: QuotaGate
+    quota: QuotaLimiter
     limits: LimitsClient
     failing: FailureRates
     suspects: Suspects
--- a/src/ebonydeal/_internal/relay/peers/rollouts.py
+++ b/src/ebonydeal/_internal/relay/peers/rollouts.py
@@ -5,7 +5,7 @@
 
 from mode import Service
 
-from ebonydeal._internal.models.rollouts import Gate, Phase
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.peers.messages import RolloutsMessage
 from ebonydeal._internal.relay.view.view import RelayView
@@ -18,15 +18,15 @@
 _MIN_REPORT_INTERVAL_S = 0.2
 
 
-def encode_gates(gates: list[Gate], read_to: int) -> RolloutsMessage:
+def encode_gates(gates: list[RolloutGate], read_to: int) -> RolloutsMessage:
     """Return the message with gates; orders were read up to ``read_to``."""
     return RolloutsMessage(read_to=read_to, gates=[list(gate) for gate in gates])
 
 
-def _decode_gate(item: list[Any]) -> Gate:
+def _decode_gate(item: list[Any]) -> RolloutGate:
     """Return a gate from a message; raises ValueError, TypeError or IndexError."""
     service, to, revision, phase, shares, canaries, barred = item
-    return Gate(
+    return RolloutGate(
         str(service),
         str(to),
         int(revision),
@@ -69,7 +69,7 @@
                 logger.info(
                     "Roll-out told.",
                     service=gate.service,
-                    to=gate.to,
+                    to=gate.target_version,
                     revision=gate.revision,
                     phase=str(gate.phase),
                     shares=gate.shares,
@@ -91,7 +91,7 @@
                 self.report_now()
 
 
-def _is_logged(known: Gate, gate: Gate) -> bool:
+def _is_logged(known: RolloutGate, gate: RolloutGate) -> bool:
     """Return whether the change of a gate is logged."""
     full = bool(known.shares) and min(known.shares.values()) >= 1.0
     is_full = bool(gate.shares) and min(gate.shares.values()) >= 1.0
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -46,10 +46,10 @@
 from ebonydeal._internal.relay.ports import RelayPorts
 from ebonydeal._internal.relay.requests.connections import EndpointPools
 from ebonydeal._internal.relay.requests.intake import Intake
-from ebonydeal._internal.relay.requests.job import SendParts, SendTerms
-from ebonydeal._internal.relay.requests.moves import MovesParts, StreamMoves
+from ebonydeal._internal.relay.requests.job import SendConfig, SendParts
+from ebonydeal._internal.relay.requests.migrations import MigratorParts, StreamMigrator
 from ebonydeal._internal.relay.requests.notices import NoticeReader
-from ebonydeal._internal.relay.requests.quota import QuotaGate
+from ebonydeal._internal.relay.requests.quota import QuotaLimiter
 from ebonydeal._internal.relay.requests.usage import UsageMeter
 from ebonydeal._internal.relay.view.deltas import DeltaPublisher, DeltaReceiver
 from ebonydeal._internal.relay.view.follower import ConfigTableFollower, MembersFollower
@@ -132,8 +132,8 @@
         self._notices = EndpointNotices()
         self._notices.on_leaving = self.view.process_leaving
         self.view.own_leaving_since = self._notices.leaving_since
-        self._moves = StreamMoves(
-            MovesParts(
+        self._moves = StreamMigrator(
+            MigratorParts(
                 view=self.view,
                 choice=self._choice,
                 outliers=outliers,
@@ -196,7 +196,7 @@
             retries=self._retries,
             pools=self._pools,
             usage=self.usage,
-            moves=self._moves,
+            migrator=self._moves,
             long_prompts=self._long_prompts,
             crashes=self._crashes,
             suspects=self._suspects,
@@ -207,9 +207,9 @@
             clock=clock,
             rng=rng,
             zone=self._node.zone,
-            terms=SendTerms.from_config(self._policy),
+            config=SendConfig.from_config(self._policy),
         )
-        self._quota = QuotaGate(self._limits, clock, bounds, metrics)
+        self._quota = QuotaLimiter(self._limits, clock, bounds, metrics)
         self.intake = Intake(parts, self._quota, self._policy.quota_wait)
         self.clients = RawListener(self.intake.handle, self._cfg.address, opened)
         self._ready = RawListener(self._answer_ready, self._cfg.ready_address, opened)
@@ -443,14 +443,14 @@
         self._choice.forget(endpoint_id)
         self._failing.forget(endpoint_id)
         self._outliers.forget(endpoint_id)
-        self._pools.forget(endpoint_id)
+        self._pools.drop(endpoint_id)
 
     @Service.task
     async def _forget_removed_endpoints(self) -> None:
         """Drop the connections and load of endpoints that are no longer listed."""
         while not self.should_stop:
             await self._clock.sleep(_SWEEP_INTERVAL_S)
-            self._pools.keep_only(self.view.members)
+            self._pools.retain_only(self.view.members)
             self._choice.retain_only(self.view.members)
 
     async def drain(self) -> None:
@@ -463,7 +463,7 @@
         self._reporter.leaving = True
         started_at = self._clock.now()
         deadline = started_at + self._cfg.grace_s - _EXIT_RESERVE_S
-        self.intake.close_by(started_at + self._cfg.settle_s, deadline)
+        self.intake.drain(started_at + self._cfg.settle_s, deadline)
         logger.info("Draining.", in_flight=self.intake.in_flight)
         await self.coordinator.release()
         await self._clock.sleep(self._cfg.settle_s)
--- a/src/ebonydeal/_internal/relay/requests/chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -1,94 +1,95 @@
-"""Which endpoint a request goes to, of those that are listed."""
+"""Choice of the endpoint for a request among those listed."""
 
 from collections.abc import Sequence, Set
 from typing import NamedTuple
 
-from ebonydeal._internal.models.forwarding import EngineShape, Member
+from ebonydeal._internal.models.forwarding import EngineCapabilities, Member
 from ebonydeal._internal.relay.requests.job import Job, SendParts
 from ebonydeal._internal.routing.crashes.crash_evidence import QuarantineStatus
 from ebonydeal._internal.routing.placement.endpoint_selector import SelectionRequest
 
-# Requests' lengths are guesses, right at the median: so much longer is allowed.
-_DURATION_SPREAD = 1.5
+# Expected durations are right at the median only: a request may take this many times
+# longer.
+_DURATION_MARGIN = 1.5
 
 
-class Found(NamedTuple):
+class EndpointChoice(NamedTuple):
     """The endpoint for the next send.
 
-    ``missed`` are the tokens that it must read, ``expected`` the seconds to
-    the first event where that is known. ``source`` is the address of an
-    endpoint to fetch parts of the prompt from, or empty.
+    ``uncached_tokens`` are those that it must prefill, ``expected`` the seconds to
+    the first event, if known. ``source`` is the address of an endpoint to fetch the
+    KV cache of parts of the prompt from, or empty.
     """
 
     member: Member
-    missed: float
+    uncached_tokens: float
     expected: float | None
     source: str = ""
 
 
-class Chooser:
-    """Chooses among what the relay knows of endpoints, for one request."""
+class EndpointChooser:
+    """Chooses endpoints for one request by what the relay knows of them."""
 
     def __init__(self, parts: SendParts, job: Job) -> None:
         self._parts = parts
         self._job = job
-        # Whether the request was already counted for the new version's part.
-        self._asked = False
-        # Endpoints that rested, or had no room in their limits, at the last choice.
-        self.without_room: list[str] = []
+        # Whether the request already took part in the roll-out's traffic split.
+        self._split_done = False
+        # Endpoints in backoff, or at their rate limit, at the last choice.
+        self.unavailable: list[str] = []
 
     @property
-    def engine(self) -> EngineShape | None:
-        """What the engines of the service can do; None for plain services."""
+    def engine(self) -> EngineCapabilities | None:
+        """Capabilities of the service's engines; None for plain services."""
         index = self._parts.view.index
         service = None if index is None else index.table.services.get(self._job.service)
         return None if service is None else service.engine
 
     def ask(self, connected: frozenset[str] = frozenset()) -> SelectionRequest:
-        """Return what a choice needs to know; ``connected`` matters to it alone."""
+        """Return the input of a choice; ``connected`` ones have an idle connection."""
         req, engine = self._job.req, self.engine
-        fetches = engine is not None and engine.moves
+        can_fetch = engine is not None and engine.can_migrate_runs
         tokens = req.prompt_tokens or 0
-        return SelectionRequest(req.parts, tokens, self._parts.zone, fetches, connected)
+        return SelectionRequest(req.parts, tokens, self._parts.zone, can_fetch, connected)
 
-    def find(self, avoid: Set[str], again: bool = False) -> Found | None:
+    def find(self, avoid: Set[str], resend: bool = False) -> EndpointChoice | None:
         """Return the best endpoint that isn't among ``avoid``, or None.
 
-        ``again`` says that the request was sent before: while a new version is
-        watched, repeats go to the old one.
+        ``resend`` says that the request was sent before: during a roll-out, resends
+        go to the old version.
         """
         parts, job = self._parts, self._job
         now = parts.clock.now()
-        listed = self._open(avoid, now)
+        listed = self._available(avoid, now)
         if not parts.split.has_rollout(job.service):
             return self._best(listed, now)
-        first, self._asked = not self._asked, True
+        first, self._split_done = not self._split_done, True
         part = parts.split.choose_version(
-            job.service, job.route.name, listed, now, again, first
+            job.service, job.route.name, listed, now, resend, first
         )
         found = self._best(part.members, now)
         if found is None and part.is_new:
-            # None of the new endpoints can be asked now.
+            # No endpoint of the new version can take the request now.
             part = parts.split.choose_version(
                 job.service, job.route.name, listed, now, again=True, first=False
             )
             found = self._best(part.members, now)
         return found
 
-    def _open(self, avoid: Set[str], now: float) -> list[Member]:
-        """Return the endpoints that may be asked now."""
+    def _available(self, avoid: Set[str], now: float) -> list[Member]:
+        """Return the endpoints that may get a request now."""
         permits = self._parts.permits
         listed = [m for m in self._listed(now) if m.endpoint_id not in avoid]
         if not permits.needed:
             return listed
-        closed = {m.endpoint_id for m in listed if permits.wait(m, now) > 0.0}
-        self.without_room = sorted(closed)
-        return [m for m in listed if m.endpoint_id not in closed]
+        unavailable = {m.endpoint_id for m in listed if permits.wait(m, now) > 0.0}
+        self.unavailable = sorted(unavailable)
+        return [m for m in listed if m.endpoint_id not in unavailable]
 
-    def opens_in(self, avoid: Set[str]) -> float | None:
-        """Return when the first one that rests or lacks room may be asked, seconds.
+    def available_in(self, avoid: Set[str]) -> float | None:
+        """Return the seconds until the first backoff or limit permits a send.
 
-        None where there is no such endpoint.
+        None if no endpoint is in backoff or at its limit.
         """
         now = self._parts.clock.now()
         waits = [
@@ -98,17 +99,17 @@
         ]
         return min((wait for wait in waits if wait > 0.0), default=None)
 
-    def _best(self, listed: Sequence[Member], now: float) -> Found | None:
+    def _best(self, listed: Sequence[Member], now: float) -> EndpointChoice | None:
         """Return the best one of these endpoints, or None."""
         parts, job = self._parts, self._job
         allowed = parts.outliers.allowed(listed, now)
         if parts.suspects.status(job.digest) is QuarantineStatus.SUSPECT:
-            return self._apart(allowed)
+            return self._isolate(allowed)
         failing = parts.failing.failing_endpoints(now)
         if job.req.prompt_tokens is None:
             member = parts.choice.select_plain(parts.zone, allowed, failing)
-            return None if member is None else Found(member, 0.0, None)
-        ask = self.ask(parts.pools.connected())
+            return None if member is None else EndpointChoice(member, 0.0, None)
+        ask = self.ask(parts.pools.connected_endpoints())
         score = parts.choice.select_engine(ask, allowed, now, failing)
         if score is None:
             return None
@@ -120,15 +121,15 @@
         )
         members = parts.view.members
         source = members[score.source].address if score.source else ""
-        return Found(
+        return EndpointChoice(
             members[score.endpoint_id], score.uncached_tokens, expected, source
         )
 
-    def _apart(self, allowed: Sequence[Member]) -> Found | None:
-        """Return where a request that may bring its endpoint down costs least.
+    def _isolate(self, allowed: Sequence[Member]) -> EndpointChoice | None:
+        """Return the endpoint where a request suspected of crashes does least harm.
 
-        That is where no other such request is, so that a crash tells them apart, and
-        where fewest requests are at work, which a crash would take with it.
+        That is one without another suspect, so that a crash tells them apart, and
+        with the fewest requests in flight, which a crash would break off.
         """
         if not allowed:
             return None
@@ -143,26 +144,26 @@
                 endpoint_id,
             )
 
-        # Without an expectation it isn't refused for being late there.
+        # Without an expected time it isn't refused as late.
         tokens = self._job.req.prompt_tokens or 0
-        return Found(min(allowed, key=key), float(tokens), None)
+        return EndpointChoice(min(allowed, key=key), float(tokens), None)
 
     def _listed(self, now: float) -> list[Member]:
         """Return the endpoints that may get the request.
 
-        One that leaves gets what likely ends in time, since zones that are
-        taken back are missed most in their last seconds; all requests where no
-        other is left.
+        One that leaves gets requests that likely end in time, since capacity is
+        scarcest in the last seconds of a zone that is reclaimed. If no other endpoint
+        is left, it gets all requests.
         """
         parts, job = self._parts, self._job
-        listed = list(parts.view.of_service(job.service))
+        staying = list(parts.view.of_service(job.service))
         leaving = parts.view.recently_leaving(job.service, now)
-        if not listed:
+        if not staying:
             return [member for member, _left in leaving]
-        if not parts.terms.use_leaving:
-            return listed
-        needed = self._duration() * _DURATION_SPREAD
-        return listed + [member for member, left in leaving if needed < left]
+        if not parts.config.use_leaving:
+            return staying
+        needed = self._duration() * _DURATION_MARGIN
+        return staying + [member for member, left in leaving if needed < left]
 
     def _duration(self) -> float:
         """Return the seconds that the request is expected to run."""
--- a/src/ebonydeal/_internal/relay/view/leaving.py
+++ b/src/ebonydeal/_internal/relay/view/leaving.py
@@ -26,7 +26,7 @@
 
 
 def _key(member: Member) -> tuple[str, int]:
-    return member.endpoint_id, member.born
+    return member.endpoint_id, member.incarnation
 
 
 class LeavingTimes(Service):
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
-from ebonydeal._internal.models.forwarding import Member, Process, RouteTable
+from ebonydeal._internal.models.forwarding import EndpointProcess, Member, RouteTable
 from ebonydeal._internal.models.rollouts import RolloutOrder
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.relay.view.versions import KnownVersions
@@ -40,10 +40,10 @@
 
 def _differs(known: Member, member: Member) -> bool:
     """Return whether a change of an entry is worth a log line."""
-    return (known.leaving, known.withheld, known.born) != (
+    return (known.leaving, known.unreadable, known.incarnation) != (
         member.leaving,
-        member.withheld,
-        member.born,
+        member.unreadable,
+        member.incarnation,
     )
 
 
@@ -89,7 +89,7 @@
         self._changed: deque[str] = deque(maxlen=_MAX_CHANGES)
         self._leaving_since: dict[str, float] = {}
         # Returns since when a process leaves by its own report, or None.
-        self.own_leaving_since: Callable[[Process], float | None] = lambda _process: (
+        self.own_leaving_since: Callable[[EndpointProcess], float | None] = lambda _: (
             None
         )
         self._leave_times: dict[str, float] = {}
@@ -128,7 +128,7 @@
         if self.versions.orders != known:
             logger.info(
                 "Roll-out orders changed.",
-                orders={s: [o.to, o.revision] for s, o in orders.items()},
+                orders={s: [o.target_version, o.revision] for s, o in orders.items()},
                 version=read_to,
                 source=source,
             )
@@ -181,7 +181,7 @@
         found = []
         for endpoint_id, since in self._leaving_since.items():
             member = self.members[endpoint_id]
-            if member.withheld or endpoint_id in self._awaiting_orders:
+            if member.unreadable or endpoint_id in self._awaiting_orders:
                 continue
             left = self._last_resort_s - (now - since)
             gone = self._leave_times.get(endpoint_id)
@@ -232,10 +232,11 @@
         removal = self._removed.get(member.endpoint_id, _NEVER_REMOVED)
         if removal.version >= member.revision:
             return
-        if member.born < max(removal.born, 0 if known is None else known.born):
+        if member.incarnation < max(removal.born, 0 if known is None else known.incarnation
+        ):
             # A late entry of an endpoint that has restarted since.
             return
-        if known is not None and member.born > known.born:
+        if known is not None and member.incarnation > known.incarnation:
             self._forget_restarted(known, member)
         if known is None or known.version != member.version:
             self._has_new_versions |= self.versions.note_listed(member)
@@ -254,8 +255,8 @@
                 leaving=member.leaving,
                 leaves_in=member.leaves_in,
                 reclaimable=member.reclaimable,
-                withheld=member.withheld,
-                born=member.born,
+                withheld=member.unreadable,
+                born=member.incarnation,
             )
         self._record_change(member.endpoint_id)
 
@@ -264,7 +265,7 @@
         if not self.receives_deltas():
             logger.info(event, **values)
 
-    def process_leaving(self, process: Process) -> None:
+    def process_leaving(self, process: EndpointProcess) -> None:
         """Apply a process's own report that it leaves; see `own_leaving_since`."""
         known = self.members.get(process.endpoint_id)
         since = self.own_leaving_since(process)
@@ -282,8 +283,8 @@
     def mark_unreadable(self, endpoint_id: str, version: int) -> None:
         """Give an endpoint no new work until its entry can be decoded again."""
         known = self.members.get(endpoint_id)
-        if known is not None and not known.withheld:
-            self.put(known._replace(revision=version, withheld=True))
+        if known is not None and not known.unreadable:
+            self.put(known._replace(revision=version, unreadable=True))
 
     def _forget_restarted(self, known: Member, member: Member) -> None:
         """Forget what was learned of an endpoint before it restarted."""
@@ -293,8 +294,8 @@
         logger.info(
             "Endpoint started again.",
             endpoint=endpoint_id,
-            born=member.born,
-            before=known.born,
+            born=member.incarnation,
+            before=known.incarnation,
         )
         self.on_restart(endpoint_id)
 
@@ -313,7 +314,7 @@
         """Drop an endpoint that is no longer listed."""
         known = self.members.get(endpoint_id)
         before = self._removed.pop(endpoint_id, _NEVER_REMOVED)
-        born = before.born if known is None else max(before.born, known.born)
+        born = before.born if known is None else max(before.born, known.incarnation)
         self._removed[endpoint_id] = _Removal(max(version, before.version), born)
         if known is None or known.revision > version:
             return
@@ -391,7 +392,7 @@
                 self.on_orders_needed()
         grouped: dict[str, list[Member]] = {}
         for member in self.members.values():
-            if member.leaving or member.withheld:
+            if member.leaving or member.unreadable:
                 continue
             if member.endpoint_id not in self._awaiting_orders:
                 grouped.setdefault(member.service, []).append(member)
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -180,7 +180,7 @@
     wanted = required.one_zone_lost - (total - lost)
     if spot_offered and state.reclaim_burst and config.on_demand_utilization_in_burst:
         wanted = ceil(state.load / config.on_demand_utilization_in_burst)
-    minimum = dict.fromkeys(zones, scaling.least)
+    minimum = dict.fromkeys(zones, scaling.min_endpoints)
     if not config.fill_min_on_demand:
         minimum.update(dict.fromkeys(state.zones_without_spot, 0))
     on_demand = _fill_on_demand(scaling, zones, current, spot, wanted, kept, minimum)
@@ -221,11 +221,11 @@
 ) -> dict[str, int]:
     """Spread reclaimable endpoints so that the loss of zones leaves enough."""
     # The upper bound applies to both kinds together.
-    room = {zone: max(0, scaling.most - kept[zone]) for zone in zones}
+    room = {zone: max(0, scaling.max_endpoints - kept[zone]) for zone in zones}
     # A zone where no more are available keeps those it has.
     spot = {
         zone: min(
-            current[zone].spot if zone in zones_without_spot else scaling.least,
+            current[zone].spot if zone in zones_without_spot else scaling.min_endpoints,
             room[zone],
         )
         for zone in zones
@@ -254,12 +254,13 @@
     """Return on-demand endpoints: ``wanted``, and those kept until others serve."""
     on_demand = {
         zone: min(
-            max(kept[zone], minimum[zone] - spot[zone]), scaling.most - spot[zone]
+            max(kept[zone], minimum[zone] - spot[zone]),
+            scaling.max_endpoints - spot[zone]
         )
         for zone in zones
     }
     while sum(on_demand.values()) < wanted:
-        open_zones = [z for z in zones if spot[z] + on_demand[z] < scaling.most]
+        open_zones = [z for z in zones if spot[z] + on_demand[z] < scaling.max_endpoints]
         if not open_zones:
             break
         prices = scaling.zone_prices
--- a/src/ebonydeal/_internal/routing/limits/endpoint_limits.py
+++ b/src/ebonydeal/_internal/routing/limits/endpoint_limits.py
@@ -6,7 +6,7 @@
 maps the limit to an account in which each request costs 1, and defines its tolerance.
 """
 
-from ebonydeal._internal.models.forwarding import ForwardAccount, Process
+from ebonydeal._internal.models.forwarding import EndpointProcess, ForwardAccount
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 
 WINDOW_S = 4.0
@@ -33,14 +33,14 @@
     return _MAX_LOAD_FACTOR * limit * WINDOW_S + _MAX_EXTRA_REQUESTS
 
 
-def limit_account(process: Process, limit: float) -> ForwardAccount:
+def limit_account(process: EndpointProcess, limit: float) -> ForwardAccount:
     """Return an endpoint's limit, requests a second, as an account for `QuotaBroker`.
 
     The account counts as one in tokens, so that its tolerance includes the slack.
     """
     rate = max(limit, _MIN_RATE_PER_S)
     return ForwardAccount(
-        name=f"{process.endpoint_id}/{process.born}",
+        name=f"{process.endpoint_id}/{process.incarnation}",
         keys=(),
         priority=None,
         rate=rate,
--- a/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 
 # The lower limit stays in force for this long after a limit rose. The end of a limit is
 # reported to other relays for this long.
@@ -36,7 +36,7 @@
     the answer that announced it, seconds.
     """
 
-    process: Process
+    process: EndpointProcess
     limit: float | None
     age: float
 
@@ -49,7 +49,7 @@
         """Build from another relay's JSON; raises ValueError or TypeError."""
         endpoint_id, born, limit, age = message
         return cls(
-            Process(str(endpoint_id), int(born)),
+            EndpointProcess(str(endpoint_id), int(born)),
             None if limit is None else max(0.0, float(limit)),
             max(0.0, float(age)),
         )
@@ -71,16 +71,16 @@
     """What all processes of endpoints announced."""
 
     def __init__(self) -> None:
-        self._limits: dict[Process, _Limit] = {}
+        self._limits: dict[EndpointProcess, _Limit] = {}
         # Until when a process wants no requests from this relay.
-        self._backoff_until: dict[Process, float] = {}
+        self._backoff_until: dict[EndpointProcess, float] = {}
         # When a process announced that it is leaving.
-        self._leaving: dict[Process, float] = {}
+        self._leaving: dict[EndpointProcess, float] = {}
         # Called with each process that announces that it is leaving.
-        self.on_leaving: Callable[[Process], None] = lambda _process: None
+        self.on_leaving: Callable[[EndpointProcess], None] = lambda _process: None
 
     # --- backoff -------------------------------------------------------------
-    def note_backoff(self, process: Process, seconds: float, now: float) -> bool:
+    def note_backoff(self, process: EndpointProcess, seconds: float, now: float) -> bool:
         """Note for how long a process wants no requests; return whether it extends."""
         until = now + min(seconds, _MAX_BACKOFF_S)
         if until <= self._backoff_until.get(process, now):
@@ -89,12 +89,12 @@
         self._backoff_until[process] = until
         return True
 
-    def backoff_remaining(self, process: Process, now: float) -> float:
+    def backoff_remaining(self, process: EndpointProcess, now: float) -> float:
         """Return the seconds for which a process still wants no requests."""
         return max(0.0, self._backoff_until.get(process, now) - now)
 
     # --- leaving -------------------------------------------------------------
-    def note_leaving(self, process: Process, at: float) -> bool:
+    def note_leaving(self, process: EndpointProcess, at: float) -> bool:
         """Note that a process is leaving; return whether that is new.
 
         It can't be taken back: a process that stays after all must restart.
@@ -107,7 +107,7 @@
         self.on_leaving(process)
         return True
 
-    def leaving_since(self, process: Process) -> float | None:
+    def leaving_since(self, process: EndpointProcess) -> float | None:
         """Return when a process announced that it is leaving; None if it didn't."""
         return self._leaving.get(process)
 
@@ -119,18 +119,20 @@
             if now - at <= _LEAVING_REPORT_TTL_S
         ]
 
-    def merge_leaving(self, messages: Iterable[list], now: float) -> list[Process]:
+    def merge_leaving(
+        self, messages: Iterable[list], now: float
+    ) -> list[EndpointProcess]:
         """Merge another relay's reports; return the processes that are new."""
         new = []
         for endpoint_id, born, age in messages:
-            process = Process(str(endpoint_id), int(born))
+            process = EndpointProcess(str(endpoint_id), int(born))
             if self.note_leaving(process, now - max(0.0, float(age))):
                 new.append(process)
         return new
 
     # --- limits --------------------------------------------------------------
     def note_limit(
-        self, process: Process, limit: float | None, sent_at: float, now: float
+        self, process: EndpointProcess, limit: float | None, sent_at: float, now: float
     ) -> bool:
         """Note the limit in an answer; return whether the known limit changed.
 
@@ -151,7 +153,12 @@
         return self._update(report.process, report.limit, at, False, now)
 
     def _update(
-        self, process: Process, limit: float | None, at: float, own: bool, now: float
+        self,
+        process: EndpointProcess,
+        limit: float | None,
+        at: float,
+        own: bool,
+        now: float,
     ) -> bool:
         known = self._limits.get(process)
         if known is None:
@@ -181,13 +188,13 @@
         """Whether any process may have a limit or a backoff."""
         return bool(self._limits or self._backoff_until)
 
-    def accepts_moved_streams(self, process: Process, now: float) -> bool:
+    def accepts_moved_streams(self, process: EndpointProcess, now: float) -> bool:
         """Return whether streams may be moved to a process without a permit."""
         return self.limit(process, now) is None and not self.backoff_remaining(
             process, now
         )
 
-    def limit(self, process: Process, now: float) -> float | None:
+    def limit(self, process: EndpointProcess, now: float) -> float | None:
         """Return the limit of a process, requests a second; None if it has none."""
         known = self._limits.get(process)
         if known is None or known.limit is None:
@@ -196,12 +203,12 @@
             return min(known.limit, known.lower)
         return known.limit
 
-    def active_limits(self, now: float) -> dict[Process, float]:
+    def active_limits(self, now: float) -> dict[EndpointProcess, float]:
         """Return the limits of all processes that have one."""
         limits = {process: self.limit(process, now) for process in self._limits}
         return {p: limit for p, limit in limits.items() if limit is not None}
 
-    def limit_report(self, process: Process, now: float) -> LimitReport | None:
+    def limit_report(self, process: EndpointProcess, now: float) -> LimitReport | None:
         """Return the report of a process's limit, None if none is known."""
         known = self._limits.get(process)
         if known is None:
--- a/src/ebonydeal/_internal/routing/rollout/rollout_state.py
+++ b/src/ebonydeal/_internal/routing/rollout/rollout_state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.routing.rollout.evidence import (
     Evidence,
     EvidenceSummary,
@@ -297,7 +297,7 @@
         faulty = evidence.worst_endpoint if evidence.total >= self.config.doubt else ""
         return tuple(sorted(endpoints.new, key=lambda e: (e == faulty, e)))
 
-    def gate(self, verdict: Verdict, barred: tuple[str, ...]) -> Gate:
+    def gate(self, verdict: Verdict, barred: tuple[str, ...]) -> RolloutGate:
         """Return the gate that relays get."""
         order = self.order
         shares: dict[str, float] = {}
@@ -305,9 +305,9 @@
         match verdict:
             case Continue():
                 shares, canaries = verdict.shares, verdict.canaries
-        return Gate(
+        return RolloutGate(
             order.service,
-            order.to,
+            order.target_version,
             order.revision,
             self.phase,
             shares,
--- a/src/ebonydeal/_internal/routing/rollout/traffic_split.py
+++ b/src/ebonydeal/_internal/routing/rollout/traffic_split.py
@@ -14,7 +14,7 @@
 from xxhash import xxh3_64_intdigest
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.models.rollouts import Gate, Phase, RolloutOrder
+from ebonydeal._internal.models.rollouts import Phase, RolloutGate, RolloutOrder
 from ebonydeal._internal.routing.rollout.tally import (
     FAILED,
     Counts,
@@ -99,7 +99,7 @@
         self, order: RolloutOrder, previous: "_RolloutAtRelay | None" = None
     ) -> None:
         self.order = order
-        self.gate: Gate | None = None
+        self.gate: RolloutGate | None = None
         # Versions that get no requests, until the coordinator sends a gate.
         self.barred = () if previous is None else previous.barred_after(order)
         self.gate_received_at = 0.0
@@ -121,8 +121,8 @@
         """
         barred = set(self.barred if self.gate is None else self.gate.barred)
         if self.gate is None or self.gate.phase is not Phase.COMPLETED:
-            barred.add(self.order.to)
-        return tuple(sorted(barred - {order.to}))
+            barred.add(self.order.target_version)
+        return tuple(sorted(barred - {order.target_version}))
 
     @property
     def is_running(self) -> bool:
@@ -186,12 +186,14 @@
             if rollout.gate is None:
                 del self._rollouts[service]
 
-    def apply_gates(self, gates: Sequence[Gate], now: float) -> None:
+    def apply_gates(self, gates: Sequence[RolloutGate], now: float) -> None:
         """Apply the coordinator's gates; a verdict is never reverted."""
         for gate in gates:
             rollout = self._rollouts.get(gate.service)
             if rollout is None or rollout.order.revision < gate.revision:
-                order = RolloutOrder(gate.service, gate.to, 0.0, gate.revision)
+                order = RolloutOrder(
+                    gate.service, gate.target_version, 0.0, gate.revision
+                )
                 rollout = self._rollouts[gate.service] = _RolloutAtRelay(order, rollout)
             if rollout.order.revision > gate.revision:
                 continue
@@ -205,7 +207,7 @@
                 # Counting stops here, as the tally would grow with each new endpoint.
                 rollout.tally = _decided(rollout.tally)
 
-    def apply_verdicts(self, gates: Sequence[Gate]) -> None:
+    def apply_verdicts(self, gates: Sequence[RolloutGate]) -> None:
         """Apply the verdicts, not the shares, of a relay that isn't the coordinator."""
         for gate in gates:
             rollout = self._rollouts.get(gate.service)
@@ -238,7 +240,7 @@
         if rollout is None:
             return VersionChoice(members)
         gate = rollout.gate
-        to = rollout.order.to
+        to = rollout.order.target_version
         barred = rollout.barred if gate is None else gate.barred
         new = [m for m in members if m.version == to]
         old = [m for m in members if m.version != to and m.version not in barred]
@@ -281,7 +283,7 @@
         tally = rollout.tally
         if first:
             tally["requests"][route] = tally["requests"].get(route, 0) + 1
-        if member.version != rollout.order.to:
+        if member.version != rollout.order.target_version:
             return False
         tally["exposed"][route] = tally["exposed"].get(route, 0) + 1
         rollout.credit[route] = max(0.0, self._credit(rollout, route) - 1.0)
@@ -331,7 +333,7 @@
         if rollout is None:
             return False
         self._count(service, route, member, FAILED)
-        return member.version == rollout.order.to
+        return member.version == rollout.order.target_version
 
     def _update_usual_time(self, route: str, seconds: float) -> None:
         known = self._usual_log_times.get(route, log(seconds))
@@ -341,7 +343,7 @@
 
     def _is_new(self, answer: AwaitedAnswer) -> bool:
         rollout = self._rollouts.get(answer.service)
-        return rollout is not None and answer.member.version == rollout.order.to
+        return rollout is not None and answer.member.version == rollout.order.target_version
 
     def _count_pending(self, pending: _PendingAnswer, took: float) -> None:
         answer = pending.answer
@@ -373,7 +375,7 @@
         if rollout is None:
             return
         tally = rollout.tally
-        if member.version == rollout.order.to:
+        if member.version == rollout.order.target_version:
             by_endpoint = tally["new"].setdefault(route, {})
             counts = by_endpoint.setdefault(member.endpoint_id, empty_counts())
         else:
@@ -397,6 +399,6 @@
             rollout.reported_bad = bad
         return found
 
-    def gates(self) -> list[Gate]:
+    def gates(self) -> list[RolloutGate]:
         """Return the gates of this relay, for others that start."""
         return [r.gate for r in self._rollouts.values() if r.gate is not None]
--- a/src/ebonydeal/_internal/soak/endpoints.py
+++ b/src/ebonydeal/_internal/soak/endpoints.py
@@ -9,15 +9,15 @@
 from aiohttp import web
 
 from ebonydeal._internal.models.forwarding import Member
-from ebonydeal._internal.platform.rehearsal import (
+from ebonydeal._internal.platform.server_side import (
     MOVE_PATH,
     REPORT_PATH,
     answer_headers,
-    moved_body,
+    migration_body,
     not_run_headers,
     notice_headers,
-    read_arrival,
-    read_move,
+    read_migration_order,
+    read_received_request,
     report_body,
 )
 from ebonydeal._internal.soak.proxy import Proxy
@@ -125,7 +125,7 @@
         return await self._run(req)
 
     async def _move(self, req: web.BaseRequest) -> web.Response:
-        request_id, _target = read_move(json.loads(await req.read()))
+        request_id, _target = read_migration_order(json.loads(await req.read()))
         stopped = self._stopped.get(request_id)
         if stopped is None:
             return web.Response(status=404)
@@ -133,12 +133,12 @@
         self._handles += 1
         handle = f"{self.name}-{self._handles}"
         self._memory[f"{self.proxy.address}/{handle}"] = request_id
-        return web.json_response(moved_body(handle))
+        return web.json_response(migration_body(handle))
 
     async def _run(self, req: web.BaseRequest) -> web.StreamResponse:
-        got = read_arrival(req.headers)
+        got = read_received_request(req.headers)
         body = await req.read()
-        if got.expected != self.name:
+        if got.expected_endpoint != self.name:
             return web.Response(status=421)
         relay = req.headers.get(RELAY_HEADER, "")
         self._log.arrived.append(
@@ -147,7 +147,7 @@
         says = self._says(relay)
         if self.rest > 0.0:
             return web.Response(status=503, headers=not_run_headers() | says)
-        if got.carried and self._memory.pop(got.carried, "") != got.request_id:
+        if got.kv_cache and self._memory.pop(got.kv_cache, "") != got.request_id:
             return web.Response(status=503, headers=not_run_headers())
         self._log.runs.append(
             Run(
@@ -157,7 +157,7 @@
                 got.account,
                 time.monotonic(),
                 time.time(),
-                bool(got.carried),
+                bool(got.kv_cache),
                 self.version,
             )
         )
--- a/src/ebonydeal/_internal/soak/platform.py
+++ b/src/ebonydeal/_internal/soak/platform.py
@@ -9,8 +9,9 @@
 
 from aiohttp import web
 
-from ebonydeal._internal.models.shared import RowChange, SharedRow
-from ebonydeal._internal.platform.rehearsal import (
+from ebonydeal._internal.models.shared import RowWrite, SharedRow
+from ebonydeal._internal.platform.rows import STATUS_TABLE, decode_status
+from ebonydeal._internal.platform.server_side import (
     FEED_PATH,
     ORDER_PATH,
     ROWS_PATH,
@@ -21,7 +22,6 @@
     read_write,
     rows_body,
 )
-from ebonydeal._internal.platform.rows import STATUS_TABLE, decode_status
 from ebonydeal._internal.soak.records import Log, Report, Status
 
 # Polls that are under way at the end are cut.
@@ -61,10 +61,10 @@
 
     async def put(self, table: str, key: str, value: bytes | None) -> float:
         """Write as the operator or an endpoint does; returns when it was done."""
-        await self._apply([RowChange(table, key, value)])
+        await self._apply([RowWrite(table, key, value)])
         return time.monotonic()
 
-    async def _apply(self, changes: list[RowChange]) -> None:
+    async def _apply(self, changes: list[RowWrite]) -> None:
         self._version += 1
         for change in changes:
             row = SharedRow(change.key, change.value, self._version)
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.functional.relay.test_stream import whole
+from tests.functional.relay.test_stream import whole_stream
 from tests.lib.raw_endpoints import RawEndpoint, chunk, events, stream_head
 from tests.lib.relay_fakes import ask, running, until
 
@@ -27,14 +27,14 @@
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
-            await until(lambda: program.view.members["i1"].born == 1_000)
-            rest = whole(3, 4)
+            await until(lambda: program.view.members["i1"].incarnation == 1_000)
+            rest = whole_stream(3, 4)
             one.script = [
                 restart_while_answering(store, one, partial_answer=True),
                 rest,
             ]
             status, _headers, body = await ask(program, "/again/", method="POST")
-            await until(lambda: program.view.members["i1"].born == 2_000)
+            await until(lambda: program.view.members["i1"].incarnation == 2_000)
         assert (status, body) == (200, events(1, 4))
         assert "Last-Event-Id: 2" in one.seen[1]
 
@@ -42,10 +42,10 @@
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
-            await until(lambda: program.view.members["i1"].born == 1_000)
+            await until(lambda: program.view.members["i1"].incarnation == 1_000)
             one.script = [restart_while_answering(store, one, partial_answer=False)]
             status, _headers, _body = await ask(program, "/once/", method="POST")
-            await until(lambda: program.view.members["i1"].born == 2_000)
+            await until(lambda: program.view.members["i1"].incarnation == 2_000)
         assert status == 502
         assert len(one.seen) == 1
 
@@ -53,12 +53,12 @@
         one = RawEndpoint("i1")
         async with running(one) as (program, store):
             await store.put("servers", "i1", one.row(born=1_000))
-            await until(lambda: program.view.members["i1"].born == 1_000)
+            await until(lambda: program.view.members["i1"].incarnation == 1_000)
             assert (await ask(program, "/safe/"))[0] == 200
-            assert program._pools.connected() == {"i1"}
+            assert program._pools.connected_endpoints() == {"i1"}
             await store.put("servers", "i1", one.row(born=2_000))
-            await until(lambda: program.view.members["i1"].born == 2_000)
-            assert program._pools.connected() == frozenset()
+            await until(lambda: program.view.members["i1"].incarnation == 2_000)
+            assert program._pools.connected_endpoints() == frozenset()
             assert program._choice.own_loads() == {}
             assert (await ask(program, "/safe/", rid="r2"))[0] == 200
         assert one.connections == 2
--- a/tests/lib/endpoint_limit_model.py
+++ b/tests/lib/endpoint_limit_model.py
@@ -5,7 +5,7 @@
 """
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 from ebonydeal._internal.routing.limits.endpoint_limits import (
     WINDOW_S,
     max_requests_per_window,
@@ -13,7 +13,7 @@
 from tests.lib.limits_cluster import limited_account, quota_bounds
 from tests.lib.shares_model import SharesModel
 
-ENDPOINT = Process("i1", 7)
+ENDPOINT = EndpointProcess("i1", 7)
 # A relay is bound by the limit from this long after the answer that announced it.
 _KNOWN_AFTER_S = 0.5
 # Requests that a relay sends in a step while it knows of no limit.
--- a/tests/unit/relay/crashes/test_crash_detector.py
+++ b/tests/unit/relay/crashes/test_crash_detector.py
@@ -84,8 +84,8 @@
             assert seen == []
 
     async def test_an_endpoint_that_restarted_since_is_no_crash(self, closed_port):
-        async with running_detector(member(closed_port, born=2)) as (detector, seen):
-            detector.connection_broken(member(closed_port, born=1), "a")
+        async with running_detector(member(closed_port, incarnation=2)) as (detector, seen):
+            detector.connection_broken(member(closed_port, incarnation=1), "a")
             await asyncio.sleep(0.05)
             assert seen == []
 
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -16,7 +16,7 @@
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.routing.crashes.crash_evidence import CrashEvidence
 from tests.lib.clock import ManualClock
-from tests.unit.relay.requests.test_job_sends import MEMBERS, MOVED, job, parts
+from tests.unit.relay.requests.test_job_sends import MEMBERS, MIGRATED, job, parts
 
 
 class Relay:
@@ -165,7 +165,7 @@
         relay = Relay()
         relay.crash(0, "other")
         sends = self.sends(relay)
-        sends.chooser._apart = lambda _allowed: pytest.fail("it isn't suspected")
+        sends.chooser._isolate = lambda _allowed: pytest.fail("it isn't suspected")
         assert await sends.choose()
 
     async def test_a_quarantined_request_isnt_sent_again(self):
@@ -174,7 +174,7 @@
         await sends.choose()
         for number in range(3):
             relay.crash(number, "fatal")
-        sends.after(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
+        sends.check_resend(MayHaveRun(ErrorKind.ENDPOINT_FAILED, "reset"))
         with pytest.raises(EbonydealError) as caught:
             await sends.choose()
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
@@ -188,7 +188,7 @@
         for number in range(3):
             relay.crash(number, "fatal")
         with pytest.raises(EbonydealError) as caught:
-            await sends.go_on(MOVED)
+            await sends.resume(MIGRATED)
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
 
     async def test_a_stopped_run_isnt_sent_again(self):
@@ -198,6 +198,6 @@
         for number in range(3):
             relay.crash(number, "fatal")
         with pytest.raises(EbonydealError) as caught:
-            sends.after(relay.suspects.stopped_outcome("fatal"))
+            sends.check_resend(relay.suspects.stopped_outcome("fatal"))
         assert caught.value.kind is ErrorKind.REQUEST_QUARANTINED
         assert caught.value.outcome is Outcome.UNKNOWN
--- a/tests/unit/relay/duties/test_fleet.py
+++ b/tests/unit/relay/duties/test_fleet.py
@@ -4,7 +4,7 @@
 
 from ebonydeal._internal.models.forwarding import (
     ClientLimits,
-    EngineShape,
+    EngineCapabilities,
     ForwardService,
     Member,
     RouteTable,
@@ -19,7 +19,7 @@
 
 PRICES = {"a": 1.0, "b": 1.0, "c": 1.0}
 SCALING = Scaling(1, 6, 4.0, 0.2, PRICES)
-SERVICE = ForwardService("s", "/h", 100, EngineShape(64, 1000, 8, True), SCALING)
+SERVICE = ForwardService("s", "/h", 100, EngineCapabilities(64, 1000, 8, True), SCALING)
 
 
 class Fixture:
@@ -84,24 +84,24 @@
 class TestPending:
     async def test_endpoints_beyond_a_zones_bound_are_not_pending(self):
         fixture = Fixture(0.0)
-        for number in range(SCALING.most):
+        for number in range(SCALING.max_endpoints):
             fixture.add(f"f{number}", "a", spot=False)
         fixture.add("f", "b", spot=False)
         await fixture.run(0.4)
         orders = {zone: n for _s, zone, n, spot, _f in fixture.duties.orders if spot}
         assert orders.get("a", 0) == 0
-        assert orders["b"] + orders["c"] >= SCALING.most + 1
+        assert orders["b"] + orders["c"] >= SCALING.max_endpoints + 1
 
     async def test_order_is_not_repeated_before_its_endpoints_could_arrive(self):
         fixture = Fixture(0.3)
         first = await fixture.run(0.2)
         assert first
-        assert await fixture.run(SCALING.boot) == []
+        assert await fixture.run(SCALING.boot_s) == []
 
     async def test_order_without_effect_is_repeated(self):
         fixture = Fixture(0.3)
         await fixture.run(0.2)
-        assert await fixture.run(SCALING.boot + 2.0) != []
+        assert await fixture.run(SCALING.boot_s + 2.0) != []
 
 
 class TestReclaimBurst:
--- a/tests/unit/relay/duties/test_lease_keeper.py
+++ b/tests/unit/relay/duties/test_lease_keeper.py
@@ -4,7 +4,7 @@
 from random import Random
 from types import SimpleNamespace
 
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.relay.duties.lease_keeper import LEASE_TABLE, LeaseKeeper
 from ebonydeal._internal.routing.duties.coordinator_lease import (
     CoordinatorLease,
@@ -13,7 +13,7 @@
 from tests.lib.clock import ManualClock
 from tests.lib.relay_fakes import MemoryStore
 
-OPEN = RowChange("usage", "open", b"{}")
+OPEN = RowWrite("usage", "open", b"{}")
 
 
 class Relays:
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -16,7 +16,7 @@
 
 from ebonydeal._internal.models.forwarding import Member
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
-from ebonydeal._internal.models.shared import RowChange
+from ebonydeal._internal.models.shared import RowWrite
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.platform.wire import PlatformWire
 from ebonydeal._internal.relay.duties.rollout_registry import RolloutRegistry
@@ -95,7 +95,7 @@
 
     def renew(self):
         """Renew, with the writes that are due; fails for a holder that was replaced."""
-        changes = [RowChange(*LEASE, b"holder", self.lease_version)]
+        changes = [RowWrite(*LEASE, b"holder", self.lease_version)]
         changes += self.rollouts.store.changes()
         result = asyncio.run(self.store.transact(changes))
         if not result.applied:
@@ -139,8 +139,8 @@
                 continue
             chosen = part.members[0]
             self.split.record_send("s", "r", chosen, first=True)
-            over += chosen.version == ORDER.to
-            bad = failing and chosen.version == ORDER.to
+            over += chosen.version == ORDER.target_version
+            bad = failing and chosen.version == ORDER.target_version
             category = FAILED if bad else category_of(0.1, 0.1)
             self.split._count("s", "r", chosen, category)
         return over
@@ -273,7 +273,7 @@
 
     def test_a_version_replaced_by_a_newer_order_is_barred(self):
         registry = self.registry()
-        registry.start(ORDER._replace(to="v3", revision=6), set(), 1.0)
+        registry.start(ORDER._replace(target_version="v3", revision=6), set(), 1.0)
         assert registry.barred_versions("s") == {"v2"}
 
     def test_a_version_that_is_ordered_again_isnt_barred(self):
@@ -285,7 +285,7 @@
 
     def test_an_order_for_the_current_version_completes_at_once(self):
         registry = self.registry()
-        run = registry.start(ORDER._replace(to="v1", revision=6), set(), 1.0)
+        run = registry.start(ORDER._replace(target_version="v1", revision=6), set(), 1.0)
         assert run.state.phase is Phase.COMPLETED
         assert registry.barred_versions("s") == {"v2"}
 
@@ -371,7 +371,7 @@
     @precondition(lambda self: self.holder.holds)
     @rule()
     def write_takes_effect_without_answer(self):
-        changes = [RowChange(*LEASE, b"holder", self.holder.lease_version)]
+        changes = [RowWrite(*LEASE, b"holder", self.holder.lease_version)]
         changes += self.holder.rollouts.store.changes()
         asyncio.run(self.store.transact(changes))
         self.holder.lease_version = self.store.tables[LEASE[0]][LEASE[1]].version
@@ -435,5 +435,9 @@
         holder.take_lease()
         holder.step()
         gate = holder.rollouts.gates()[0]
-        assert (gate.service, gate.to, gate.phase) == ("s", "v2", Phase.RUNNING)
+        assert (gate.service, gate.target_version, gate.phase) == (
+            "s",
+            "v2",
+            Phase.RUNNING,
+        )
         assert isinstance(holder.rollouts._registry.runs["s"].verdict, Continue)
--- a/tests/unit/relay/test_endpoint_limit_model.py
+++ b/tests/unit/relay/test_endpoint_limit_model.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 from ebonydeal._internal.routing.limits.endpoint_limits import (
     ENDPOINT_BOUNDS,
     limit_account,
@@ -18,13 +18,13 @@
 class TestBounds:
     @pytest.mark.parametrize("limit", [0.0, 0.3, 1.0, 1.4, 8.0, 60.0, 5000.0])
     def test_terms_fit_what_the_endpoint_accepts(self, limit):
-        account = limit_account(Process("i1", 0), limit)
+        account = limit_account(EndpointProcess("i1", 0), limit)
         allowed = ENDPOINT_BOUNDS.limit(account) + ENDPOINT_BOUNDS.tolerance(account)
         assert ENDPOINT_BOUNDS.fits(account)
         assert allowed <= max_requests_per_window(max(limit, account.rate)) + 1e-9
 
     def test_limit_of_zero_still_admits_requests_that_reveal_its_end(self):
-        account = limit_account(Process("i1", 0), 0.0)
+        account = limit_account(EndpointProcess("i1", 0), 0.0)
         assert account.rate > 0.0
         # Nothing of these limits is granted in advance or held by a standby.
         terms = {term.name: term.amount for term in ENDPOINT_BOUNDS.terms(account)}
--- a/tests/unit/relay/view/test_view.py
+++ b/tests/unit/relay/view/test_view.py
@@ -239,7 +239,7 @@
     def only_the_newest_start_is_known(self):
         known = self.view.members.get("i1")
         if known is not None:
-            assert known.born == self.newest
+            assert known.incarnation == self.newest
             assert known.revision <= self.revision
 
     @invariant()
--- a/tests/unit/routing/fleet/test_fleet_plan.py
+++ b/tests/unit/routing/fleet/test_fleet_plan.py
@@ -66,7 +66,7 @@
         booting = {z: ZoneFleet(on_demand=2, spot_pending=2) for z in PRICES}
         wanted = plan(3.0, booting)
         assert sum(t.on_demand for t in wanted.values()) == 4
-        assert all(t.spot + t.on_demand <= SCALING.most for t in wanted.values())
+        assert all(t.spot + t.on_demand <= SCALING.max_endpoints for t in wanted.values())
 
     def test_on_demand_ones_are_released_when_spot_ones_serve(self):
         served = {z: ZoneFleet(spot=2, on_demand=2) for z in PRICES}
@@ -150,7 +150,7 @@
             zone: ZoneFleet(spot=counts[i], on_demand=counts[i + 3])
             for i, zone in enumerate(PRICES)
         }
-        scaling = SCALING._replace(least=least, most=most)
+        scaling = SCALING._replace(min_endpoints=least, max_endpoints=most)
         without_spot = ALL if spot_refused else frozenset()
         config = CONFIG._replace(fill_min_on_demand=filled)
         wanted = plan(
--- a/tests/unit/routing/notices/test_endpoint_notices.py
+++ b/tests/unit/routing/notices/test_endpoint_notices.py
@@ -1,12 +1,12 @@
 import pytest
 
-from ebonydeal._internal.models.forwarding import Process
+from ebonydeal._internal.models.forwarding import EndpointProcess
 from ebonydeal._internal.routing.notices.endpoint_notices import (
     EndpointNotices,
     LimitReport,
 )
 
-ONE, AGAIN = Process("i1", 5), Process("i1", 9)
+ONE, AGAIN = EndpointProcess("i1", 5), EndpointProcess("i1", 9)
 
 
 @pytest.fixture
@@ -51,9 +51,9 @@
     def test_oldest_limits_of_thousands_of_processes_are_evicted(self):
         notices = EndpointNotices()
         for number in range(4500):
-            notices.note_limit(Process(f"i{number}", 0), 1.0, number, number)
-        assert notices.limit(Process("i0", 0), 5000.0) is None
-        assert notices.limit(Process("i4499", 0), 5000.0) == 1.0
+            notices.note_limit(EndpointProcess(f"i{number}", 0), 1.0, number, number)
+        assert notices.limit(EndpointProcess("i0", 0), 5000.0) is None
+        assert notices.limit(EndpointProcess("i4499", 0), 5000.0) == 1.0
 
 
 class TestReportsOfOtherRelays:
