--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: the relay that holds the coordinator lease and acts for all relays.
+"""The coordinator: the relay that holds the lease and acts for all relays.
 
 Every relay reports to it several times a second. It replies with the load that the
 other relays put on the endpoints, grants parts of client accounts' limits, reports
@@ -133,7 +133,7 @@
 
 
 class Coordinator(Service):
-    """Keeps the coordinator lease, and performs the duties while it holds it.
+    """Competes for the coordinator lease, and performs the duties of its holder.
 
     Parameters
     ----------
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the coordinator lease: reads and writes its row as the lease's state machine says."""
+"""Reads and writes the row of the coordinator lease, as its state machine says."""
 
 import asyncio
 from collections.abc import Callable
