--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -129,7 +129,9 @@
         evidence, now = self._parts.evidence, self._parts.clock.now()
         if now - evidence.last_crash > _ACTIVITY_WINDOW_S:
             return
-        if evidence.record_activity(member.endpoint_id, member.incarnation, sent_at, now):
+        if evidence.record_activity(
+            member.endpoint_id, member.incarnation, sent_at, now
+        ):
             logger.warning("Endpoint lives after all.", endpoint=member.endpoint_id)
             self._on_change("itself")
 
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the coordinator lease: reads and writes its row as the lease decides."""
+"""Reads and writes the row of the coordinator lease«¦'s state machine¦, as its state machine» decides."""
 
 import asyncio
 from collections.abc import Callable
--- a/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -50,7 +50,9 @@
         req, engine = self._job.req, self.engine
         can_fetch = engine is not None and engine.can_migrate_runs
         tokens = req.prompt_tokens or 0
-        return SelectionRequest(req.parts, tokens, self._parts.zone, can_fetch, connected)
+        return SelectionRequest(
+            req.parts, tokens, self._parts.zone, can_fetch, connected
+        )
 
     def find(self, avoid: Set[str], resend: bool = False) -> EndpointChoice | None:
         """Return the best endpoint that isn't among ``avoid``, or None.
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -210,7 +210,9 @@
     def _record_version_answer(self) -> None:
         """Count an answer, or a stream's first event, for its version."""
         if self._expected_answer:
-            self._parts.split.record_answer(self._expected_answer, self._parts.clock.now())
+            self._parts.split.record_answer(
+                self._expected_answer, self._parts.clock.now()
+            )
             self._expected_answer = 0
 
     def _record_version_failure(self, member: Member) -> None:
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -232,7 +232,8 @@
         removal = self._removed.get(member.endpoint_id, _NEVER_REMOVED)
         if removal.version >= member.revision:
             return
-        if member.incarnation < max(removal.born, 0 if known is None else known.incarnation
+        if member.incarnation < max(
+            removal.born, 0 if known is None else known.incarnation
         ):
             # A late entry of an endpoint that has restarted since.
             return
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -255,12 +255,14 @@
     on_demand = {
         zone: min(
             max(kept[zone], minimum[zone] - spot[zone]),
-            scaling.max_endpoints - spot[zone]
+            scaling.max_endpoints - spot[zone],
         )
         for zone in zones
     }
     while sum(on_demand.values()) < wanted:
-        open_zones = [z for z in zones if spot[z] + on_demand[z] < scaling.max_endpoints]
+        open_zones = [
+            z for z in zones if spot[z] + on_demand[z] < scaling.max_endpoints
+        ]
         if not open_zones:
             break
         prices = scaling.zone_prices
--- a/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -80,7 +80,9 @@
         self.on_leaving: Callable[[EndpointProcess], None] = lambda _process: None
 
     # --- backoff -------------------------------------------------------------
-    def note_backoff(self, process: EndpointProcess, seconds: float, now: float) -> bool:
+    def note_backoff(
+        self, process: EndpointProcess, seconds: float, now: float
+    ) -> bool:
         """Note for how long a process wants no requests; return whether it extends."""
         until = now + min(seconds, _MAX_BACKOFF_S)
         if until <= self._backoff_until.get(process, now):
--- a/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
@@ -296,7 +296,9 @@
             else 0.0
         )
         zone = 0.0 if member.zone == request.zone else _OTHER_ZONE_S
-        total = wait + prefill + fetch + batch + zone + member.warmup_left + failure_cost
+        total = (
+            wait + prefill + fetch + batch + zone + member.warmup_left + failure_cost
+        )
         if member.leaving:
             total += _LEAVING_S
         if member.endpoint_id not in request.connected:
--- a/src/ebonydeal/_internal/routing/rollout/traffic_split.py
+++ b/src/ebonydeal/_internal/routing/rollout/traffic_split.py
@@ -343,7 +343,10 @@
 
     def _is_new(self, answer: AwaitedAnswer) -> bool:
         rollout = self._rollouts.get(answer.service)
-        return rollout is not None and answer.member.version == rollout.order.target_version
+        return (
+            rollout is not None
+            and answer.member.version == rollout.order.target_version
+        )
 
     def _count_pending(self, pending: _PendingAnswer, took: float) -> None:
         answer = pending.answer
--- a/tests/unit/relay/duties/test_rollouts.py
+++ b/tests/unit/relay/duties/test_rollouts.py
@@ -285,7 +285,9 @@
 
     def test_an_order_for_the_current_version_completes_at_once(self):
         registry = self.registry()
-        run = registry.start(ORDER._replace(target_version="v1", revision=6), set(), 1.0)
+        run = registry.start(
+            ORDER._replace(target_version="v1", revision=6), set(), 1.0
+        )
         assert run.state.phase is Phase.COMPLETED
         assert registry.barred_versions("s") == {"v2"}
 
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -68,7 +68,8 @@
         metrics=Metrics(),
         long_prompts=SimpleNamespace(note_sent=lambda *_read: None),
         crashes=SimpleNamespace(
-            connection_broken=lambda *_broke: None, wait_until_checked=no_check),
+            connection_broken=lambda *_broke: None, wait_until_checked=no_check
+        ),
         suspects=SimpleNamespace(
             check=lambda _digest: None, status=lambda _digest: QuarantineStatus.CLEAR
         ),
--- a/tests/unit/routing/fleet/test_fleet_plan.py
+++ b/tests/unit/routing/fleet/test_fleet_plan.py
@@ -66,7 +66,9 @@
         booting = {z: ZoneFleet(on_demand=2, spot_pending=2) for z in PRICES}
         wanted = plan(3.0, booting)
         assert sum(t.on_demand for t in wanted.values()) == 4
-        assert all(t.spot + t.on_demand <= SCALING.max_endpoints for t in wanted.values())
+        assert all(
+            t.spot + t.on_demand <= SCALING.max_endpoints for t in wanted.values()
+        )
 
     def test_on_demand_ones_are_released_when_spot_ones_serve(self):
         served = {z: ZoneFleet(spot=2, on_demand=2) for z in PRICES}
