--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Reads and writes the row of the coordinator lease«¦'s state machine¦, as its state machine» decides."""
+"""Reads and writes the row of the coordinator lease, as its state machine decides."""
 
 import asyncio
 from collections.abc import Callable
