--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -63,7 +63,7 @@
 # the reports and deltas of hundreds of relays fill half a core and a link of 20 Mbit/s.
 _MIN_LARGE_CORES = 1.0
 _MIN_LARGE_LINK_MBPS = 50.0
-# A larger instance reads the lease twice a second.
+# Larger instances read the lease twice a second, and so take it within this time.
 _TAKEOVER_DELAY_S = 0.6
 # With at least this many relays, frequent polls of the configuration by the coordinator
 # alone are cheaper than a long poll by each relay.
--- a/src/ebonydeal/_internal/relay/view/versions.py
+++ b/src/ebonydeal/_internal/relay/view/versions.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.orders: dict[str, RolloutOrder] = {}
-        # All orders up to this version of the store are in force here.
+        # Orders are known up to this version of the store, here or at another relay.
         self.read_to = 0
         # Up to here this relay has read the orders itself; other relays only report
         # how far they have read, not each order.
