--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -43,7 +43,7 @@
 from ebonydeal._internal.routing.duties.coordinator_lease import CoordinatorLease
 from ebonydeal._internal.routing.duties.usage_ledger import DueWindow, UsageLedger
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
-from ebonydeal._internal.routing.limits.quota_broker import QuotaPolicy
+from ebonydeal._internal.routing.limits.quota_broker import QuotaConfig
 from ebonydeal._internal.routing.notices.endpoint_notices import LimitReport
 from ebonydeal._internal.settings.policy import PolicySettings
 from ebonydeal._internal.settings.relay import RelaySettings
@@ -160,7 +160,7 @@
         ledger: UsageLedger,
         bounds: QuotaBounds,
         checks_fence: bool,
-        terms: QuotaPolicy | None = None,
+        terms: QuotaConfig | None = None,
         capacity: CoordinatorCapacity | None = None,
     ) -> None:
         super().__init__()
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -29,7 +29,7 @@
     Balances,
     Grant,
     QuotaBroker,
-    QuotaPolicy,
+    QuotaConfig,
 )
 from ebonydeal._internal.routing.limits.share_delegation import (
     DelegationOffer,
@@ -97,7 +97,7 @@
         holds: Callable[[], bool],
         clock: Clock,
         bounds: QuotaBounds,
-        policy: QuotaPolicy | None = None,
+        policy: QuotaConfig | None = None,
     ) -> None:
         self._lease = lease
         self._holds = holds
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -66,7 +66,7 @@
 from ebonydeal._internal.routing.duties.usage_ledger import UsageLedger
 from ebonydeal._internal.routing.fleet.fleet_plan import FleetConfig
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
-from ebonydeal._internal.routing.limits.quota_broker import QuotaPolicy
+from ebonydeal._internal.routing.limits.quota_broker import QuotaConfig
 from ebonydeal._internal.routing.notices.endpoint_notices import EndpointNotices
 from ebonydeal._internal.routing.placement.endpoint_selector import (
     EndpointSelector,
@@ -333,7 +333,7 @@
             UsageLedger(cfg.usage_window_s, cfg.usage_late_s),
             bounds,
             cfg.checks_fence,
-            QuotaPolicy.from_config(self._policy),
+            QuotaConfig.from_config(self._policy),
             CoordinatorCapacity.from_config(cfg, self._policy),
         )
 
--- a/src/ebonydeal/_internal/routing/limits/quota_broker.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_broker.py
@@ -33,14 +33,14 @@
 STANDBY_GRANT_TTL_S = 4.0
 
 
-class QuotaPolicy(NamedTuple):
+class QuotaConfig(NamedTuple):
     """Parameters of grants; `PolicySettings` says what each does."""
 
     overdraft: float = 1.0
     small: float = 0.1
 
     @classmethod
-    def from_config(cls, cfg: PolicySettings) -> "QuotaPolicy":
+    def from_config(cls, cfg: PolicySettings) -> "QuotaConfig":
         """Build from settings."""
         return cls(cfg.quota_overdraft, cfg.quota_small)
 
@@ -90,7 +90,7 @@
     ----------
     bounds : QuotaBounds
         How far limits may be exceeded.
-    policy : QuotaPolicy, optional
+    policy : QuotaConfig, optional
         Which requests are preferred near the limit.
     share : callable, optional
         Returns the fraction of all relays' shares that this granter holds at a time.
@@ -99,11 +99,11 @@
     def __init__(
         self,
         bounds: QuotaBounds,
-        policy: QuotaPolicy | None = None,
+        policy: QuotaConfig | None = None,
         share: Callable[[float], float] = lambda _now: 1.0,
     ) -> None:
         self.bounds = bounds
-        self._policy = policy or QuotaPolicy()
+        self._policy = policy or QuotaConfig()
         self._share = share
         self._buckets: dict[str, _Bucket] = {}
         # Whether new buckets are full, as no relay can have granted anything before.
--- a/tests/unit/docs/test_pages.py
+++ b/tests/unit/docs/test_pages.py
@@ -104,7 +104,7 @@
 class TestGuide:
     def test_the_line_to_change_is_there_once(self):
         guide = (ROOT / "docs/README.md").read_text(encoding="utf-8")
-        (shown,) = re.findall(r"```python\n +(missed = max.*)\n", guide)
+        (shown,) = re.findall(r"```python\n +(uncached_tokens = max.*)\n", guide)
         score = ROOT / "src/ebonydeal/_internal/routing/placement/score.py"
         assert score.read_text(encoding="utf-8").count(f"    {shown}\n") == 1
 
--- a/tests/unit/routing/limits/test_quota_broker.py
+++ b/tests/unit/routing/limits/test_quota_broker.py
@@ -10,7 +10,7 @@
     ADVANCE_TTL_S,
     Balances,
     QuotaBroker,
-    QuotaPolicy,
+    QuotaConfig,
 )
 from ebonydeal._internal.settings.policy import PolicySettings
 
@@ -19,7 +19,7 @@
 DEBT = BOUNDS.debt(ACCOUNT)
 
 # Each request must be fully earned before it is granted.
-NO_DEBT = QuotaPolicy(overdraft=0.0, small=0.0)
+NO_DEBT = QuotaConfig(overdraft=0.0, small=0.0)
 
 
 def allowed(account=ACCOUNT):
@@ -169,7 +169,7 @@
 
 class TestNearTheLimit:
     def broker(self, **policy):
-        broker = first_broker(QuotaPolicy(**policy))
+        broker = first_broker(QuotaConfig(**policy))
         broker.grant(ACCOUNT, ACCOUNT.burst - 1000.0, 1.0)
         return broker
 
@@ -203,8 +203,8 @@
 
     def test_policy_comes_from_settings(self):
         cfg = PolicySettings(quota_overdraft=0.25, quota_small=0.0)
-        assert QuotaPolicy.from_config(cfg).overdraft == 0.25
-        assert QuotaPolicy.from_config(cfg).small == 0.0
+        assert QuotaConfig.from_config(cfg).overdraft == 0.25
+        assert QuotaConfig.from_config(cfg).small == 0.0
 
 
 class TestAllRelays:
