--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -147,7 +147,7 @@
         By how much limits may be exceeded.
     checks_fence : bool
         Whether the platform refuses calls with an old fencing number.
-    terms : QuotaPolicy, optional
+    terms : QuotaConfig, optional
         Which requests are granted first near an account's limit.
     capacity : CoordinatorSize, optional
         What this instance can do as coordinator.
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -268,7 +268,7 @@
         if verdict.full == was_full:
             return
         logger.info(
-            "New version gets all requests."
+            "All requests to the new version."
             if verdict.full
             else "New version gets a part of the requests again.",
             service=run.state.order.service,
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -87,7 +87,7 @@
         Returns whether this relay may act as lease holder now.
     clock : Clock
         Time.
-    bounds, policy : QuotaBounds, QuotaPolicy
+    bounds, policy : QuotaBounds, QuotaConfig
         How far limits may be exceeded; which requests are preferred near a limit.
     """
 
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -325,7 +325,7 @@
         self._leave_times.pop(endpoint_id, None)
         self.last_change = max(self.last_change, version)
         self._missing_until.pop(endpoint_id, None)
-        self._log("Endpoint removed.", endpoint=endpoint_id, version=version)
+        self._log("Endpoint gone.", endpoint=endpoint_id, version=version)
         self._record_change(endpoint_id)
 
     def replace(
