--- a/src/ebonydeal/_internal/benchmarks/spend/world.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/world.py
@@ -280,7 +280,7 @@
         await self._before("copies")
         return [WeightCopy("store", model, 26.0, "")]
 
-    async def rate_left(self) -> float:
+    async def available_rate(self) -> float:
         """Return the rate."""
         await self._before("rate_left")
         now = self._world.clock.wall()
--- a/src/ebonydeal/_internal/controller/load_desk.py
+++ b/src/ebonydeal/_internal/controller/load_desk.py
@@ -80,7 +80,7 @@
         if not waiting:
             return
         try:
-            rate = await self._store.rate_left()
+            rate = await self._store.available_rate()
             copies = await self._all_copies({req.model for req in waiting})
         except EbonydealError as exc:
             logger.warning("The weight store can't be asked.", kind=str(exc.kind))
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -217,7 +217,7 @@
     )
     directory.set_watch(watch.watches)
     directory.on_cache_events(cache_events)
-    parts.clients.engine.on_rest = parts.clients.services.on_rest = rests
+    parts.clients.engine.on_backoff = parts.clients.services.on_backoff = rests
     directory.on_change(lambda _change: watch.refresh())
     return _Routing(RouterRoutes(router, directory, place, watch.watches), watch)
 
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -169,7 +169,7 @@
         picker = RoutedPicker(
             directory, router, place, clock, weights_from(lambda: follower.document)
         )
-        platform.engine.on_rest = platform.services.on_rest = picker.rests
+        platform.engine.on_backoff = platform.services.on_backoff = picker.rests
         dispatcher = Dispatcher(
             picker,
             platform.engine,
--- a/src/ebonydeal/_internal/journal/runs.py
+++ b/src/ebonydeal/_internal/journal/runs.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.models.requests import Request, RequestKind, StoredAnswer
 from ebonydeal._internal.outside.interfaces import (
-    CancelWord,
+    CancelResult,
     Chunk,
     Engine,
     PlainServices,
@@ -94,7 +94,7 @@
 async def cancel_word(engine: Engine, view: EndpointView, attempt_id: str) -> str:
     """Return the engine's word on an attempt; UNKNOWN when it gives none."""
     try:
-        word: CancelWord = await engine.cancel(view, attempt_id)
+        word: CancelResult = await engine.cancel(view, attempt_id)
     except EbonydealError:
         return UNKNOWN
     return word.state
--- a/src/ebonydeal/_internal/outside/rests.py
+++ b/src/ebonydeal/_internal/outside/backoff.py
@@ -5,15 +5,15 @@
 
 from ebonydeal._internal.models.endpoints import EndpointView
 
-REST_HEADER = "Retry-After"
+RETRY_AFTER_HEADER = "Retry-After"
 _REFUSED = 503
 
 # Takes an endpoint's id, and the seconds for which it wants nothing.
-RestListener = Callable[[str, float], None]
+BackoffListener = Callable[[str, float], None]
 
 
-def tell_rest(
-    listener: RestListener | None,
+def report_backoff(
+    listener: BackoffListener | None,
     endpoint: EndpointView,
     status: int,
     headers: Mapping[str, str],
@@ -22,7 +22,7 @@
     if listener is None or status != _REFUSED:
         return
     try:
-        seconds = float(headers.get(REST_HEADER, ""))
+        seconds = float(headers.get(RETRY_AFTER_HEADER, ""))
     except ValueError:
         return
     if math.isfinite(seconds) and seconds > 0.0:
--- a/src/ebonydeal/_internal/outside/cloud.py
+++ b/src/ebonydeal/_internal/outside/cloud.py
@@ -7,8 +7,8 @@
 from ebonydeal._internal.outside.http import (
     READ,
     WRITE,
+    FailureKinds,
     HttpClient,
-    Kinds,
     check_status,
     read_object,
 )
@@ -52,7 +52,9 @@
     )
 
 
-def _parse(build: Callable[[dict[str, Any]], T], message: Any, kinds: Kinds) -> T:
+def _parse(
+    build: Callable[[dict[str, Any]], T], message: Any, kinds: FailureKinds
+) -> T:
     """Build a value from the wire, or raise the garbage kind."""
     try:
         return build(message)
--- a/src/ebonydeal/_internal/outside/engines.py
+++ b/src/ebonydeal/_internal/outside/engines.py
@@ -9,6 +9,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import EndpointView, LoadReport
+from ebonydeal._internal.outside.backoff import BackoffListener, report_backoff
 from ebonydeal._internal.outside.chunks import (
     DONE,
     ChunkOrder,
@@ -24,18 +25,17 @@
 )
 from ebonydeal._internal.outside.interfaces import (
     CacheEvent,
-    CancelWord,
+    CancelResult,
     Chunk,
     EngineOrder,
     Resume,
 )
-from ebonydeal._internal.outside.loads import (
+from ebonydeal._internal.outside.load_reports import (
     LoadListener,
     read_load,
-    tell_header,
-    tell_load,
+    report_load,
+    report_load_header,
 )
-from ebonydeal._internal.outside.rests import RestListener, tell_rest
 from ebonydeal._internal.settings.sections import PlatformSettings
 
 _KV_TIMEOUT_S = 60.0
@@ -73,7 +73,7 @@
         self._client = HttpClient(timeout)
         self.on_load = on_load
         # Told for how long an endpoint that refuses wants nothing.
-        self.on_rest: RestListener | None = None
+        self.on_backoff: BackoffListener | None = None
 
     @classmethod
     def from_config(
@@ -108,12 +108,12 @@
             "POST",
             f"http://{endpoint.address}{path}",
             ENDPOINT,
-            whole=False,
+            timeout_covers_body=False,
             json=message,
             headers={ATTEMPT_HEADER: attempt_id},
         ) as resp:
-            tell_header(self.on_load, endpoint, resp.headers)
-            tell_rest(self.on_rest, endpoint, resp.status, resp.headers)
+            report_load_header(self.on_load, endpoint, resp.headers)
+            report_backoff(self.on_backoff, endpoint, resp.status, resp.headers)
             await _check_accepted(resp)
             async with aclosing(self._chunks(endpoint, resp, order)) as chunks:
                 async for chunk in chunks:
@@ -136,7 +136,7 @@
                 chunk, load = parse_chunk(data)
                 order.check(chunk)
                 if load is not None:
-                    tell_load(self.on_load, endpoint, load)
+                    report_load(self.on_load, endpoint, load)
                 yield chunk
         if not done or not order.finished:
             raise EbonydealError(ErrorKind.ENDPOINT_FAILED, "the stream broke off")
@@ -155,7 +155,7 @@
         reply = await self._client.fetch(
             method, url, ENDPOINT, timeout=timeout, **options
         )
-        tell_header(self.on_load, endpoint, reply.headers)
+        report_load_header(self.on_load, endpoint, reply.headers)
         if reply.status == 409 and path == _ORDERS:
             raise EbonydealError(ErrorKind.STALE_ORDER, f"{url} saw a newer fence")
         if reply.status != 200:
@@ -164,7 +164,7 @@
             )
         return read_object(reply, url, ENDPOINT)
 
-    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelWord:
+    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
         """Stop an attempt and return the engine's word."""
         body = await self._short_call(
             "POST", endpoint, "/cancel", json={"attempt_id": attempt_id}
@@ -172,8 +172,8 @@
         match body:
             case {"state": str(state), "tokens": int(tokens)}:
                 known = state in _CANCEL_STATES
-                return CancelWord(state if known else "unknown", tokens)
-        return CancelWord("unknown", 0)
+                return CancelResult(state if known else "unknown", tokens)
+        return CancelResult("unknown", 0)
 
     async def export_kv(self, endpoint: EndpointView, attempt_id: str) -> str:
         """Export a running attempt's KV cache; return its handle."""
--- a/src/ebonydeal/_internal/outside/http.py
+++ b/src/ebonydeal/_internal/outside/http.py
@@ -28,7 +28,7 @@
 _MAX_LINE = 1024 * 1024
 
 
-class Kinds(NamedTuple):
+class FailureKinds(NamedTuple):
     """Which error kind a failed call gets.
 
     Attributes
@@ -46,15 +46,15 @@
     garbage: ErrorKind
 
 
-READ = Kinds(
+READ = FailureKinds(
     ErrorKind.STORE_UNAVAILABLE,
     ErrorKind.STORE_UNAVAILABLE,
     ErrorKind.STORE_UNAVAILABLE,
 )
-WRITE = Kinds(
+WRITE = FailureKinds(
     ErrorKind.STORE_UNAVAILABLE, ErrorKind.STORE_IN_DOUBT, ErrorKind.STORE_IN_DOUBT
 )
-ENDPOINT = Kinds(
+ENDPOINT = FailureKinds(
     ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_FAILED, ErrorKind.ENDPOINT_GARBAGE
 )
 
@@ -107,10 +107,10 @@
         self,
         method: str,
         url: str | URL,
-        kinds: Kinds,
+        kinds: FailureKinds,
         *,
         timeout: float | None = None,
-        whole: bool = True,
+        timeout_covers_body: bool = True,
         **options: Any,
     ) -> AsyncIterator[ClientResponse]:
         """Send a request and yield the response; close it on any failure.
@@ -121,12 +121,13 @@
             Error kinds of the failures, also of those inside the block.
         timeout : float, optional
             In place of the client's own.
-        whole : bool
+        timeout_covers_body : bool
             Whether the timeout covers the body too (not for streams).
         """
         limit = self._timeout if timeout is None else timeout
         waits = ClientTimeout(
-            total=limit if whole else None, sock_connect=max(0.001, limit / 2)
+            total=limit if timeout_covers_body else None,
+            sock_connect=max(0.001, limit / 2),
         )
         try:
             async with self._open().request(
@@ -144,7 +145,7 @@
         self,
         method: str,
         url: str | URL,
-        kinds: Kinds,
+        kinds: FailureKinds,
         *,
         timeout: float | None = None,
         **options: Any,
@@ -161,7 +162,9 @@
             self._session = None
 
 
-async def _read_whole(resp: ClientResponse, url: str | URL, kinds: Kinds) -> bytes:
+async def _read_whole(
+    resp: ClientResponse, url: str | URL, kinds: FailureKinds
+) -> bytes:
     """Return the body, refusing one that would fill the memory."""
     parts = []
     size = 0
@@ -173,7 +176,7 @@
     return b"".join(parts)
 
 
-def _failure(exc: Exception, url: str | URL, kinds: Kinds) -> EbonydealError:
+def _failure(exc: Exception, url: str | URL, kinds: FailureKinds) -> EbonydealError:
     """Return the error kind of a call that got no whole answer."""
     if isinstance(exc, (ClientConnectorError, ConnectionTimeoutError, InvalidURL)):
         return EbonydealError(kinds.not_sent, f"can't connect to {url}")
@@ -183,7 +186,7 @@
     return EbonydealError(kinds.lost, f"no whole answer from {url} ({word})")
 
 
-def read_object(reply: Reply, url: str, kinds: Kinds) -> dict[str, Any]:
+def read_object(reply: Reply, url: str, kinds: FailureKinds) -> dict[str, Any]:
     """Return the body as a JSON object, or raise the garbage kind."""
     try:
         body = json.loads(reply.body)
@@ -194,7 +197,7 @@
     return body
 
 
-def check_status(reply: Reply, url: str, kinds: Kinds) -> None:
+def check_status(reply: Reply, url: str, kinds: FailureKinds) -> None:
     """Raise for a status of the platform that is not 200.
 
     503 and 429 mean that nothing took effect; other 4xx that the request was
--- a/src/ebonydeal/_internal/outside/interfaces.py
+++ b/src/ebonydeal/_internal/outside/interfaces.py
@@ -194,7 +194,7 @@
     async def copies(self, model: str) -> list[WeightCopy]:
         """Return where ``model`` can be loaded from."""
 
-    async def rate_left(self) -> float:
+    async def available_rate(self) -> float:
         """Return gigabytes a second that the store can still give."""
 
 
@@ -223,7 +223,7 @@
     kv_handle: str = ""
 
 
-class CancelWord(NamedTuple):
+class CancelResult(NamedTuple):
     """The engine's word after a cancel.
 
     ``not_started`` is proof that the attempt never ran; ``stopped`` that it is
@@ -274,7 +274,7 @@
         run), ENDPOINT_FAILED or ENDPOINT_GARBAGE on the way.
         """
 
-    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelWord:
+    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
         """Stop an attempt and return the engine's word."""
 
     async def export_kv(self, endpoint: EndpointView, attempt_id: str) -> str:
--- a/src/ebonydeal/_internal/outside/loads.py
+++ b/src/ebonydeal/_internal/outside/load_reports.py
@@ -18,7 +18,7 @@
         return None
 
 
-def tell_load(
+def report_load(
     listener: LoadListener | None, endpoint: EndpointView, message: Any
 ) -> None:
     """Pass a report on to ``listener``; a garbled one is no reason to fail."""
@@ -27,7 +27,7 @@
         listener(endpoint.endpoint_id, load)
 
 
-def tell_header(
+def report_load_header(
     listener: LoadListener | None, endpoint: EndpointView, headers: Mapping[str, str]
 ) -> None:
     """Pass on the report in ``X-Engine-Load``, if any."""
@@ -38,4 +38,4 @@
         message = json.loads(text)
     except (ValueError, RecursionError):
         return
-    tell_load(listener, endpoint, message)
+    report_load(listener, endpoint, message)
--- a/src/ebonydeal/_internal/outside/services.py
+++ b/src/ebonydeal/_internal/outside/services.py
@@ -2,6 +2,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import EndpointView
+from ebonydeal._internal.outside.backoff import BackoffListener, report_backoff
 from ebonydeal._internal.outside.http import (
     ATTEMPT_HEADER,
     ENDPOINT,
@@ -9,8 +10,7 @@
     HttpClient,
 )
 from ebonydeal._internal.outside.interfaces import ServiceAnswer
-from ebonydeal._internal.outside.loads import LoadListener, tell_header
-from ebonydeal._internal.outside.rests import RestListener, tell_rest
+from ebonydeal._internal.outside.load_reports import LoadListener, report_load_header
 from ebonydeal._internal.settings.sections import PlatformSettings
 
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
@@ -50,7 +50,7 @@
         self._single = HttpClient(timeout, pooled=False)
         self.on_load = on_load
         # Told for how long an endpoint that refuses wants nothing.
-        self.on_rest: RestListener | None = None
+        self.on_backoff: BackoffListener | None = None
 
     @classmethod
     def from_config(
@@ -89,8 +89,8 @@
             headers=sent,
             data=body or None,
         )
-        tell_header(self.on_load, endpoint, reply.headers)
-        tell_rest(self.on_rest, endpoint, reply.status, reply.headers)
+        report_load_header(self.on_load, endpoint, reply.headers)
+        report_backoff(self.on_backoff, endpoint, reply.status, reply.headers)
         if reply.status == 503 and reply.headers.get(NOT_RUN_HEADER) == "1":
             raise EbonydealError(
                 ErrorKind.ENDPOINT_REFUSED, f"{endpoint.endpoint_id} refused"
--- a/src/ebonydeal/_internal/outside/tables.py
+++ b/src/ebonydeal/_internal/outside/tables.py
@@ -7,8 +7,8 @@
 from ebonydeal._internal.outside.http import (
     READ,
     WRITE,
+    FailureKinds,
     HttpClient,
-    Kinds,
     check_status,
     read_object,
 )
@@ -52,7 +52,7 @@
             return {"op": "delete", "key": key}
 
 
-def _row(message: Any, url: str, kinds: Kinds) -> Row:
+def _row(message: Any, url: str, kinds: FailureKinds) -> Row:
     """Return a row, or raise the garbage kind."""
     match message:
         case {"key": str(key), "value": dict(value), "version": int(version)}:
--- a/src/ebonydeal/_internal/outside/weights.py
+++ b/src/ebonydeal/_internal/outside/weights.py
@@ -50,7 +50,7 @@
         except (KeyError, TypeError, ValueError) as exc:
             raise EbonydealError(READ.garbage, f"a weight copy: {exc!r}") from exc
 
-    async def rate_left(self) -> float:
+    async def available_rate(self) -> float:
         """Return gigabytes a second that the store can still give."""
         url = f"{self._url}/v1/rate"
         reply = await self._client.fetch("GET", url, READ)
--- a/tests/functional/outside/test_engines.py
+++ b/tests/functional/outside/test_engines.py
@@ -5,7 +5,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.engines import HttpEngine
-from ebonydeal._internal.outside.interfaces import CancelWord, EngineOrder, Resume
+from ebonydeal._internal.outside.interfaces import CancelResult, EngineOrder, Resume
 from ebonydeal._internal.standin.endpoint import EndpointFault, PlannedFault
 from ebonydeal._internal.standin.server import StandinServer
 from ebonydeal._internal.standin.text import expected_tokens
@@ -181,7 +181,7 @@
             while server.slots.waiting == 0:
                 await asyncio.sleep(0.01)
             word = await client.cancel(view_of(server), "a-2")
-            assert word == CancelWord("not_started", 0)
+            assert word == CancelResult("not_started", 0)
             with pytest.raises(EbonydealError) as caught:
                 await second
             assert caught.value.kind is ErrorKind.ENDPOINT_REFUSED
@@ -192,7 +192,7 @@
                     pass
             assert caught.value.kind is ErrorKind.ENDPOINT_FAILED
             word = await client.cancel(view_of(server), "a-3")
-            assert word == CancelWord("unknown", 0)
+            assert word == CancelResult("unknown", 0)
             assert server.slots.running == 0
             await client.close()
 
@@ -201,7 +201,7 @@
             client = HttpEngine(2.0)
             await collect(client, server)
             word = await client.cancel(view_of(server), "a-1")
-            assert word == CancelWord("finished", 8)
+            assert word == CancelResult("finished", 8)
             await client.close()
 
 
--- a/tests/functional/outside/test_services.py
+++ b/tests/functional/outside/test_services.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.outside.rests import REST_HEADER, tell_rest
+from ebonydeal._internal.outside.backoff import RETRY_AFTER_HEADER, report_backoff
 from ebonydeal._internal.outside.services import HttpPlainServices
 from ebonydeal._internal.standin.endpoint import EndpointFault, PlannedFault
 from ebonydeal._internal.standin.service import ServiceSpec
@@ -112,7 +112,7 @@
     async def test_that_a_refusal_asks_for_is_told(self, rest, told):
         async with running(service()) as server:
             client, heard = HttpPlainServices(2.0), []
-            client.on_rest = lambda name, seconds: heard.append((name, seconds))
+            client.on_backoff = lambda name, seconds: heard.append((name, seconds))
             server.faults.rest = rest
             server.faults.next.append(PlannedFault(EndpointFault.REFUSE))
             with pytest.raises(EbonydealError):
@@ -126,5 +126,7 @@
     def test_that_cant_be_read_is_none(self, said):
         heard = []
         endpoint = SimpleNamespace(endpoint_id="i1")
-        tell_rest(lambda *rest: heard.append(rest), endpoint, 503, {REST_HEADER: said})
+        report_backoff(
+            lambda *rest: heard.append(rest), endpoint, 503, {RETRY_AFTER_HEADER: said}
+        )
         assert heard == []
--- a/tests/functional/standin/test_world.py
+++ b/tests/functional/standin/test_world.py
@@ -131,5 +131,5 @@
             copies = await weights.copies("covers-7b")
             assert [copy.model for copy in copies] == ["covers-7b"]
             assert await weights.copies("none") == []
-            assert await weights.rate_left() == 10.0
+            assert await weights.available_rate() == 10.0
             await weights.close()
--- a/tests/lib/gateway_fakes.py
+++ b/tests/lib/gateway_fakes.py
@@ -28,7 +28,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.trail import Trails
 from ebonydeal._internal.outside.interfaces import (
-    CancelWord,
+    CancelResult,
     Chunk,
     Resume,
     ServiceAnswer,
@@ -173,9 +173,9 @@
             await asyncio.Event().wait()
         return position + 1
 
-    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelWord:
+    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
         self.cancelled.append(attempt_id)
-        return CancelWord("stopped", 0)
+        return CancelResult("stopped", 0)
 
     async def export_kv(self, endpoint: EndpointView, attempt_id: str) -> str:
         self.exports.append((endpoint.endpoint_id, attempt_id))
--- a/tests/lib/journal_fakes.py
+++ b/tests/lib/journal_fakes.py
@@ -20,7 +20,7 @@
 from ebonydeal._internal.models.requests import Priority, Request, RequestKind
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.interfaces import (
-    CancelWord,
+    CancelResult,
     Chunk,
     Resume,
     ServiceAnswer,
@@ -112,9 +112,9 @@
             first = 7 if position == start else 0
             yield Chunk(position, TOKENS[position], "stop" if last else "", 0, first)
 
-    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelWord:
+    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
         self.cancelled.append(attempt_id)
-        return CancelWord(self.words.get(endpoint.endpoint_id, "stopped"), 0)
+        return CancelResult(self.words.get(endpoint.endpoint_id, "stopped"), 0)
 
 
 class FakeServices:
--- a/tests/lib/matrix_endpoints.py
+++ b/tests/lib/matrix_endpoints.py
@@ -12,7 +12,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import EndpointView, LeavingMark
 from ebonydeal._internal.outside.interfaces import (
-    CancelWord,
+    CancelResult,
     Chunk,
     Resume,
     ServiceAnswer,
@@ -144,14 +144,14 @@
             return [after, chunk]
         return [chunk]
 
-    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelWord:
+    async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
         self._directory.check_alive(endpoint.endpoint_id)
         for run in self.runs:
             if run.attempt_id == attempt_id:
                 if run.state == "running":
                     run.state = "stopped"
-                return CancelWord(run.state, 0)
-        return CancelWord("unknown", 0)
+                return CancelResult(run.state, 0)
+        return CancelResult("unknown", 0)
 
 
 class LoggingServices:
