--- a/src/ebonydeal/_internal/config/follower.py
+++ b/src/ebonydeal/_internal/config/follower.py
@@ -109,7 +109,7 @@
         """Time the spread and tell the callbacks."""
         if info is not None:
             spread = max(0.0, self._clock.wall() - info.at)
-            self._metrics.timed(Timing.CONFIG_SPREAD, spread)
+            self._metrics.record_duration(Timing.CONFIG_SPREAD, spread)
             _tell(self._version_callbacks, info)
         logger.info("Adopted a document.", version=document.version)
         _tell(self._callbacks, document)
@@ -133,7 +133,7 @@
         try:
             await self.refresh()
         except EbonydealError as exc:
-            self._metrics.retried(RetryReason.STORE)
+            self._metrics.count_retry(RetryReason.STORE)
             logger.debug("The table gives no configuration.", kind=str(exc.kind))
             return False
         except GARBAGE as exc:
--- a/src/ebonydeal/_internal/console/api.py
+++ b/src/ebonydeal/_internal/console/api.py
@@ -83,10 +83,10 @@
                 await self._parts.follower.try_refresh()
                 return web.json_response({"version": version})
             case Failure(Conflict() as conflict):
-                self._parts.metrics.refused(ErrorKind.CONFIG_CONFLICT)
+                self._parts.metrics.count_refusal(ErrorKind.CONFIG_CONFLICT)
                 return _conflicted(conflict)
             case Failure(problems):
-                self._parts.metrics.refused(ErrorKind.BAD_DOCUMENT)
+                self._parts.metrics.count_refusal(ErrorKind.BAD_DOCUMENT)
                 return _refused(problems)
         raise EbonydealError(ErrorKind.INTERNAL, "no outcome")
 
--- a/src/ebonydeal/_internal/console/guard.py
+++ b/src/ebonydeal/_internal/console/guard.py
@@ -82,7 +82,7 @@
     parts: ConsoleParts, req: web.Request, exc: EbonydealError
 ) -> web.Response:
     """Return a page for an error, counted."""
-    parts.metrics.refused(exc.kind)
+    parts.metrics.count_refusal(exc.kind)
     return parts.render.page(
         req, "error", status=exc.answer.status, error=exc, hint=exc.answer.hint
     )
--- a/src/ebonydeal/_internal/console/proposing.py
+++ b/src/ebonydeal/_internal/console/proposing.py
@@ -105,7 +105,7 @@
 
     def _no_word(self, step: Step, exc: EbonydealError) -> web.Response:
         """Say what is known, and offer to ask again under the same id."""
-        self._parts.metrics.refused(exc.kind)
+        self._parts.metrics.count_refusal(exc.kind)
         return self._parts.render.page(
             step.req,
             "no_word",
--- a/src/ebonydeal/_internal/console/view_pages.py
+++ b/src/ebonydeal/_internal/console/view_pages.py
@@ -44,7 +44,7 @@
         token = (await read_form(req)).get("token", "")
         operator = self._parts.operators.by_token(token)
         if operator is None:
-            self._parts.metrics.refused(ErrorKind.UNAUTHORIZED)
+            self._parts.metrics.count_refusal(ErrorKind.UNAUTHORIZED)
             # Slows guessing down; the spread hides nothing, it avoids bursts.
             await self._parts.clock.sleep(_FAILED_LOGIN_S * _spread(self._parts.rng))
             return self._parts.render.page(req, "login", status=401, failed=True)
--- a/src/ebonydeal/_internal/controller/execute.py
+++ b/src/ebonydeal/_internal/controller/execute.py
@@ -202,7 +202,7 @@
         """Take a refused start back and leave the offer alone for a while."""
         wait = self._refusals.refused(OfferKey.of(row), self._clock.now())
         self._metrics.count(Event.STARTS_REFUSED)
-        self._metrics.refused(ErrorKind.START_REFUSED)
+        self._metrics.count_refusal(ErrorKind.START_REFUSED)
         logger.info(
             "A start was refused.", zone=row.zone, reason=exc.detail, wait=round(wait)
         )
--- a/src/ebonydeal/_internal/gateway/api.py
+++ b/src/ebonydeal/_internal/gateway/api.py
@@ -68,15 +68,15 @@
             return await handler(req)
         except EbonydealError as exc:
             now = parts.clock.wall()
-            parts.trails.note(
+            parts.trails.add_step(
                 req[REQUEST_ID], now, Step.REFUSED, kind=str(exc.kind), why=exc.detail
             )
             raise for_caller(exc, ran_perhaps(req)) from exc
         except ConnectionError:
-            parts.metrics.refused(ErrorKind.CALLER_LEFT)
+            parts.metrics.count_refusal(ErrorKind.CALLER_LEFT)
             raise asyncio.CancelledError from None
         except asyncio.CancelledError:
-            parts.metrics.refused(ErrorKind.CALLER_LEFT)
+            parts.metrics.count_refusal(ErrorKind.CALLER_LEFT)
             raise
 
     return middleware
--- a/src/ebonydeal/_internal/gateway/desk.py
+++ b/src/ebonydeal/_internal/gateway/desk.py
@@ -104,14 +104,14 @@
             case Refuse() as refusal:
                 raise _error(refusal)
             case Wait(expected_s=expected):
-                self._trails.note(
+                self._trails.add_step(
                     request.request_id,
                     self._clock.wall(),
                     Step.QUEUED,
                     expected_s=round(expected, 3),
                 )
                 await self._wait(ask.request_id)
-        self._metrics.timed(Timing.QUEUE, self._clock.now() - started)
+        self._metrics.record_duration(Timing.QUEUE, self._clock.now() - started)
         return _Ticket(self, ask.request_id)
 
     def admit_later(self, request: Request) -> Ticket:
--- a/src/ebonydeal/_internal/gateway/direct.py
+++ b/src/ebonydeal/_internal/gateway/direct.py
@@ -115,8 +115,8 @@
             wait = parts.retries.delay(failure, tries, now)
         if isinstance(wait, EbonydealError):
             raise wait
-        parts.metrics.retried(retry_reason(error.kind, 0))
-        parts.trails.note(
+        parts.metrics.count_retry(retry_reason(error.kind, 0))
+        parts.trails.add_step(
             call.request.request_id,
             now,
             Step.RETRIED,
@@ -177,8 +177,8 @@
         if route is None:
             return set()
         avoid.add(incarnation_of(route.endpoint))
-        parts.metrics.retried(RetryReason.HEDGE)
-        parts.trails.note(call.request.request_id, now, Step.HEDGED)
+        parts.metrics.count_retry(RetryReason.HEDGE)
+        parts.trails.add_step(call.request.request_id, now, Step.HEDGED)
         return {asyncio.create_task(self._once(call, route))}
 
     def _start(
@@ -198,7 +198,7 @@
             detail = "the deadline passed before a try"
             raise EbonydealError(ErrorKind.DEADLINE_EXCEEDED, detail)
         attempt_id = new_token("a", parts.rng)
-        parts.trails.note(
+        parts.trails.add_step(
             request.request_id,
             parts.clock.wall(),
             Step.TRIED,
@@ -221,7 +221,7 @@
             parts.health.failed(route.endpoint, now)
             parts.routes.failed(route, exc.kind, now)
             await parts.crashes.failed(request, route.endpoint, exc.kind)
-            parts.trails.note(
+            parts.trails.add_step(
                 request.request_id,
                 now,
                 Step.FAILED,
--- a/src/ebonydeal/_internal/gateway/generation.py
+++ b/src/ebonydeal/_internal/gateway/generation.py
@@ -103,7 +103,7 @@
             call, account, req[REQUEST_ID], times, raw
         )
         job = new_job(call, request, deployment)
-        parts.trails.note(
+        parts.trails.add_step(
             request.request_id,
             times.at,
             Step.RECEIVED,
@@ -116,14 +116,14 @@
         if hint is not None:
             live = await parts.reconnector.resume(hint, job)
         ticket = await parts.admission.admit(request, deployment)
-        parts.trails.note(request.request_id, parts.clock.wall(), Step.ADMITTED)
+        parts.trails.add_step(request.request_id, parts.clock.wall(), Step.ADMITTED)
         try:
             resp = await self._answer(req, call, live, hint, started)
         finally:
             self._release(ticket, live)
         parts.metrics.count(Event.ANSWERED)
-        parts.metrics.timed(Timing.REQUEST, parts.clock.now() - started)
-        parts.trails.note(
+        parts.metrics.record_duration(Timing.REQUEST, parts.clock.now() - started)
+        parts.trails.add_step(
             request.request_id,
             parts.clock.wall(),
             Step.ANSWERED,
@@ -184,7 +184,7 @@
         """Time the first token; returns 0.0, so that it is timed once."""
         if started:
             seconds = self._parts.clock.now() - started
-            self._parts.metrics.timed(Timing.FIRST_TOKEN, seconds)
+            self._parts.metrics.record_duration(Timing.FIRST_TOKEN, seconds)
         return 0.0
 
     def _usage(self, live: LiveStream) -> Usage:
@@ -276,7 +276,7 @@
         """Keep an answer whose caller left, for when it comes back."""
         parts = self._parts
         parts.left.park(live, parts.clock.now())
-        parts.trails.note(
+        parts.trails.add_step(
             live.request_id,
             parts.clock.wall(),
             Step.CALLER_LEFT,
@@ -286,9 +286,9 @@
     def _refuse(self, live: LiveStream, error: EbonydealError) -> None:
         """Count a final error that goes out inside a stream."""
         parts = self._parts
-        parts.metrics.refused(error.kind)
+        parts.metrics.count_refusal(error.kind)
         parts.left.park(live, parts.clock.now())
-        parts.trails.note(
+        parts.trails.add_step(
             live.request_id,
             parts.clock.wall(),
             Step.REFUSED,
--- a/src/ebonydeal/_internal/gateway/reclaim.py
+++ b/src/ebonydeal/_internal/gateway/reclaim.py
@@ -259,7 +259,7 @@
             kind = exc.kind if isinstance(exc, EbonydealError) else None
             self._failed(item, target, kind)
             return _Transfer(handle, False)
-        self._parts.trails.note(
+        self._parts.trails.add_step(
             item.live.request_id,
             self._parts.clock.wall(),
             Step.EXPORTED,
--- a/src/ebonydeal/_internal/gateway/services.py
+++ b/src/ebonydeal/_internal/gateway/services.py
@@ -75,7 +75,7 @@
             req, account, deployment, options, path, raw, idempotent
         )
         req[REQUEST_ID] = request.request_id
-        parts.trails.note(
+        parts.trails.add_step(
             request.request_id,
             request.accepted_at,
             Step.RECEIVED,
@@ -93,7 +93,7 @@
         finally:
             ticket.release(0)
         parts.metrics.count(Event.ANSWERED)
-        parts.metrics.timed(Timing.REQUEST, parts.clock.now() - started)
+        parts.metrics.record_duration(Timing.REQUEST, parts.clock.now() - started)
         return resp
 
     def _deployment(self, name: str, account: Account) -> Deployment:
--- a/src/ebonydeal/_internal/gateway/streams.py
+++ b/src/ebonydeal/_internal/gateway/streams.py
@@ -154,7 +154,9 @@
             live.avoid.clear()
             route = parts.routes.choose(live.ask(), now)
         if route is not None:
-            parts.trails.note(live.request_id, now, Step.SCORED, choices=route.scores)
+            parts.trails.add_step(
+                live.request_id, now, Step.SCORED, choices=route.scores
+            )
         return route
 
     def _start(self, live: LiveStream, route: Route) -> Attempt:
@@ -172,7 +174,7 @@
         live.attempt = attempt
         live.kv_handle = ""
         live.tries += 1
-        parts.trails.note(
+        parts.trails.add_step(
             live.request_id,
             parts.clock.wall(),
             Step.RESUMED if live.delivered else Step.TRIED,
@@ -228,7 +230,9 @@
             detail = f"token {chunk.position} came in place of {position}"
             raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, detail)
         if live.last_token_at:
-            self._parts.metrics.timed(Timing.BETWEEN_TOKENS, now - live.last_token_at)
+            self._parts.metrics.record_duration(
+                Timing.BETWEEN_TOKENS, now - live.last_token_at
+            )
         live.last_token_at = now
         live.delivered.append(chunk.text)
         live.finish = chunk.finish
@@ -253,7 +257,7 @@
             parts.metrics.count(Event.TOKENS_RECOMPUTED_PREFIX, missed)
         if resume is not None and resume.kv_handle:
             parts.metrics.count(Event.KV_IMPORTED)
-        parts.trails.note(
+        parts.trails.add_step(
             live.request_id,
             now,
             Step.FIRST_TOKEN,
@@ -299,7 +303,7 @@
         live.cause = MoveCause.RECLAIM
         live.target = target
         live.kv_handle = kv_handle
-        self._parts.metrics.retried(RetryReason.LEAVING)
+        self._parts.metrics.count_retry(RetryReason.LEAVING)
         self._parts.metrics.count(Event.STREAMS_MOVED)
 
     async def _after_failure(
@@ -308,7 +312,7 @@
         """Wait until the next try, or raise the final error at once."""
         parts = self._parts
         now = parts.clock.wall()
-        parts.trails.note(live.request_id, now, Step.FAILED, kind=str(error.kind))
+        parts.trails.add_step(live.request_id, now, Step.FAILED, kind=str(error.kind))
         if error.kind in FINAL_KINDS:
             raise error
         if route is not None:
@@ -316,8 +320,8 @@
             live.avoid.add(incarnation_of(route.endpoint))
             live.cause = self._cause(route, error)
         wait = await self._resumption.wait(live, error)
-        parts.metrics.retried(retry_reason(error.kind, len(live.delivered)))
-        parts.trails.note(live.request_id, now, Step.RETRIED, wait=round(wait, 4))
+        parts.metrics.count_retry(retry_reason(error.kind, len(live.delivered)))
+        parts.trails.add_step(live.request_id, now, Step.RETRIED, wait=round(wait, 4))
         if wait > 0.0:
             await parts.clock.sleep(wait)
 
--- a/src/ebonydeal/_internal/journal/appender.py
+++ b/src/ebonydeal/_internal/journal/appender.py
@@ -239,7 +239,7 @@
                     return self._fence(batch)
                 if verdict is Verdict.UNAVAILABLE and self._doubt_since is None:
                     return await self._put_back(batch)
-                self._metrics.retried(RetryReason.STORE)
+                self._metrics.count_retry(RetryReason.STORE)
                 await self._clock.sleep(delay)
                 delay = min(delay * 2, BACKOFF_MOST_S)
         except BaseException:
@@ -296,7 +296,7 @@
         self._on_durable(seq, records)
         now = self._clock.now()
         for entry in batch:
-            self._metrics.timed(Timing.APPEND, now - entry.asked_at)
+            self._metrics.record_duration(Timing.APPEND, now - entry.asked_at)
             self._queue.finish(entry, None)
 
     def _fence(self, batch: list[Entry]) -> None:
@@ -317,6 +317,6 @@
                 self._queue.finish(entry, refusal)
         self._queue.put_back(held)
         self._down_until = self._clock.now() + self._backoff
-        self._metrics.retried(RetryReason.STORE)
+        self._metrics.count_retry(RetryReason.STORE)
         await self._clock.sleep(self._backoff)
         self._backoff = min(self._backoff * 2, BACKOFF_MOST_S)
--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -254,7 +254,7 @@
 
     def _again(self, job: Job, view: EndpointView, reason: RetryReason) -> Again:
         """Prepare a further attempt elsewhere."""
-        self._metrics.retried(reason)
+        self._metrics.count_retry(reason)
         job.interrupt.clear()
         job.exclude.add(view.endpoint_id)
         if reason is RetryReason.LEAVING:
--- a/src/ebonydeal/_internal/journal/backlog_rows.py
+++ b/src/ebonydeal/_internal/journal/backlog_rows.py
@@ -111,7 +111,7 @@
             try:
                 await self.publish()
             except EbonydealError as exc:
-                self._metrics.retried(RetryReason.STORE)
+                self._metrics.count_retry(RetryReason.STORE)
                 logger.info("Backlog rows are late.", error=str(exc))
 
     async def publish(self) -> None:
--- a/src/ebonydeal/_internal/journal/node.py
+++ b/src/ebonydeal/_internal/journal/node.py
@@ -120,7 +120,7 @@
             try:
                 await self.renew(every)
             except EbonydealError:
-                self._parts.metrics.retried(RetryReason.STORE)
+                self._parts.metrics.count_retry(RetryReason.STORE)
             await self._clock.sleep(self._jittered(every))
 
     def _renew_every(self) -> float:
@@ -156,7 +156,7 @@
                 await self.read()
                 await self.act()
             except EbonydealError as exc:
-                self._parts.metrics.retried(RetryReason.STORE)
+                self._parts.metrics.count_retry(RetryReason.STORE)
                 if exc.kind is ErrorKind.INTERNAL:
                     logger.error("Rows can't be read.", error=str(exc))
             await self._clock.sleep(self._jittered(self._read_every()))
--- a/src/ebonydeal/_internal/journal/owner.py
+++ b/src/ebonydeal/_internal/journal/owner.py
@@ -129,12 +129,12 @@
                 wall = self._clock.wall()
                 cut_off.append(Unknown(request_id, state.attempt, why, wall))
             else:
-                self._parts.metrics.retried(RetryReason.TAKEOVER)
+                self._parts.metrics.count_retry(RetryReason.TAKEOVER)
                 self._parts.dispatch.submit(self, request_id, may_have_run=True)
         if cut_off:
             self.add_future(self._record_quietly(cut_off))
         took = self._clock.now() - self._claimed_at
-        self._parts.metrics.timed(Timing.TAKEOVER, took)
+        self._parts.metrics.record_duration(Timing.TAKEOVER, took)
         logger.info(
             "Serving a shard.", shard=self.shard, epoch=self.epoch, rows=replayed.rows
         )
--- a/src/ebonydeal/_internal/observe/counters.py
+++ b/src/ebonydeal/_internal/observe/counters.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from ebonydeal._internal.errors import ErrorKind
-from ebonydeal._internal.observe.timing_row import TimingRow
+from ebonydeal._internal.observe.timing_summary import TimingSummary
 
 _LOWEST_US = 1
 _HIGHEST_US = 3_600_000_000
@@ -121,11 +121,11 @@
             timing: HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS) for timing in Timing
         }
 
-    def refused(self, kind: ErrorKind) -> None:
+    def count_refusal(self, kind: ErrorKind) -> None:
         """Count one refusal."""
         self._add("refusals", str(kind), 1)
 
-    def retried(self, reason: RetryReason) -> None:
+    def count_retry(self, reason: RetryReason) -> None:
         """Count one further attempt."""
         self._add("retries", str(reason), 1)
 
@@ -137,7 +137,7 @@
         counts = self._counts[family]
         counts[label] = counts.get(label, 0) + amount
 
-    def timed(self, timing: Timing, seconds: float) -> None:
+    def record_duration(self, timing: Timing, seconds: float) -> None:
         """Record one duration."""
         self._histograms[timing].record_value(max(_LOWEST_US, int(seconds * _US)))
 
@@ -149,20 +149,20 @@
         """Return a counter's value: ``refusals``, ``retries`` or ``events``."""
         return self._counts[name].get(label, 0)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return the page that monitoring systems read."""
         # Not at the top: loading the library takes 40 ms of a start, and the page
         # is asked for long after it.
-        from ebonydeal._internal.observe.exposition import page_text
+        from ebonydeal._internal.observe.exposition import render_metrics
 
         timings = {
-            str(timing): TimingRow(
+            str(timing): TimingSummary(
                 {q: self.quantile(timing, q) for q in _QUANTILES},
                 histogram.get_total_count(),
             )
             for timing, histogram in self._histograms.items()
         }
-        return page_text(self._counts, timings)
+        return render_metrics(self._counts, timings)
 
     def refusals(self) -> dict[str, int]:
         """Return refusals by reason, without zeros."""
--- a/src/ebonydeal/_internal/observe/exposition.py
+++ b/src/ebonydeal/_internal/observe/exposition.py
@@ -6,7 +6,7 @@
 from prometheus_client.core import CounterMetricFamily, SummaryMetricFamily
 from prometheus_client.registry import Collector
 
-from ebonydeal._internal.observe.timing_row import TimingRow
+from ebonydeal._internal.observe.timing_summary import TimingSummary
 
 # What each family's only label is called, and what it counts.
 _FAMILIES = {
@@ -22,7 +22,7 @@
     def __init__(
         self,
         counts: Mapping[str, Mapping[str, float]],
-        timings: Mapping[str, TimingRow],
+        timings: Mapping[str, TimingSummary],
     ) -> None:
         self._counts = counts
         self._timings = timings
@@ -43,8 +43,8 @@
             yield summary
 
 
-def page_text(
-    counts: Mapping[str, Mapping[str, float]], timings: Mapping[str, TimingRow]
+def render_metrics(
+    counts: Mapping[str, Mapping[str, float]], timings: Mapping[str, TimingSummary]
 ) -> bytes:
     """Return the page."""
     registry = CollectorRegistry()
--- a/src/ebonydeal/_internal/observe/logs.py
+++ b/src/ebonydeal/_internal/observe/logs.py
@@ -30,7 +30,7 @@
     return event
 
 
-class LineLimit:
+class LogRateLimiter:
     """Lets only so many lines of each sentence pass.
 
     Parameters
@@ -61,7 +61,7 @@
         return event
 
 
-class LineWriter:
+class NonBlockingWriter:
     """Writes lines to a stream without ever waiting for its reader.
 
     Parameters
@@ -111,7 +111,7 @@
         renderer = structlog.processors.JSONRenderer()
     target: Any = out
     try:
-        target = LineWriter(out)
+        target = NonBlockingWriter(out)
     except (OSError, ValueError):
         # A stream without a descriptor, as tests and notebooks have.
         target = out
@@ -119,7 +119,7 @@
         processors=[
             structlog.contextvars.merge_contextvars,
             _prefix,
-            LineLimit(),
+            LogRateLimiter(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
--- a/src/ebonydeal/_internal/observe/timing_row.py
+++ b/src/ebonydeal/_internal/observe/timing_summary.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class TimingRow(NamedTuple):
+class TimingSummary(NamedTuple):
     """A histogram as it is shown: seconds by percentile, and its samples."""
 
     quantiles: dict[float, float]
--- a/src/ebonydeal/_internal/observe/trail.py
+++ b/src/ebonydeal/_internal/observe/trail.py
@@ -53,7 +53,7 @@
         self._limit = requests
         self._trails: OrderedDict[str, list[TrailStep]] = OrderedDict()
 
-    def note(self, request_id: str, at: float, step: Step, **what: Any) -> None:
+    def add_step(self, request_id: str, at: float, step: Step, **what: Any) -> None:
         """Add a step; further steps of a very long trail are dropped."""
         if self._limit == 0:
             return
--- a/src/ebonydeal/_internal/peers/journal_client.py
+++ b/src/ebonydeal/_internal/peers/journal_client.py
@@ -249,7 +249,7 @@
                 if not again:
                     raise self._told(name, exc, in_doubt, _is_keyed(message)) from exc
                 self._owners.pop(shard, None)
-                self._metrics.retried(_reason(exc.kind))
+                self._metrics.count_retry(_reason(exc.kind))
                 if not await deadline.pause():
                     raise self._told(name, exc, in_doubt, _is_keyed(message)) from exc
 
@@ -290,7 +290,7 @@
             except EbonydealError as exc:
                 if exc.kind is not ErrorKind.WRONG_OWNER or not exc.owner:
                     raise
-                self._metrics.retried(RetryReason.WRONG_OWNER)
+                self._metrics.count_retry(RetryReason.WRONG_OWNER)
                 address = exc.owner
                 continue
             self._owners[shard] = address
--- a/src/ebonydeal/_internal/relay/peers/handler.py
+++ b/src/ebonydeal/_internal/relay/peers/handler.py
@@ -87,7 +87,7 @@
     async def handle(self, req: web.BaseRequest) -> web.Response:
         """Answer one request."""
         if req.path == METRICS:
-            return web.Response(body=self._metrics.text(), content_type="text/plain")
+            return web.Response(body=self._metrics.render(), content_type="text/plain")
         if req.path == QUARANTINE:
             return web.json_response(self._suspects.report())
         if req.path == ROLLOUTS_REPORT:
--- a/src/ebonydeal/_internal/relay/requests/intake.py
+++ b/src/ebonydeal/_internal/relay/requests/intake.py
@@ -76,7 +76,7 @@
         except ConnectionError:
             raise
         except asyncio.CancelledError:
-            self._parts.metrics.refused(ErrorKind.CALLER_LEFT)
+            self._parts.metrics.count_refusal(ErrorKind.CALLER_LEFT)
             raise
         except Exception as exc:
             logger.error("Request handler failed.", path=http_req.path, exc_info=exc)
@@ -86,7 +86,9 @@
             self.in_flight -= 1
         if self.draining and not resp.prepared:
             resp.force_close()
-        self._parts.metrics.timed(Timing.REQUEST, self._parts.clock.now() - started)
+        self._parts.metrics.record_duration(
+            Timing.REQUEST, self._parts.clock.now() - started
+        )
         return resp
 
     async def _answer(
@@ -111,7 +113,7 @@
     def _refuse(
         self, error: EbonydealError, request_id: str, time_left: float | None
     ) -> web.Response:
-        self._parts.metrics.refused(error.kind)
+        self._parts.metrics.count_refusal(error.kind)
         logger.info(
             "Refused.",
             request=request_id,
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -395,7 +395,7 @@
         if final_error is not None:
             raise self.proof.final_error(final_error)
         reason = _REASONS.get(error.kind, RetryReason.ENDPOINT_FAILED)
-        parts.metrics.retried(reason)
+        parts.metrics.count_retry(reason)
 
     def _still_listed(self, member: Member) -> bool:
         """Return whether an endpoint hasn't restarted since it was chosen."""
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -271,7 +271,9 @@
         sends.record_first_event()
         if client.resp is not None:
             return
-        parts.metrics.timed(Timing.FIRST_TOKEN, parts.clock.now() - job.started)
+        parts.metrics.record_duration(
+            Timing.FIRST_TOKEN, parts.clock.now() - job.started
+        )
         sends.count_run(parts.clock.wall())
 
     def _count_failed(self, sends: JobSends, outcome: Outcome) -> None:
--- a/src/ebonydeal/_internal/utils/web.py
+++ b/src/ebonydeal/_internal/utils/web.py
@@ -60,7 +60,7 @@
         except Exception as exc:
             logger.error("A handler failed.", path=req.path, exc_info=exc)
             error = EbonydealError(ErrorKind.INTERNAL, "an internal error")
-        metrics.refused(error.kind)
+        metrics.count_refusal(error.kind)
         return error_response(error)
 
     return middleware
@@ -86,7 +86,7 @@
     )
 
     async def page(_req: web.Request) -> web.Response:
-        return web.Response(body=metrics.text(), content_type="text/plain")
+        return web.Response(body=metrics.render(), content_type="text/plain")
 
     async def live(_req: web.Request) -> web.Response:
         return web.json_response({"live": True})
--- a/tests/unit/observe/test_logs.py
+++ b/tests/unit/observe/test_logs.py
@@ -4,13 +4,13 @@
 import pytest
 import structlog
 
-from ebonydeal._internal.observe.logs import LineLimit, LineWriter
+from ebonydeal._internal.observe.logs import LogRateLimiter, NonBlockingWriter
 
 
-class TestLineLimit:
+class TestLogRateLimiter:
     def test_a_flood_of_one_sentence_is_cut_and_counted(self):
         now = [0.0]
-        limit = LineLimit(lambda: now[0])
+        limit = LogRateLimiter(lambda: now[0])
         passed = 0
         for _ in range(1000):
             try:
@@ -24,18 +24,18 @@
         assert "left_out" not in limit(None, "info", {"event": "a"})
 
     def test_other_sentences_still_pass(self):
-        limit = LineLimit(lambda: 0.0)
+        limit = LogRateLimiter(lambda: 0.0)
         with pytest.raises(structlog.DropEvent):
             for _ in range(201):
                 limit(None, "info", {"event": "a"})
         assert limit(None, "info", {"event": "b"}) == {"event": "b"}
 
 
-class TestLineWriter:
+class TestNonBlockingWriter:
     def test_a_pipe_that_nobody_reads_loses_whole_lines_and_never_blocks(self):
         read_end, write_end = os.pipe()
         with os.fdopen(write_end, "w") as file:
-            writer = LineWriter(file)
+            writer = NonBlockingWriter(file)
             for n in range(20_000):
                 writer.write(json.dumps({"n": n}) + "\n")
             assert writer.lost > 0
@@ -57,4 +57,4 @@
         read_end, write_end = os.pipe()
         os.close(read_end)
         with os.fdopen(write_end, "w") as file:
-            LineWriter(file).write("x\n")
+            NonBlockingWriter(file).write("x\n")
