--- a/src/ebonydeal/_internal/cli/relay.py
+++ b/src/ebonydeal/_internal/cli/relay.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from ebonydeal._internal.utils.earlybind import open_early
-from ebonydeal._internal.utils.lateload import load_late
+from ebonydeal._internal.utils.early_listen import open_listeners
+from ebonydeal._internal.utils.lazy_modules import register_lazy_modules
 
 if TYPE_CHECKING:
     import click
@@ -80,14 +80,14 @@
 def main() -> None:
     """Run the relay; its clients may connect while it loads."""
     args = sys.argv[1:]
-    opened = open_early(args, "relay", ("address", "ready_address"))
+    opened = open_listeners(args, "relay", ("address", "ready_address"))
     # Nothing that loading makes is garbage; looking for some takes a tenth of it.
     gc.disable()
     # A relay speaks no TLS, and reading the system's certificates, which the HTTP
     # library does when it is loaded, takes 90 ms.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
-    load_late(_UNUSED)
+    register_lazy_modules(_UNUSED)
     settings = _plain_settings(args)
     if settings is None:
         gc.enable()
--- a/src/ebonydeal/_internal/directory/crash_guard.py
+++ b/src/ebonydeal/_internal/directory/crash_guard.py
@@ -106,4 +106,4 @@
         request.account, request.deployment, request.method, request.path
     )
     digest.update(request.body_digest.encode())
-    return digest.text()
+    return digest.hexdigest()
--- a/src/ebonydeal/_internal/peers/topics.py
+++ b/src/ebonydeal/_internal/peers/topics.py
@@ -45,7 +45,7 @@
 
     def make(self) -> dict[str, Any]:
         """Return the digest."""
-        digest: dict[str, Any] = {"h": self._hashes.top()}
+        digest: dict[str, Any] = {"h": self._hashes.root_hash()}
         if self._detail_rounds:
             digest["b"] = self._hashes.buckets()
         return digest
@@ -57,12 +57,12 @@
         yet: it does after it has seen ours.
         """
         match theirs:
-            case {"h": str(top)} if top == self._hashes.top():
+            case {"h": str(top)} if top == self._hashes.root_hash():
                 self._detail_rounds = max(0, self._detail_rounds - 1)
                 return set()
             case {"b": list(buckets)}:
                 self._detail_rounds = _DETAIL_ROUNDS
-                return self._hashes.differing(buckets)
+                return self._hashes.differing_buckets(buckets)
         self._detail_rounds = _DETAIL_ROUNDS
         return set()
 
--- a/src/ebonydeal/_internal/relay/listener.py
+++ b/src/ebonydeal/_internal/relay/listener.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 from mode import Service
 
-from ebonydeal._internal.utils.earlybind import BACKLOG, early_socket
+from ebonydeal._internal.utils.early_listen import LISTEN_BACKLOG, find_listener
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -42,7 +42,7 @@
         decompresses: bool = False,
     ) -> None:
         super().__init__()
-        self._early_socket = early_socket(opened, address)
+        self._opened_socket = find_listener(opened, address)
         host, _sep, port = address.rpartition(":")
         self.host = host
         self.port = int(port)
@@ -64,13 +64,17 @@
             auto_decompress=self._decompresses,
         )
         loop = asyncio.get_running_loop()
-        if self._early_socket is not None:
+        if self._opened_socket is not None:
             self._socket = await loop.create_server(
-                self._server, sock=self._early_socket, backlog=BACKLOG
+                self._server, sock=self._opened_socket, backlog=LISTEN_BACKLOG
             )
         else:
             self._socket = await loop.create_server(
-                self._server, self.host, self.port, backlog=BACKLOG, reuse_address=True
+                self._server,
+                self.host,
+                self.port,
+                backlog=LISTEN_BACKLOG,
+                reuse_address=True,
             )
         self.port = self._socket.sockets[0].getsockname()[1]
 
--- a/src/ebonydeal/_internal/relay/requests/intake.py
+++ b/src/ebonydeal/_internal/relay/requests/intake.py
@@ -146,7 +146,7 @@
         digest = RequestDigest(name, req.host, req.method, req.target)
         body = await _read_body(http_req, limits.body_bytes, timeout, digest)
         # A quarantined request won't run, so it mustn't use up its account's limit.
-        self._parts.suspects.check(digest.text())
+        self._parts.suspects.check(digest.hexdigest())
         admission = None
         if account is not None:
             max_wait_s = min(timeout, route.objective * self._quota_wait)
@@ -160,7 +160,7 @@
             body=body,
             started=started,
             deadline=started + timeout,
-            digest=digest.text(),
+            digest=digest.hexdigest(),
             admission=admission,
         )
 
--- a/src/ebonydeal/_internal/utils/buckets.py
+++ b/src/ebonydeal/_internal/utils/buckets.py
@@ -41,7 +41,7 @@
         if entry is not None:
             self._hashes[bucket_of(key)] ^= entry
 
-    def top(self) -> str:
+    def root_hash(self) -> str:
         """Return one hash over everything, as hexadecimal text."""
         text = ",".join(self.buckets())
         return f"{xxh3_64_intdigest(text.encode()) & _MASK:0{_HEX}x}"
@@ -50,7 +50,7 @@
         """Return the hash of each bucket; empty text for a hash of zero."""
         return [f"{h & _MASK:0{_HEX}x}" if h else "" for h in self._hashes]
 
-    def differing(self, theirs: list[str]) -> set[int]:
+    def differing_buckets(self, theirs: list[str]) -> set[int]:
         """Return the buckets whose hash isn't the one in ``theirs``."""
         mine = self.buckets()
         if len(theirs) != len(mine):
--- a/src/ebonydeal/_internal/utils/clock.py
+++ b/src/ebonydeal/_internal/utils/clock.py
@@ -16,7 +16,7 @@
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-def steady() -> float:
+def boottime() -> float:
     """Return seconds that never go back and count suspended time."""
     return time.clock_gettime(_CLOCK)
 
@@ -39,7 +39,7 @@
 
     def now(self) -> float:
         """Return monotonic seconds, suspended time with them."""
-        return steady()
+        return boottime()
 
     def wall(self) -> float:
         """Return seconds since the epoch."""
@@ -50,7 +50,7 @@
         await asyncio.sleep(seconds)
 
 
-class SteadyLoop(asyncio.SelectorEventLoop):
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers count suspended time.
 
     What was due meanwhile runs with the first turn after it.
@@ -61,7 +61,7 @@
         Returns seconds.
     """
 
-    def __init__(self, now: Callable[[], float] = steady) -> None:
+    def __init__(self, now: Callable[[], float] = boottime) -> None:
         self._now = now
         super().__init__()
 
@@ -70,7 +70,7 @@
         return self._now()
 
 
-class SuspensionWatch:
+class SuspensionDetector:
     """Finds out that the process was suspended.
 
     Parameters
@@ -81,14 +81,14 @@
 
     def __init__(
         self,
-        counts: Callable[[], float] = steady,
+        counts: Callable[[], float] = boottime,
         stands: Callable[[], float] = time.monotonic,
     ) -> None:
         self._counts = counts
         self._stands = stands
         self._ahead = counts() - stands()
 
-    def lapse(self) -> float:
+    def suspended_s(self) -> float:
         """Return the seconds of suspension since it was last asked."""
         ahead = self._counts() - self._stands()
         found, self._ahead = ahead - self._ahead, ahead
--- a/src/ebonydeal/_internal/utils/earlybind.py
+++ b/src/ebonydeal/_internal/utils/early_listen.py
@@ -16,10 +16,10 @@
 
 _OPTION = "--settings"
 # Connections that wait to be taken.
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 
 
-def open_early(args: Sequence[str], section: str, keys: Sequence[str]) -> list[int]:
+def open_listeners(args: Sequence[str], section: str, keys: Sequence[str]) -> list[int]:
     """Open the listening sockets that the settings named in ``args`` tell.
 
     Whatever speaks against that is left to the program itself, which says what
@@ -35,7 +35,7 @@
     Returns
     -------
     list of int
-        File descriptors, for `early_socket`.
+        File descriptors, for `find_listener`.
     """
     parser = ConfigParser(interpolation=None)
     try:
@@ -56,7 +56,7 @@
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind((host, int(port)))
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
             sock.close()
             continue
@@ -65,7 +65,7 @@
     return opened
 
 
-def early_socket(opened: Sequence[int], address: str) -> socket.socket | None:
+def find_listener(opened: Sequence[int], address: str) -> socket.socket | None:
     """Return the socket among ``opened`` that listens on ``address``, or None."""
     for fd in opened:
         sock = socket.socket(fileno=fd)
--- a/src/ebonydeal/_internal/utils/lateload.py
+++ b/src/ebonydeal/_internal/utils/lazy_modules.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-def load_late(modules: Mapping[str, Sequence[str]]) -> None:
+def register_lazy_modules(modules: Mapping[str, Sequence[str]]) -> None:
     """Put a stand-in for each module, with the functions named.
 
     Only for modules that are imported for functions which are seldom called: what
--- a/src/ebonydeal/_internal/utils/request_digest.py
+++ b/src/ebonydeal/_internal/utils/request_digest.py
@@ -32,6 +32,6 @@
         """Add a slice of the body."""
         self._hash.update(data)
 
-    def text(self) -> str:
+    def hexdigest(self) -> str:
         """Return the digest of what was added so far."""
         return self._hash.hexdigest()
--- a/src/ebonydeal/_internal/utils/run.py
+++ b/src/ebonydeal/_internal/utils/run.py
@@ -11,9 +11,9 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.logs import configure_logs, get_logger
 from ebonydeal._internal.utils.clock import (
+    BoottimeEventLoop,
     Clock,
-    SteadyLoop,
-    SuspensionWatch,
+    SuspensionDetector,
     SystemClock,
 )
 
@@ -25,7 +25,7 @@
 _LEAST_LAPSE_S = 0.1
 
 
-Reread = Callable[[], dict[str, Any] | None]
+SettingsReader = Callable[[], dict[str, Any] | None]
 Build = Callable[[dict[str, Any], Metrics, Clock, Random], Service]
 
 
@@ -37,7 +37,7 @@
         """Take the settings as they are now."""
 
 
-def _reload(service: Service, reread: Reread) -> None:
+def _reload(service: Service, reread: SettingsReader) -> None:
     """Take changed settings; a program that can't goes on as it is."""
     program = service.label
     if not isinstance(service, Reloadable):
@@ -57,15 +57,15 @@
     What it waits in ends by a clock that stands still meanwhile, so a timer that was
     due is found only when anything else wakes it.
     """
-    watch = SuspensionWatch()
+    watch = SuspensionDetector()
     while True:
         await asyncio.sleep(_LOOK_S)
-        lapse = watch.lapse()
-        if lapse > _LEAST_LAPSE_S:
-            logger.warning("Was suspended.", seconds=round(lapse, 3))
+        suspended_s = watch.suspended_s()
+        if suspended_s > _LEAST_LAPSE_S:
+            logger.warning("Was suspended.", seconds=round(suspended_s, 3))
 
 
-async def _serve(build: Callable[[], Service], reread: Reread) -> int:
+async def _serve(build: Callable[[], Service], reread: SettingsReader) -> int:
     """Start the tree, wait for a signal or a crash, stop it gracefully."""
     service = build()
     stop = asyncio.Event()
@@ -89,7 +89,9 @@
     return 1 if service.crashed else 0
 
 
-def run_program(build: Callable[[], Service], reread: Reread = lambda: None) -> int:
+def run_program(
+    build: Callable[[], Service], reread: SettingsReader = lambda: None
+) -> int:
     """Run the service that ``build`` makes inside the loop; return an exit code.
 
     ``reread`` returns the settings as they are at a hang-up signal, or None
@@ -98,11 +100,13 @@
     `mode.Worker` is not used: it takes over logging and signals in ways that
     keep a second service from living in the same process (the quickstart).
     """
-    with asyncio.Runner(loop_factory=SteadyLoop) as runner:
+    with asyncio.Runner(loop_factory=BoottimeEventLoop) as runner:
         return runner.run(_serve(build, reread))
 
 
-def start_program(build: Build, settings: dict[str, Any], reread: Reread) -> int:
+def start_program(
+    build: Build, settings: dict[str, Any], reread: SettingsReader
+) -> int:
     """Run the program that ``build`` makes of its settings; return an exit code."""
     configure_logs(settings["logs"])
     return run_program(
--- a/tests/unit/directory/test_marks.py
+++ b/tests/unit/directory/test_marks.py
@@ -47,7 +47,7 @@
         other = marks + [rng.choice(marks) for _ in marks]
         rng.shuffle(other)
         assert set(merged(marks)) == set(merged(other))
-        assert merged(marks).hashes.top() == merged(other).hashes.top()
+        assert merged(marks).hashes.root_hash() == merged(other).hashes.root_hash()
 
     @given(MARKS, st.randoms(use_true_random=False))
     def test_bounds_keep_the_order_free(self, marks, rng):
--- a/tests/unit/directory/test_sharing.py
+++ b/tests/unit/directory/test_sharing.py
@@ -53,7 +53,7 @@
             second.merge(fact, 1000.0)
         by_id = {view.endpoint_id: view for view in first.views()}
         assert {view.endpoint_id: view for view in second.views()} == by_id
-        assert second.hashes.top() == first.hashes.top()
+        assert second.hashes.root_hash() == first.hashes.root_hash()
 
     def test_reading_tells_only_what_changed(self):
         shared = SharedList()
--- a/tests/unit/peers/test_membership.py
+++ b/tests/unit/peers/test_membership.py
@@ -51,7 +51,7 @@
             membership = Membership(member("me"), TIMES)
             for fact in first + told:
                 membership.merge(fact, 0.0)
-            views.append((live_view(membership), membership.hashes.top()))
+            views.append((live_view(membership), membership.hashes.root_hash()))
         assert views[0] == views[1]
 
     def test_restart_of_the_same_id_revives_a_dead_one(self):
@@ -304,4 +304,4 @@
         assert [net.live(a) for a in range(7)] == [
             everyone - {f"n{a}"} for a in range(7)
         ]
-        assert len({node.hashes.top() for node in net.nodes}) == 1
+        assert len({node.hashes.root_hash() for node in net.nodes}) == 1
--- a/tests/unit/utils/test_buckets.py
+++ b/tests/unit/utils/test_buckets.py
@@ -20,8 +20,8 @@
             bucket_of(key) for key in {*left, *right} if left.get(key) != right.get(key)
         }
         ours, theirs = filled(left), filled(right)
-        assert ours.differing(theirs.buckets()) == wanted
-        assert (ours.top() == theirs.top()) == (not wanted)
+        assert ours.differing_buckets(theirs.buckets()) == wanted
+        assert (ours.root_hash() == theirs.root_hash()) == (not wanted)
 
     @given(ENTRIES, ENTRIES)
     def test_history_leaves_no_trace(self, before, after):
@@ -35,4 +35,4 @@
         assert len(hashes) == len(after)
 
     def test_buckets_of_another_number_all_differ(self):
-        assert BucketHashes().differing(["x"]) == set(range(BUCKETS))
+        assert BucketHashes().differing_buckets(["x"]) == set(range(BUCKETS))
--- a/tests/unit/utils/test_clock.py
+++ b/tests/unit/utils/test_clock.py
@@ -9,10 +9,10 @@
 
 import ebonydeal
 from ebonydeal._internal.utils.clock import (
-    SteadyLoop,
-    SuspensionWatch,
+    BoottimeEventLoop,
+    SuspensionDetector,
     SystemClock,
-    steady,
+    boottime,
 )
 
 # Stand-ins, measurements and commands hold no belief over time.
@@ -46,22 +46,22 @@
 
 
 class _Suspended:
-    """A clock that jumps ahead by ``lapse`` when told."""
+    """A clock that jumps ahead by ``suspended_s`` when told."""
 
     def __init__(self):
-        self.lapse = 0.0
+        self.suspended_s = 0.0
 
     def __call__(self):
-        return steady() + self.lapse
+        return boottime() + self.suspended_s
 
 
-class TestSteadyLoop:
+class TestBoottimeEventLoop:
     @pytest.fixture
     def clock(self):
         return _Suspended()
 
     def run(self, clock, body):
-        with asyncio.Runner(loop_factory=lambda: SteadyLoop(clock)) as runner:
+        with asyncio.Runner(loop_factory=lambda: BoottimeEventLoop(clock)) as runner:
             return runner.run(body)
 
     def test_a_timer_that_was_due_meanwhile_ends_at_once(self, clock):
@@ -69,7 +69,7 @@
             begun = time.monotonic()
             waiting = asyncio.ensure_future(asyncio.sleep(60.0))
             await asyncio.sleep(0)
-            clock.lapse = 61.0
+            clock.suspended_s = 61.0
             # Anything that wakes the loop lets it look.
             await asyncio.sleep(0)
             await waiting
@@ -81,14 +81,14 @@
         async def body():
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(60.0):
-                    clock.lapse = 61.0
+                    clock.suspended_s = 61.0
                     await asyncio.sleep(30.0)
 
         self.run(clock, body())
 
 
-class TestSuspensionWatch:
+class TestSuspensionDetector:
     def test_tells_how_long_it_was(self):
         counts, stands = iter([100.0, 101.0, 106.0, 107.0]), iter([10, 11, 12, 13])
-        watch = SuspensionWatch(lambda: next(counts), lambda: next(stands))
-        assert [watch.lapse() for _ in range(3)] == [0.0, 4.0, 0.0]
+        watch = SuspensionDetector(lambda: next(counts), lambda: next(stands))
+        assert [watch.suspended_s() for _ in range(3)] == [0.0, 4.0, 0.0]
--- a/tests/unit/utils/test_earlybind.py
+++ b/tests/unit/utils/test_early_listen.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ebonydeal._internal.utils.earlybind import early_socket, open_early
+from ebonydeal._internal.utils.early_listen import find_listener, open_listeners
 
 
 @pytest.fixture
@@ -18,13 +18,13 @@
     return ["--settings", str(file)]
 
 
-class TestOpenEarly:
+class TestOpenListeners:
     def test_a_client_connects_before_anything_accepts(self, tmp_path, free_port):
         args = file_with(tmp_path, f"[relay]\naddress = 127.0.0.1:{free_port}\n")
-        opened = open_early(args, "relay", ("address", "ready_address"))
+        opened = open_listeners(args, "relay", ("address", "ready_address"))
         client = socket.create_connection(("127.0.0.1", free_port), timeout=5)
         assert len(opened) == 1
-        sock = early_socket(opened, f"127.0.0.1:{free_port}")
+        sock = find_listener(opened, f"127.0.0.1:{free_port}")
         assert sock is not None
         sock.accept()[0].close()
         client.close()
@@ -41,20 +41,20 @@
         ],
     )
     def test_what_is_wrong_is_left_to_the_program(self, tmp_path, text):
-        assert open_early(file_with(tmp_path, text), "relay", ("address",)) == []
+        assert open_listeners(file_with(tmp_path, text), "relay", ("address",)) == []
 
     @pytest.mark.parametrize(
         "args", [[], ["--help"], ["--settings"], ["--settings", "/no"]]
     )
     def test_nor_without_settings(self, args):
-        assert open_early(args, "relay", ("address",)) == []
+        assert open_listeners(args, "relay", ("address",)) == []
 
 
-class TestEarlySocket:
+class TestFindListener:
     def test_another_address_has_none(self, tmp_path, free_port):
         args = file_with(tmp_path, f"[relay]\naddress = 127.0.0.1:{free_port}\n")
-        opened = open_early(args, "relay", ("address",))
-        assert early_socket(opened, "127.0.0.1:1") is None
-        taken = early_socket(opened, f"127.0.0.1:{free_port}")
+        opened = open_listeners(args, "relay", ("address",))
+        assert find_listener(opened, "127.0.0.1:1") is None
+        taken = find_listener(opened, f"127.0.0.1:{free_port}")
         assert taken is not None
         taken.close()
--- a/tests/unit/utils/test_lateload.py
+++ b/tests/unit/utils/test_lazy_modules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ebonydeal._internal.utils.lateload import load_late
+from ebonydeal._internal.utils.lazy_modules import register_lazy_modules
 
 
 @pytest.fixture
@@ -14,9 +14,9 @@
     sys.modules.pop("seldom_used", None)
 
 
-class TestLoadLate:
+class TestRegisterLazyModules:
     def test_the_module_is_loaded_when_its_function_is_called(self, module):
-        load_late({module: ("twice",)})
+        register_lazy_modules({module: ("twice",)})
         from seldom_used import twice
 
         assert not hasattr(sys.modules[module], "__file__")
@@ -24,7 +24,7 @@
         assert hasattr(sys.modules[module], "__file__")
 
     def test_the_function_goes_on_to_work(self, module):
-        load_late({module: ("twice",)})
+        register_lazy_modules({module: ("twice",)})
         from seldom_used import twice
 
         assert [twice(1), twice(2), twice(3)] == [2, 4, 6]
@@ -32,5 +32,5 @@
     def test_one_that_is_loaded_stays(self, module):
         __import__(module)
         loaded = sys.modules[module]
-        load_late({module: ("twice",)})
+        register_lazy_modules({module: ("twice",)})
         assert sys.modules[module] is loaded
--- a/tests/unit/utils/test_request_digest.py
+++ b/tests/unit/utils/test_request_digest.py
@@ -11,7 +11,7 @@
     found = RequestDigest(*(words or BASE))
     for part in body:
         found.update(part)
-    return found.text()
+    return found.hexdigest()
 
 
 class TestDigest:
