--- a/src/ebonydeal/_internal/console/api.py
+++ b/src/ebonydeal/_internal/console/api.py
@@ -185,7 +185,7 @@
     )
     body: dict[str, Any] = {**error.to_body()}
     body["problems"] = [problem.to_message() for problem in problems]
-    return web.json_response(body, status=error.answer.status)
+    return web.json_response(body, status=error.response.status)
 
 
 def _conflicted(conflict: Conflict) -> web.Response:
--- a/src/ebonydeal/_internal/console/guard.py
+++ b/src/ebonydeal/_internal/console/guard.py
@@ -84,5 +84,5 @@
     """Return a page for an error, counted."""
     parts.metrics.count_refusal(exc.kind)
     return parts.render.page(
-        req, "error", status=exc.answer.status, error=exc, hint=exc.answer.hint
+        req, "error", status=exc.response.status, error=exc, hint=exc.response.hint
     )
--- a/src/ebonydeal/_internal/console/proposing.py
+++ b/src/ebonydeal/_internal/console/proposing.py
@@ -109,7 +109,7 @@
         return self._parts.render.page(
             step.req,
             "no_word",
-            status=exc.answer.status,
+            status=exc.response.status,
             in_doubt=exc.kind == ErrorKind.STORE_IN_DOUBT,
             detail=exc.detail,
             base=step.posted.base,
--- a/src/ebonydeal/_internal/errors.py
+++ b/src/ebonydeal/_internal/errors.py
@@ -65,7 +65,7 @@
     ANSWERED = "answered"
 
 
-class Answer(NamedTuple):
+class ErrorResponse(NamedTuple):
     """What a caller is told for one error kind.
 
     Attributes
@@ -96,77 +96,121 @@
 _N = Outcome.NOT_RUN
 _U = Outcome.UNKNOWN
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, _N, _INVALID, None, "Correct the request."),
-    ErrorKind.UNAUTHORIZED: Answer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
+        400, _N, _INVALID, None, "Correct the request."
+    ),
+    ErrorKind.UNAUTHORIZED: ErrorResponse(
         401, _N, "authentication_error", None, "Send a valid API key."
     ),
-    ErrorKind.FORBIDDEN: Answer(
+    ErrorKind.FORBIDDEN: ErrorResponse(
         403, _N, "permission_error", None, "Ask an operator for access."
     ),
-    ErrorKind.NOT_FOUND: Answer(404, _N, _INVALID, None, "Check the path or id."),
-    ErrorKind.UNKNOWN_MODEL: Answer(
+    ErrorKind.NOT_FOUND: ErrorResponse(
+        404, _N, _INVALID, None, "Check the path or id."
+    ),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(
         404, _N, _INVALID, None, "List the models with GET /v1/models."
     ),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, _N, _INVALID, None, "Send a smaller body."),
-    ErrorKind.SLOW_SENDER: Answer(408, _N, _INVALID, None, "Send the body faster."),
-    ErrorKind.KEY_REUSED: Answer(
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
+        413, _N, _INVALID, None, "Send a smaller body."
+    ),
+    ErrorKind.SLOW_SENDER: ErrorResponse(
+        408, _N, _INVALID, None, "Send the body faster."
+    ),
+    ErrorKind.KEY_REUSED: ErrorResponse(
         409, _N, _INVALID, None, "Use a new idempotency key for another body."
     ),
-    ErrorKind.KEY_REQUIRED: Answer(
+    ErrorKind.KEY_REQUIRED: ErrorResponse(
         400, _N, _INVALID, None, "Send an Idempotency-Key header with this call."
     ),
-    ErrorKind.RATE_LIMITED: Answer(429, _N, _LIMIT, 1.0, "Wait, then repeat."),
-    ErrorKind.LIMIT_TOO_SMALL: Answer(
+    ErrorKind.RATE_LIMITED: ErrorResponse(429, _N, _LIMIT, 1.0, "Wait, then repeat."),
+    ErrorKind.LIMIT_TOO_SMALL: ErrorResponse(
         429, _N, _LIMIT, None, "Send a smaller request, or ask for a higher limit."
     ),
-    ErrorKind.LIMIT_UNAVAILABLE: Answer(503, _N, _SERVER, 1.0, "Wait, then repeat."),
-    ErrorKind.QUEUE_FULL: Answer(429, _N, _LIMIT, 2.0, "Wait, then repeat."),
-    ErrorKind.SHED: Answer(503, _N, _SERVER, 5.0, "Wait, or use a higher priority."),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(
+    ErrorKind.LIMIT_UNAVAILABLE: ErrorResponse(
+        503, _N, _SERVER, 1.0, "Wait, then repeat."
+    ),
+    ErrorKind.QUEUE_FULL: ErrorResponse(429, _N, _LIMIT, 2.0, "Wait, then repeat."),
+    ErrorKind.SHED: ErrorResponse(
+        503, _N, _SERVER, 5.0, "Wait, or use a higher priority."
+    ),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(
         504, _U, _SERVER, None, "Allow more time, or repeat when load is lower."
     ),
-    ErrorKind.NO_ENDPOINT: Answer(503, _N, _SERVER, 2.0, "Wait, then repeat."),
-    ErrorKind.ENDPOINTS_LIMITED: Answer(503, _N, _SERVER, 1.0, "Wait, then repeat."),
-    ErrorKind.RETRY_BUDGET: Answer(503, _U, _SERVER, 2.0, "Wait, then repeat."),
-    ErrorKind.DRAINING: Answer(503, _N, _SERVER, 0.0, "Repeat at once elsewhere."),
-    ErrorKind.JOURNAL_UNAVAILABLE: Answer(
+    ErrorKind.NO_ENDPOINT: ErrorResponse(503, _N, _SERVER, 2.0, "Wait, then repeat."),
+    ErrorKind.ENDPOINTS_LIMITED: ErrorResponse(
+        503, _N, _SERVER, 1.0, "Wait, then repeat."
+    ),
+    ErrorKind.RETRY_BUDGET: ErrorResponse(503, _U, _SERVER, 2.0, "Wait, then repeat."),
+    ErrorKind.DRAINING: ErrorResponse(
+        503, _N, _SERVER, 0.0, "Repeat at once elsewhere."
+    ),
+    ErrorKind.JOURNAL_UNAVAILABLE: ErrorResponse(
         503, _N, _SERVER, 5.0, "Repeat later with the same idempotency key."
     ),
-    ErrorKind.JOURNAL_BEHIND: Answer(
+    ErrorKind.JOURNAL_BEHIND: ErrorResponse(
         503, _N, _SERVER, 2.0, "Repeat later with the same idempotency key."
     ),
-    ErrorKind.WRONG_OWNER: Answer(421, _N, _SERVER, 0.0, "Follow the named owner."),
-    ErrorKind.STORE_UNAVAILABLE: Answer(503, _N, _SERVER, 5.0, "Repeat later."),
-    ErrorKind.STORE_IN_DOUBT: Answer(
+    ErrorKind.WRONG_OWNER: ErrorResponse(
+        421, _N, _SERVER, 0.0, "Follow the named owner."
+    ),
+    ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, _N, _SERVER, 5.0, "Repeat later."),
+    ErrorKind.STORE_IN_DOUBT: ErrorResponse(
         503, _U, _SERVER, 5.0, "Repeat later with the same idempotency key."
     ),
-    ErrorKind.FENCED: Answer(503, _U, _SERVER, 0.0, "Repeat with the same key."),
-    ErrorKind.NOT_RUN: Answer(503, _N, _SERVER, 1.0, "The request did not run."),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
+    ErrorKind.FENCED: ErrorResponse(503, _U, _SERVER, 0.0, "Repeat with the same key."),
+    ErrorKind.NOT_RUN: ErrorResponse(503, _N, _SERVER, 1.0, "The request did not run."),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
         502, _U, _SERVER, None, "Ask the service itself; it is never run again."
     ),
-    ErrorKind.CONNECT_FAILED: Answer(503, _N, _SERVER, 1.0, "Wait, then repeat."),
-    ErrorKind.ENDPOINT_REFUSED: Answer(503, _N, _SERVER, 1.0, "Wait, then repeat."),
-    ErrorKind.ENDPOINT_FAILED: Answer(502, _U, _SERVER, 1.0, "Repeat if idempotent."),
-    ErrorKind.ENDPOINT_GARBAGE: Answer(502, _U, _SERVER, 1.0, "Repeat if idempotent."),
-    ErrorKind.ENDPOINT_STALLED: Answer(504, _U, _SERVER, 1.0, "Repeat if idempotent."),
+    ErrorKind.CONNECT_FAILED: ErrorResponse(
+        503, _N, _SERVER, 1.0, "Wait, then repeat."
+    ),
+    ErrorKind.ENDPOINT_REFUSED: ErrorResponse(
+        503, _N, _SERVER, 1.0, "Wait, then repeat."
+    ),
+    ErrorKind.ENDPOINT_FAILED: ErrorResponse(
+        502, _U, _SERVER, 1.0, "Repeat if idempotent."
+    ),
+    ErrorKind.ENDPOINT_GARBAGE: ErrorResponse(
+        502, _U, _SERVER, 1.0, "Repeat if idempotent."
+    ),
+    ErrorKind.ENDPOINT_STALLED: ErrorResponse(
+        504, _U, _SERVER, 1.0, "Repeat if idempotent."
+    ),
     # Not a status that invites a repeat, nor one that blames the request's form.
-    ErrorKind.REQUEST_QUARANTINED: Answer(
+    ErrorKind.REQUEST_QUARANTINED: ErrorResponse(
         500, _N, _SERVER, None, "Don't repeat it; report the digest to the operators."
     ),
-    ErrorKind.CALLER_LEFT: Answer(499, _U, _INVALID, None, "Reconnect to resume."),
-    ErrorKind.CANCELLED: Answer(409, _N, _INVALID, None, "The request was cancelled."),
-    ErrorKind.EXPIRED: Answer(410, _N, _INVALID, None, "Send the request again."),
-    ErrorKind.BAD_SETTINGS: Answer(400, _N, _INVALID, None, "Correct the settings."),
-    ErrorKind.BAD_DOCUMENT: Answer(422, _N, _INVALID, None, "Correct the document."),
-    ErrorKind.CONFIG_CONFLICT: Answer(
+    ErrorKind.CALLER_LEFT: ErrorResponse(
+        499, _U, _INVALID, None, "Reconnect to resume."
+    ),
+    ErrorKind.CANCELLED: ErrorResponse(
+        409, _N, _INVALID, None, "The request was cancelled."
+    ),
+    ErrorKind.EXPIRED: ErrorResponse(
+        410, _N, _INVALID, None, "Send the request again."
+    ),
+    ErrorKind.BAD_SETTINGS: ErrorResponse(
+        400, _N, _INVALID, None, "Correct the settings."
+    ),
+    ErrorKind.BAD_DOCUMENT: ErrorResponse(
+        422, _N, _INVALID, None, "Correct the document."
+    ),
+    ErrorKind.CONFIG_CONFLICT: ErrorResponse(
         409, _N, _INVALID, None, "Read the newer version, then change that."
     ),
-    ErrorKind.STALE_ORDER: Answer(409, _N, _INVALID, None, "A newer holder is active."),
-    ErrorKind.START_REFUSED: Answer(503, _N, _SERVER, 30.0, "Try another offer."),
-    ErrorKind.PRICE_CEILING: Answer(503, _N, _SERVER, 60.0, "Raise the ceiling."),
-    ErrorKind.INTERNAL: Answer(500, _U, _SERVER, 1.0, "Report the request id."),
+    ErrorKind.STALE_ORDER: ErrorResponse(
+        409, _N, _INVALID, None, "A newer holder is active."
+    ),
+    ErrorKind.START_REFUSED: ErrorResponse(
+        503, _N, _SERVER, 30.0, "Try another offer."
+    ),
+    ErrorKind.PRICE_CEILING: ErrorResponse(
+        503, _N, _SERVER, 60.0, "Raise the ceiling."
+    ),
+    ErrorKind.INTERNAL: ErrorResponse(500, _U, _SERVER, 1.0, "Report the request id."),
 }
 
 
@@ -213,23 +257,23 @@
         self.detail = detail
         self.retry_after = retry_after
         self.owner = owner
-        self.outcome = outcome or ANSWERS[kind].outcome
+        self.outcome = outcome or ERROR_RESPONSES[kind].outcome
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """The table's entry for this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
 
     @property
-    def wait(self) -> float | None:
+    def retry_delay(self) -> float | None:
         """Seconds until a repeat is worth while: as known, or the table's."""
         if self.retry_after is None:
-            return self.answer.retry_after
+            return self.response.retry_after
         return self.retry_after
 
     def to_body(self) -> dict[str, ErrorBody]:
         """Return the body a caller or a peer receives."""
-        entry = self.answer
+        entry = self.response
         message = f"{self.detail} {entry.hint}".strip()
         body = ErrorBody(
             message=message,
@@ -237,7 +281,7 @@
             code=str(self.kind),
             param=None,
             outcome=str(self.outcome),
-            retry_after=self.wait,
+            retry_after=self.retry_delay,
         )
         if self.owner is not None:
             body["owner"] = self.owner
--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -79,7 +79,7 @@
 def error_answer(exc: EbonydealError) -> StoredAnswer:
     """Return an endpoint's refusal as the answer it is."""
     body = json.dumps(exc.to_body())
-    return StoredAnswer(exc.answer.status, "application/json", body)
+    return StoredAnswer(exc.response.status, "application/json", body)
 
 
 def retry_reason(kind: ErrorKind) -> RetryReason:
--- a/src/ebonydeal/_internal/relay/requests/answers.py
+++ b/src/ebonydeal/_internal/relay/requests/answers.py
@@ -21,11 +21,11 @@
         Time until the client's deadline, seconds; None if it has none.
     """
     headers = {"X-Outcome": str(error.outcome)}
-    wait = error.wait
+    wait = error.retry_delay
     if wait is not None and error.outcome is Outcome.NOT_RUN:
         if time_left is not None:
             wait = min(wait, max(_MIN_WAIT_S, time_left * _MAX_WAIT_SHARE))
         headers["Retry-After"] = f"{wait:.3f}"
     return web.json_response(
-        error.to_body(), status=error.answer.status, headers=headers
+        error.to_body(), status=error.response.status, headers=headers
     )
--- a/src/ebonydeal/_internal/relay/requests/intake.py
+++ b/src/ebonydeal/_internal/relay/requests/intake.py
@@ -118,7 +118,7 @@
             "Refused.",
             request=request_id,
             kind=str(error.kind),
-            status=error.answer.status,
+            status=error.response.status,
             outcome=str(error.outcome),
             detail=error.detail,
         )
--- a/src/ebonydeal/_internal/relay/requests/outcomes.py
+++ b/src/ebonydeal/_internal/relay/requests/outcomes.py
@@ -76,7 +76,7 @@
         """Return ``error``, or one without the claim "not run" if it may have run."""
         if not self.may_have_run:
             return error
-        if error.answer.status in (502, 504):
+        if error.response.status in (502, 504):
             return error
         if error.kind is ErrorKind.REQUEST_QUARANTINED:
             return EbonydealError(
--- a/src/ebonydeal/_internal/utils/web.py
+++ b/src/ebonydeal/_internal/utils/web.py
@@ -25,9 +25,9 @@
 def error_response(exc: EbonydealError) -> web.Response:
     """Return the answer that the error table gives for ``exc``."""
     headers = {"X-Outcome": str(exc.outcome)}
-    if exc.wait is not None:
-        headers["Retry-After"] = str(max(0, round(exc.wait + 0.499)))
-    return web.json_response(exc.to_body(), status=exc.answer.status, headers=headers)
+    if exc.retry_delay is not None:
+        headers["Retry-After"] = str(max(0, round(exc.retry_delay + 0.499)))
+    return web.json_response(exc.to_body(), status=exc.response.status, headers=headers)
 
 
 def _from_http(exc: web.HTTPException) -> EbonydealError:
--- a/tests/lib/matrix_journal.py
+++ b/tests/lib/matrix_journal.py
@@ -181,7 +181,7 @@
             try:
                 caller.status = await client.status(caller.request.request_id, ACCOUNT)
             except EbonydealError as exc:
-                if exc.answer.status == 404:
+                if exc.response.status == 404:
                     caller.lost = True
             await self.clock.sleep(POLL_S)
 
--- a/tests/unit/journal/test_shard_machine.py
+++ b/tests/unit/journal/test_shard_machine.py
@@ -59,7 +59,7 @@
             if exc is None:
                 self.acked.add(request_id)
             elif isinstance(exc, EbonydealError):
-                if exc.answer.outcome is Outcome.NOT_RUN:
+                if exc.response.outcome is Outcome.NOT_RUN:
                     self.refused.add(request_id)
             else:
                 raise exc
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ebonydeal._internal.errors import ANSWERS, EbonydealError
+from ebonydeal._internal.errors import ERROR_RESPONSES, EbonydealError
 from ebonydeal._internal.models.forwarding import (
     ForwardedRequest,
     KvCacheRef,
@@ -123,7 +123,7 @@
                 sends.check_resend(event, delivered=delivered)
             except EbonydealError as exc:
                 if runs:
-                    assert ANSWERS[exc.kind].status not in NOT_RUN_STATUSES
+                    assert ERROR_RESPONSES[exc.kind].status not in NOT_RUN_STATUSES
                 break
             sends._use(
                 SimpleNamespace(
--- a/tests/unit/relay/requests/test_outcomes.py
+++ b/tests/unit/relay/requests/test_outcomes.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ebonydeal._internal.errors import ANSWERS, EbonydealError, ErrorKind
+from ebonydeal._internal.errors import ERROR_RESPONSES, EbonydealError, ErrorKind
 from ebonydeal._internal.models.forwarding import AnswerHead
 from ebonydeal._internal.relay.requests.outcomes import (
     Answered,
@@ -39,7 +39,7 @@
         assert runs <= 1
         answer = proof.final_error(EbonydealError(kind, "x"))
         if runs:
-            assert ANSWERS[answer.kind].status not in NOT_RUN_STATUSES
+            assert ERROR_RESPONSES[answer.kind].status not in NOT_RUN_STATUSES
 
     def test_error_is_unchanged_without_a_run(self):
         proof = RunProof(repeatable=False)
--- a/tests/unit/routing/admission/test_admission_machine.py
+++ b/tests/unit/routing/admission/test_admission_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ebonydeal._internal.errors import ANSWERS, Outcome
+from ebonydeal._internal.errors import ERROR_RESPONSES, Outcome
 from ebonydeal._internal.models.requests import Priority
 from ebonydeal._internal.routing.admission.admission import (
     Admission,
@@ -56,7 +56,7 @@
                 self.waiting[request.request_id] = request
             case Refuse(kind=kind, retry_after=retry_after):
                 assert 0.5 <= retry_after <= 156.0
-                assert ANSWERS[kind].outcome is Outcome.NOT_RUN
+                assert ERROR_RESPONSES[kind].outcome is Outcome.NOT_RUN
 
     @rule(
         account=st.sampled_from(ACCOUNTS),
--- a/tests/unit/test_errors.py
+++ b/tests/unit/test_errors.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from ebonydeal._internal.errors import ANSWERS, EbonydealError, ErrorKind
+from ebonydeal._internal.errors import ERROR_RESPONSES, EbonydealError, ErrorKind
 
 
 class TestErrorTable:
     def test_every_kind_has_an_answer(self):
-        assert set(ANSWERS) == set(ErrorKind)
+        assert set(ERROR_RESPONSES) == set(ErrorKind)
 
     @pytest.mark.parametrize("kind", list(ErrorKind))
     def test_an_error_survives_the_wire(self, kind):
