--- a/src/ebonydeal/_internal/outside/__init__.py
+++ b/src/ebonydeal/_internal/outside/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the outside systems behind narrow interfaces."""
+"""Clients of external systems, behind narrow interfaces."""
--- a/src/ebonydeal/_internal/outside/backoff.py
+++ b/src/ebonydeal/_internal/outside/backoff.py
@@ -1,4 +1,4 @@
-"""Rests that endpoints ask for when they refuse a request."""
+"""Backoff that endpoints ask for when they refuse a request."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -6,9 +6,9 @@
 from ebonydeal._internal.models.endpoints import EndpointView
 
 RETRY_AFTER_HEADER = "Retry-After"
-_REFUSED = 503
+_REFUSED_STATUS = 503
 
-# Takes an endpoint's id, and the seconds for which it wants nothing.
+# Called with an endpoint id and the backoff, seconds.
 BackoffListener = Callable[[str, float], None]
 
 
@@ -18,8 +18,8 @@
     status: int,
     headers: Mapping[str, str],
 ) -> None:
-    """Pass on for how long an endpoint that refuses wants nothing, if it says so."""
-    if listener is None or status != _REFUSED:
+    """Pass the backoff of a refusal, if the endpoint asks for one, to ``listener``."""
+    if listener is None or status != _REFUSED_STATUS:
         return
     try:
         seconds = float(headers.get(RETRY_AFTER_HEADER, ""))
--- a/src/ebonydeal/_internal/outside/chunks.py
+++ b/src/ebonydeal/_internal/outside/chunks.py
@@ -1,4 +1,4 @@
-"""From server-sent events of an engine to checked chunks."""
+"""Parse the server-sent events of an engine into validated chunks."""
 
 import json
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -8,30 +8,32 @@
 from ebonydeal._internal.outside.interfaces import Chunk
 
 DONE = "[DONE]"
-_DATA = "data:"
+_DATA_PREFIX = "data:"
 
 
-def _garbage(detail: str) -> EbonydealError:
+def _garbage_error(detail: str) -> EbonydealError:
     return EbonydealError(ErrorKind.ENDPOINT_GARBAGE, detail)
 
 
 async def event_data(lines: AsyncIterator[bytes]) -> AsyncGenerator[str, None]:
-    """Yield the data of each event; comments and other fields are skipped."""
+    """Yield the data of each event; skip comments and other fields."""
     async for raw in lines:
         try:
             line = raw.decode().rstrip("\r\n")
         except UnicodeDecodeError as exc:
-            raise _garbage("the stream is not UTF-8") from exc
-        if line.startswith(_DATA):
-            yield line[len(_DATA) :].lstrip(" ")
+            raise _garbage_error("the stream is not UTF-8") from exc
+        if line.startswith(_DATA_PREFIX):
+            yield line[len(_DATA_PREFIX) :].lstrip(" ")
         elif line and not line.startswith((":", "event:", "id:", "retry:")):
-            raise _garbage("the stream holds a line that is no event")
+            raise _garbage_error(
+                "the stream contains a line that is not part of an event"
+            )
 
 
 def parse_chunk(data: str) -> tuple[Chunk, Any]:
-    """Return a chunk and the load message beside it (None without).
+    """Return a chunk and the load message sent with it, or None without one.
 
-    Raises ENDPOINT_GARBAGE where the shape is wrong.
+    Raises ENDPOINT_GARBAGE if the message is malformed.
     """
     try:
         message = json.loads(data)
@@ -53,19 +55,19 @@
         AttributeError,
         RecursionError,
     ) as exc:
-        raise _garbage("a chunk can't be read") from exc
+        raise _garbage_error("a chunk can't be parsed") from exc
     if type(chunk.position) is not int or not isinstance(chunk.text, str):
-        raise _garbage("a chunk has a wrong type")
+        raise _garbage_error("a chunk has a field of the wrong type")
     return chunk, message.get("load")
 
 
 class ChunkOrder:
-    """Checks that positions follow each other without gap or repeat.
+    """Checks that chunk positions are consecutive.
 
     Parameters
     ----------
     start : int
-        Position of the first chunk: the count of tokens delivered before.
+        Position of the first chunk: the number of tokens already delivered.
     """
 
     def __init__(self, start: int) -> None:
@@ -75,8 +77,10 @@
     def check(self, chunk: Chunk) -> None:
         """Raise ENDPOINT_GARBAGE if ``chunk`` is not the next one."""
         if self.finished:
-            raise _garbage("a chunk came after the last one")
+            raise _garbage_error("a chunk arrived after the last one")
         if chunk.position != self._next:
-            raise _garbage(f"token {chunk.position} came in place of {self._next}")
+            raise _garbage_error(
+                f"token {chunk.position} arrived instead of {self._next}"
+            )
         self._next += 1
         self.finished = bool(chunk.finish)
--- a/src/ebonydeal/_internal/outside/cloud.py
+++ b/src/ebonydeal/_internal/outside/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud API over HTTP."""
+"""HTTP client of the cloud API."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -55,11 +55,13 @@
 def _parse(
     build: Callable[[dict[str, Any]], T], message: Any, kinds: FailureKinds
 ) -> T:
-    """Build a value from the wire, or raise the garbage kind."""
+    """Build a value from a message; raises the garbage kind if it is malformed."""
     try:
         return build(message)
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise EbonydealError(kinds.garbage, f"the cloud's answer: {exc!r}") from exc
+        raise EbonydealError(
+            kinds.garbage, f"malformed response of the cloud: {exc!r}"
+        ) from exc
 
 
 class HttpCloud:
@@ -70,7 +72,7 @@
     url : str
         Base URL.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     """
 
     def __init__(self, url: str, timeout: float) -> None:
@@ -88,20 +90,20 @@
         check_status(reply, url, READ)
         items = read_object(reply, url, READ).get(name)
         if not isinstance(items, list):
-            raise EbonydealError(READ.garbage, f"answer of {url} lacks '{name}'")
+            raise EbonydealError(READ.garbage, f"response of {url} lacks '{name}'")
         return items
 
     async def offers(self) -> list[Offer]:
-        """Return what can be started, with present prices."""
+        """Return what can be started, with current prices."""
         items = await self._list("/v1/offers", "offers")
         return [_parse(_offer, item, READ) for item in items]
 
     async def start(
         self, token: str, offer: Offer, tags: dict[str, str]
     ) -> CloudInstance:
-        """Start an instance; the same token again returns the same instance.
+        """Start an instance; a repeat with the same token returns the same instance.
 
-        Raises ``START_REFUSED`` where the zone has none left.
+        Raises ``START_REFUSED`` if the zone has none available.
         """
         url = f"{self._url}/v1/instances"
         message = {
@@ -119,13 +121,13 @@
         return _parse(_instance, read_object(reply, url, WRITE), WRITE)
 
     async def stop(self, instance_id: str) -> None:
-        """Stop an instance; stopping a stopped one does nothing."""
+        """Stop an instance; has no effect on a stopped one."""
         url = f"{self._url}/v1/instances/{instance_id}"
         reply = await self._client.fetch("DELETE", url, WRITE)
         check_status(reply, url, WRITE)
 
     async def instances(self) -> list[CloudInstance]:
-        """Return all our instances that are not stopped."""
+        """Return all instances of this system that are not stopped."""
         items = await self._list("/v1/instances", "instances")
         return [_parse(_instance, item, READ) for item in items]
 
--- a/src/ebonydeal/_internal/outside/engines.py
+++ b/src/ebonydeal/_internal/outside/engines.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP: streams, cancel, KV transfer, load and orders."""
+"""HTTP client of model engines: streams, cancel, KV transfer, load and orders."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from contextlib import aclosing
@@ -39,17 +39,17 @@
 from ebonydeal._internal.settings.sections import PlatformSettings
 
 _KV_TIMEOUT_S = 60.0
-_MAX_ERROR = 4096
-_ORDERS = "/orders"
-_CANCEL_STATES = ("not_started", "stopped", "finished", "unknown")
+_MAX_ERROR_BYTES = 4096
+_ORDERS_PATH = "/orders"
+_KNOWN_CANCEL_STATES = ("not_started", "stopped", "finished", "unknown")
 
 
 async def _check_accepted(resp: ClientResponse) -> None:
-    """Raise the kind of an engine's refusal."""
+    """Raise the error kind of a response that is not 200."""
     if resp.status == 200:
         return
-    text = (await resp.content.read(_MAX_ERROR)).decode(errors="replace")
-    detail = f"the engine answered {resp.status}: {text[:200]}"
+    text = (await resp.content.read(_MAX_ERROR_BYTES)).decode(errors="replace")
+    detail = f"the engine responded with {resp.status}: {text[:200]}"
     if resp.status == 503 and resp.headers.get(NOT_RUN_HEADER) == "1":
         raise EbonydealError(ErrorKind.ENDPOINT_REFUSED, detail)
     if resp.status in (400, 413, 422):
@@ -63,16 +63,16 @@
     Parameters
     ----------
     timeout : float
-        Longest wait for a connection or a short call, seconds. Streams have no
-        limit of their own: stalls and deadlines are the caller's to judge.
+        Timeout of a connection attempt or a short call, seconds. Streams have none:
+        the caller checks for stalls and deadlines.
     on_load : callable, optional
-        Called with (endpoint id, report) for each report on an answer.
+        Called with (endpoint id, report) for each load report in an answer.
     """
 
     def __init__(self, timeout: float, on_load: LoadListener | None = None) -> None:
         self._client = HttpClient(timeout)
         self.on_load = on_load
-        # Told for how long an endpoint that refuses wants nothing.
+        # Called with the backoff that an endpoint asks for when it refuses a request.
         self.on_backoff: BackoffListener | None = None
 
     @classmethod
@@ -90,11 +90,11 @@
         attempt_id: str,
         resume: Resume | None = None,
     ) -> AsyncGenerator[Chunk, None]:
-        """Generate.
+        """Run a request and yield its chunks; their positions are consecutive.
 
-        Raises CONNECT_FAILED (proof: not sent), ENDPOINT_REFUSED (proof: not
-        run), BAD_REQUEST (the engine refused the body), ENDPOINT_FAILED or
-        ENDPOINT_GARBAGE on the way. Positions are checked to follow each other.
+        Raises CONNECT_FAILED (proof that nothing was sent), ENDPOINT_REFUSED (proof
+        that nothing ran), BAD_REQUEST (the engine refused the body), and
+        ENDPOINT_FAILED or ENDPOINT_GARBAGE, also while streaming.
         """
         message = {**body, "stream": True}
         message.pop("resume", None)
@@ -122,13 +122,13 @@
     async def _chunks(
         self, endpoint: EndpointView, resp: ClientResponse, order: ChunkOrder
     ) -> AsyncGenerator[Chunk, None]:
-        """Yield checked chunks until the end mark."""
+        """Yield validated chunks until the end marker."""
         done = False
         async with aclosing(event_data(_lines(resp))) as events:
             async for data in events:
                 if done:
                     raise EbonydealError(
-                        ErrorKind.ENDPOINT_GARBAGE, "data came after the end mark"
+                        ErrorKind.ENDPOINT_GARBAGE, "data arrived after the end marker"
                     )
                 if data == DONE:
                     done = True
@@ -139,7 +139,7 @@
                     report_load(self.on_load, endpoint, load)
                 yield chunk
         if not done or not order.finished:
-            raise EbonydealError(ErrorKind.ENDPOINT_FAILED, "the stream broke off")
+            raise EbonydealError(ErrorKind.ENDPOINT_FAILED, "the stream ended early")
 
     async def _short_call(
         self,
@@ -150,33 +150,35 @@
         timeout: float | None = None,
         **options: Any,
     ) -> dict[str, Any]:
-        """Make a call that answers one JSON object."""
+        """Make a call whose response is one JSON object."""
         url = f"http://{endpoint.address}{path}"
         reply = await self._client.fetch(
             method, url, ENDPOINT, timeout=timeout, **options
         )
         report_load_header(self.on_load, endpoint, reply.headers)
-        if reply.status == 409 and path == _ORDERS:
-            raise EbonydealError(ErrorKind.STALE_ORDER, f"{url} saw a newer fence")
+        if reply.status == 409 and path == _ORDERS_PATH:
+            raise EbonydealError(
+                ErrorKind.STALE_ORDER, f"{url} has seen a newer fencing token"
+            )
         if reply.status != 200:
             raise EbonydealError(
-                ErrorKind.ENDPOINT_FAILED, f"{url} answered {reply.status}"
+                ErrorKind.ENDPOINT_FAILED, f"{url} responded with {reply.status}"
             )
         return read_object(reply, url, ENDPOINT)
 
     async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
-        """Stop an attempt and return the engine's word."""
+        """Stop an attempt and return the result that the engine reports."""
         body = await self._short_call(
             "POST", endpoint, "/cancel", json={"attempt_id": attempt_id}
         )
         match body:
             case {"state": str(state), "tokens": int(tokens)}:
-                known = state in _CANCEL_STATES
+                known = state in _KNOWN_CANCEL_STATES
                 return CancelResult(state if known else "unknown", tokens)
         return CancelResult("unknown", 0)
 
     async def export_kv(self, endpoint: EndpointView, attempt_id: str) -> str:
-        """Export a running attempt's KV cache; return its handle."""
+        """Export the KV cache of a running attempt and return its handle."""
         body = await self._short_call(
             "POST",
             endpoint,
@@ -189,7 +191,7 @@
     async def import_kv(
         self, endpoint: EndpointView, handle: str, source: EndpointView
     ) -> int:
-        """Fetch an exported cache from ``source``; return its tokens."""
+        """Import an exported KV cache from ``source``; return its number of tokens."""
         body = await self._short_call(
             "POST",
             endpoint,
@@ -199,20 +201,24 @@
         )
         tokens = _field(body, "tokens")
         if not isinstance(tokens, int):
-            raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, "tokens is no number")
+            raise EbonydealError(
+                ErrorKind.ENDPOINT_GARBAGE, "'tokens' is not an integer"
+            )
         return tokens
 
     async def load(self, endpoint: EndpointView) -> LoadReport:
-        """Ask an engine or plain service for its load."""
+        """Return the load of an engine or plain service."""
         load = read_load(await self._short_call("GET", endpoint, "/load"))
         if load is None:
-            raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, "no load report")
+            raise EbonydealError(
+                ErrorKind.ENDPOINT_GARBAGE, "the response holds no load report"
+            )
         return load
 
     async def cache_events(
         self, endpoint: EndpointView, after: int
     ) -> list[CacheEvent]:
-        """Return cache events after ``after``; late and with gaps."""
+        """Return cache events after ``after``; they may be late or missing."""
         body = await self._short_call(
             "GET", endpoint, "/cache/events", params={"after": str(after)}
         )
@@ -223,21 +229,21 @@
             ]
         except (KeyError, TypeError, ValueError) as exc:
             raise EbonydealError(
-                ErrorKind.ENDPOINT_GARBAGE, f"a cache event: {exc!r}"
+                ErrorKind.ENDPOINT_GARBAGE, f"malformed cache event: {exc!r}"
             ) from exc
 
     async def order(self, endpoint: EndpointView, order: EngineOrder) -> None:
-        """Give an order; raises ``STALE_ORDER`` where the engine checks."""
+        """Send an order; raises ``STALE_ORDER`` if the engine checks fencing tokens."""
         message = {
             "fence": order.fence,
             "models": list(order.models),
             "role": order.role,
         }
-        await self._short_call("POST", endpoint, _ORDERS, json=message)
+        await self._short_call("POST", endpoint, _ORDERS_PATH, json=message)
 
     async def order_state(self, endpoint: EndpointView) -> EngineOrder:
-        """Read back the order in force."""
-        body = await self._short_call("GET", endpoint, _ORDERS)
+        """Return the order in force."""
+        body = await self._short_call("GET", endpoint, _ORDERS_PATH)
         try:
             return EngineOrder(
                 int(body["fence"]),
@@ -246,7 +252,7 @@
             )
         except (KeyError, TypeError, ValueError) as exc:
             raise EbonydealError(
-                ErrorKind.ENDPOINT_GARBAGE, f"an order: {exc!r}"
+                ErrorKind.ENDPOINT_GARBAGE, f"malformed order: {exc!r}"
             ) from exc
 
     async def close(self) -> None:
@@ -255,18 +261,18 @@
 
 
 async def _lines(resp: ClientResponse) -> AsyncIterator[bytes]:
-    """Yield the body's lines; one that is too long is garbage."""
+    """Yield the lines of the body; raises ENDPOINT_GARBAGE for one that is too long."""
     try:
         async for line in resp.content:
             yield line
     except (ValueError, HttpProcessingError) as exc:
         raise EbonydealError(
-            ErrorKind.ENDPOINT_GARBAGE, "the stream holds an endless line"
+            ErrorKind.ENDPOINT_GARBAGE, "the stream contains a line that is too long"
         ) from exc
 
 
 def _field(body: dict[str, Any], name: str) -> Any:
-    """Return a field of an engine's answer, or raise ENDPOINT_GARBAGE."""
+    """Return a field of an engine's response, or raise ENDPOINT_GARBAGE."""
     if name not in body:
-        raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, f"the answer lacks '{name}'")
+        raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, f"the response lacks '{name}'")
     return body[name]
--- a/src/ebonydeal/_internal/outside/http.py
+++ b/src/ebonydeal/_internal/outside/http.py
@@ -1,4 +1,4 @@
-"""One HTTP client for all adapters: no silent repeat, no doubtful connection kept."""
+"""HTTP client of all adapters: no automatic retries, no reuse of unread responses."""
 
 import json
 from collections.abc import AsyncIterator, Mapping
@@ -24,21 +24,21 @@
 ATTEMPT_HEADER = "X-Attempt-Id"
 LOAD_HEADER = "X-Engine-Load"
 _KEEPALIVE_S = 15.0
-_MAX_ANSWER = 64 * 1024 * 1024
-_MAX_LINE = 1024 * 1024
+_MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+_MAX_LINE_BYTES = 1024 * 1024
 
 
 class FailureKinds(NamedTuple):
-    """Which error kind a failed call gets.
+    """Error kinds of failed calls.
 
     Attributes
     ----------
     not_sent : ErrorKind
-        The connection was never made: proof that nothing was sent.
+        No connection was established: proof that nothing was sent.
     lost : ErrorKind
-        Something may have been sent, and no whole answer came.
+        Something may have been sent, and no complete response arrived.
     garbage : ErrorKind
-        An answer came that can't be read.
+        The response is malformed.
     """
 
     not_sent: ErrorKind
@@ -60,7 +60,7 @@
 
 
 class Reply(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Mapping[str, str]
@@ -74,12 +74,12 @@
     Parameters
     ----------
     timeout : float
-        Longest wait for a whole call, seconds; half of it for the connection,
-        so that "never connected" and "no answer" can be told apart.
+        Timeout of a whole call, seconds. Connecting may take half of it, so that
+        "never connected" and "no response" can be distinguished.
     pooled : bool
-        Keep idle connections. Without, each call has a connection of its own,
-        and an idle connection that the server closes meanwhile can't turn a
-        call that was never read into one in doubt.
+        Keep idle connections. If False, each call opens its own connection: a pooled
+        one that the server has just closed would make the outcome of a call
+        unknown although the server never read it.
     """
 
     def __init__(self, timeout: float, *, pooled: bool = True) -> None:
@@ -87,18 +87,18 @@
         self._pooled = pooled
         self._session: ClientSession | None = None
 
-    def _open(self) -> ClientSession:
-        """Return the session, made inside the running loop."""
+    def _get_session(self) -> ClientSession:
+        """Return the session, created on first use inside the running loop."""
         if self._session is None:
             if self._pooled:
                 connector = TCPConnector(limit=0, keepalive_timeout=_KEEPALIVE_S)
             else:
                 connector = TCPConnector(limit=0, force_close=True)
             self._session = ClientSession(
-                connector=connector, read_bufsize=_MAX_LINE, auto_decompress=True
+                connector=connector, read_bufsize=_MAX_LINE_BYTES, auto_decompress=True
             )
-            # aiohttp repeats PUT, DELETE and GET on a connection that broke;
-            # whether a repeat is safe is not the library's to decide.
+            # aiohttp retries PUT, DELETE and GET when a connection breaks, but only
+            # the caller knows whether a retry is safe.
             self._session._retry_connection = False
         return self._session
 
@@ -118,20 +118,20 @@
         Parameters
         ----------
         kinds : Kinds
-            Error kinds of the failures, also of those inside the block.
+            Error kinds of failures, including those inside the ``async with`` block.
         timeout : float, optional
-            In place of the client's own.
+            Overrides the timeout of the client.
         timeout_covers_body : bool
-            Whether the timeout covers the body too (not for streams).
+            Whether the timeout includes reading the body; False for streams.
         """
         limit = self._timeout if timeout is None else timeout
-        waits = ClientTimeout(
+        timeouts = ClientTimeout(
             total=limit if timeout_covers_body else None,
             sock_connect=max(0.001, limit / 2),
         )
         try:
-            async with self._open().request(
-                method, url, timeout=waits, allow_redirects=False, **options
+            async with self._get_session().request(
+                method, url, timeout=timeouts, allow_redirects=False, **options
             ) as resp:
                 try:
                     yield resp
@@ -139,7 +139,7 @@
                     if not resp.content.at_eof():
                         resp.close()
         except (ClientError, TimeoutError, OSError) as exc:
-            raise _failure(exc, url, kinds) from exc
+            raise _to_error(exc, url, kinds) from exc
 
     async def fetch(
         self,
@@ -150,9 +150,9 @@
         timeout: float | None = None,
         **options: Any,
     ) -> Reply:
-        """Send a request and return the whole answer, whatever its status."""
+        """Send a request and return the complete response, whatever its status."""
         async with self.open(method, url, kinds, timeout=timeout, **options) as resp:
-            body = await _read_whole(resp, url, kinds)
+            body = await _read_body(resp, url, kinds)
             return Reply(resp.status, resp.headers, resp.content_type, body)
 
     async def close(self) -> None:
@@ -162,28 +162,28 @@
             self._session = None
 
 
-async def _read_whole(
+async def _read_body(
     resp: ClientResponse, url: str | URL, kinds: FailureKinds
 ) -> bytes:
-    """Return the body, refusing one that would fill the memory."""
+    """Return the body; refuses one that would exhaust the memory."""
     parts = []
     size = 0
     async for part in resp.content.iter_any():
         size += len(part)
-        if size > _MAX_ANSWER:
-            raise EbonydealError(kinds.garbage, f"answer of {url} is too large")
+        if size > _MAX_RESPONSE_BYTES:
+            raise EbonydealError(kinds.garbage, f"response of {url} is too large")
         parts.append(part)
     return b"".join(parts)
 
 
-def _failure(exc: Exception, url: str | URL, kinds: FailureKinds) -> EbonydealError:
-    """Return the error kind of a call that got no whole answer."""
+def _to_error(exc: Exception, url: str | URL, kinds: FailureKinds) -> EbonydealError:
+    """Return the error of a call that got no complete response."""
     if isinstance(exc, (ClientConnectorError, ConnectionTimeoutError, InvalidURL)):
         return EbonydealError(kinds.not_sent, f"can't connect to {url}")
     if isinstance(exc, ClientResponseError):
-        return EbonydealError(kinds.garbage, f"answer of {url} is not HTTP")
-    word = type(exc).__name__
-    return EbonydealError(kinds.lost, f"no whole answer from {url} ({word})")
+        return EbonydealError(kinds.garbage, f"response of {url} is not HTTP")
+    reason = type(exc).__name__
+    return EbonydealError(kinds.lost, f"no complete response from {url} ({reason})")
 
 
 def read_object(reply: Reply, url: str, kinds: FailureKinds) -> dict[str, Any]:
@@ -191,21 +191,21 @@
     try:
         body = json.loads(reply.body)
     except (ValueError, RecursionError) as exc:
-        raise EbonydealError(kinds.garbage, f"answer of {url} is not JSON") from exc
+        raise EbonydealError(kinds.garbage, f"response of {url} is not JSON") from exc
     if not isinstance(body, dict):
-        raise EbonydealError(kinds.garbage, f"answer of {url} is not an object")
+        raise EbonydealError(kinds.garbage, f"response of {url} is not an object")
     return body
 
 
 def check_status(reply: Reply, url: str, kinds: FailureKinds) -> None:
-    """Raise for a status of the platform that is not 200.
+    """Raise if the status of a platform response is not 200.
 
-    503 and 429 mean that nothing took effect; other 4xx that the request was
-    wrong; all else is as good as a lost answer.
+    429 and 503 mean that nothing took effect, other 4xx (except 408) that the
+    request was invalid. Any other status counts as a lost response.
     """
     if reply.status == 200:
         return
-    detail = f"{url} answered {reply.status}"
+    detail = f"{url} responded with {reply.status}"
     if reply.status in (429, 503):
         raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, detail)
     if 400 <= reply.status < 500 and reply.status != 408:
--- a/src/ebonydeal/_internal/outside/instances.py
+++ b/src/ebonydeal/_internal/outside/instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging instance list over HTTP."""
+"""HTTP client of the platform's instance list, which lags."""
 
 from typing import Any, TypedDict
 
@@ -36,7 +36,7 @@
 
 
 def endpoint_from_message(message: EndpointMessage) -> EndpointView:
-    """Build from the wire shape; raises KeyError, TypeError or ValueError."""
+    """Parse a message; raises KeyError, TypeError or ValueError."""
     return EndpointView(
         endpoint_id=str(message["endpoint_id"]),
         incarnation=int(message["incarnation"]),
@@ -60,7 +60,7 @@
     url : str
         Base URL.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     """
 
     def __init__(self, url: str, timeout: float) -> None:
@@ -78,12 +78,14 @@
         return read_object(reply, self._url, READ)
 
     async def endpoints(self) -> list[EndpointView]:
-        """Return all endpoints that are listed."""
+        """Return all listed endpoints."""
         body = await self._read()
         try:
             return [endpoint_from_message(item) for item in body["endpoints"]]
         except (KeyError, TypeError, ValueError) as exc:
-            raise EbonydealError(READ.garbage, f"a listed endpoint: {exc!r}") from exc
+            raise EbonydealError(
+                READ.garbage, f"malformed endpoint in the list: {exc!r}"
+            ) from exc
 
     async def own_nodes(self) -> list[tuple[str, str]]:
         """Return (node id, address) of the system's own instances."""
@@ -92,7 +94,9 @@
             nodes = body.get("nodes", [])
             return [(str(item["id"]), str(item["address"])) for item in nodes]
         except (KeyError, TypeError) as exc:
-            raise EbonydealError(READ.garbage, f"a listed node: {exc!r}") from exc
+            raise EbonydealError(
+                READ.garbage, f"malformed node in the list: {exc!r}"
+            ) from exc
 
     async def close(self) -> None:
         """Close the session."""
--- a/src/ebonydeal/_internal/outside/interfaces.py
+++ b/src/ebonydeal/_internal/outside/interfaces.py
@@ -1,11 +1,10 @@
-"""The narrow interface of each outside system.
+"""Narrow interfaces of the external systems.
 
-Decisions and tasks depend on these protocols only; the wire shape of each lives
-in one adapter beside this module (see docs/INTERFACES.md). Tests put small fakes
-behind them.
+The rest of the code depends on these protocols only. One adapter in this package
+implements the wire format of each (see docs/INTERFACES.md); tests use small fakes.
 
 Every method raises `EbonydealError`. ``STORE_UNAVAILABLE`` means that nothing
-took effect; ``STORE_IN_DOUBT`` means that a write may or may not have.
+took effect; ``STORE_IN_DOUBT`` means that a write may have taken effect.
 """
 
 from collections.abc import AsyncIterator, Sequence
@@ -18,14 +17,14 @@
 # --- table service ---------------------------------------------------------
 @dataclass(frozen=True)
 class RowAbsent:
-    """Condition: no row ``key`` exists."""
+    """Condition: row ``key`` doesn't exist."""
 
     key: str
 
 
 @dataclass(frozen=True)
 class RowVersion:
-    """Condition: row ``key`` has just this version (a compare-and-set)."""
+    """Condition: row ``key`` has exactly this version (compare-and-set)."""
 
     key: str
     version: int
@@ -53,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Delete:
-    """Remove row ``key`` if it is there."""
+    """Delete row ``key`` if it exists."""
 
     key: str
 
@@ -75,10 +74,10 @@
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> bool:
-        """Do all writes if all conditions hold; return whether they did."""
+        """Apply all writes if all conditions hold; return whether they did."""
 
     async def get(self, key: str) -> Row | None:
-        """Return a row, or None."""
+        """Return a row, or None if it doesn't exist."""
 
     async def scan(self, prefix: str, start: str = "", limit: int = 1000) -> list[Row]:
         """Return rows whose key has ``prefix`` and is >= ``start``, by key."""
@@ -88,13 +87,13 @@
     """The platform's object store."""
 
     async def put(self, name: str, data: bytes) -> None:
-        """Store an object, replacing one of the same name."""
+        """Store an object; replaces an existing one of the same name."""
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None."""
+        """Return an object, or None if it doesn't exist."""
 
     async def delete(self, name: str) -> None:
-        """Remove an object if it is there."""
+        """Delete an object if it exists."""
 
     async def names(self, prefix: str) -> list[str]:
         """Return the names that start with ``prefix``, sorted."""
@@ -102,10 +101,10 @@
 
 # --- instance list -----------------------------------------------------------
 class InstanceList(Protocol):
-    """The platform's lagging list of live and leaving instances."""
+    """The platform's list of live and leaving instances; it lags."""
 
     async def endpoints(self) -> list[EndpointView]:
-        """Return all endpoints that are listed."""
+        """Return all listed endpoints."""
 
     async def own_nodes(self) -> list[tuple[str, str]]:
         """Return (node id, address) of the system's own instances."""
@@ -113,10 +112,10 @@
 
 # --- cloud API ---------------------------------------------------------------
 class Offer(NamedTuple):
-    """A kind of instance that can be started now.
+    """A type of instance that can be started now.
 
-    ``price_per_hour`` in the document's currency; ``evict_per_hour`` expected
-    reclaims an hour (0 for on-demand).
+    ``price_per_hour`` is in the document's currency; ``evict_per_hour`` is the
+    expected number of reclaims per hour (0 for on-demand).
     """
 
     zone: str
@@ -128,10 +127,10 @@
 
 
 class CloudInstance(NamedTuple):
-    """An instance that the cloud runs for us.
+    """An instance that the cloud runs for this system.
 
-    ``token`` is the idempotency token it was started with; ``tags`` say for
-    which deployment, by whom (fence) and why.
+    ``token`` is the idempotency token it was started with; ``tags`` hold its
+    deployment, the fencing token of the controller that started it, and the reason.
     """
 
     instance_id: str
@@ -146,7 +145,7 @@
 
 
 class ReclaimNotice(NamedTuple):
-    """The cloud's word that an instance (or, id empty, a zone) is taken back."""
+    """Notice that the cloud reclaims an instance, or a zone if the id is empty."""
 
     seq: int
     instance_id: str
@@ -158,21 +157,21 @@
     """The platform's cloud API."""
 
     async def offers(self) -> list[Offer]:
-        """Return what can be started, with present prices."""
+        """Return what can be started, with current prices."""
 
     async def start(
         self, token: str, offer: Offer, tags: dict[str, str]
     ) -> CloudInstance:
-        """Start an instance; the same token again returns the same instance.
+        """Start an instance; a repeat with the same token returns the same instance.
 
-        Raises ``START_REFUSED`` where the zone has none left.
+        Raises ``START_REFUSED`` if the zone has none available.
         """
 
     async def stop(self, instance_id: str) -> None:
-        """Stop an instance; stopping a stopped one does nothing."""
+        """Stop an instance; has no effect on a stopped one."""
 
     async def instances(self) -> list[CloudInstance]:
-        """Return all our instances that are not stopped."""
+        """Return all instances of this system that are not stopped."""
 
     async def notices(self, after: int) -> list[ReclaimNotice]:
         """Return reclaim notices with a higher ``seq`` than ``after``."""
@@ -180,7 +179,7 @@
 
 # --- weight store ------------------------------------------------------------
 class WeightCopy(NamedTuple):
-    """A place where weights can be loaded from: the store, or a near copy."""
+    """A source from which weights can be loaded: the store or a nearby copy."""
 
     source: str
     model: str
@@ -192,21 +191,21 @@
     """The platform's rate-limited weight store."""
 
     async def copies(self, model: str) -> list[WeightCopy]:
-        """Return where ``model`` can be loaded from."""
+        """Return the sources from which ``model`` can be loaded."""
 
     async def available_rate(self) -> float:
-        """Return gigabytes a second that the store can still give."""
+        """Return the store's unused bandwidth, gigabytes per second."""
 
 
 # --- model engines -------------------------------------------------------------
 class Chunk(NamedTuple):
-    """A piece of a streamed answer.
+    """A part of a streamed answer.
 
     ``position`` counts tokens of the whole answer from 0, also after a resume;
     ``text`` is the token's text; ``finish`` is the finish reason on the last
-    chunk, else empty; ``cached_tokens`` and ``prefilled_tokens`` stand on the
-    first chunk (prompt tokens found in the prefix or imported cache, and
-    computed), else 0.
+    chunk, else empty. ``cached_tokens`` (prompt tokens found in the prefix or
+    imported cache) and ``prefilled_tokens`` (prompt tokens computed) are set on
+    the first chunk, else 0.
     """
 
     position: int
@@ -217,17 +216,17 @@
 
 
 class Resume(NamedTuple):
-    """How a stream goes on elsewhere: text delivered so far and a KV handle."""
+    """How a stream resumes: the tokens delivered so far and a KV cache handle."""
 
     delivered: tuple[str, ...]
     kv_handle: str = ""
 
 
 class CancelResult(NamedTuple):
-    """The engine's word after a cancel.
+    """The result that an engine reports for a cancel.
 
-    ``not_started`` is proof that the attempt never ran; ``stopped`` that it is
-    no longer running; ``finished`` that it had ended; ``unknown`` is no proof.
+    ``not_started`` proves that the attempt never ran, ``stopped`` that it no longer
+    runs, ``finished`` that it had already ended; ``unknown`` proves nothing.
     """
 
     state: str
@@ -235,7 +234,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """A prompt prefix was stored in or dropped from an engine's cache.
+    """A prompt prefix was stored in or evicted from an engine's cache.
 
     ``block`` is the chained hash of a prompt block (see `utils.prefix`).
     """
@@ -246,10 +245,10 @@
 
 
 class EngineOrder(NamedTuple):
-    """The wanted end of an engine; never a step.
+    """The complete desired state of an engine, never a change to it.
 
-    ``fence`` is the holder's epoch; engines that check refuse a lower one than
-    they have seen.
+    ``fence`` is the epoch of the lease holder; engines that check it refuse an
+    order with a lower one than they have seen.
     """
 
     fence: int
@@ -258,7 +257,7 @@
 
 
 class Engine(Protocol):
-    """A model engine, or many of one wire shape: the view names which."""
+    """Model engines with a common wire format; each call names the endpoint."""
 
     def stream(
         self,
@@ -268,41 +267,42 @@
         attempt_id: str,
         resume: Resume | None = None,
     ) -> AsyncIterator[Chunk]:
-        """Generate.
+        """Run a request and yield its chunks.
 
-        Raises CONNECT_FAILED (proof: not sent), ENDPOINT_REFUSED (proof: not
-        run), ENDPOINT_FAILED or ENDPOINT_GARBAGE on the way.
+        Raises CONNECT_FAILED (proof that nothing was sent), ENDPOINT_REFUSED (proof
+        that nothing ran), and ENDPOINT_FAILED or ENDPOINT_GARBAGE, also while
+        streaming.
         """
 
     async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
-        """Stop an attempt and return the engine's word."""
+        """Stop an attempt and return the result that the engine reports."""
 
     async def export_kv(self, endpoint: EndpointView, attempt_id: str) -> str:
-        """Export a running attempt's KV cache; return its handle."""
+        """Export the KV cache of a running attempt and return its handle."""
 
     async def import_kv(
         self, endpoint: EndpointView, handle: str, source: EndpointView
     ) -> int:
-        """Fetch an exported cache from ``source``; return its tokens."""
+        """Import an exported KV cache from ``source``; return its number of tokens."""
 
     async def load(self, endpoint: EndpointView) -> LoadReport:
-        """Ask an engine or plain service for its load."""
+        """Return the load of an engine or plain service."""
 
     async def cache_events(
         self, endpoint: EndpointView, after: int
     ) -> list[CacheEvent]:
-        """Return cache events after ``after``; late and with gaps."""
+        """Return cache events after ``after``; they may be late or missing."""
 
     async def order(self, endpoint: EndpointView, order: EngineOrder) -> None:
-        """Give an order; raises ``STALE_ORDER`` where the engine checks."""
+        """Send an order; raises ``STALE_ORDER`` if the engine checks fencing tokens."""
 
     async def order_state(self, endpoint: EndpointView) -> EngineOrder:
-        """Read back the order in force."""
+        """Return the order in force."""
 
 
 # --- plain services --------------------------------------------------------------
 class ServiceAnswer(NamedTuple):
-    """A plain service's whole answer."""
+    """The complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -310,7 +310,7 @@
 
 
 class PlainServices(Protocol):
-    """Plain services beside the engines."""
+    """HTTP services that are not model engines."""
 
     async def call(
         self,
@@ -322,8 +322,8 @@
         attempt_id: str,
         timeout: float,
     ) -> ServiceAnswer:
-        """Call once.
+        """Send a request once, without retries.
 
-        Raises CONNECT_FAILED or ENDPOINT_REFUSED (proof: not run),
-        ENDPOINT_FAILED or ENDPOINT_GARBAGE (may have run).
+        Raises CONNECT_FAILED or ENDPOINT_REFUSED (proof that the request didn't run),
+        ENDPOINT_FAILED or ENDPOINT_GARBAGE (the request may have run).
         """
--- a/src/ebonydeal/_internal/outside/load_reports.py
+++ b/src/ebonydeal/_internal/outside/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that ride on endpoints' answers."""
+"""Load reports that endpoints send in their answers."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -11,7 +11,7 @@
 
 
 def read_load(message: Any) -> LoadReport | None:
-    """Return a load report, or None where it can't be read."""
+    """Return a load report, or None if it is malformed."""
     try:
         return LoadReport.from_message(message)
     except (KeyError, TypeError, ValueError):
@@ -21,7 +21,7 @@
 def report_load(
     listener: LoadListener | None, endpoint: EndpointView, message: Any
 ) -> None:
-    """Pass a report on to ``listener``; a garbled one is no reason to fail."""
+    """Pass a load report to ``listener``; ignore a malformed one."""
     load = read_load(message)
     if listener is not None and load is not None:
         listener(endpoint.endpoint_id, load)
@@ -30,7 +30,7 @@
 def report_load_header(
     listener: LoadListener | None, endpoint: EndpointView, headers: Mapping[str, str]
 ) -> None:
-    """Pass on the report in ``X-Engine-Load``, if any."""
+    """Pass the load report in ``X-Engine-Load``, if any, to ``listener``."""
     text = headers.get(LOAD_HEADER)
     if text is None:
         return
--- a/src/ebonydeal/_internal/outside/objects.py
+++ b/src/ebonydeal/_internal/outside/objects.py
@@ -1,4 +1,4 @@
-"""The object store over HTTP."""
+"""HTTP client of the object store."""
 
 from urllib.parse import quote
 
@@ -23,7 +23,7 @@
     url : str
         Base URL.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     """
 
     def __init__(self, url: str, timeout: float) -> None:
@@ -39,7 +39,7 @@
         return str(URL(f"{self._url}/v1/objects/{quote(name)}", encoded=True))
 
     async def put(self, name: str, data: bytes) -> None:
-        """Store an object, replacing one of the same name."""
+        """Store an object; replaces an existing one of the same name."""
         url = self._object_url(name)
         reply = await self._client.fetch(
             "PUT", URL(url, encoded=True), WRITE, data=data
@@ -47,7 +47,7 @@
         check_status(reply, url, WRITE)
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None."""
+        """Return an object, or None if it doesn't exist."""
         url = self._object_url(name)
         reply = await self._client.fetch("GET", URL(url, encoded=True), READ)
         if reply.status == 404:
@@ -56,7 +56,7 @@
         return reply.body
 
     async def delete(self, name: str) -> None:
-        """Remove an object if it is there."""
+        """Delete an object if it exists."""
         url = self._object_url(name)
         reply = await self._client.fetch("DELETE", URL(url, encoded=True), WRITE)
         if reply.status != 404:
@@ -69,7 +69,7 @@
         check_status(reply, url, READ)
         names = read_object(reply, url, READ).get("names")
         if not isinstance(names, list):
-            raise EbonydealError(READ.garbage, f"answer of {url} lacks 'names'")
+            raise EbonydealError(READ.garbage, f"response of {url} lacks 'names'")
         return sorted(str(name) for name in names)
 
     async def close(self) -> None:
--- a/src/ebonydeal/_internal/outside/services.py
+++ b/src/ebonydeal/_internal/outside/services.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP."""
+"""HTTP client of plain services."""
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import EndpointView
@@ -14,7 +14,7 @@
 from ebonydeal._internal.settings.sections import PlatformSettings
 
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-_OWN_HEADERS = frozenset(
+_NOT_FORWARDED_HEADERS = frozenset(
     (
         "host",
         "connection",
@@ -33,23 +33,23 @@
 class HttpPlainServices:
     """`PlainServices` over HTTP for any number of endpoints.
 
-    Calls of a safe method share pooled connections. All others have a
-    connection of their own: a pooled one that the service has just closed would
-    make a call that never arrived look like one that may have run.
+    Calls with a safe method share pooled connections. Every other call opens its
+    own connection: a pooled one that the service has just closed would make a
+    request that never arrived look like one that may have run.
 
     Parameters
     ----------
     timeout : float
-        Longest wait for a connection, seconds.
+        Timeout of a connection attempt, seconds.
     on_load : callable, optional
-        Called with (endpoint id, report) for each report on an answer.
+        Called with (endpoint id, report) for each load report in an answer.
     """
 
     def __init__(self, timeout: float, on_load: LoadListener | None = None) -> None:
         self._pooled = HttpClient(timeout)
         self._single = HttpClient(timeout, pooled=False)
         self.on_load = on_load
-        # Told for how long an endpoint that refuses wants nothing.
+        # Called with the backoff that an endpoint asks for when it refuses a request.
         self.on_backoff: BackoffListener | None = None
 
     @classmethod
@@ -69,31 +69,32 @@
         attempt_id: str,
         timeout: float,
     ) -> ServiceAnswer:
-        """Call once, whatever happens.
+        """Send a request once, without retries.
 
-        Raises CONNECT_FAILED or ENDPOINT_REFUSED (proof: not run),
-        ENDPOINT_FAILED or ENDPOINT_GARBAGE (may have run).
+        Raises CONNECT_FAILED or ENDPOINT_REFUSED (proof that the request didn't run),
+        ENDPOINT_FAILED or ENDPOINT_GARBAGE (the request may have run).
         """
         client = self._pooled if method in _SAFE_METHODS else self._single
-        sent = {
+        forwarded = {
             name: value
             for name, value in headers.items()
-            if name.lower() not in _OWN_HEADERS
+            if name.lower() not in _NOT_FORWARDED_HEADERS
         }
-        sent[ATTEMPT_HEADER] = attempt_id
+        forwarded[ATTEMPT_HEADER] = attempt_id
         reply = await client.fetch(
             method,
             f"http://{endpoint.address}{path}",
             ENDPOINT,
             timeout=timeout,
-            headers=sent,
+            headers=forwarded,
             data=body or None,
         )
         report_load_header(self.on_load, endpoint, reply.headers)
         report_backoff(self.on_backoff, endpoint, reply.status, reply.headers)
         if reply.status == 503 and reply.headers.get(NOT_RUN_HEADER) == "1":
             raise EbonydealError(
-                ErrorKind.ENDPOINT_REFUSED, f"{endpoint.endpoint_id} refused"
+                ErrorKind.ENDPOINT_REFUSED,
+                f"{endpoint.endpoint_id} refused the request",
             )
         return ServiceAnswer(reply.status, reply.content_type, reply.body)
 
--- a/src/ebonydeal/_internal/outside/tables.py
+++ b/src/ebonydeal/_internal/outside/tables.py
@@ -1,4 +1,4 @@
-"""The table service over HTTP."""
+"""HTTP client of the table service."""
 
 from collections.abc import Sequence
 from typing import Any, TypedDict
@@ -33,7 +33,7 @@
 
 
 def condition_to_message(condition: Condition) -> dict[str, Any]:
-    """Return the wire shape of a condition."""
+    """Encode a condition for the wire."""
     match condition:
         case RowAbsent(key):
             return {"if": "absent", "key": key}
@@ -44,7 +44,7 @@
 
 
 def write_to_message(write: Write) -> dict[str, Any]:
-    """Return the wire shape of a write."""
+    """Encode a write for the wire."""
     match write:
         case Put(key, value):
             return {"op": "put", "key": key, "value": value}
@@ -52,12 +52,12 @@
             return {"op": "delete", "key": key}
 
 
-def _row(message: Any, url: str, kinds: FailureKinds) -> Row:
-    """Return a row, or raise the garbage kind."""
+def _parse_row(message: Any, url: str, kinds: FailureKinds) -> Row:
+    """Parse a row; raises the garbage kind if it is malformed."""
     match message:
         case {"key": str(key), "value": dict(value), "version": int(version)}:
             return Row(key, value, version)
-    raise EbonydealError(kinds.garbage, f"answer of {url} holds no row")
+    raise EbonydealError(kinds.garbage, f"response of {url} holds no row")
 
 
 class HttpTables:
@@ -68,7 +68,7 @@
     url : str
         Base URL.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     """
 
     def __init__(self, url: str, timeout: float) -> None:
@@ -83,7 +83,7 @@
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> bool:
-        """Do all writes if all conditions hold; return whether they did."""
+        """Apply all writes if all conditions hold; return whether they did."""
         url = f"{self._url}/v1/transact"
         message = TransactMessage(
             conditions=[condition_to_message(item) for item in conditions],
@@ -93,17 +93,17 @@
         check_status(reply, url, WRITE)
         applied = read_object(reply, url, WRITE).get("applied")
         if not isinstance(applied, bool):
-            raise EbonydealError(WRITE.garbage, f"answer of {url} lacks 'applied'")
+            raise EbonydealError(WRITE.garbage, f"response of {url} lacks 'applied'")
         return applied
 
     async def get(self, key: str) -> Row | None:
-        """Return a row, or None."""
+        """Return a row, or None if it doesn't exist."""
         url = f"{self._url}/v1/rows"
         reply = await self._client.fetch("GET", url, READ, params={"key": key})
         if reply.status == 404:
             return None
         check_status(reply, url, READ)
-        return _row(read_object(reply, url, READ), url, READ)
+        return _parse_row(read_object(reply, url, READ), url, READ)
 
     async def scan(self, prefix: str, start: str = "", limit: int = 1000) -> list[Row]:
         """Return rows whose key has ``prefix`` and is >= ``start``, by key."""
@@ -113,8 +113,8 @@
         check_status(reply, url, READ)
         rows = read_object(reply, url, READ).get("rows")
         if not isinstance(rows, list):
-            raise EbonydealError(READ.garbage, f"answer of {url} lacks 'rows'")
-        return [_row(item, url, READ) for item in rows]
+            raise EbonydealError(READ.garbage, f"response of {url} lacks 'rows'")
+        return [_parse_row(item, url, READ) for item in rows]
 
     async def close(self) -> None:
         """Close the session."""
--- a/src/ebonydeal/_internal/outside/weights.py
+++ b/src/ebonydeal/_internal/outside/weights.py
@@ -1,4 +1,4 @@
-"""The weight store over HTTP."""
+"""HTTP client of the weight store."""
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.outside.http import (
@@ -19,7 +19,7 @@
     url : str
         Base URL.
     timeout : float
-        Longest wait for one call, seconds.
+        Timeout of one call, seconds.
     """
 
     def __init__(self, url: str, timeout: float) -> None:
@@ -32,7 +32,7 @@
         return cls(cfg.weights_url, cfg.timeout)
 
     async def copies(self, model: str) -> list[WeightCopy]:
-        """Return where ``model`` can be loaded from."""
+        """Return the sources from which ``model`` can be loaded."""
         url = f"{self._url}/v1/copies"
         reply = await self._client.fetch("GET", url, READ, params={"model": model})
         check_status(reply, url, READ)
@@ -48,17 +48,21 @@
                 for item in body["copies"]
             ]
         except (KeyError, TypeError, ValueError) as exc:
-            raise EbonydealError(READ.garbage, f"a weight copy: {exc!r}") from exc
+            raise EbonydealError(
+                READ.garbage, f"malformed weight copy: {exc!r}"
+            ) from exc
 
     async def available_rate(self) -> float:
-        """Return gigabytes a second that the store can still give."""
+        """Return the store's unused bandwidth, gigabytes per second."""
         url = f"{self._url}/v1/rate"
         reply = await self._client.fetch("GET", url, READ)
         check_status(reply, url, READ)
         try:
             return float(read_object(reply, url, READ)["gb_per_s"])
         except (KeyError, TypeError, ValueError) as exc:
-            raise EbonydealError(READ.garbage, f"the store's rate: {exc!r}") from exc
+            raise EbonydealError(
+                READ.garbage, f"malformed rate of the weight store: {exc!r}"
+            ) from exc
 
     async def close(self) -> None:
         """Close the session."""
--- a/tests/functional/outside/test_engines.py
+++ b/tests/functional/outside/test_engines.py
@@ -19,9 +19,9 @@
     "messages": [{"role": "user", "content": PROMPT}],
     "max_tokens": 8,
 }
-TEXT = f"user: {PROMPT}"
-TOKENS = expected_tokens(MODEL, TEXT, 8)
-SIZE = len(split_tokens(TEXT))
+PROMPT_TEXT = f"user: {PROMPT}"
+TOKENS = expected_tokens(MODEL, PROMPT_TEXT, 8)
+PROMPT_TOKENS = len(split_tokens(PROMPT_TEXT))
 SLOW = FAST._replace(tokens_per_s=20.0, slots=1)
 
 
@@ -32,7 +32,7 @@
     return chunks
 
 
-async def failure(client, endpoint, **options):
+async def stream_failure(client, endpoint, **options):
     chunks = []
     with pytest.raises(EbonydealError) as caught:
         async for chunk in client.stream(view_of(endpoint), CHAT, BODY, "a-1"):
@@ -41,23 +41,26 @@
 
 
 class TestStreams:
-    async def test_whole_answer(self):
+    async def test_complete_answer(self):
         async with running(engine()) as server:
             client = HttpEngine(2.0)
             chunks = await collect(client, server)
             assert [chunk.text for chunk in chunks] == list(TOKENS)
             assert [chunk.position for chunk in chunks] == list(range(8))
             assert [chunk.finish for chunk in chunks] == [""] * 7 + ["length"]
-            assert (chunks[0].cached_tokens, chunks[0].prefilled_tokens) == (0, SIZE)
+            assert (chunks[0].cached_tokens, chunks[0].prefilled_tokens) == (
+                0,
+                PROMPT_TOKENS,
+            )
             await client.close()
 
-    async def test_completions_path_and_stop(self):
+    async def test_completions_path_and_finish_reason_stop(self):
         async with running(engine()) as server:
             client = HttpEngine(2.0)
             body = {"model": MODEL, "prompt": "x", "max_tokens": 1000}
             chunks = await collect(client, server, body, path="/v1/completions")
-            whole = expected_tokens(MODEL, "x", 1000)
-            assert tuple(chunk.text for chunk in chunks) == whole
+            expected = expected_tokens(MODEL, "x", 1000)
+            assert tuple(chunk.text for chunk in chunks) == expected
             assert chunks[-1].finish == "stop"
             await client.close()
 
@@ -67,12 +70,12 @@
             await collect(client, server)
             again = await collect(client, server)
             cached = again[0].cached_tokens
-            assert cached == SIZE // 16 * 16
-            assert again[0].prefilled_tokens == SIZE - cached
+            assert cached == PROMPT_TOKENS // 16 * 16
+            assert again[0].prefilled_tokens == PROMPT_TOKENS - cached
             await client.close()
 
     @pytest.mark.parametrize("count", [1, 7, 8])
-    async def test_resume_goes_on_after_what_was_delivered(self, count):
+    async def test_resume_continues_after_the_delivered_tokens(self, count):
         async with running(engine()) as server:
             client = HttpEngine(2.0)
             resume = Resume(TOKENS[:count])
@@ -81,7 +84,7 @@
             assert texts == list(TOKENS[count:])
             assert chunks[0].position == count
             assert chunks[-1].finish == "length"
-            assert chunks[0].prefilled_tokens == SIZE + count
+            assert chunks[0].prefilled_tokens == PROMPT_TOKENS + count
             assert server.entries[0]["matches"] is True
             await client.close()
 
@@ -96,15 +99,15 @@
             (PlannedFault(EndpointFault.GARBAGE, 3), ErrorKind.ENDPOINT_GARBAGE, 3),
         ],
     )
-    async def test_faults_have_their_kinds(self, fault, kind, chunks):
+    async def test_fault_maps_to_its_error_kind(self, fault, kind, chunks):
         async with running(engine()) as server:
             client = HttpEngine(2.0)
             server.faults.next.append(fault)
-            assert await failure(client, server) == (kind, chunks)
+            assert await stream_failure(client, server) == (kind, chunks)
             assert len(await collect(client, server, attempt="a-2")) == 8
             await client.close()
 
-    async def test_kill_in_the_middle(self):
+    async def test_engine_killed_during_a_stream(self):
         async with running(engine(spec=SLOW)) as server:
             client = HttpEngine(2.0)
             stream = client.stream(view_of(server), CHAT, BODY, "a-1")
@@ -114,7 +117,7 @@
                 async for _chunk in stream:
                     pass
             assert caught.value.kind is ErrorKind.ENDPOINT_FAILED
-            assert await failure(client, server) == (ErrorKind.CONNECT_FAILED, 0)
+            assert await stream_failure(client, server) == (ErrorKind.CONNECT_FAILED, 0)
             await client.close()
 
     async def test_model_that_is_not_loaded_is_refused(self):
@@ -125,7 +128,7 @@
             assert caught.value.kind is ErrorKind.ENDPOINT_REFUSED
             await client.close()
 
-    async def test_stream_left_early_stops_at_the_engine(self):
+    async def test_closing_a_stream_stops_it_at_the_engine(self):
         async with running(engine(spec=SLOW)) as server:
             client = HttpEngine(2.0)
             stream = client.stream(view_of(server), CHAT, BODY, "a-1")
@@ -156,7 +159,7 @@
         ],
         ids=range(9),
     )
-    async def test_garbage_is_never_passed_on(self, lines):
+    async def test_malformed_stream_raises_and_yields_no_garbage(self, lines):
         async def answer(_req):
             text = "".join(f"{line}\n\n" for line in [*lines, "data: [DONE]"])
             return web.Response(text=text, content_type="text/event-stream")
@@ -166,13 +169,13 @@
         async with running(StandinServer(app)) as server:
             server.endpoint_id, server.kind = "i-9", "engine"
             client = HttpEngine(2.0)
-            kind, _count = await failure(client, server)
+            kind, _count = await stream_failure(client, server)
             assert kind is ErrorKind.ENDPOINT_GARBAGE
             await client.close()
 
 
 class TestCancel:
-    async def test_words(self):
+    async def test_result_proves_whether_the_attempt_ran(self):
         async with running(engine(spec=SLOW)) as server:
             client = HttpEngine(2.0)
             first = client.stream(view_of(server), CHAT, BODY, "a-1")
@@ -180,28 +183,28 @@
             second = asyncio.ensure_future(collect(client, server, attempt="a-2"))
             while server.slots.waiting == 0:
                 await asyncio.sleep(0.01)
-            word = await client.cancel(view_of(server), "a-2")
-            assert word == CancelResult("not_started", 0)
+            result = await client.cancel(view_of(server), "a-2")
+            assert result == CancelResult("not_started", 0)
             with pytest.raises(EbonydealError) as caught:
                 await second
             assert caught.value.kind is ErrorKind.ENDPOINT_REFUSED
-            word = await client.cancel(view_of(server), "a-1")
-            assert (word.state, word.tokens >= 1) == ("stopped", True)
+            result = await client.cancel(view_of(server), "a-1")
+            assert (result.state, result.tokens >= 1) == ("stopped", True)
             with pytest.raises(EbonydealError) as caught:
                 async for _chunk in first:
                     pass
             assert caught.value.kind is ErrorKind.ENDPOINT_FAILED
-            word = await client.cancel(view_of(server), "a-3")
-            assert word == CancelResult("unknown", 0)
+            result = await client.cancel(view_of(server), "a-3")
+            assert result == CancelResult("unknown", 0)
             assert server.slots.running == 0
             await client.close()
 
-    async def test_finished(self):
+    async def test_finished_attempt_is_reported_with_its_tokens(self):
         async with running(engine()) as server:
             client = HttpEngine(2.0)
             await collect(client, server)
-            word = await client.cancel(view_of(server), "a-1")
-            assert word == CancelResult("finished", 8)
+            result = await client.cancel(view_of(server), "a-1")
+            assert result == CancelResult("finished", 8)
             await client.close()
 
 
@@ -218,11 +221,11 @@
                 async for chunk in stream:
                     delivered.append(chunk.text)
             tokens = await client.import_kv(view_of(target), handle, view_of(source))
-            assert tokens >= SIZE + len(delivered)
+            assert tokens >= PROMPT_TOKENS + len(delivered)
             resume = Resume(tuple(delivered), handle)
-            rest = await collect(client, target, attempt="a-2", resume=resume)
-            assert rest[0].prefilled_tokens == 0
-            whole = delivered + [chunk.text for chunk in rest]
+            resumed = await collect(client, target, attempt="a-2", resume=resume)
+            assert resumed[0].prefilled_tokens == 0
+            whole = delivered + [chunk.text for chunk in resumed]
             assert whole == list(TOKENS)
             await client.close()
 
@@ -238,7 +241,7 @@
 
 
 class TestOrdersAndReports:
-    async def test_engine_that_checks_refuses_an_old_fence(self):
+    async def test_engine_that_checks_fences_refuses_an_old_one(self):
         async with running(engine()) as server:
             client, view = HttpEngine(2.0), view_of(server)
             order = EngineOrder(5, (MODEL, "slips-1b"), "serve")
@@ -249,7 +252,7 @@
             assert await client.order_state(view) == order
             await client.close()
 
-    async def test_engine_that_ignores_fences_does_what_came_last(self):
+    async def test_engine_that_ignores_fences_follows_the_last_order(self):
         spec = FAST._replace(checks_fence=False)
         async with running(engine(spec=spec)) as server:
             client, view = HttpEngine(2.0), view_of(server)
@@ -266,10 +269,12 @@
                 await asyncio.sleep(0.01)
             chunks = await collect(client, server, {**BODY, "model": "slips-1b"})
             assert len(chunks) == 8
-            assert (await failure(client, server))[0] is ErrorKind.ENDPOINT_REFUSED
+            assert (await stream_failure(client, server))[
+                0
+            ] is ErrorKind.ENDPOINT_REFUSED
             await client.close()
 
-    async def test_load_rides_on_answers(self):
+    async def test_load_is_reported_with_answers(self):
         seen = []
         async with running(engine()) as server:
             client = HttpEngine(2.0, lambda name, load: seen.append((name, load)))
@@ -279,7 +284,7 @@
             assert (load.running, load.waiting, load.slots) == (0, 0, 8)
             await client.close()
 
-    async def test_cache_events_tell_blocks(self):
+    async def test_cache_events_list_stored_blocks(self):
         async with running(engine()) as server:
             client, view = HttpEngine(2.0), view_of(server)
             await collect(client, server)
--- a/tests/functional/outside/test_services.py
+++ b/tests/functional/outside/test_services.py
@@ -45,7 +45,7 @@
         ],
     )
     @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE"])
-    async def test_faults_have_their_kinds_and_nothing_is_repeated(
+    async def test_fault_maps_to_its_error_kind_and_is_not_retried(
         self, method, fault, kind, ran
     ):
         async with running(service()) as server:
@@ -58,14 +58,14 @@
             assert [entry["ran"] for entry in server.entries] == [True, ran]
             await client.close()
 
-    async def test_error_of_the_service_is_an_answer(self):
+    async def test_error_status_of_the_service_is_returned_as_its_answer(self):
         async with running(service()) as server:
             client = HttpPlainServices(2.0)
             server.faults.next.append(PlannedFault(EndpointFault.ERROR))
             assert (await call(client, server)).status == 500
             await client.close()
 
-    async def test_timeout_may_have_run_and_does(self):
+    async def test_timed_out_call_is_reported_as_possibly_run(self):
         async with running(service(spec=ServiceSpec(work_seconds=0.4))) as server:
             client = HttpPlainServices(2.0)
             with pytest.raises(EbonydealError) as caught:
@@ -75,7 +75,7 @@
                 await asyncio.sleep(0.01)
             await client.close()
 
-    async def test_connection_in_doubt_is_not_used_again(self):
+    async def test_connection_with_an_unread_answer_is_not_reused(self):
         async with running(service(spec=ServiceSpec(work_seconds=0.1))) as server:
             client = HttpPlainServices(2.0)
             with pytest.raises(EbonydealError):
@@ -86,7 +86,7 @@
             assert answer.body.decode() == expected_answer("GET", "/status", b"")
             await client.close()
 
-    async def test_leaving_service_refuses(self):
+    async def test_refusal_of_a_leaving_service_proves_that_nothing_ran(self):
         async with running(service()) as server:
             client = HttpPlainServices(2.0)
             server.refuses_when_leaving = True
@@ -107,26 +107,29 @@
             await client.close()
 
 
-class TestRest:
-    @pytest.mark.parametrize(("rest", "told"), [(2.5, [2.5]), (0.0, [])])
-    async def test_that_a_refusal_asks_for_is_told(self, rest, told):
+class TestBackoff:
+    @pytest.mark.parametrize(("backoff", "reported"), [(2.5, [2.5]), (0.0, [])])
+    async def test_backoff_of_a_refusal_is_reported(self, backoff, reported):
         async with running(service()) as server:
-            client, heard = HttpPlainServices(2.0), []
-            client.on_backoff = lambda name, seconds: heard.append((name, seconds))
-            server.faults.rest = rest
+            client, calls = HttpPlainServices(2.0), []
+            client.on_backoff = lambda name, seconds: calls.append((name, seconds))
+            server.faults.rest = backoff
             server.faults.next.append(PlannedFault(EndpointFault.REFUSE))
             with pytest.raises(EbonydealError):
                 await call(client, server)
-            assert [seconds for _name, seconds in heard] == told
+            assert [seconds for _name, seconds in calls] == reported
             await call(client, server, attempt="a-2")
-            assert len(heard) == len(told)
+            assert len(calls) == len(reported)
             await client.close()
 
-    @pytest.mark.parametrize("said", ["", "soon", "-1", "nan", "1e999"])
-    def test_that_cant_be_read_is_none(self, said):
-        heard = []
+    @pytest.mark.parametrize("header", ["", "soon", "-1", "nan", "1e999"])
+    def test_malformed_header_is_ignored(self, header):
+        calls = []
         endpoint = SimpleNamespace(endpoint_id="i1")
         report_backoff(
-            lambda *rest: heard.append(rest), endpoint, 503, {RETRY_AFTER_HEADER: said}
+            lambda *args: calls.append(args),
+            endpoint,
+            503,
+            {RETRY_AFTER_HEADER: header},
         )
-        assert heard == []
+        assert calls == []
--- a/tests/functional/outside/test_stores.py
+++ b/tests/functional/outside/test_stores.py
@@ -18,14 +18,14 @@
 from tests.lib.fakes_endpoints import running
 
 
-async def kind_of(call) -> ErrorKind:
+async def error_kind(call) -> ErrorKind:
     with pytest.raises(EbonydealError) as caught:
         await call
     return caught.value.kind
 
 
 class TestTablesOverHttp:
-    async def test_every_condition_and_write(self):
+    async def test_each_kind_of_condition_and_write(self):
         async with running(TablesServer()) as server:
             tables = HttpTables(server.url, 2.0)
             row = {"epoch": 3, "deep": {"list": [1, None, "é"]}}
@@ -42,44 +42,44 @@
             assert await tables.get("c") is None
             await tables.close()
 
-    async def test_refused_writes_had_no_effect(self):
+    async def test_refused_write_has_no_effect(self):
         async with running(TablesServer()) as server:
             tables = HttpTables(server.url, 2.0)
             server.tables.faults.writes.append(Fault.REFUSED)
-            kind = await kind_of(tables.transact([], [Put("a", {})]))
+            kind = await error_kind(tables.transact([], [Put("a", {})]))
             assert kind is ErrorKind.STORE_UNAVAILABLE
             assert await tables.get("a") is None
             await tables.close()
 
-    async def test_lost_answer_is_in_doubt_and_sent_once(self):
+    async def test_lost_response_is_in_doubt_and_not_retried(self):
         async with running(TablesServer()) as server:
             tables = HttpTables(server.url, 2.0)
             await tables.get("warm the connection")
             server.tables.faults.writes.append(Fault.LOST_ANSWER)
-            kind = await kind_of(tables.transact([], [Put("a", {})]))
+            kind = await error_kind(tables.transact([], [Put("a", {})]))
             assert kind is ErrorKind.STORE_IN_DOUBT
             assert await tables.get("a") == Row("a", {}, 1)
             assert server.tables.writes == 1
             await tables.close()
 
-    async def test_timeout_of_a_write_is_in_doubt_and_of_a_read_is_not(self):
+    async def test_timed_out_write_is_in_doubt_but_a_read_is_not(self):
         async with running(TablesServer()) as server:
             tables = HttpTables(server.url, 0.05)
             server.tables.faults.delay = 30.0
-            kind = await kind_of(tables.transact([], [Put("a", {})]))
+            kind = await error_kind(tables.transact([], [Put("a", {})]))
             assert kind is ErrorKind.STORE_IN_DOUBT
-            assert await kind_of(tables.get("a")) is ErrorKind.STORE_UNAVAILABLE
+            assert await error_kind(tables.get("a")) is ErrorKind.STORE_UNAVAILABLE
             await tables.close()
 
-    async def test_nobody_listens(self):
+    async def test_closed_port_is_unavailable(self):
         server = TablesServer()
         await server.start()
         url = server.url
         await server.stop()
         tables = HttpTables(url, 2.0)
-        kind = await kind_of(tables.transact([], [Put("a", {})]))
+        kind = await error_kind(tables.transact([], [Put("a", {})]))
         assert kind is ErrorKind.STORE_UNAVAILABLE
-        assert await kind_of(tables.scan("a")) is ErrorKind.STORE_UNAVAILABLE
+        assert await error_kind(tables.scan("a")) is ErrorKind.STORE_UNAVAILABLE
         await tables.close()
 
     @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
             (400, "{}", ErrorKind.BAD_REQUEST),
         ],
     )
-    async def test_strange_answers(self, status, text, kind):
+    async def test_unexpected_response_maps_to_its_error_kind(self, status, text, kind):
         async def answer(_req):
             return web.Response(status=status, text=text)
 
@@ -104,7 +104,7 @@
         app.router.add_post("/v1/transact", answer)
         async with running(StandinServer(app)) as server:
             tables = HttpTables(f"http://{server.address}", 2.0)
-            assert await kind_of(tables.transact([], [])) is kind
+            assert await error_kind(tables.transact([], [])) is kind
             await tables.close()
 
     async def test_operations_over_the_rate_are_refused(self):
@@ -112,7 +112,7 @@
             tables = HttpTables(server.url, 2.0)
             assert await tables.transact([], [Put("a", {})])
             assert await tables.transact([], [Put("b", {})])
-            kind = await kind_of(tables.transact([], [Put("c", {})]))
+            kind = await error_kind(tables.transact([], [Put("c", {})]))
             assert kind is ErrorKind.STORE_UNAVAILABLE
             assert server.tables.writes == 2
             await tables.close()
@@ -134,12 +134,12 @@
             assert await objects.get(name) is None
             await objects.close()
 
-    async def test_lost_answer_of_a_put_is_not_repeated(self):
+    async def test_put_with_a_lost_response_is_not_retried(self):
         async with running(ObjectsServer()) as server:
             objects = HttpObjects(server.url, 2.0)
             await objects.names("warm the connection")
             server.objects.faults.writes.append(Fault.LOST_ANSWER)
-            kind = await kind_of(objects.put("a", b"x"))
+            kind = await error_kind(objects.put("a", b"x"))
             assert kind is ErrorKind.STORE_IN_DOUBT
             assert server.objects.writes == 1
             await objects.close()
