--- a/src/ebonydeal/_internal/observe/counters.py
+++ b/src/ebonydeal/_internal/observe/counters.py
@@ -1,7 +1,7 @@
 """Counters and latency histograms of one program.
 
-Refusals are counted by `ErrorKind`, retries by `RetryReason`, all else by
-`Event`: closed lists, so that a monitoring page knows every series beforehand.
+Refusals are counted by `ErrorKind`, retries by `RetryReason`, everything else by
+`Event`. These are enums, so that dashboards know every series in advance.
 """
 
 from enum import StrEnum
@@ -11,15 +11,15 @@
 from ebonydeal._internal.errors import ErrorKind
 from ebonydeal._internal.observe.timing_summary import TimingSummary
 
-_LOWEST_US = 1
-_HIGHEST_US = 3_600_000_000
-_DIGITS = 2
-_QUANTILES = (50.0, 95.0, 99.0)
-_US = 1_000_000
+_MIN_US = 1
+_MAX_US = 3_600_000_000
+_SIGNIFICANT_DIGITS = 2
+_PERCENTILES = (50.0, 95.0, 99.0)
+_US_PER_S = 1_000_000
 
 
 class RetryReason(StrEnum):
-    """Why a further attempt was made."""
+    """Why a request was retried or hedged."""
 
     CONNECT_FAILED = "connect_failed"
     ENDPOINT_REFUSED = "endpoint_refused"
@@ -34,7 +34,7 @@
 
 
 class Event(StrEnum):
-    """What else is counted."""
+    """Everything else that is counted."""
 
     # gateway
     REQUESTS = "requests"
@@ -97,7 +97,7 @@
 
 
 class Timing(StrEnum):
-    """What is timed."""
+    """Durations that are recorded."""
 
     FIRST_TOKEN = "first_token"
     BETWEEN_TOKENS = "between_tokens"
@@ -118,15 +118,16 @@
             "events": {},
         }
         self._histograms = {
-            timing: HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS) for timing in Timing
+            timing: HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
+            for timing in Timing
         }
 
     def count_refusal(self, kind: ErrorKind) -> None:
-        """Count one refusal."""
+        """Count a refused request."""
         self._add("refusals", str(kind), 1)
 
     def count_retry(self, reason: RetryReason) -> None:
-        """Count one further attempt."""
+        """Count a retry."""
         self._add("retries", str(reason), 1)
 
     def count(self, event: Event, amount: float = 1) -> None:
@@ -139,25 +140,25 @@
 
     def record_duration(self, timing: Timing, seconds: float) -> None:
         """Record one duration."""
-        self._histograms[timing].record_value(max(_LOWEST_US, int(seconds * _US)))
+        self._histograms[timing].record_value(max(_MIN_US, int(seconds * _US_PER_S)))
 
     def quantile(self, timing: Timing, percent: float) -> float:
         """Return a percentile of a timing, in seconds."""
-        return self._histograms[timing].get_value_at_percentile(percent) / _US
+        return self._histograms[timing].get_value_at_percentile(percent) / _US_PER_S
 
     def value(self, name: str, label: str) -> float:
-        """Return a counter's value: ``refusals``, ``retries`` or ``events``."""
+        """Return a count; ``name`` is ``refusals``, ``retries`` or ``events``."""
         return self._counts[name].get(label, 0)
 
     def render(self) -> bytes:
-        """Return the page that monitoring systems read."""
-        # Not at the top: loading the library takes 40 ms of a start, and the page
-        # is asked for long after it.
+        """Return the metrics in the Prometheus text format."""
+        # Imported here because loading the library takes 40 ms, and the metrics are
+        # requested long after the start.
         from ebonydeal._internal.observe.exposition import render_metrics
 
         timings = {
             str(timing): TimingSummary(
-                {q: self.quantile(timing, q) for q in _QUANTILES},
+                {percent: self.quantile(timing, percent) for percent in _PERCENTILES},
                 histogram.get_total_count(),
             )
             for timing, histogram in self._histograms.items()
@@ -165,15 +166,15 @@
         return render_metrics(self._counts, timings)
 
     def refusals(self) -> dict[str, int]:
-        """Return refusals by reason, without zeros."""
+        """Return the non-zero counts of refusals by reason."""
         return self._by_label("refusals")
 
     def retries(self) -> dict[str, int]:
-        """Return retries by reason, without zeros."""
+        """Return the non-zero counts of retries by reason."""
         return self._by_label("retries")
 
     def events(self) -> dict[str, int]:
-        """Return events by name, without zeros."""
+        """Return the non-zero counts of events by name."""
         return self._by_label("events")
 
     def _by_label(self, family: str) -> dict[str, int]:
--- a/src/ebonydeal/_internal/observe/logs.py
+++ b/src/ebonydeal/_internal/observe/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs on standard output: short sentences with a prefix per part.
+"""Structured logs on standard output: short messages prefixed with their component.
 
-Their volume is bounded for each sentence, and a reader that is slow costs lines,
-never time: what was left out is told by the next line that is written.
+Each message is rate limited, and its next line says how many were dropped. If the
+reader of the output is slow, lines are lost, but the program never blocks.
 """
 
 import logging
@@ -15,23 +15,23 @@
 
 from ebonydeal._internal.settings.sections import LogSettings
 
-# Lines a second of one sentence, and how many may come at once: enough for each
-# request of a small node, and about 1 % of its processor time at the most.
-_LINES_PER_S = 50.0
-_LINES_AT_ONCE = 200.0
-Event = MutableMapping[str, Any]
+# Rate limit and burst of one message: enough for a line per request of a small node,
+# and at most about 1 % of its processor time.
+_MAX_LINES_PER_S = 50.0
+_MAX_BURST_LINES = 200.0
+LogEvent = MutableMapping[str, Any]
 
 
-def _prefix(_logger: Any, _name: str, event: Event) -> Event:
-    """Put the part's fixed prefix before the sentence."""
-    part = event.pop("part", None)
-    if part is not None:
-        event["event"] = f"{part}: {event['event']}"
+def _add_component(_logger: Any, _name: str, event: LogEvent) -> LogEvent:
+    """Prefix the message with the component."""
+    component = event.pop("part", None)
+    if component is not None:
+        event["event"] = f"{component}: {event['event']}"
     return event
 
 
 class LogRateLimiter:
-    """Lets only so many lines of each sentence pass.
+    """Limits the rate of each log message with a token bucket.
 
     Parameters
     ----------
@@ -41,65 +41,67 @@
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
         self._now = now
-        self._left: dict[str, tuple[float, float]] = {}
+        self._buckets: dict[str, tuple[float, float]] = {}
         self._dropped: dict[str, int] = {}
 
-    def __call__(self, _logger: Any, _name: str, event: Event) -> Event:
-        """Pass the line on with the count left out before it, or drop it."""
-        sentence = str(event.get("event", ""))
+    def __call__(self, _logger: Any, _name: str, event: LogEvent) -> LogEvent:
+        """Return the event with the number of lines dropped before it, or drop it."""
+        message = str(event.get("event", ""))
         now = self._now()
-        left, at = self._left.get(sentence, (_LINES_AT_ONCE, now))
-        left = min(_LINES_AT_ONCE, left + (now - at) * _LINES_PER_S)
-        if left < 1.0:
-            self._left[sentence] = (left, now)
-            self._dropped[sentence] = self._dropped.get(sentence, 0) + 1
+        available, updated_at = self._buckets.get(message, (_MAX_BURST_LINES, now))
+        available = min(
+            _MAX_BURST_LINES, available + (now - updated_at) * _MAX_LINES_PER_S
+        )
+        if available < 1.0:
+            self._buckets[message] = (available, now)
+            self._dropped[message] = self._dropped.get(message, 0) + 1
             raise structlog.DropEvent
-        self._left[sentence] = (left - 1.0, now)
-        dropped = self._dropped.pop(sentence, 0)
+        self._buckets[message] = (available - 1.0, now)
+        dropped = self._dropped.pop(message, 0)
         if dropped:
             event["left_out"] = dropped
         return event
 
 
 class NonBlockingWriter:
-    """Writes lines to a stream without ever waiting for its reader.
+    """Writes lines to a stream without ever blocking on its reader.
 
     Parameters
     ----------
     file : TextIO
-        An open stream; a pipe or socket is set not to block.
+        An open stream; a pipe or socket is set to non-blocking mode.
     """
 
     def __init__(self, file: TextIO) -> None:
         self._fd = file.fileno()
-        self._rest = b""
-        self.lost = 0
+        self._pending = b""
+        self.lost_lines = 0
         if not file.isatty() and not os.path.isfile(f"/dev/fd/{self._fd}"):
             os.set_blocking(self._fd, False)
 
     def write(self, text: str) -> None:
-        """Write what fits; lines that don't are lost and counted."""
-        if self._rest and not self._push(b""):
-            self.lost += 1
+        """Write a line; if the reader is too slow, drop and count it."""
+        if self._pending and not self._write_pending(b""):
+            self.lost_lines += 1
             return
-        self._push(text.encode("utf-8", "replace"))
+        self._write_pending(text.encode("utf-8", "replace"))
 
-    def _push(self, data: bytes) -> bool:
-        """Write the rest of the last line and ``data``; return whether all went."""
-        data = self._rest + data
+    def _write_pending(self, data: bytes) -> bool:
+        """Write pending bytes, then ``data``; return whether everything was written."""
+        data = self._pending + data
         try:
             written = os.write(self._fd, data)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads any more.
+            # The reader has closed the stream.
             written = len(data)
-        # A line that was begun is finished first, so none is ever torn.
-        self._rest = data[written:]
-        return not self._rest
+        # The rest of a partly written line is written first, so lines stay whole.
+        self._pending = data[written:]
+        return not self._pending
 
     def flush(self) -> None:
-        """Nothing is held back."""
+        """Do nothing: complete lines are never buffered."""
 
 
 def configure_logs(cfg: LogSettings, file: TextIO | None = None) -> None:
@@ -113,12 +115,12 @@
     try:
         target = NonBlockingWriter(out)
     except (OSError, ValueError):
-        # A stream without a descriptor, as tests and notebooks have.
+        # The stream has no file descriptor, as in tests and notebooks.
         target = out
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
-            _prefix,
+            _add_component,
             LogRateLimiter(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -130,6 +132,6 @@
     )
 
 
-def get_logger(part: str) -> Any:
-    """Return a logger whose sentences start with ``part``."""
-    return structlog.get_logger(part=part)
+def get_logger(component: str) -> Any:
+    """Return a logger whose messages are prefixed with ``component``."""
+    return structlog.get_logger(part=component)
--- a/src/ebonydeal/_internal/observe/timing_summary.py
+++ b/src/ebonydeal/_internal/observe/timing_summary.py
@@ -1,10 +1,10 @@
-"""A histogram as it is shown."""
+"""Summary of a latency histogram."""
 
 from typing import NamedTuple
 
 
 class TimingSummary(NamedTuple):
-    """A histogram as it is shown: seconds by percentile, and its samples."""
+    """Summary of a histogram: seconds by percentile, and the number of samples."""
 
     quantiles: dict[float, float]
     samples: int
--- a/src/ebonydeal/_internal/observe/trail.py
+++ b/src/ebonydeal/_internal/observe/trail.py
@@ -1,18 +1,18 @@
-"""Decision trails: what was decided for a request, step by step, and why.
+"""Decision trails: the decisions made for a request, step by step, and why.
 
-Kept in bounded memory at the process that decided. A step holds ids, numbers
-and words from closed lists, never text of a prompt or an answer.
+The process that decided keeps them in bounded memory. A step holds ids, numbers
+and enum values, never text of a prompt or an answer.
 """
 
 from collections import OrderedDict
 from enum import StrEnum
 from typing import Any, TypedDict
 
-_STEPS_PER_REQUEST = 64
+_MAX_STEPS_PER_REQUEST = 64
 
 
 class Step(StrEnum):
-    """What a step of a trail tells."""
+    """Kind of a step in a trail."""
 
     RECEIVED = "received"
     ADMITTED = "admitted"
@@ -33,7 +33,10 @@
 
 
 class TrailStep(TypedDict):
-    """One step as shown to operators; ``at`` in wall clock seconds."""
+    """One step as shown to operators.
+
+    ``at`` is wall clock time, seconds since the epoch; ``what`` holds the details.
+    """
 
     at: float
     step: str
@@ -41,34 +44,34 @@
 
 
 class Trails:
-    """The trails of the latest requests.
+    """Trails of the most recent requests.
 
     Parameters
     ----------
     requests : int
-        Most requests kept; 0 keeps none.
+        Maximum number of requests kept; 0 keeps none.
     """
 
     def __init__(self, requests: int) -> None:
-        self._limit = requests
+        self._max_requests = requests
         self._trails: OrderedDict[str, list[TrailStep]] = OrderedDict()
 
-    def add_step(self, request_id: str, at: float, step: Step, **what: Any) -> None:
-        """Add a step; further steps of a very long trail are dropped."""
-        if self._limit == 0:
+    def add_step(self, request_id: str, at: float, step: Step, **details: Any) -> None:
+        """Add a step, unless the trail already has the maximum number of steps."""
+        if self._max_requests == 0:
             return
         steps = self._trails.get(request_id)
         if steps is None:
             steps = self._trails[request_id] = []
-            if len(self._trails) > self._limit:
+            if len(self._trails) > self._max_requests:
                 self._trails.popitem(last=False)
-        if len(steps) < _STEPS_PER_REQUEST:
-            steps.append(TrailStep(at=at, step=str(step), what=what))
+        if len(steps) < _MAX_STEPS_PER_REQUEST:
+            steps.append(TrailStep(at=at, step=str(step), what=details))
 
     def steps(self, request_id: str) -> list[TrailStep] | None:
-        """Return a request's steps, or None where it is not known any more."""
+        """Return a request's steps, or None if they are not kept."""
         return self._trails.get(request_id)
 
     def __len__(self) -> int:
-        """Return how many requests are kept."""
+        """Return the number of requests kept."""
         return len(self._trails)
--- a/tests/unit/observe/test_logs.py
+++ b/tests/unit/observe/test_logs.py
@@ -8,7 +8,7 @@
 
 
 class TestLogRateLimiter:
-    def test_a_flood_of_one_sentence_is_cut_and_counted(self):
+    def test_repeated_message_is_limited_and_drops_are_counted(self):
         now = [0.0]
         limit = LogRateLimiter(lambda: now[0])
         passed = 0
@@ -23,7 +23,7 @@
         assert limit(None, "info", {"event": "a"})["left_out"] == 800
         assert "left_out" not in limit(None, "info", {"event": "a"})
 
-    def test_other_sentences_still_pass(self):
+    def test_limit_of_one_message_does_not_affect_another(self):
         limit = LogRateLimiter(lambda: 0.0)
         with pytest.raises(structlog.DropEvent):
             for _ in range(201):
@@ -32,28 +32,28 @@
 
 
 class TestNonBlockingWriter:
-    def test_a_pipe_that_nobody_reads_loses_whole_lines_and_never_blocks(self):
+    def test_full_pipe_loses_whole_lines_and_never_blocks(self):
         read_end, write_end = os.pipe()
         with os.fdopen(write_end, "w") as file:
             writer = NonBlockingWriter(file)
             for n in range(20_000):
                 writer.write(json.dumps({"n": n}) + "\n")
-            assert writer.lost > 0
+            assert writer.lost_lines > 0
             os.set_blocking(read_end, False)
-            got = b""
+            received = b""
             try:
                 while data := os.read(read_end, 65536):
-                    got += data
+                    received += data
             except BlockingIOError:
                 pass
             writer.write(json.dumps({"n": "end"}) + "\n")
-            got += os.read(read_end, 65536)
+            received += os.read(read_end, 65536)
         os.close(read_end)
-        numbers = [json.loads(line)["n"] for line in got.splitlines()]
+        numbers = [json.loads(line)["n"] for line in received.splitlines()]
         assert numbers[-1] == "end"
         assert numbers[:-1] == list(range(len(numbers) - 1))
 
-    def test_a_reader_that_is_gone_is_no_error(self):
+    def test_closed_reader_is_not_an_error(self):
         read_end, write_end = os.pipe()
         os.close(read_end)
         with os.fdopen(write_end, "w") as file:
