--- a/src/ebonydeal/_internal/observe/logs.py
+++ b/src/ebonydeal/_internal/observe/logs.py
@@ -101,7 +101,7 @@
         return not self._pending
 
     def flush(self) -> None:
-        """Do nothing: complete lines are never buffered."""
+        """Do nothing; each line is written at once."""
 
 
 def configure_logs(cfg: LogSettings, file: TextIO | None = None) -> None:
--- a/src/ebonydeal/_internal/relay/peers/handler.py
+++ b/src/ebonydeal/_internal/relay/peers/handler.py
@@ -28,7 +28,7 @@
 from ebonydeal._internal.relay.view.deltas import DELTA, DeltaReceiver
 from ebonydeal._internal.relay.view.view import RelayView
 from ebonydeal._internal.routing.rollout.traffic_split import TrafficSplit
-from ebonydeal._internal.utils.peerclient import COMPRESS_FROM_BYTES
+from ebonydeal._internal.utils.peerclient import MIN_COMPRESS_BYTES
 from ebonydeal._internal.utils.web import error_response, read_json
 
 METRICS = "/metrics"
@@ -39,7 +39,7 @@
 def peer_response(reply: Any) -> web.Response:
     """Return a reply to another relay, compressed if it is large."""
     resp = web.json_response(reply)
-    if (resp.content_length or 0) >= COMPRESS_FROM_BYTES:
+    if (resp.content_length or 0) >= MIN_COMPRESS_BYTES:
         resp.enable_compression()
     return resp
 
--- a/src/ebonydeal/_internal/utils/buckets.py
+++ b/src/ebonydeal/_internal/utils/buckets.py
@@ -1,15 +1,15 @@
-"""Hashes over a keyed set, so that two holders find their differences cheaply.
+"""Bucket hashes of a keyed set, with which two replicas find differences cheaply.
 
-Entries fall into a fixed number of buckets by their key. Each bucket keeps the
-XOR of its entries' hashes, which is updated in constant time and doesn't depend
+Entries are assigned to a fixed number of buckets by key. The hash of a bucket is
+the XOR of its entries' hashes: it is updated in constant time and doesn't depend
 on the order of changes.
 """
 
 from xxhash import xxh3_64_intdigest
 
 BUCKETS = 32
-_HEX = 8
-_MASK = (1 << (4 * _HEX)) - 1
+_HEX_DIGITS = 8
+_MASK = (1 << (4 * _HEX_DIGITS)) - 1
 
 
 def bucket_of(key: str) -> int:
@@ -36,28 +36,30 @@
         self._hashes[bucket_of(key)] ^= entry
 
     def drop(self, key: str) -> None:
-        """Remove the entry ``key`` if it is there."""
+        """Remove the entry ``key`` if it exists."""
         entry = self._entries.pop(key, None)
         if entry is not None:
             self._hashes[bucket_of(key)] ^= entry
 
     def root_hash(self) -> str:
-        """Return one hash over everything, as hexadecimal text."""
+        """Return one hash over all buckets, as hexadecimal text."""
         text = ",".join(self.buckets())
-        return f"{xxh3_64_intdigest(text.encode()) & _MASK:0{_HEX}x}"
+        return f"{xxh3_64_intdigest(text.encode()) & _MASK:0{_HEX_DIGITS}x}"
 
     def buckets(self) -> list[str]:
-        """Return the hash of each bucket; empty text for a hash of zero."""
-        return [f"{h & _MASK:0{_HEX}x}" if h else "" for h in self._hashes]
+        """Return the hash of each bucket; an empty string for a hash of zero."""
+        return [f"{h & _MASK:0{_HEX_DIGITS}x}" if h else "" for h in self._hashes]
 
     def differing_buckets(self, theirs: list[str]) -> set[int]:
-        """Return the buckets whose hash isn't the one in ``theirs``."""
+        """Return the buckets whose hash differs from the one in ``theirs``."""
         mine = self.buckets()
         if len(theirs) != len(mine):
             return set(range(BUCKETS))
-        return {i for i, pair in enumerate(zip(mine, theirs, strict=True)) if _ne(pair)}
+        return {
+            i for i, pair in enumerate(zip(mine, theirs, strict=True)) if _differs(pair)
+        }
 
 
-def _ne(pair: tuple[str, str]) -> bool:
+def _differs(pair: tuple[str, str]) -> bool:
     """Return whether the two hashes differ."""
     return pair[0] != pair[1]
--- a/src/ebonydeal/_internal/utils/clock.py
+++ b/src/ebonydeal/_internal/utils/clock.py
@@ -1,10 +1,10 @@
-"""Time as an argument, so that decisions and tests need no real clock.
+"""Clocks that are passed as arguments, so that tests need no real time.
 
-Every interval that a belief rests on is read here: a lease, the age of a view, the
-window of a quota, a deadline, a back-off. The clock counts the time for which the
-machine was suspended. The usual steady clock doesn't, and a process that wakes up would
-go on with all that as if no time had passed: a lease that another holds by now,
-deadlines that are over.
+All intervals that decisions depend on are measured here: leases, ages of views, quota
+windows, deadlines, backoff. The clock includes time for which the machine was
+suspended. The usual monotonic clock doesn't: a process that wakes up would act as if
+no time had passed, with a lease that another process now holds and deadlines that
+have expired.
 """
 
 import asyncio
@@ -12,33 +12,33 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# Where the system has no such clock, suspended time can't be told from other time.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+# Without CLOCK_BOOTTIME, suspended time can't be detected.
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def boottime() -> float:
-    """Return seconds that never go back and count suspended time."""
-    return time.clock_gettime(_CLOCK)
+    """Return monotonic seconds that include suspended time."""
+    return time.clock_gettime(_CLOCK_ID)
 
 
 class Clock(Protocol):
-    """Source of time that tasks are given."""
+    """Source of time for tasks."""
 
     def now(self) -> float:
-        """Return monotonic seconds; only differences mean anything."""
+        """Return monotonic seconds; only differences are meaningful."""
 
     def wall(self) -> float:
-        """Return seconds since the epoch, for deadlines that cross processes."""
+        """Return seconds since the epoch, for deadlines shared between processes."""
 
     async def sleep(self, seconds: float) -> None:
         """Wait for ``seconds``."""
 
 
 class SystemClock:
-    """The machine's own clock."""
+    """The clock of the machine."""
 
     def now(self) -> float:
-        """Return monotonic seconds, suspended time with them."""
+        """Return monotonic seconds that include suspended time."""
         return boottime()
 
     def wall(self) -> float:
@@ -51,9 +51,9 @@
 
 
 class BoottimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count suspended time.
+    """An event loop whose timers include suspended time.
 
-    What was due meanwhile runs with the first turn after it.
+    Timers that became due during a suspension run in the first iteration after it.
 
     Parameters
     ----------
@@ -66,30 +66,30 @@
         super().__init__()
 
     def time(self) -> float:
-        """Return the time that timers are measured by."""
+        """Return the time used for timers, seconds."""
         return self._now()
 
 
 class SuspensionDetector:
-    """Finds out that the process was suspended.
+    """Detects that the machine was suspended.
 
     Parameters
     ----------
-    counts, stands : callable
-        Return seconds; only the first counts suspended time.
+    now, awake : callable
+        Return monotonic seconds; only the first includes suspended time.
     """
 
     def __init__(
         self,
-        counts: Callable[[], float] = boottime,
-        stands: Callable[[], float] = time.monotonic,
+        now: Callable[[], float] = boottime,
+        awake: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._counts = counts
-        self._stands = stands
-        self._ahead = counts() - stands()
+        self._now = now
+        self._awake = awake
+        self._suspended = now() - awake()
 
     def suspended_s(self) -> float:
-        """Return the seconds of suspension since it was last asked."""
-        ahead = self._counts() - self._stands()
-        found, self._ahead = ahead - self._ahead, ahead
-        return max(0.0, found)
+        """Return the seconds of suspension since the last call."""
+        total = self._now() - self._awake()
+        added, self._suspended = total - self._suspended, total
+        return max(0.0, added)
--- a/src/ebonydeal/_internal/utils/early_listen.py
+++ b/src/ebonydeal/_internal/utils/early_listen.py
@@ -1,10 +1,10 @@
-"""Listening sockets that are open before a program has loaded.
+"""Opens listening sockets before the program has loaded.
 
-Loading takes a few tenths of a second. A client that connects meanwhile would be
-reset, and most clients try only once more. With the socket open, its connection
-waits in the socket's queue and is served as soon as the program runs.
+Loading takes a few tenths of a second. Connections of clients would be reset during
+that time, and most clients retry only once. With the socket open, a connection waits
+in the listen queue and is served as soon as the program runs.
 
-Only light modules are imported here: this runs before all else.
+This module runs before all others, so it imports only what loads fast.
 """
 
 import os
@@ -15,27 +15,27 @@
 from ebonydeal._internal.settings.keys import env_name
 
 _OPTION = "--settings"
-# Connections that wait to be taken.
+# Maximum number of connections that wait to be accepted.
 LISTEN_BACKLOG = 1024
 
 
 def open_listeners(args: Sequence[str], section: str, keys: Sequence[str]) -> list[int]:
-    """Open the listening sockets that the settings named in ``args`` tell.
+    """Open the listening sockets for addresses in the settings file of ``args``.
 
-    Whatever speaks against that is left to the program itself, which says what
-    is wrong: then fewer sockets are open, or none.
+    Errors are left for the program to report: an address that can't be opened is
+    skipped, and no socket is opened if the settings can't be read.
 
     Parameters
     ----------
     args : sequence of str
         The program's arguments.
     section, keys : str, sequence of str
-        Where the settings hold the addresses, ``host:port`` each.
+        Settings that hold the addresses, ``host:port`` each.
 
     Returns
     -------
     list of int
-        File descriptors, for `find_listener`.
+        File descriptors, to be passed to `find_listener`.
     """
     parser = ConfigParser(interpolation=None)
     try:
--- a/src/ebonydeal/_internal/utils/keys.py
+++ b/src/ebonydeal/_internal/utils/keys.py
@@ -8,10 +8,10 @@
 
 
 def hash_key(key: str, salt: str = "") -> str:
-    """Return ``salt$digest`` of an API key; a fresh salt if none is given.
+    """Return ``salt$digest`` of an API key; generates a salt if none is given.
 
-    Keys are random and long, so that one round of a keyed hash is enough and
-    a gateway can check thousands a second.
+    API keys are long and random, so one round of a keyed hash is enough, and a
+    gateway can check thousands of keys per second.
     """
     salt = salt or secrets.token_hex(_SALT_BYTES)
     digest = hmac.new(bytes.fromhex(salt), key.encode(), hashlib.sha256).hexdigest()
--- a/src/ebonydeal/_internal/utils/lazy_modules.py
+++ b/src/ebonydeal/_internal/utils/lazy_modules.py
@@ -1,4 +1,4 @@
-"""Modules of libraries that are loaded when one of their functions is called."""
+"""Library modules that are loaded on the first call of one of their functions."""
 
 import sys
 from collections.abc import Callable, Mapping, Sequence
@@ -8,26 +8,26 @@
 
 
 def register_lazy_modules(modules: Mapping[str, Sequence[str]]) -> None:
-    """Put a stand-in for each module, with the functions named.
+    """Register a placeholder with the named functions for each module.
 
-    Only for modules that are imported for functions which are seldom called: what
-    else they hold isn't there until then.
+    Only for modules that are imported for rarely called functions: nothing else of a
+    module is available until one of these is called.
     """
     for name, functions in modules.items():
         if name in sys.modules:
             continue
-        stand_in = ModuleType(name)
+        placeholder = ModuleType(name)
         for function in functions:
-            setattr(stand_in, function, _late(stand_in, function))
-        sys.modules[name] = stand_in
+            setattr(placeholder, function, _lazy_function(placeholder, function))
+        sys.modules[name] = placeholder
 
 
-def _late(stand_in: ModuleType, function: str) -> Callable[..., Any]:
-    """Return a function that loads the module it is of, and calls its own there."""
+def _lazy_function(placeholder: ModuleType, function: str) -> Callable[..., Any]:
+    """Return a function that loads the module and calls its ``function``."""
 
     def call(*args: Any, **kwargs: Any) -> Any:
-        name = stand_in.__name__
-        if sys.modules.get(name) is stand_in:
+        name = placeholder.__name__
+        if sys.modules.get(name) is placeholder:
             del sys.modules[name]
         return getattr(import_module(name), function)(*args, **kwargs)
 
--- a/src/ebonydeal/_internal/utils/peerclient.py
+++ b/src/ebonydeal/_internal/utils/peerclient.py
@@ -1,4 +1,4 @@
-"""HTTP with JSON between the system's own processes."""
+"""JSON over HTTP between the processes of this system."""
 
 import json
 from ssl import SSLContext
@@ -9,13 +9,13 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 
 PEER_HEADER = "X-Ebonydeal-Peer"
-# Larger bodies are sent compressed, a third of their size: with many peers they fill
-# small instances' links. Smaller ones are sent as they are, to save processor time.
-COMPRESS_FROM_BYTES = 1024
+# Larger bodies are compressed to a third of their size: with many peers they would
+# saturate the links of small instances. Smaller ones aren't, to save processor time.
+MIN_COMPRESS_BYTES = 1024
 
 
 class PeerClient:
-    """Calls other own processes; owns one session.
+    """Calls other processes of this system; owns one session.
 
     Parameters
     ----------
@@ -33,10 +33,10 @@
     async def call(
         self, address: str, path: str, message: Any, timeout: float
     ) -> dict[str, Any]:
-        """Post ``message`` and return the answer.
+        """Post ``message`` and return the response.
 
-        Raises the peer's own `EbonydealError`; ``CONNECT_FAILED`` when the
-        connection was never made, ``STORE_IN_DOUBT`` when the answer is lost.
+        Raises the `EbonydealError` in the peer's response, ``CONNECT_FAILED`` if no
+        connection was made, ``STORE_IN_DOUBT`` if the response is lost.
         """
         if self._session is None:
             self._session = ClientSession()
@@ -46,7 +46,7 @@
             async with self._session.post(
                 f"{scheme}://{address}{path}",
                 data=body,
-                compress="deflate" if len(body) >= COMPRESS_FROM_BYTES else None,
+                compress="deflate" if len(body) >= MIN_COMPRESS_BYTES else None,
                 headers={
                     PEER_HEADER: self._credential,
                     "Content-Type": "application/json",
@@ -56,7 +56,7 @@
             ) as resp:
                 body = json.loads(await resp.read())
         except (ClientError, TimeoutError, OSError, ValueError) as exc:
-            raise _lost(exc, address) from exc
+            raise _to_error(exc, address) from exc
         if resp.status >= 400:
             raise EbonydealError.from_body(body)
         return body
@@ -68,8 +68,8 @@
             self._session = None
 
 
-def _lost(exc: Exception, address: str) -> EbonydealError:
-    """Return the error kind of a call that got no answer."""
+def _to_error(exc: Exception, address: str) -> EbonydealError:
+    """Return the error of a call that got no response."""
     if isinstance(exc, ClientConnectorError):
         return EbonydealError(ErrorKind.CONNECT_FAILED, f"{address} can't be reached")
-    return EbonydealError(ErrorKind.STORE_IN_DOUBT, f"no answer from {address}")
+    return EbonydealError(ErrorKind.STORE_IN_DOUBT, f"no response from {address}")
--- a/src/ebonydeal/_internal/utils/reachability.py
+++ b/src/ebonydeal/_internal/utils/reachability.py
@@ -1,15 +1,15 @@
-"""Whether a process still listens at an address."""
+"""Checks whether a process still listens at an address."""
 
 import asyncio
 from ipaddress import ip_address
 
 
 async def refuses_connections(address: str, seconds: float) -> bool:
-    """Return whether ``host:port`` refuses connections: no process is there.
+    """Return whether ``host:port`` refuses connections, so no process listens there.
 
-    False for one that takes a connection, and for one that can't be reached within
-    ``seconds``: unreachable isn't gone. Hosts are numbers, since a name's look-up may
-    take longer than the answer is of use.
+    False if it accepts a connection, and if it can't be reached within ``seconds``:
+    an unreachable process may still run. The host must be an IP address, since
+    resolving a name may take longer than the result is useful.
     """
     host, _sep, port = address.rpartition(":")
     try:
@@ -19,7 +19,7 @@
     except ConnectionRefusedError:
         return True
     except (OSError, ValueError, OverflowError):
-        # TimeoutError is an OSError; a port may be too large.
+        # TimeoutError is an OSError; OverflowError means that the port is too large.
         return False
     writer.close()
     return False
--- a/src/ebonydeal/_internal/utils/request_digest.py
+++ b/src/ebonydeal/_internal/utils/request_digest.py
@@ -1,22 +1,22 @@
-"""By what a request is known again when it comes under another id."""
+"""Digest that identifies equal requests with different ids."""
 
 from hashlib import blake2b
 
-# Collisions would let one request answer for what another did.
+# A collision would hold one request responsible for crashes that another caused.
 _DIGEST_BYTES = 16
 
 
 class RequestDigest:
     """Digest of a request's account, host, method, path and body.
 
-    The body is added while it is read: nothing is read twice, and what is kept of a
-    request has the same length whatever its size. Two client accounts never
-    share a digest, so that none can have another's requests refused.
+    The body is added while it is read, so nothing is read twice, and the digest has
+    the same length for every size of body. Two client accounts never share a
+    digest, so an account can't cause requests of another to be refused.
 
     Parameters
     ----------
     account : str
-        Name of the client account; empty where the route asks for none.
+        Name of the client account; empty if the route requires none.
     host, method, path : str
         As the client sent them.
     """
@@ -29,9 +29,9 @@
             self._hash.update(data)
 
     def update(self, data: bytes) -> None:
-        """Add a slice of the body."""
+        """Add a part of the body."""
         self._hash.update(data)
 
     def hexdigest(self) -> str:
-        """Return the digest of what was added so far."""
+        """Return the digest of the data added so far, as hexadecimal text."""
         return self._hash.hexdigest()
--- a/src/ebonydeal/_internal/utils/run.py
+++ b/src/ebonydeal/_internal/utils/run.py
@@ -1,4 +1,4 @@
-"""Run one program's supervisor tree until a signal asks it to stop."""
+"""Runs the service tree of one program until a signal stops it."""
 
 import asyncio
 import signal
@@ -19,10 +19,10 @@
 
 logger = get_logger("run")
 
-# A tenth of the shortest interval that a belief rests on, half a lease of 3 s.
-_LOOK_S = 0.15
-# Reading two clocks takes microseconds; a turn of another process milliseconds.
-_LEAST_LAPSE_S = 0.1
+# A tenth of the shortest interval that decisions depend on, half a lease of 3 s.
+_SUSPENSION_CHECK_INTERVAL_S = 0.15
+# Between the reads of the two clocks another process may run for milliseconds.
+_MIN_SUSPENSION_S = 0.1
 
 
 SettingsReader = Callable[[], dict[str, Any] | None]
@@ -31,50 +31,52 @@
 
 @runtime_checkable
 class Reloadable(Protocol):
-    """A program that takes changed settings while it runs."""
+    """A program that applies changed settings while it runs."""
 
     def reload(self, settings: dict[str, Any]) -> None:
-        """Take the settings as they are now."""
+        """Apply ``settings``."""
 
 
 def _reload(service: Service, reread: SettingsReader) -> None:
-    """Take changed settings; a program that can't goes on as it is."""
+    """Apply changed settings, if the program supports it and they are valid."""
     program = service.label
     if not isinstance(service, Reloadable):
-        logger.info("Settings are read at the start only.", program=program)
+        logger.info(
+            "Settings can't be changed while the program runs.", program=program
+        )
         return
     settings = reread()
     if settings is None:
-        logger.error("Settings refused; the last good ones stay.")
+        logger.error("Settings refused; the previous ones stay in force.")
         return
     service.reload(settings)
     logger.info("Settings read again.", program=program)
 
 
 async def _watch_suspension() -> None:
-    """Log suspensions, and let the loop look at its timers soon after one.
+    """Log suspensions, and wake the event loop soon after one.
 
-    What it waits in ends by a clock that stands still meanwhile, so a timer that was
-    due is found only when anything else wakes it.
+    The loop's selector waits by a clock that stops during a suspension. Without this
+    regular wake-up, timers that became due meanwhile would run late.
     """
-    watch = SuspensionDetector()
+    detector = SuspensionDetector()
     while True:
-        await asyncio.sleep(_LOOK_S)
-        suspended_s = watch.suspended_s()
-        if suspended_s > _LEAST_LAPSE_S:
+        await asyncio.sleep(_SUSPENSION_CHECK_INTERVAL_S)
+        suspended_s = detector.suspended_s()
+        if suspended_s > _MIN_SUSPENSION_S:
             logger.warning("Was suspended.", seconds=round(suspended_s, 3))
 
 
 async def _serve(build: Callable[[], Service], reread: SettingsReader) -> int:
-    """Start the tree, wait for a signal or a crash, stop it gracefully."""
+    """Start the service, wait for a signal or a crash, and stop it gracefully."""
     service = build()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    # Without a handler a hang-up would end the process.
+    # Without a handler, SIGHUP would terminate the process.
     loop.add_signal_handler(signal.SIGHUP, _reload, service, reread)
-    watching = asyncio.ensure_future(_watch_suspension())
+    watcher = asyncio.ensure_future(_watch_suspension())
     await service.start()
     logger.info("Started.", program=service.label)
     waits = [
@@ -82,7 +84,7 @@
         asyncio.ensure_future(service.wait_until_stopped()),
     ]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for fut in (*waits, watching):
+    for fut in (*waits, watcher):
         fut.cancel()
     logger.info("Stopping.", program=service.label)
     await service.stop()
@@ -92,13 +94,13 @@
 def run_program(
     build: Callable[[], Service], reread: SettingsReader = lambda: None
 ) -> int:
-    """Run the service that ``build`` makes inside the loop; return an exit code.
+    """Run the service that ``build`` returns in a new loop; return an exit code.
 
-    ``reread`` returns the settings as they are at a hang-up signal, or None
-    where they can't be used.
+    ``reread`` is called on SIGHUP and returns the current settings, or None if they
+    are invalid.
 
-    `mode.Worker` is not used: it takes over logging and signals in ways that
-    keep a second service from living in the same process (the quickstart).
+    `mode.Worker` is not used: it takes over logging and signals, so that a second
+    service couldn't run in the same process, as in the quickstart.
     """
     with asyncio.Runner(loop_factory=BoottimeEventLoop) as runner:
         return runner.run(_serve(build, reread))
@@ -107,7 +109,7 @@
 def start_program(
     build: Build, settings: dict[str, Any], reread: SettingsReader
 ) -> int:
-    """Run the program that ``build`` makes of its settings; return an exit code."""
+    """Build the program from its settings and run it; return an exit code."""
     configure_logs(settings["logs"])
     return run_program(
         lambda: build(settings, Metrics(), SystemClock(), Random()), reread
--- a/src/ebonydeal/_internal/utils/web.py
+++ b/src/ebonydeal/_internal/utils/web.py
@@ -1,4 +1,4 @@
-"""An HTTP listener as a supervised service, with errors mapped by the table."""
+"""An HTTP server as a supervised service; errors are mapped by the error table."""
 
 import asyncio
 import json
@@ -14,16 +14,16 @@
 
 logger = get_logger("web")
 
-_MAX_BODY = 4 * 1024 * 1024
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 _KEEPALIVE_S = 75.0
-_MAX_HEADER = 8190
-# How long an answered sender may go on with its body before it is cut off.
-_LINGER_S = 1.0
+_MAX_HEADER_BYTES = 8190
+# Time for which a client that was already answered may continue to send its body.
+_LINGER_TIMEOUT_S = 1.0
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def error_response(exc: EbonydealError) -> web.Response:
-    """Return the answer that the error table gives for ``exc``."""
+    """Return the response that the error table defines for ``exc``."""
     headers = {"X-Outcome": str(exc.outcome)}
     if exc.retry_delay is not None:
         headers["Retry-After"] = str(max(0, round(exc.retry_delay + 0.499)))
@@ -31,19 +31,19 @@
 
 
 def _from_http(exc: web.HTTPException) -> EbonydealError:
-    """Return the error kind of an error that aiohttp itself raised."""
+    """Convert an error raised by aiohttp itself."""
     match exc.status:
         case 404 | 405:
-            return EbonydealError(ErrorKind.NOT_FOUND, "no such path")
+            return EbonydealError(ErrorKind.NOT_FOUND, "path not found")
         case 413:
             return EbonydealError(ErrorKind.BODY_TOO_LARGE, "the body is too large")
         case 408:
-            return EbonydealError(ErrorKind.SLOW_SENDER, "the body came too slowly")
+            return EbonydealError(ErrorKind.SLOW_SENDER, "the body arrived too slowly")
     return EbonydealError(ErrorKind.BAD_REQUEST, exc.reason)
 
 
 def error_middleware(metrics: Metrics) -> Callable:
-    """Return a middleware that turns every failure into its answer, counted."""
+    """Return a middleware that answers and counts every error."""
 
     @web.middleware
     async def middleware(req: web.Request, handler: Handler) -> web.StreamResponse:
@@ -58,7 +58,7 @@
         except asyncio.CancelledError:
             raise
         except Exception as exc:
-            logger.error("A handler failed.", path=req.path, exc_info=exc)
+            logger.error("Request handler failed.", path=req.path, exc_info=exc)
             error = EbonydealError(ErrorKind.INTERNAL, "an internal error")
         metrics.count_refusal(error.kind)
         return error_response(error)
@@ -73,25 +73,27 @@
     except (ValueError, UnicodeDecodeError, LookupError) as exc:
         raise EbonydealError(ErrorKind.BAD_REQUEST, f"body is not JSON: {exc}") from exc
     except RecursionError as exc:
-        raise EbonydealError(ErrorKind.BAD_REQUEST, "body nests too deep") from exc
+        raise EbonydealError(
+            ErrorKind.BAD_REQUEST, "body is nested too deeply"
+        ) from exc
     if not isinstance(body, dict):
         raise EbonydealError(ErrorKind.BAD_REQUEST, "body must be a JSON object")
     return body
 
 
-def new_app(metrics: Metrics, max_body: int = _MAX_BODY) -> web.Application:
-    """Return an application with the error table, metrics and health pages."""
+def new_app(metrics: Metrics, max_body: int = _MAX_BODY_BYTES) -> web.Application:
+    """Return an application with error handling, metrics and a liveness check."""
     app = web.Application(
         middlewares=[error_middleware(metrics)], client_max_size=max_body
     )
 
-    async def page(_req: web.Request) -> web.Response:
+    async def metrics_page(_req: web.Request) -> web.Response:
         return web.Response(body=metrics.render(), content_type="text/plain")
 
     async def live(_req: web.Request) -> web.Response:
         return web.json_response({"live": True})
 
-    app.router.add_get("/metrics", page)
+    app.router.add_get("/metrics", metrics_page)
     app.router.add_get("/health/live", live)
     return app
 
@@ -102,17 +104,17 @@
     Parameters
     ----------
     app : web.Application
-        What is served.
+        Application to serve.
     host, port : str, int
-        Where; port 0 picks a free one, then read `port`.
+        Address to listen on; with port 0, read the chosen one from `port`.
     ssl_context : SSLContext, optional
-        For TLS.
+        TLS context.
     drain_seconds : float
-        How long open requests may go on after a stop.
+        Time that open requests may take to finish after a stop, seconds.
     idle_seconds : float
-        How long a kept connection may be idle.
+        Timeout of idle connections, seconds.
     max_header : int
-        Most bytes of the request line and of one header field.
+        Maximum size of the request line and of one header field, bytes.
     """
 
     def __init__(
@@ -124,7 +126,7 @@
         ssl_context: SSLContext | None = None,
         drain_seconds: float = 60.0,
         idle_seconds: float = _KEEPALIVE_S,
-        max_header: int = _MAX_HEADER,
+        max_header: int = _MAX_HEADER_BYTES,
     ) -> None:
         super().__init__()
         self.app = app
@@ -138,17 +140,17 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` as bound."""
+        """``host:port`` that the server is bound to."""
         return f"{self.host}:{self.port}"
 
     async def on_start(self) -> None:
-        """Bind the socket."""
+        """Bind the socket and start accepting."""
         self._runner = web.AppRunner(
             self.app,
             access_log=None,
             shutdown_timeout=self._drain,
             keepalive_timeout=self._idle,
-            lingering_time=_LINGER_S,
+            lingering_time=_LINGER_TIMEOUT_S,
             max_line_size=self._max_header,
             max_field_size=self._max_header,
             handler_cancellation=True,
@@ -159,7 +161,7 @@
         self.port = self._runner.addresses[0][1]
 
     async def on_stop(self) -> None:
-        """Stop accepting, let open requests finish, close."""
+        """Stop accepting, wait for open requests, then close."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
--- a/tests/functional/relay/test_peers.py
+++ b/tests/functional/relay/test_peers.py
@@ -7,7 +7,7 @@
 
 from ebonydeal._internal.relay.listener import RawListener
 from ebonydeal._internal.relay.peers.handler import peer_response
-from ebonydeal._internal.utils.peerclient import COMPRESS_FROM_BYTES, PeerClient
+from ebonydeal._internal.utils.peerclient import MIN_COMPRESS_BYTES, PeerClient
 from ebonydeal._internal.utils.web import read_json
 
 
@@ -33,7 +33,7 @@
 
 class TestSize:
     @pytest.mark.parametrize(
-        ("length", "encoding"), [(10, ""), (2 * COMPRESS_FROM_BYTES, "deflate")]
+        ("length", "encoding"), [(10, ""), (2 * MIN_COMPRESS_BYTES, "deflate")]
     )
     async def test_only_large_ones_are_compressed(self, length, encoding):
         message = {"text": "x" * length}
--- a/tests/unit/utils/test_clock.py
+++ b/tests/unit/utils/test_clock.py
@@ -1,4 +1,4 @@
-"""Suspended time counts, in the clock and in the loop's timers."""
+"""The clock and the timers of the event loop include suspended time."""
 
 import asyncio
 import re
@@ -15,38 +15,38 @@
     boottime,
 )
 
-# Stand-ins, measurements and commands hold no belief over time.
-_OUTSIDE = ("standin", "benchmarks", "soak", "commands")
+# Stand-ins, benchmarks and commands make no decisions that depend on elapsed time.
+_EXEMPT = ("standin", "benchmarks", "soak", "commands")
 
 
 class TestSystemClock:
-    def test_counts_suspended_time(self, monkeypatch):
-        seen = []
+    def test_includes_suspended_time(self, monkeypatch):
+        clocks = []
 
         def read(clock):
-            seen.append(clock)
+            clocks.append(clock)
             return 5.0
 
         monkeypatch.setattr(time, "clock_gettime", read)
         assert SystemClock().now() == 5.0
-        assert seen == [time.CLOCK_BOOTTIME]
+        assert clocks == [time.CLOCK_BOOTTIME]
 
-    def test_nothing_else_reads_a_clock_that_stands_still(self):
+    def test_no_other_module_reads_a_clock_without_suspended_time(self):
         root = Path(ebonydeal.__file__).parent / "_internal"
         found = [
             str(path.relative_to(root))
             for path in root.rglob("*.py")
-            if path.relative_to(root).parts[0] not in _OUTSIDE
+            if path.relative_to(root).parts[0] not in _EXEMPT
             and re.search(
                 r"\bmonotonic\(|perf_counter|time\.monotonic", path.read_text()
             )
         ]
-        # One compares both, the other counts lines of logs.
+        # The first limits the rate of log lines, the second compares both clocks.
         assert sorted(found) == ["observe/logs.py", "utils/clock.py"]
 
 
-class _Suspended:
-    """A clock that jumps ahead by ``suspended_s`` when told."""
+class _SuspendableClock:
+    """A clock that is ahead by ``suspended_s``, which tests increase."""
 
     def __init__(self):
         self.suspended_s = 0.0
@@ -58,26 +58,26 @@
 class TestBoottimeEventLoop:
     @pytest.fixture
     def clock(self):
-        return _Suspended()
+        return _SuspendableClock()
 
     def run(self, clock, body):
         with asyncio.Runner(loop_factory=lambda: BoottimeEventLoop(clock)) as runner:
             return runner.run(body)
 
-    def test_a_timer_that_was_due_meanwhile_ends_at_once(self, clock):
+    def test_timer_that_became_due_during_a_suspension_fires_at_once(self, clock):
         async def body():
-            begun = time.monotonic()
-            waiting = asyncio.ensure_future(asyncio.sleep(60.0))
+            started_at = time.monotonic()
+            timer = asyncio.ensure_future(asyncio.sleep(60.0))
             await asyncio.sleep(0)
             clock.suspended_s = 61.0
-            # Anything that wakes the loop lets it look.
+            # Any wake-up makes the loop check its timers.
             await asyncio.sleep(0)
-            await waiting
-            return time.monotonic() - begun
+            await timer
+            return time.monotonic() - started_at
 
         assert self.run(clock, body()) < 30.0
 
-    def test_a_deadline_that_passed_meanwhile_is_over(self, clock):
+    def test_deadline_that_passed_during_a_suspension_expires(self, clock):
         async def body():
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(60.0):
@@ -88,7 +88,7 @@
 
 
 class TestSuspensionDetector:
-    def test_tells_how_long_it_was(self):
-        counts, stands = iter([100.0, 101.0, 106.0, 107.0]), iter([10, 11, 12, 13])
-        watch = SuspensionDetector(lambda: next(counts), lambda: next(stands))
-        assert [watch.suspended_s() for _ in range(3)] == [0.0, 4.0, 0.0]
+    def test_returns_the_duration_of_a_suspension_once(self):
+        times, awake_times = iter([100.0, 101.0, 106.0, 107.0]), iter([10, 11, 12, 13])
+        detector = SuspensionDetector(lambda: next(times), lambda: next(awake_times))
+        assert [detector.suspended_s() for _ in range(3)] == [0.0, 4.0, 0.0]
--- a/tests/unit/utils/test_early_listen.py
+++ b/tests/unit/utils/test_early_listen.py
@@ -12,15 +12,15 @@
         return sock.getsockname()[1]
 
 
-def file_with(tmp_path, text):
+def settings_args(tmp_path, text):
     file = tmp_path / "relay.ini"
     file.write_text(text)
     return ["--settings", str(file)]
 
 
 class TestOpenListeners:
-    def test_a_client_connects_before_anything_accepts(self, tmp_path, free_port):
-        args = file_with(tmp_path, f"[relay]\naddress = 127.0.0.1:{free_port}\n")
+    def test_client_can_connect_before_the_program_accepts(self, tmp_path, free_port):
+        args = settings_args(tmp_path, f"[relay]\naddress = 127.0.0.1:{free_port}\n")
         opened = open_listeners(args, "relay", ("address", "ready_address"))
         client = socket.create_connection(("127.0.0.1", free_port), timeout=5)
         assert len(opened) == 1
@@ -40,21 +40,23 @@
             "",
         ],
     )
-    def test_what_is_wrong_is_left_to_the_program(self, tmp_path, text):
-        assert open_listeners(file_with(tmp_path, text), "relay", ("address",)) == []
+    def test_invalid_settings_open_nothing_and_raise_nothing(self, tmp_path, text):
+        assert (
+            open_listeners(settings_args(tmp_path, text), "relay", ("address",)) == []
+        )
 
     @pytest.mark.parametrize(
         "args", [[], ["--help"], ["--settings"], ["--settings", "/no"]]
     )
-    def test_nor_without_settings(self, args):
+    def test_arguments_without_a_settings_file_open_nothing(self, args):
         assert open_listeners(args, "relay", ("address",)) == []
 
 
 class TestFindListener:
-    def test_another_address_has_none(self, tmp_path, free_port):
-        args = file_with(tmp_path, f"[relay]\naddress = 127.0.0.1:{free_port}\n")
+    def test_unknown_address_finds_none_and_keeps_the_socket(self, tmp_path, free_port):
+        args = settings_args(tmp_path, f"[relay]\naddress = 127.0.0.1:{free_port}\n")
         opened = open_listeners(args, "relay", ("address",))
         assert find_listener(opened, "127.0.0.1:1") is None
-        taken = find_listener(opened, f"127.0.0.1:{free_port}")
-        assert taken is not None
-        taken.close()
+        found = find_listener(opened, f"127.0.0.1:{free_port}")
+        assert found is not None
+        found.close()
--- a/tests/unit/utils/test_lazy_modules.py
+++ b/tests/unit/utils/test_lazy_modules.py
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def module(tmp_path, monkeypatch):
-    """A module that is not loaded yet."""
+    """Name of a module that is not loaded."""
     (tmp_path / "seldom_used.py").write_text("def twice(n):\n    return 2 * n\n")
     monkeypatch.syspath_prepend(tmp_path)
     yield "seldom_used"
@@ -15,7 +15,7 @@
 
 
 class TestRegisterLazyModules:
-    def test_the_module_is_loaded_when_its_function_is_called(self, module):
+    def test_module_is_loaded_on_the_first_call(self, module):
         register_lazy_modules({module: ("twice",)})
         from seldom_used import twice
 
@@ -23,13 +23,13 @@
         assert twice(4) == 8
         assert hasattr(sys.modules[module], "__file__")
 
-    def test_the_function_goes_on_to_work(self, module):
+    def test_function_works_on_repeated_calls(self, module):
         register_lazy_modules({module: ("twice",)})
         from seldom_used import twice
 
         assert [twice(1), twice(2), twice(3)] == [2, 4, 6]
 
-    def test_one_that_is_loaded_stays(self, module):
+    def test_module_that_is_already_loaded_is_kept(self, module):
         __import__(module)
         loaded = sys.modules[module]
         register_lazy_modules({module: ("twice",)})
