--- a/src/ebonydeal/_internal/errors.py
+++ b/src/ebonydeal/_internal/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds, and the table from kind to answer.
+"""All error kinds, and the table of their HTTP responses.
 
-Every failure that leaves a process has one of these kinds. The table gives the
-HTTP status, whether the request is known not to have run, and what the user can
-do. Nothing else in the code base maps failures to answers.
+Every error that leaves a process has one of these kinds. The table defines the HTTP
+status, whether the request is known not to have run, and what the user can do.
+Nothing else in the code base maps errors to responses.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a request, an operation or a document can fail."""
+    """Kinds of failure of a request, an operation or a document."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -58,7 +58,7 @@
 
 
 class Outcome(StrEnum):
-    """What a caller may conclude about the run of its request."""
+    """What a caller can conclude about the execution of its request."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -66,7 +66,7 @@
 
 
 class ErrorResponse(NamedTuple):
-    """What a caller is told for one error kind.
+    """Response to a caller for one error kind.
 
     Attributes
     ----------
@@ -77,8 +77,8 @@
     error_type : str
         The ``error.type`` of the OpenAI error shape.
     retry_after : float or None
-        Default seconds until a repeat is worth while; None where a repeat
-        of the same request can't succeed.
+        Default delay before a retry, seconds; None if a retry of the same request
+        can't succeed.
     hint : str
         What the user can do.
     """
@@ -162,7 +162,11 @@
     ErrorKind.FENCED: ErrorResponse(503, _U, _SERVER, 0.0, "Repeat with the same key."),
     ErrorKind.NOT_RUN: ErrorResponse(503, _N, _SERVER, 1.0, "The request did not run."),
     ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
-        502, _U, _SERVER, None, "Ask the service itself; it is never run again."
+        502,
+        _U,
+        _SERVER,
+        None,
+        "Check with the service itself; the request is not retried.",
     ),
     ErrorKind.CONNECT_FAILED: ErrorResponse(
         503, _N, _SERVER, 1.0, "Wait, then repeat."
@@ -179,7 +183,7 @@
     ErrorKind.ENDPOINT_STALLED: ErrorResponse(
         504, _U, _SERVER, 1.0, "Repeat if idempotent."
     ),
-    # Not a status that invites a repeat, nor one that blames the request's form.
+    # Neither a status that clients retry nor one that says the request is malformed.
     ErrorKind.REQUEST_QUARANTINED: ErrorResponse(
         500, _N, _SERVER, None, "Don't repeat it; report the digest to the operators."
     ),
@@ -202,7 +206,7 @@
         409, _N, _INVALID, None, "Read the newer version, then change that."
     ),
     ErrorKind.STALE_ORDER: ErrorResponse(
-        409, _N, _INVALID, None, "A newer holder is active."
+        409, _N, _INVALID, None, "A newer lease holder is active."
     ),
     ErrorKind.START_REFUSED: ErrorResponse(
         503, _N, _SERVER, 30.0, "Try another offer."
@@ -215,7 +219,7 @@
 
 
 class ErrorBody(TypedDict, total=False):
-    """The ``error`` object of the OpenAI error shape, with our fields added."""
+    """The ``error`` object of the OpenAI error shape, with additional fields."""
 
     message: str
     type: str
@@ -227,20 +231,20 @@
 
 
 class EbonydealError(Exception):
-    """A failure with its kind; the message says what happened.
+    """A failure of a known kind.
 
     Parameters
     ----------
     kind : ErrorKind
-        The entry of the closed list.
+        Kind of the failure.
     detail : str
         What happened, for the user.
     retry_after : float, optional
-        Seconds, where better known than the table's default.
+        Seconds; overrides the default of the error table.
     owner : str, optional
-        Address of the right owner, with ``WRONG_OWNER``.
+        Address of the actual owner, with ``WRONG_OWNER``.
     outcome : Outcome, optional
-        Where less is known of the run than the table says of the kind.
+        Overrides the outcome of the error table, if less is known about the execution.
     """
 
     def __init__(
@@ -261,23 +265,23 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """The table's entry for this kind."""
+        """The response that the error table defines for this kind."""
         return ERROR_RESPONSES[self.kind]
 
     @property
     def retry_delay(self) -> float | None:
-        """Seconds until a repeat is worth while: as known, or the table's."""
+        """Seconds before a retry: ``retry_after`` or the default of the error table."""
         if self.retry_after is None:
             return self.response.retry_after
         return self.retry_after
 
     def to_body(self) -> dict[str, ErrorBody]:
-        """Return the body a caller or a peer receives."""
-        entry = self.response
-        message = f"{self.detail} {entry.hint}".strip()
+        """Return the response body for a caller or peer."""
+        response = self.response
+        message = f"{self.detail} {response.hint}".strip()
         body = ErrorBody(
             message=message,
-            type=entry.error_type,
+            type=response.error_type,
             code=str(self.kind),
             param=None,
             outcome=str(self.outcome),
@@ -289,18 +293,20 @@
 
     @classmethod
     def from_body(cls, body: object) -> "EbonydealError":
-        """Rebuild an error that a peer answered; garbage becomes INTERNAL."""
+        """Rebuild an error from a peer's response; INTERNAL if it is malformed."""
         match body:
             case {"error": {"code": str(code), **rest}} if code in set(ErrorKind):
-                wait = rest.get("retry_after")
+                retry_after = rest.get("retry_after")
                 owner = rest.get("owner")
                 outcome = rest.get("outcome")
-                said = isinstance(outcome, str) and outcome in set(Outcome)
+                known = isinstance(outcome, str) and outcome in set(Outcome)
                 return cls(
                     ErrorKind(code),
                     str(rest.get("message", "")),
-                    retry_after=wait if isinstance(wait, (int, float)) else None,
+                    retry_after=retry_after
+                    if isinstance(retry_after, (int, float))
+                    else None,
                     owner=owner if isinstance(owner, str) else None,
-                    outcome=Outcome(str(outcome)) if said else None,
+                    outcome=Outcome(str(outcome)) if known else None,
                 )
-        return cls(ErrorKind.INTERNAL, "a peer answered without an error kind")
+        return cls(ErrorKind.INTERNAL, "a peer responded with an error of unknown kind")
