--- a/src/ebonydeal/_internal/settings/__init__.py
+++ b/src/ebonydeal/_internal/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: one INI file, typed sections, every mistake reported at once."""
+"""Settings: one INI file with typed sections; all mistakes are reported together."""
--- a/src/ebonydeal/_internal/settings/config.py
+++ b/src/ebonydeal/_internal/settings/config.py
@@ -1,4 +1,4 @@
-"""Settings of following the configuration."""
+"""Settings for following the configuration."""
 
 from typing import Annotated, NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class ConfigSettings(NamedTuple):
-    """``[config]``: how accepted documents are followed."""
+    """``[config]``: how accepted configuration documents are followed."""
 
     polls_per_s: Annotated[
-        float, Key("Table reads for all processes together.", "reads/s", 1, 100000)
+        float, Key("Table reads by all processes together.", "reads/s", 1, 100000)
     ] = 200.0
     shortest_poll: Annotated[
-        float, Key("Least time between two looks.", "seconds", 0.05, 60)
+        float, Key("Minimum time between two polls.", "seconds", 0.05, 60)
     ] = 1.0
--- a/src/ebonydeal/_internal/settings/keys.py
+++ b/src/ebonydeal/_internal/settings/keys.py
@@ -1,8 +1,8 @@
-"""How a settings key describes itself.
+"""Metadata of settings keys.
 
-A section is a NamedTuple whose fields are annotated with `Key`, so that type,
-default, unit, range and help stand in one place and the example file, the
-checks and the documentation can't disagree.
+A section is a NamedTuple whose fields are annotated with `Key`. Type, default, unit,
+range and help are defined in one place, so that the example file, the validation and
+the documentation agree.
 """
 
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Key(NamedTuple):
-    """What is said of a settings key beside its type and default.
+    """Metadata of a settings key besides its type and default.
 
     Attributes
     ----------
@@ -22,9 +22,9 @@
     low, high : float or None
         Accepted range, both ends included.
     choices : tuple of str
-        Accepted words; empty for any.
+        Accepted values; empty for any.
     secret : bool
-        Masked when shown; may come from the environment.
+        Masked when shown; can be set by an environment variable.
     """
 
     help: str
--- a/src/ebonydeal/_internal/settings/parse.py
+++ b/src/ebonydeal/_internal/settings/parse.py
@@ -1,4 +1,4 @@
-"""From an INI file to typed sections, with all problems reported at once."""
+"""Parses an INI file into typed sections; all problems are reported together."""
 
 from typing import Any
 
--- a/src/ebonydeal/_internal/settings/policy.py
+++ b/src/ebonydeal/_internal/settings/policy.py
@@ -1,7 +1,7 @@
-"""The terms of the relay's decisions, each with its unit and source.
+"""Parameters of the relay's decisions.
 
-Defaults were measured round by round: docs/design/decisions.md has the figures. A
-mechanism is switched off by the value that its line names.
+The measurements behind the defaults are in docs/design/decisions.md. The help of a key
+says which value disables its mechanism.
 """
 
 from typing import Annotated, NamedTuple
@@ -10,14 +10,14 @@
 
 
 class PolicySettings(NamedTuple):
-    """``[policy]``: how the relay limits, chooses, waits and orders."""
+    """``[policy]``: how the relay limits, selects, waits and scales."""
 
     # --- client accounts' limits
     quota_overdraft: Annotated[
         float,
         Key(
-            "Part of the debt that an account may be in, "
-            "so that large requests pass like small ones; 0 is off.",
+            "Usable share of the debt allowed to an account, "
+            "so that large requests are admitted like small ones; 0 is off.",
             "",
             0,
             1,
@@ -26,7 +26,7 @@
     quota_small: Annotated[
         float,
         Key(
-            "Requests below this part of their account's mean pass while "
+            "Requests below this share of their account's mean are admitted while "
             "larger ones wait for its limit; 0 is off.",
             "",
             0,
@@ -36,7 +36,7 @@
     quota_wait: Annotated[
         float,
         Key(
-            "Longest wait for an account's limit; 0 is off.",
+            "Maximum wait for an account's limit; 0 is off.",
             "objectives of the route",
             0,
             1,
@@ -45,12 +45,12 @@
     # --- choice of an endpoint
     home_trust: Annotated[
         float,
-        Key("Trust that a session's home holds its prompt parts; 0 is off.", "", 0, 1),
+        Key("Trust that the home of a session caches its prompt; 0 is off.", "", 0, 1),
     ] = 0.8
     fetch_tokens: Annotated[
         int,
         Key(
-            "Least prompt tokens that are fetched from another endpoint; 0 is off.",
+            "Minimum prompt tokens fetched from another endpoint; 0 is off.",
             "tokens",
             0,
             1000000000,
@@ -58,22 +58,22 @@
     ] = 400
     reread_weight: Annotated[
         float,
-        Key("Weight of the time to read a prompt part again; 1 is off.", "", 1, 100),
+        Key("Weight of the time to prefill a prompt part again; 1 is off.", "", 1, 100),
     ] = 1.5
     long_prompts: Annotated[
-        bool, Key("Learn how much more than its share a long prompt takes.")
+        bool, Key("Learn by how much a long prompt exceeds proportional prefill time.")
     ] = True
     others_loads: Annotated[
-        bool, Key("Take what other relays have at endpoints into account.")
+        bool, Key("Consider the requests of other relays at endpoints.")
     ] = True
     others_age: Annotated[
-        bool, Key("Take off others' waiting prompts what was read since their word.")
+        bool, Key("Deduct likely prefill since their report from other relays' load.")
     ] = True
     tell_long_s: Annotated[
         float,
         Key(
-            "Reading time from which on a prompt is told to all relays at once, as "
-            "others would wait behind it; 0 is off.",
+            "Prefill time from which a prompt is announced to all relays at once, as "
+            "their requests would wait behind it; 0 is off.",
             "seconds",
             0,
             100,
@@ -89,22 +89,22 @@
         ),
     ] = 0.006
     use_leaving: Annotated[
-        bool, Key("Send short requests to endpoints that leave but still serve.")
+        bool, Key("Send short requests to endpoints that are leaving.")
     ] = True
     late_last: Annotated[
         bool,
-        Key("Let engines rank a prompt that will be late anyway behind all others."),
+        Key("Let engines prefill a prompt that will be late anyway after all others."),
     ] = True
     exchange_s: Annotated[
         float,
-        Key("Time between a relay's words to the coordinator.", "seconds", 0.05, 60),
+        Key("Interval of a relay's reports to the coordinator.", "seconds", 0.05, 60),
     ] = 0.5
-    # --- requests that bring endpoints down
+    # --- requests that crash endpoints
     quarantine_crashes: Annotated[
         int,
         Key(
-            "Endpoints that may crash under one request before it is refused: what ran "
-            "beside it in one or two has no part in it; 0 is off.",
+            "Endpoints that may crash under one request before it is refused: others "
+            "that ran in one or two of these crashes are not affected; 0 is off.",
             "endpoints",
             0,
             1000,
@@ -114,17 +114,17 @@
         float,
         Key(
             "Time for which a crash is remembered: as long as operators may need to "
-            "mend what crashes.",
+            "fix its cause.",
             "seconds",
             1,
             86400,
         ),
     ] = 1800.0
-    # --- waiting and sending again
+    # --- timeouts and resends
     first_patience: Annotated[
         float,
         Key(
-            "Silence before the first event after which a stream goes elsewhere.",
+            "Timeout of the first event, after which a stream is resent.",
             "objectives",
             0.1,
             100,
@@ -133,7 +133,7 @@
     first_spread: Annotated[
         float,
         Key(
-            "The same, in expected times to the first event; 0 is off.",
+            "The same timeout in expected times to the first event; 0 is off.",
             "expected times",
             0,
             100,
@@ -142,7 +142,7 @@
     first_longest: Annotated[
         float,
         Key(
-            "The same while its endpoint shows life on other streams; 0 is off.",
+            "The same while other streams of its endpoint are active; 0 is off.",
             "objectives",
             0,
             100,
@@ -151,7 +151,7 @@
     gap_patience: Annotated[
         float,
         Key(
-            "Silence between events after which a stream goes elsewhere.",
+            "Timeout between events, after which a stream is resent.",
             "longest pauses",
             0.1,
             100,
@@ -160,7 +160,7 @@
     plain_patience: Annotated[
         float,
         Key(
-            "Wait after which a repeatable plain request is sent again; 0 is off.",
+            "Time after which an idempotent plain request is resent; 0 is off.",
             "objectives",
             0,
             100,
@@ -169,36 +169,35 @@
     refuse_limit: Annotated[
         float,
         Key(
-            "Expected first event beyond which a stream is refused; 0 is off.",
+            "Expected time to first event above which a stream is refused; 0 is off.",
             "objectives",
             0,
             100,
         ),
     ] = 1.5
     eject_failures: Annotated[
-        int, Key("Failures in a row that keep an endpoint out; 0 is off.", "", 0, 1000)
+        int, Key("Consecutive failures that eject an endpoint; 0 is off.", "", 0, 1000)
     ] = 3
     avoid_failing: Annotated[
         float,
         Key(
-            "Share of failed answers, over all relays, from which on an endpoint is"
-            " avoided; 0 is off.",
+            "Failure rate over all relays from which an endpoint is avoided; 0 is off.",
             "",
             0,
             1,
         ),
     ] = 0.15
     moves: Annotated[
-        bool, Key("Pass on the memory of streams that would be cut off.")
+        bool, Key("Migrate the KV cache of streams that would be cut off.")
     ] = True
-    # --- the fleet
+    # --- fleet scaling
     fleet_use: Annotated[
-        float, Key("Share of endpoints' capacity that is planned for.", "", 0.05, 1.0)
+        float, Key("Target utilization of endpoints.", "", 0.05, 1.0)
     ] = 0.45
     fleet_use_short: Annotated[
         float,
         Key(
-            "The same while the zone with most of them was taken back; 0 is off.",
+            "The same after the zone with the most of them is reclaimed; 0 is off.",
             "",
             0,
             10,
@@ -206,15 +205,12 @@
     ] = 0.7
     fleet_use_last: Annotated[
         float,
-        Key(
-            "The same while the two zones with most of them were; 0 is off.", "", 0, 10
-        ),
+        Key("The same after the two zones with the most are; 0 is off.", "", 0, 10),
     ] = 0.7
     fleet_use_wave: Annotated[
         float,
         Key(
-            "The same of on-demand endpoints alone while zones are taken "
-            "back; 0 is off.",
+            "The same for on-demand endpoints alone during a reclaim burst; 0 is off.",
             "",
             0,
             10,
@@ -222,19 +218,19 @@
     ] = 0.7
     fleet_cover: Annotated[
         bool,
-        Key("On-demand endpoints stand in for the zone that may be taken back next."),
+        Key("On-demand endpoints cover for the zone that may be reclaimed next."),
     ] = True
     fleet_least_fixed: Annotated[
         bool,
         Key(
-            "Fill a zone's least with on-demand endpoints while reclaimable ones are"
+            "Fill a zone's minimum with on-demand endpoints while reclaimable ones are"
             " refused."
         ),
     ] = False
     fleet_wave_s: Annotated[
         float,
         Key(
-            "Time after a zone was taken back in which more may follow.",
+            "Time after the reclaim of a zone in which more may follow.",
             "seconds",
             0,
             3600,
@@ -243,8 +239,8 @@
     fleet_wave_growth: Annotated[
         float,
         Key(
-            "So much more load than before is believed while zones are "
-            "taken back; 0 is off.",
+            "Factor by which the forecast may exceed the load before a "
+            "reclaim burst; 0 is off.",
             "",
             0,
             100,
@@ -257,12 +253,12 @@
     fleet_dry_s: Annotated[
         float,
         Key(
-            "Time between two questions for reclaimable endpoints that were refused.",
+            "Interval of orders for reclaimable endpoints that were refused.",
             "seconds",
             0.1,
             3600,
         ),
     ] = 1.0
     fleet_found: Annotated[
-        bool, Key("Keep the fleet as it was found until its load was measured.")
+        bool, Key("Keep the initial fleet until its load is measured.")
     ] = True
--- a/src/ebonydeal/_internal/settings/reading.py
+++ b/src/ebonydeal/_internal/settings/reading.py
@@ -1,7 +1,6 @@
-"""What an INI file holds: typed sections, and every problem in it.
+"""Reads typed sections from an INI file and finds every problem in it.
 
-A program that starts reads its settings by this alone, without what only the
-command line loads.
+Starting programs need only this module, not the libraries of the command line.
 """
 
 import os
@@ -11,12 +10,12 @@
 
 from ebonydeal._internal.settings.keys import Key, env_name
 
-_TRUE = ("yes", "true", "on", "1")
-_FALSE = ("no", "false", "off", "0")
+_TRUE_WORDS = ("yes", "true", "on", "1")
+_FALSE_WORDS = ("no", "false", "off", "0")
 
 
 class Problem(NamedTuple):
-    """One mistake in a settings file, with what would be accepted."""
+    """One mistake in a settings file; the message says what is accepted."""
 
     file: str
     section: str
@@ -30,7 +29,7 @@
 
 
 class KeySpec(NamedTuple):
-    """A key with its type and default."""
+    """A settings key with its type and default."""
 
     name: str
     type: type
@@ -38,19 +37,19 @@
     key: Key
 
     def accepted(self) -> str:
-        """Say in words which values are accepted."""
+        """Describe the accepted values."""
         if self.key.choices:
             return "one of " + ", ".join(self.key.choices)
         if self.type is bool:
             return "yes or no"
-        word = {int: "a whole number", float: "a number", str: "text"}[self.type]
+        text = {int: "a whole number", float: "a number", str: "text"}[self.type]
         if self.key.low is not None and self.key.high is not None:
-            word += f" from {self.key.low:g} to {self.key.high:g}"
-        return f"{word} {self.key.unit}".strip()
+            text += f" from {self.key.low:g} to {self.key.high:g}"
+        return f"{text} {self.key.unit}".strip()
 
 
 def key_specs(section: type) -> list[KeySpec]:
-    """Return the keys of a section class, in their order."""
+    """Return the keys of a section class in their order."""
     hints = get_type_hints(section, include_extras=True)
     defaults = section._field_defaults  # type: ignore[attr-defined]
     specs = []
@@ -63,12 +62,12 @@
 
 
 def _convert(spec: KeySpec, text: str) -> Any:
-    """Return the typed value; raises ValueError."""
+    """Parse a value; raises ValueError if it is not accepted."""
     if spec.type is bool:
         word = text.strip().lower()
-        if word not in _TRUE + _FALSE:
+        if word not in _TRUE_WORDS + _FALSE_WORDS:
             raise ValueError(text)
-        return word in _TRUE
+        return word in _TRUE_WORDS
     value = spec.type(text)
     if spec.key.choices and value not in spec.key.choices:
         raise ValueError(text)
@@ -79,8 +78,8 @@
     return value
 
 
-def _nearest(word: str, words: list[str]) -> str:
-    """Return a suffix that names the nearest known word, or all of them."""
+def _suggestion(word: str, words: list[str]) -> str:
+    """Return a hint that names the closest known word, or all known words."""
     close = get_close_matches(word, words, n=1)
     if close:
         return f"did you mean '{close[0]}'?"
@@ -90,7 +89,7 @@
 def _read_key(
     file: str, section: str, spec: KeySpec, text: str, problems: list[Problem]
 ) -> Any:
-    """Return a key's typed value, or its default after noting the problem."""
+    """Parse the value of a key; on an error add a problem and return the default."""
     try:
         return _convert(spec, text)
     except ValueError:
@@ -103,11 +102,11 @@
 def _parse_section(
     file: str, name: str, cls: type, given: dict[str, str], problems: list[Problem]
 ) -> Any:
-    """Build one typed section, noting every problem in it."""
+    """Parse one section, and add every problem in it to ``problems``."""
     specs = {spec.name: spec for spec in key_specs(cls)}
     for key in given:
         if key not in specs:
-            hint = _nearest(key, list(specs))
+            hint = _suggestion(key, list(specs))
             problems.append(Problem(file, name, key, f"unknown key; {hint}"))
     values = {}
     for key, spec in specs.items():
@@ -128,7 +127,7 @@
     text : str
         Content of the file.
     file : str
-        Its name, for messages.
+        Name of the file, for messages.
     sections : dict of str to type
         Known section names and their NamedTuple classes.
     """
@@ -141,7 +140,7 @@
         return {}, [Problem(file, "", "", reason)]
     for name in parser.sections():
         if name not in sections:
-            hint = _nearest(name, list(sections))
+            hint = _suggestion(name, list(sections))
             problems.append(Problem(file, name, "", f"unknown section; {hint}"))
     values = {}
     for name, cls in sections.items():
--- a/src/ebonydeal/_internal/settings/registry.py
+++ b/src/ebonydeal/_internal/settings/registry.py
@@ -1,7 +1,7 @@
-"""Every section that a settings file may hold.
+"""All sections of a settings file.
 
-One file can serve every program of an instance: each reads the sections it
-needs, and all of them are checked.
+All programs of an instance can share one file: each uses the sections it needs, and
+all sections are validated.
 """
 
 from ebonydeal._internal.settings.config import ConfigSettings
--- a/src/ebonydeal/_internal/settings/routing.py
+++ b/src/ebonydeal/_internal/settings/routing.py
@@ -1,4 +1,4 @@
-"""Sections of the routing, admission and retry decisions."""
+"""Settings of routing, admission and retries."""
 
 from typing import Annotated, NamedTuple
 
@@ -9,59 +9,61 @@
     """``[routing]``: how an endpoint is chosen."""
 
     subset: Annotated[
-        int, Key("Most endpoints that one gateway watches by choice.", "", 1, 10000)
+        int, Key("Maximum size of the subset of one gateway.", "", 1, 10000)
     ] = 64
     spill_share: Annotated[
-        float, Key("Share of the subset kept for other zones.", "", 0, 1)
+        float, Key("Share of the subset reserved for other zones.", "", 0, 1)
     ] = 0.34
     near_equal: Annotated[
-        float, Key("Scores this share above the best count as equal.", "", 0, 1)
+        float, Key("Scores up to this share above the best are equal.", "", 0, 1)
     ] = 0.05
     late_factor: Annotated[
-        float, Key("Cost of delay beyond the latency target, against within.", "", 0)
+        float, Key("Relative cost of delay beyond the latency target.", "", 0)
     ] = 4.0
     report_half_life: Annotated[
         float,
-        Key("Age at which what is known of load counts half.", "seconds", 0.1, 600),
+        Key("Half-life of the weight of load reports.", "seconds", 0.1, 600),
     ] = 2.0
     cache_half_life: Annotated[
-        float, Key("Age at which a cache event counts half.", "seconds", 1, 86400)
+        float, Key("Half-life of the weight of a cache event.", "seconds", 1, 86400)
     ] = 600.0
     cache_blocks: Annotated[
-        int, Key("Most cache blocks remembered for one endpoint.", "", 16, 10000000)
+        int, Key("Maximum cache blocks kept per endpoint.", "", 16, 10000000)
     ] = 20000
     candidates: Annotated[
-        int, Key("Most endpoints scored for one request.", "", 2, 10000)
+        int, Key("Maximum endpoints scored per request.", "", 2, 10000)
     ] = 24
     affinity: Annotated[
-        float, Key("Worth of keeping a prefix at its home, in prefills.", "", 0, 10)
+        float, Key("Value of keeping a prefix at its home, in prefills.", "", 0, 10)
     ] = 1.0
     cache_total: Annotated[
-        int, Key("Most cache blocks remembered for all endpoints.", "", 256, 10**9)
+        int, Key("Maximum cache blocks kept for all endpoints.", "", 256, 10**9)
     ] = 200000
     prefill_rate: Annotated[
-        float, Key("Prefill rate assumed before any answer.", "tokens/s", 1)
+        float, Key("Prefill rate assumed before the first answer.", "tokens/s", 1)
     ] = 4000.0
     service_time: Annotated[
-        float, Key("Run time assumed before any answer.", "seconds", 0.001, 3600)
+        float, Key("Run time assumed before the first answer.", "seconds", 0.001, 3600)
     ] = 2.0
     eject_failures: Annotated[
-        int, Key("Failures in a row that eject an endpoint.", "", 1, 1000)
+        int, Key("Consecutive failures that eject an endpoint.", "", 1, 1000)
     ] = 5
     eject_time: Annotated[
-        float, Key("First time out of an ejected endpoint.", "seconds", 0.1, 3600)
+        float,
+        Key("Duration of the first ejection of an endpoint.", "seconds", 0.1, 3600),
     ] = 5.0
     return_time: Annotated[
-        float, Key("Time over which it takes its full share again.", "seconds", 0, 3600)
+        float, Key("Ramp-up time of an endpoint after ejection.", "seconds", 0, 3600)
     ] = 20.0
     eject_floor: Annotated[
-        float, Key("Share of endpoints that is never ejected.", "", 0, 1)
+        float, Key("Share of endpoints that are never ejected.", "", 0, 1)
     ] = 0.5
     limit_start: Annotated[
-        float, Key("Concurrency limit of a new endpoint, per gateway.", "", 1, 100000)
+        float,
+        Key("Initial concurrency limit of an endpoint, per gateway.", "", 1, 100000),
     ] = 32.0
     limit_max: Annotated[
-        float, Key("Highest concurrency limit of an endpoint.", "", 1, 100000)
+        float, Key("Maximum concurrency limit of an endpoint.", "", 1, 100000)
     ] = 512.0
 
 
@@ -69,13 +71,13 @@
     """``[admission]``: queues and the limits of client accounts."""
 
     queue: Annotated[
-        int, Key("Most requests that wait for one deployment.", "", 0, 1000000)
+        int, Key("Maximum requests queued for one deployment.", "", 0, 1000000)
     ] = 512
     longest_wait: Annotated[
-        float, Key("Longest wait of a request without deadline.", "seconds", 0, 86400)
+        float, Key("Maximum wait of a request without a deadline.", "seconds", 0, 86400)
     ] = 30.0
     burst: Annotated[
-        float, Key("Seconds of an account's rate that may come at once.", "", 0.01, 60)
+        float, Key("Burst of an account, in seconds of its rate.", "", 0.01, 60)
     ] = 1.0
     floor_share: Annotated[
         float, Key("Share of each limit split evenly over gateways.", "", 0, 1)
@@ -84,24 +86,31 @@
         float, Key("Time over which demand is averaged.", "seconds", 0.1, 600)
     ] = 2.0
     peer_hold: Annotated[
-        float, Key("Time that a silent gateway keeps its share.", "seconds", 0.1, 600)
+        float,
+        Key(
+            "Time for which an unreachable gateway keeps its share.",
+            "seconds",
+            0.1,
+            600,
+        ),
     ] = 5.0
 
 
 class RetrySettings(NamedTuple):
-    """``[retries]``: budgets and back-off."""
+    """``[retries]``: budgets and backoff."""
 
     budget: Annotated[float, Key("Retries earned by one request.", "", 0, 1)] = 0.09
     budget_cap: Annotated[
-        float, Key("Most retries saved up by a deployment.", "", 0, 10000)
+        float, Key("Maximum retry budget of a deployment.", "", 0, 10000)
     ] = 5.0
     hedge_budget: Annotated[
-        float, Key("Hedges earned by one request; they also take a retry.", "", 0, 1)
+        float, Key("Hedges earned by one request; each also uses a retry.", "", 0, 1)
     ] = 0.02
-    attempts: Annotated[int, Key("Most tries of one request.", "", 1, 100)] = 4
+    attempts: Annotated[int, Key("Maximum attempts of one request.", "", 1, 100)] = 4
     backoff: Annotated[
-        float, Key("Mean wait before the first retry, doubled each.", "seconds", 0, 60)
+        float,
+        Key("Mean delay before the first retry; doubles each time.", "seconds", 0, 60),
     ] = 0.05
     backoff_max: Annotated[
-        float, Key("Longest wait before a retry.", "seconds", 0, 600)
+        float, Key("Maximum delay before a retry.", "seconds", 0, 600)
     ] = 2.0
--- a/src/ebonydeal/_internal/settings/sections.py
+++ b/src/ebonydeal/_internal/settings/sections.py
@@ -1,4 +1,4 @@
-"""Sections that every program shares."""
+"""Settings that all programs share."""
 
 from typing import Annotated, NamedTuple
 
@@ -6,19 +6,21 @@
 
 
 class NodeSettings(NamedTuple):
-    """``[node]``: who and where this process is."""
+    """``[node]``: identity and place of this process."""
 
-    id: Annotated[str, Key("Node id, unique among own processes.")] = "node-1"
-    host: Annotated[str, Key("IP number to listen on and be reached at.")] = "127.0.0.1"
+    id: Annotated[str, Key("Node id, unique among processes of the system.")] = "node-1"
+    host: Annotated[str, Key("IP address to listen on and be reached at.")] = (
+        "127.0.0.1"
+    )
     region: Annotated[str, Key("Region of this instance.")] = "local"
     zone: Annotated[str, Key("Availability zone of this instance.")] = "local-1"
     drain_seconds: Annotated[
-        float, Key("Longest graceful shutdown.", "seconds", 0, 3600)
+        float, Key("Timeout of a graceful shutdown.", "seconds", 0, 3600)
     ] = 120.0
 
 
 class PlatformSettings(NamedTuple):
-    """``[platform]``: where the outside systems are."""
+    """``[platform]``: addresses of the external systems."""
 
     tables_url: Annotated[str, Key("Table service.")] = "http://127.0.0.1:9101"
     objects_url: Annotated[str, Key("Object store.")] = "http://127.0.0.1:9102"
@@ -26,32 +28,32 @@
     instances_url: Annotated[str, Key("Instance list.")] = "http://127.0.0.1:9104"
     weights_url: Annotated[str, Key("Weight store.")] = "http://127.0.0.1:9105"
     timeout: Annotated[
-        float, Key("Longest wait for one platform call.", "seconds", 0.05, 60)
+        float, Key("Timeout of one platform call.", "seconds", 0.05, 60)
     ] = 2.0
     table_writes_per_s: Annotated[
-        float, Key("Share of table writes for all own nodes.", "writes/s", 1, 100000)
+        float, Key("Table writes by all nodes of the system.", "writes/s", 1, 100000)
     ] = 300.0
 
 
 class PeerSettings(NamedTuple):
-    """``[peers]``: the system's own processes among each other."""
+    """``[peers]``: communication between processes of the system."""
 
-    port: Annotated[
-        int, Key("Port of the peer listener; 0 picks one.", "", 0, 65535)
-    ] = 9200
-    seeds: Annotated[str, Key("Peers' host:port to join by, comma separated.")] = ""
+    port: Annotated[int, Key("Port for peers; 0 picks a free one.", "", 0, 65535)] = (
+        9200
+    )
+    seeds: Annotated[str, Key("host:port of peers to join, comma-separated.")] = ""
     credential: Annotated[
-        str, Key("Shared credential between own processes.", secret=True)
+        str, Key("Credential shared by all processes.", secret=True)
     ] = "change-me"
     period: Annotated[
-        float, Key("Time between rounds with a peer.", "seconds", 0.05, 60)
+        float, Key("Interval between gossip rounds.", "seconds", 0.05, 60)
     ] = 1.0
 
 
 class LogSettings(NamedTuple):
-    """``[logs]``: what is written to standard output."""
+    """``[logs]``: lines written to standard output."""
 
-    format: Annotated[str, Key("Form of a log line.", choices=("human", "json"))] = (
+    format: Annotated[str, Key("Format of a log line.", choices=("human", "json"))] = (
         "human"
     )
     level: Annotated[
@@ -60,12 +62,14 @@
 
 
 class TlsSettings(NamedTuple):
-    """``[tls]``: TLS on every listener and between own processes."""
+    """``[tls]``: TLS on every listener and between processes."""
 
-    enabled: Annotated[bool, Key("Serve and call with TLS.")] = False
-    certificate: Annotated[str, Key("PEM file with this node's chain.")] = ""
-    private_key: Annotated[str, Key("PEM file with its private key.")] = ""
-    authority: Annotated[str, Key("PEM file of the authority that peers use.")] = ""
+    enabled: Annotated[bool, Key("Use TLS for serving and calls.")] = False
+    certificate: Annotated[str, Key("PEM file with this node's certificate chain.")] = (
+        ""
+    )
+    private_key: Annotated[str, Key("PEM file with this node's private key.")] = ""
+    authority: Annotated[str, Key("PEM file of the peers' certificate authority.")] = ""
     reload_seconds: Annotated[
-        float, Key("Time between looks for renewed files.", "seconds", 1, 86400)
+        float, Key("Interval of checks for renewed files.", "seconds", 1, 86400)
     ] = 60.0
--- a/tests/unit/settings/test_parse.py
+++ b/tests/unit/settings/test_parse.py
@@ -1,4 +1,4 @@
-"""Settings: typed, checked whole, every mistake reported at once."""
+"""Settings are typed and validated; all mistakes are reported together."""
 
 from returns.result import Success
 
@@ -13,16 +13,16 @@
 
 
 class TestParseSettings:
-    def test_defaults_hold_for_an_empty_file(self):
+    def test_empty_file_gives_the_defaults(self):
         parsed = parse_settings("", "x.ini", SECTIONS).unwrap()
         assert parsed["node"] == NodeSettings()
 
-    def test_values_are_typed(self):
+    def test_values_are_converted_to_their_types(self):
         text = "[node]\nid = n7\ndrain_seconds = 3\n"
         parsed = parse_settings(text, "x.ini", SECTIONS).unwrap()
         assert parsed["node"].drain_seconds == 3.0
 
-    def test_five_mistakes_are_all_named(self):
+    def test_all_mistakes_are_reported(self):
         text = (
             "[node]\nidd = n7\ndrain_seconds = long\n"
             "[logs]\nformat = yaml\n[platfrm]\nx = 1\n[platform]\ntimeout = 900\n"
@@ -34,7 +34,7 @@
         assert any("did you mean 'platform'" in line for line in lines)
         assert any("one of human, json" in line for line in lines)
 
-    def test_environment_goes_before_the_file(self, monkeypatch):
+    def test_environment_overrides_the_file(self, monkeypatch):
         monkeypatch.setenv("EBONYDEAL_NODE_ID", "from-env")
         parsed = parse_settings("[node]\nid = a\n", "x.ini", SECTIONS)
         assert isinstance(parsed, Success)
--- a/tests/unit/settings/test_programs.py
+++ b/tests/unit/settings/test_programs.py
@@ -14,31 +14,33 @@
 PROGRAMS = (console, controller, gateway, journal)
 
 
-class TestOneFileForAllPrograms:
+class TestSharedSettingsFile:
     @pytest.mark.parametrize("sections", [CONSOLE, CONTROLLER, GATEWAY, JOURNAL])
-    def test_every_section_of_a_program_is_in_the_example(self, sections):
+    def test_example_has_every_section_of_a_program(self, sections):
         assert sections.items() <= ALL_SECTIONS.items()
 
     @pytest.mark.parametrize("sections", [CONSOLE, CONTROLLER, GATEWAY, JOURNAL])
-    def test_every_program_follows_the_configuration_by_its_settings(self, sections):
+    def test_every_program_has_the_configuration_section(self, sections):
         assert sections["config"] is ConfigSettings
 
     @pytest.mark.parametrize("program", PROGRAMS)
-    def test_the_example_is_accepted(self, program, tmp_path, monkeypatch):
-        started = []
+    def test_example_is_accepted(self, program, tmp_path, monkeypatch):
+        builds = []
 
         def run(build, settings, reread):
-            started.append(build)
+            builds.append(build)
             return 0
 
         monkeypatch.setattr(program_module, "start_program", run)
         file = tmp_path / "node.ini"
         file.write_text(example_text(ALL_SECTIONS))
         result = CliRunner().invoke(program.main, ["--settings", str(file)])
-        assert (result.exit_code, result.output, len(started)) == (0, "", 1)
+        assert (result.exit_code, result.output, len(builds)) == (0, "", 1)
 
     @pytest.mark.parametrize("program", PROGRAMS)
-    def test_a_mistake_in_another_programs_section_is_named(self, program, tmp_path):
+    def test_mistake_in_a_section_of_another_program_is_reported(
+        self, program, tmp_path
+    ):
         file = tmp_path / "node.ini"
         file.write_text("[admission]\nqueue = many\n[console]\nport = -1\n")
         result = CliRunner().invoke(program.main, ["--settings", str(file)])
@@ -47,7 +49,7 @@
         assert "[console] port: '-1' is not accepted" in result.output
 
     @pytest.mark.parametrize("program", PROGRAMS)
-    def test_a_missing_file_is_named(self, program, tmp_path):
+    def test_missing_file_is_reported(self, program, tmp_path):
         file = tmp_path / "absent.ini"
         result = CliRunner().invoke(program.main, ["--settings", str(file)])
         assert result.exit_code == 2
--- a/tests/unit/settings/test_registry.py
+++ b/tests/unit/settings/test_registry.py
@@ -1,4 +1,4 @@
-"""All sections together: the example parses back, secrets stay hidden."""
+"""All sections: the example parses to the defaults, and secrets are masked."""
 
 import pytest
 from click.testing import CliRunner
@@ -16,11 +16,11 @@
 
 
 class TestExample:
-    def test_parses_back_to_the_defaults(self):
+    def test_parses_to_the_defaults(self):
         parsed = parse_settings(example_text(ALL_SECTIONS), "x.ini", ALL_SECTIONS)
         assert parsed == Success({name: cls() for name, cls in ALL_SECTIONS.items()})
 
-    def test_names_and_explains_every_key(self):
+    def test_lists_and_explains_every_key(self):
         lines = example_text(ALL_SECTIONS).splitlines()
         for cls in ALL_SECTIONS.values():
             for spec in key_specs(cls):
@@ -34,7 +34,7 @@
                 assert spec.accepted() in lines[index - 1]
 
     @pytest.mark.parametrize("name", ALL_SECTIONS)
-    def test_every_section_says_what_it_is(self, name):
+    def test_every_section_has_a_description(self, name):
         assert (ALL_SECTIONS[name].__doc__ or "").startswith(f"``[{name}]``: ")
 
 
@@ -47,14 +47,14 @@
         assert "credential = ***" in shown
         assert "id = n7" in shown
 
-    def test_shows_what_parses_back(self):
+    def test_output_is_a_valid_settings_file(self):
         values = {name: cls() for name, cls in ALL_SECTIONS.items()}
         text = settings_text(values, ALL_SECTIONS)
         assert isinstance(parse_settings(text, "x.ini", ALL_SECTIONS), Success)
 
 
 class TestCheck:
-    def test_five_mistakes(self, tmp_path):
+    def test_all_mistakes_are_reported(self, tmp_path):
         file = tmp_path / "node.ini"
         file.write_text(
             "[node]\nidd = n7\ndrain_seconds = long\n"
@@ -62,12 +62,12 @@
         )
         result = run("check", str(file))
         assert result.exit_code == 2
-        named = [line for line in result.output.splitlines() if str(file) in line]
-        assert len(named) == 5
+        reported = [line for line in result.output.splitlines() if str(file) in line]
+        assert len(reported) == 5
         assert "Traceback" not in result.output
 
     @pytest.mark.parametrize("content", [b"\xff\xfe\x00", b"no section\n", b"[a\n"])
-    def test_no_settings_at_all(self, tmp_path, content):
+    def test_unreadable_file_is_reported(self, tmp_path, content):
         file = tmp_path / "node.ini"
         file.write_bytes(content)
         result = run("check", str(file))
@@ -75,12 +75,12 @@
         assert str(file) in result.output
         assert isinstance(result.exception, SystemExit)
 
-    def test_missing_file(self, tmp_path):
+    def test_missing_file_is_reported(self, tmp_path):
         result = run("check", str(tmp_path / "none.ini"))
         assert result.exit_code == 2
         assert "can't be read" in result.output
 
-    def test_sound_file(self, tmp_path):
+    def test_valid_file_has_no_mistakes(self, tmp_path):
         file = tmp_path / "node.ini"
         file.write_text(run("example").output)
         result = run("check", str(file))
