--- a/src/ebonydeal/__init__.py
+++ b/src/ebonydeal/__init__.py
@@ -1,3 +1,3 @@
-"""Serving for language models and plain services on reclaimable instances."""
+"""Serving system for language models and plain services on reclaimable instances."""
 
 __version__ = "0.1.0"
--- a/src/ebonydeal/_internal/cli/__init__.py
+++ b/src/ebonydeal/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points, one module a program."""
+"""Entry points, one module per program."""
--- a/src/ebonydeal/_internal/cli/console.py
+++ b/src/ebonydeal/_internal/cli/console.py
@@ -14,7 +14,7 @@
 
 
 def _check_operators(file: Path, settings: dict[str, Any]) -> None:
-    """Refuse operators' tokens that can't be read."""
+    """Exit with a message if the operators in the settings can't be parsed."""
     try:
         Operators.from_config(settings["console"].operators)
     except EbonydealError as exc:
--- a/src/ebonydeal/_internal/cli/controller.py
+++ b/src/ebonydeal/_internal/cli/controller.py
@@ -5,6 +5,6 @@
 
 main = program_command(
     "ebonydeal-controller",
-    "Start, place and release the instances under endpoints, at the lowest cost.",
+    "Start, place and release the instances of endpoints at the lowest cost.",
     ControllerProgram.from_config,
 )
--- a/src/ebonydeal/_internal/cli/journal.py
+++ b/src/ebonydeal/_internal/cli/journal.py
@@ -5,6 +5,6 @@
 
 main = program_command(
     "ebonydeal-journal",
-    "Keep accepted requests, and run them to their end.",
+    "Store accepted requests and run them to completion.",
     JournalProgram.from_config,
 )
--- a/src/ebonydeal/_internal/cli/program.py
+++ b/src/ebonydeal/_internal/cli/program.py
@@ -1,4 +1,4 @@
-"""What the entry points of all programs share."""
+"""Command line shared by the entry points of all programs."""
 
 import sys
 from collections.abc import Callable
@@ -11,24 +11,24 @@
 from ebonydeal._internal.commands.settings import load_settings, reread_settings
 from ebonydeal._internal.utils.run import Build, start_program
 
-Check = Callable[[Path, dict[str, Any]], None]
+SettingsCheck = Callable[[Path, dict[str, Any]], None]
 
 
 def program_command(
-    name: str, text: str, build: Build, check: Check | None = None
+    name: str, text: str, build: Build, check: SettingsCheck | None = None
 ) -> click.Command:
     """Return the command line of one program.
 
     Parameters
     ----------
     name : str
-        Console script.
+        Name of the console script.
     text : str
         One sentence for ``--help``.
     build : callable
-        The program's ``from_config``.
+        ``from_config`` of the program.
     check : callable, optional
-        Checks settings beyond their types, and exits with a message if it must.
+        Validates settings beyond their types; exits with a message if they are wrong.
     """
 
     @click.command(
--- a/src/ebonydeal/_internal/cli/relay.py
+++ b/src/ebonydeal/_internal/cli/relay.py
@@ -1,8 +1,8 @@
-"""Entry point of ``ebonydeal-relay``: opens its sockets, then loads the rest.
+"""Entry point of ``ebonydeal-relay``: opens its sockets, then loads the program.
 
-All that a killed relay's clients meet until it serves again is its start, so what
-takes long to load is loaded when it is first used. The command line's library is
-one of these: it is needed where something is wrong or help is asked for.
+Clients of a relay that was killed wait until it has started again. Modules that take
+long to load are therefore imported on first use, such as the command line library,
+which is only needed to report mistakes or print help.
 """
 
 import gc
@@ -18,13 +18,13 @@
     import click
 
 _OPTION = "--settings"
-# Of a library's modules, those whose functions a relay doesn't call. Loading what
-# they load takes 30 ms.
-_UNUSED = {"mode.utils.cron": ("secs_for_next",)}
+# Library modules whose functions a relay doesn't call, by module. Loading them with
+# their imports takes 30 ms.
+_LAZY_MODULES = {"mode.utils.cron": ("secs_for_next",)}
 
 
-def _plain_settings(args: Sequence[str]) -> dict[str, Any] | None:
-    """Return the settings where the arguments and the file are as usual."""
+def _read_settings(args: Sequence[str]) -> dict[str, Any] | None:
+    """Return the settings, or None if the arguments or the file have mistakes."""
     from ebonydeal._internal.settings.reading import read_sections
     from ebonydeal._internal.settings.registry import ALL_SECTIONS
 
@@ -40,7 +40,7 @@
 
 
 def _reread(file: str) -> dict[str, Any] | None:
-    """Return the settings as they are now, or None with every mistake logged."""
+    """Return the current settings, or None after logging every mistake."""
     from pathlib import Path
 
     from ebonydeal._internal.commands.settings import reread_settings
@@ -49,7 +49,7 @@
 
 
 def relay_command(opened: Sequence[int] = ()) -> "click.Command":
-    """Return the command line of the relay."""
+    """Return the command line; ``opened`` are sockets that already listen."""
     from functools import partial
 
     from ebonydeal._internal.cli.program import program_command
@@ -69,7 +69,7 @@
     from ebonydeal._internal.cli.relay_program import build
     from ebonydeal._internal.utils.run import start_program
 
-    # What was loaded stays for good.
+    # Loaded modules are never garbage, so the collector can skip them.
     gc.freeze()
     gc.enable()
     return start_program(
@@ -78,17 +78,17 @@
 
 
 def main() -> None:
-    """Run the relay; its clients may connect while it loads."""
+    """Run the relay; clients can connect while it loads."""
     args = sys.argv[1:]
     opened = open_listeners(args, "relay", ("address", "ready_address"))
-    # Nothing that loading makes is garbage; looking for some takes a tenth of it.
+    # Loading creates no garbage; collecting would take a tenth of the loading time.
     gc.disable()
-    # A relay speaks no TLS, and reading the system's certificates, which the HTTP
-    # library does when it is loaded, takes 90 ms.
+    # A relay doesn't use TLS. The HTTP library loads the certificates of the system on
+    # import, which takes 90 ms.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
-    register_lazy_modules(_UNUSED)
-    settings = _plain_settings(args)
+    register_lazy_modules(_LAZY_MODULES)
+    settings = _read_settings(args)
     if settings is None:
         gc.enable()
         relay_command(opened)()
--- a/src/ebonydeal/_internal/cli/relay_program.py
+++ b/src/ebonydeal/_internal/cli/relay_program.py
@@ -1,4 +1,4 @@
-"""The relay on the platform's clients."""
+"""Builds the relay with the clients of the platform."""
 
 import random
 from collections.abc import Sequence
@@ -13,9 +13,9 @@
 from ebonydeal._internal.relay.program import RelayProgram
 from ebonydeal._internal.utils.clock import Clock
 
-# Longest wait for an engine to carry out an order, seconds: about a quarter of
-# the shortest notice that endpoints give before they are gone.
-_ORDER_S = 0.5
+# Timeout of an order to an engine: about a quarter of the shortest notice that
+# endpoints give before they are reclaimed.
+_ORDER_TIMEOUT_S = 0.5
 
 
 def build(
@@ -25,12 +25,12 @@
     rng: random.Random,
     opened: Sequence[int] = (),
 ) -> RelayProgram:
-    """Build the relay; ``opened`` are sockets that listen already."""
+    """Build the relay; ``opened`` are sockets that already listen."""
     cfg = settings["platform"]
     ports = RelayPorts(
         wire=PlatformWire(),
         store=PlatformStore(cfg.tables_url, cfg.timeout, clock),
         duties=PlatformDuties(cfg.cloud_url, cfg.timeout, settings["node"].id),
-        engines=PlatformEngines(_ORDER_S),
+        engines=PlatformEngines(_ORDER_TIMEOUT_S),
     )
     return RelayProgram(settings, ports, metrics, clock, rng, opened)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for all tests: the same examples each run."""
+"""Hypothesis settings for all tests: the same examples in each run."""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/lib/clock.py
+++ b/tests/lib/clock.py
@@ -1,10 +1,10 @@
-"""A clock that moves only when told."""
+"""A clock that tests advance."""
 
 import asyncio
 
 
 class ManualClock:
-    """Clock whose sleepers wake when `advance` passes their time."""
+    """Clock whose sleeping tasks wake when `advance` passes their wake-up time."""
 
     def __init__(self, start: float = 1_000_000.0) -> None:
         self._now = start
@@ -22,7 +22,7 @@
         await fut
 
     async def advance(self, seconds: float) -> None:
-        """Move time forward, waking sleepers in order and letting them run."""
+        """Advance time; wake sleeping tasks in order and let each run."""
         end = self._now + seconds
         while True:
             await settle()
@@ -39,6 +39,6 @@
 
 
 async def settle(rounds: int = 20) -> None:
-    """Let every task that can run do so."""
+    """Run all tasks that are ready."""
     for _ in range(rounds):
         await asyncio.sleep(0)
--- a/tests/lib/cluster.py
+++ b/tests/lib/cluster.py
@@ -1,4 +1,4 @@
-"""Gateways and journals as processes, over a stand-in world in this process."""
+"""Runs gateways and journals as processes, with stand-ins in this process."""
 
 import asyncio
 import random
@@ -13,14 +13,14 @@
 from ebonydeal._internal.standin.world import StandinWorld
 from ebonydeal._internal.standin.worldspec import WorldSpec
 from ebonydeal._internal.utils.clock import SystemClock
-from tests.lib.processes import Launched, launch, wait_until_up
+from tests.lib.processes import RunningProgram, launch, wait_until_up
 
 MODEL = "covers-13b"
 AUTH = {"Authorization": f"Bearer {DEMO_KEYS['breakfast']}"}
 
 
 class Cluster:
-    """The programs of a small system; use as an async context."""
+    """The programs of a small system; an async context manager."""
 
     def __init__(
         self, folder: Path, *, gateways: int = 2, journals: int = 2, speed: float = 10.0
@@ -30,8 +30,8 @@
         spec = WorldSpec.from_document(document, replicas, speed=speed, list_lag=0.2)
         self.world = StandinWorld(spec)
         self.document = document
-        self.gateways: list[Launched] = []
-        self.journals: list[Launched] = []
+        self.gateways: list[RunningProgram] = []
+        self.journals: list[RunningProgram] = []
         self._folder = folder
         self._counts = (gateways, journals)
         self.session: ClientSession | None = None
@@ -82,7 +82,7 @@
         path.write_text(text)
         return str(path)
 
-    async def _gateway(self, number: int, peer_port: int) -> Launched:
+    async def _gateway(self, number: int, peer_port: int) -> RunningProgram:
         port = reserve_port()
         name = f"gateway-{number}"
         extra = f"[gateway]\nport = {port}\nsettle_seconds = 0.5\n"
@@ -90,7 +90,7 @@
         args = ["--settings", file]
         return await launch(name, "ebonydeal-gateway", args, port, self._folder)
 
-    async def _journal(self, number: int, peer_port: int) -> Launched:
+    async def _journal(self, number: int, peer_port: int) -> RunningProgram:
         port = reserve_port()
         name = f"journal-{number}"
         extra = (
@@ -107,12 +107,14 @@
     ) -> tuple[int, dict]:
         """Post to one gateway; return status and body."""
         url = self.gateways[gateway].url + path
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        async with self.session.post(url, json=body, headers=named) as resp:
+        header_fields = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        async with self.session.post(url, json=body, headers=header_fields) as resp:
             return resp.status, await resp.json()
 
     async def answer(self, request_id: str, gateway: int = 0) -> dict:
-        """Poll until the answer of an accepted request is there."""
+        """Poll until the answer of an accepted request is available."""
         url = f"{self.gateways[gateway].url}/v1/deferred/{request_id}/answer"
         async with asyncio.timeout(60):
             while True:
@@ -122,7 +124,7 @@
                 await asyncio.sleep(0.1)
 
     def service_runs(self, key: str) -> int:
-        """Return how often calls under an idempotency key ran, by the services."""
+        """Return how often services ran calls with an idempotency key."""
         runs = 0
         for log in self.world.logs():
             for entry in log["entries"]:
--- a/tests/lib/endpoints.py
+++ b/tests/lib/endpoints.py
@@ -1,4 +1,4 @@
-"""Builders of endpoint views and marks."""
+"""Builders of endpoint views and leaving marks, and a fake instance list."""
 
 from typing import Any
 
@@ -34,7 +34,7 @@
 
 
 class ListedInstances:
-    """An instance list that shows what the test puts into it."""
+    """Fake instance list with endpoints and nodes set by the test."""
 
     def __init__(self, *views: EndpointView) -> None:
         self.views = list(views)
--- a/tests/lib/fakes_endpoints.py
+++ b/tests/lib/fakes_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints for tests, started and stopped with a block."""
+"""Stand-in endpoints for tests, and a context manager that runs them."""
 
 import random
 from contextlib import asynccontextmanager
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def running(*services):
-    """Start services, and stop them after the block."""
+    """Start services, and stop them when the context exits."""
     for service in services:
         await service.start()
     try:
--- a/tests/lib/pages.py
+++ b/tests/lib/pages.py
@@ -1,4 +1,4 @@
-"""The project's pages, and what can be checked in them."""
+"""Finds commands, links and paths in the documentation pages."""
 
 import re
 import shlex
@@ -12,16 +12,25 @@
 )
 _FENCE = re.compile(r"^ *```(\w*)\s*$")
 _SHELL = ("sh", "console", "bash")
-_BREAKS = {"|", "||", "&", "&&", ";", ">", ">>", "<"}
+_SEPARATORS = {"|", "||", "&", "&&", ";", ">", ">>", "<"}
 _ASSIGNMENT = re.compile(r"^[A-Z_]+=")
 _LINK = re.compile(r"\]\(([^)\s]+)\)")
-# Shell completion calls a program for its script alone.
-_COMPLETION = "_EBONYDEAL_COMPLETE="
-_FOLDERS = ("docs/", "bench/", "tests/", "spec/", "deploy/", "news/", "src/", ".ci/")
+# Set when a shell calls a program only to print its completion script.
+_COMPLETION_VARIABLE = "_EBONYDEAL_COMPLETE="
+_FOLDER_PREFIXES = (
+    "docs/",
+    "bench/",
+    "tests/",
+    "spec/",
+    "deploy/",
+    "news/",
+    "src/",
+    ".ci/",
+)
 
 
-class Shown(NamedTuple):
-    """A command as a page shows it."""
+class ShownCommand(NamedTuple):
+    """A command shown on a page."""
 
     page: str
     line: int
@@ -36,7 +45,7 @@
 
 
 def code_lines(text: str) -> Iterator[tuple[int, str]]:
-    """Yield the lines of shell blocks: fenced, or indented by four spaces."""
+    """Yield the lines of shell blocks, fenced or indented by four spaces."""
     fence = None
     for number, line in enumerate(text.splitlines(), 1):
         match = _FENCE.match(line)
@@ -48,26 +57,26 @@
             yield number, line.strip().removeprefix("$ ")
 
 
-def joined(lines: Iterator[tuple[int, str]]) -> Iterator[tuple[int, str]]:
-    """Join lines that end with a backslash to the next."""
-    start, held = 0, ""
+def join_continuations(lines: Iterator[tuple[int, str]]) -> Iterator[tuple[int, str]]:
+    """Join each line that ends with a backslash with the next."""
+    start, joined = 0, ""
     for number, line in lines:
-        start = start if held else number
-        held += line.removesuffix("\\")
+        start = start if joined else number
+        joined += line.removesuffix("\\")
         if line.endswith("\\"):
             continue
-        yield start, held
-        held = ""
+        yield start, joined
+        joined = ""
 
 
-def _calls(line: str) -> Iterator[tuple[str, ...]]:
-    """Yield the simple commands of a line, without redirections."""
+def _simple_commands(line: str) -> Iterator[tuple[str, ...]]:
+    """Yield the simple commands of a line without redirections."""
     lexer = shlex.shlex(line, posix=True, punctuation_chars=True)
     lexer.whitespace_split = True
     words: list[str] = []
     keep = True
     for word in lexer:
-        if word in _BREAKS:
+        if word in _SEPARATORS:
             if words:
                 yield tuple(words)
             words = []
@@ -78,20 +87,22 @@
         yield tuple(words)
 
 
-def commands(page: Path) -> Iterator[Shown]:
-    """Yield the calls of the project's own programs that a page shows."""
-    for number, line in joined(code_lines(page.read_text(encoding="utf-8"))):
-        if "ebonydeal" not in line or _COMPLETION in line:
+def commands(page: Path) -> Iterator[ShownCommand]:
+    """Yield the calls of the project's programs on a page."""
+    for number, line in join_continuations(
+        code_lines(page.read_text(encoding="utf-8"))
+    ):
+        if "ebonydeal" not in line or _COMPLETION_VARIABLE in line:
             continue
-        for call in _calls(line):
+        for call in _simple_commands(line):
             words = [word for word in call if not _ASSIGNMENT.match(word)]
             if words and words[0].rsplit("/", 1)[-1].startswith("ebonydeal"):
                 program = words[0].rsplit("/", 1)[-1]
-                yield Shown(name(page), number, (program, *words[1:]))
+                yield ShownCommand(name(page), number, (program, *words[1:]))
 
 
 def links(page: Path) -> list[str]:
-    """Return the targets of relative links, without their anchors."""
+    """Return the targets of relative links without anchors."""
     found = _LINK.findall(page.read_text(encoding="utf-8"))
     targets = [link.split("#")[0] for link in found if "://" not in link]
     return [target for target in targets if target]
@@ -100,4 +111,4 @@
 def paths(page: Path) -> list[str]:
     """Return the files and folders that a page names by their path from the root."""
     quoted = re.findall(r"`([\w./*-]+)`", page.read_text(encoding="utf-8"))
-    return [path for path in quoted if path.startswith(_FOLDERS)]
+    return [path for path in quoted if path.startswith(_FOLDER_PREFIXES)]
--- a/tests/lib/processes.py
+++ b/tests/lib/processes.py
@@ -1,4 +1,4 @@
-"""The real programs as separate processes on loopback, for functional tests."""
+"""Runs the real programs as processes on loopback, for functional tests."""
 
 import asyncio
 import os
@@ -9,12 +9,12 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
-_START_TRIES = 300
-_TRY_SECONDS = 0.1
+_MAX_START_CHECKS = 300
+_START_CHECK_INTERVAL_S = 0.1
 
 
-class Launched(NamedTuple):
-    """A running program and where it listens."""
+class RunningProgram(NamedTuple):
+    """A running program and the port it listens on."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -45,8 +45,8 @@
 
 async def launch(
     name: str, program: str, args: list[str], port: int, folder: Path
-) -> Launched:
-    """Start an installed console script with its output in a file."""
+) -> RunningProgram:
+    """Start an installed console script; its output goes to a file."""
     log = folder / f"{name}.log"
     with log.open("wb") as out:
         process = await asyncio.create_subprocess_exec(
@@ -56,13 +56,13 @@
             stderr=out,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-    return Launched(name, process, port, log)
+    return RunningProgram(name, process, port, log)
 
 
-async def wait_until_up(program: Launched, path: str) -> None:
-    """Wait until ``path`` answers 200, or fail with the program's output."""
+async def wait_until_up(program: RunningProgram, path: str) -> None:
+    """Wait until ``path`` responds with 200, or fail with the program's output."""
     async with ClientSession(timeout=ClientTimeout(total=2)) as session:
-        for _ in range(_START_TRIES):
+        for _ in range(_MAX_START_CHECKS):
             if program.process.returncode is not None:
                 break
             try:
@@ -71,6 +71,6 @@
                         return
             except (ClientError, OSError, TimeoutError):
                 pass
-            await asyncio.sleep(_TRY_SECONDS)
+            await asyncio.sleep(_START_CHECK_INTERVAL_S)
     text = program.log.read_text(errors="replace")[-3000:]
-    raise AssertionError(f"{program.name} did not come up:\n{text}")
+    raise AssertionError(f"{program.name} did not start:\n{text}")
--- a/tests/unit/docs/test_pages.py
+++ b/tests/unit/docs/test_pages.py
@@ -11,7 +11,7 @@
     ROOT,
     code_lines,
     commands,
-    joined,
+    join_continuations,
     links,
     name,
     paths,
@@ -72,7 +72,7 @@
 class TestReading:
     def test_fenced_and_indented_blocks(self):
         text = "a\n```sh\n$ x 1\n```\n```ini\nno\n```\n    y \\\n        2\n"
-        assert list(joined(code_lines(text))) == [(3, "x 1"), (8, "y 2")]
+        assert list(join_continuations(code_lines(text))) == [(3, "x 1"), (8, "y 2")]
 
     def test_comments_pipes_and_assignments(self, tmp_path):
         page = ROOT / "docs" / "README.md"
--- a/tests/unit/relay/test_start.py
+++ b/tests/unit/relay/test_start.py
@@ -24,7 +24,7 @@
 )
 LIST = (
     "import sys, ebonydeal._internal.cli.relay as relay;"
-    "relay.register_lazy_modules(relay._UNUSED);"
+    "relay.register_lazy_modules(relay._LAZY_MODULES);"
     "import ebonydeal._internal.cli.relay_program, ebonydeal._internal.utils.run;"
     "print('\\n'.join(sorted(m.partition('.')[0] for m in sys.modules)))"
 )
