--- a/src/ebonydeal/_internal/cli/relay.py
+++ b/src/ebonydeal/_internal/cli/relay.py
@@ -24,7 +24,7 @@
 
 
 def _read_settings(args: Sequence[str]) -> dict[str, Any] | None:
-    """Return the settings, or None if the arguments or the file have mistakes."""
+    """Return the settings, or None for other arguments or a file with mistakes."""
     from ebonydeal._internal.settings.reading import read_sections
     from ebonydeal._internal.settings.registry import ALL_SECTIONS
 
--- a/src/ebonydeal/_internal/settings/controller.py
+++ b/src/ebonydeal/_internal/settings/controller.py
@@ -32,7 +32,7 @@
     ] = 30.0
     list_grace: Annotated[
         float,
-        Key("Time for which the cloud may not list a new instance.", "seconds", 0, 600),
+        Key("Maximum time until the cloud lists a new instance.", "seconds", 0, 600),
     ] = 20.0
     warm_timeout: Annotated[
         float, Key("Maximum time from start to warm.", "seconds", 1, _DAY)
--- a/src/ebonydeal/_internal/settings/gateway.py
+++ b/src/ebonydeal/_internal/settings/gateway.py
@@ -55,7 +55,7 @@
         Key("Rate at which an engine exports KV cache.", "gigabytes/s", 0.001, 10000),
     ] = 2.0
     notice_seconds: Annotated[
-        float, Key("Time until a reclaim assumed if unknown.", "seconds", 0, 3600)
+        float, Key("Notice time assumed if none is given.", "seconds", 0, 3600)
     ] = 2.0
     retention_seconds: Annotated[
         float, Key("Time for which a broken stream can be resumed.", "seconds", 0, 3600)
--- a/src/ebonydeal/_internal/settings/policy.py
+++ b/src/ebonydeal/_internal/settings/policy.py
@@ -205,7 +205,12 @@
     ] = 0.7
     fleet_use_last: Annotated[
         float,
-        Key("The same after the two zones with the most are; 0 is off.", "", 0, 10),
+        Key(
+            "The same after the two zones with the most are reclaimed; 0 is off.",
+            "",
+            0,
+            10,
+        ),
     ] = 0.7
     fleet_use_wave: Annotated[
         float,
--- a/src/ebonydeal/_internal/settings/sections.py
+++ b/src/ebonydeal/_internal/settings/sections.py
@@ -31,7 +31,7 @@
         float, Key("Timeout of one platform call.", "seconds", 0.05, 60)
     ] = 2.0
     table_writes_per_s: Annotated[
-        float, Key("Table writes by all nodes of the system.", "writes/s", 1, 100000)
+        float, Key("Table writes allowed to all nodes together.", "writes/s", 1, 100000)
     ] = 300.0
 
 
