--- a/src/ebonydeal/_internal/benchmarks/gateway/sides.py
+++ b/src/ebonydeal/_internal/benchmarks/gateway/sides.py
@@ -10,11 +10,11 @@
 from mode import Service
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
+from ebonydeal._internal.gateway.admission_queue import AdmissionQueue
 from ebonydeal._internal.gateway.budget import RetryBudget
-from ebonydeal._internal.gateway.desk import AdmissionDesk
 from ebonydeal._internal.gateway.parts import GatewayConfig, GatewayPorts
 from ebonydeal._internal.gateway.program import GatewayProgram
-from ebonydeal._internal.gateway.routes import RouterRoutes
+from ebonydeal._internal.gateway.routes import RouterAdapter
 from ebonydeal._internal.models.document import Document
 from ebonydeal._internal.models.endpoints import (
     EndpointKind,
@@ -193,7 +193,7 @@
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
         return
 
-    async def ask(
+    async def call(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         raise EbonydealError(ErrorKind.CONNECT_FAILED, address)
@@ -223,8 +223,8 @@
     trails = Trails(cfg.explain_requests)
     admission = Admission.from_config(AdmissionSettings(), "gateway-1", rng)
     router = Router.from_config(RoutingSettings(), rng)
-    routes = RouterRoutes(router, directory, _PLACE)
-    desk = AdmissionDesk(
+    routes = RouterAdapter(router, directory, _PLACE)
+    desk = AdmissionQueue(
         admission, routes.capacity, config, metrics, trails, clock, rng
     )
     ports = GatewayPorts(
--- a/src/ebonydeal/_internal/gateway/desk.py
+++ b/src/ebonydeal/_internal/gateway/admission_queue.py
@@ -29,7 +29,7 @@
 class _Ticket:
     """An admitted request's share of the limits."""
 
-    def __init__(self, desk: "AdmissionDesk", ticket_id: str) -> None:
+    def __init__(self, desk: "AdmissionQueue", ticket_id: str) -> None:
         self._desk = desk
         self._id = ticket_id
 
@@ -51,7 +51,7 @@
         self._limits.settle(self._account, 0.0, float(tokens), self._clock.wall())
 
 
-class AdmissionDesk(Service):
+class AdmissionQueue(Service):
     """Lets requests wait until the admission decisions let them start.
 
     Parameters
@@ -114,7 +114,7 @@
         self._metrics.timed(Timing.QUEUE, self._clock.now() - started)
         return _Ticket(self, ask.request_id)
 
-    def admit_later(self, request: Request) -> Ticket:
+    def admit_deferred(self, request: Request) -> Ticket:
         """Count a request that runs later; raises RATE_LIMITED at once.
 
         It needs no endpoint now, so it neither waits nor takes a slot.
--- a/src/ebonydeal/_internal/gateway/answers.py
+++ b/src/ebonydeal/_internal/gateway/answers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.gateway.live import Piece
+from ebonydeal._internal.gateway.live_stream import Piece
 from ebonydeal._internal.models.requests import RequestKind
 
 DONE = b"data: [DONE]\n\n"
@@ -31,7 +31,7 @@
     )
 
 
-class AnswerShape:
+class AnswerBuilder:
     """Builds the objects of one answer.
 
     Parameters
--- a/src/ebonydeal/_internal/gateway/api.py
+++ b/src/ebonydeal/_internal/gateway/api.py
@@ -9,11 +9,11 @@
 from aiohttp import web
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
+from ebonydeal._internal.gateway.caller_errors import for_caller
 from ebonydeal._internal.gateway.deferred import DEFERRED_PATH, Deferred
 from ebonydeal._internal.gateway.generation import Generation
 from ebonydeal._internal.gateway.intake import PATHS, REQUEST_ID, Intake, ran_perhaps
 from ebonydeal._internal.gateway.services import Services
-from ebonydeal._internal.gateway.told import for_caller
 from ebonydeal._internal.models.requests import RequestKind
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.trail import Step, Trails
--- a/src/ebonydeal/_internal/gateway/budget.py
+++ b/src/ebonydeal/_internal/gateway/budget.py
@@ -1,7 +1,7 @@
 """`RetryPort` on top of the retry policy."""
 
 from ebonydeal._internal.errors import EbonydealError
-from ebonydeal._internal.gateway.ports import TryFailure
+from ebonydeal._internal.gateway.ports import FailedAttempt
 from ebonydeal._internal.routing.retries.retries import (
     Failure,
     GiveUp,
@@ -22,12 +22,12 @@
     def __init__(self, policy: RetryPolicy) -> None:
         self._policy = policy
 
-    def first_send(self, deployment: str, now: float) -> None:
+    def record_first_send(self, deployment: str, now: float) -> None:
         """Count a request's first try, from which the budget grows."""
         self._policy.record_first_send(deployment, now)
 
-    def delay(
-        self, failure: TryFailure, tries: int, now: float
+    def next_delay(
+        self, failure: FailedAttempt, tries: int, now: float
     ) -> float | EbonydealError:
         """Return seconds until the next try, or the error to give up with."""
         asked = Failure(
@@ -44,6 +44,6 @@
             case GiveUp(kind=kind, retry_after=wait, reason=why):
                 return EbonydealError(kind, why, retry_after=wait)
 
-    def may_hedge(self, deployment: str, deadline: float, now: float) -> bool:
+    def try_hedge(self, deployment: str, deadline: float, now: float) -> bool:
         """Take a hedge from the budget; return whether it allowed one."""
         return self._policy.try_hedge(deployment, True, deadline, now)
--- a/src/ebonydeal/_internal/gateway/deferred.py
+++ b/src/ebonydeal/_internal/gateway/deferred.py
@@ -96,7 +96,7 @@
         request, deployment = parts.intake.generation(
             call, account, req[REQUEST_ID], times, raw
         )
-        ticket = parts.admission.admit_later(request)
+        ticket = parts.admission.admit_deferred(request)
         req[JOURNAL_ASKED] = True
         try:
             status = await parts.journal.accept(request)
--- a/src/ebonydeal/_internal/gateway/direct.py
+++ b/src/ebonydeal/_internal/gateway/direct_calls.py
@@ -8,16 +8,16 @@
 
 from ebonydeal._internal.directory.crash_guard import CrashGuard
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.health import Health, incarnation_of
-from ebonydeal._internal.gateway.live import retry_reason
+from ebonydeal._internal.gateway.endpoint_health import EndpointHealth, incarnation_of
+from ebonydeal._internal.gateway.live_stream import retry_reason
 from ebonydeal._internal.gateway.ports import (
     DirectoryPort,
+    EndpointQuery,
+    FailedAttempt,
     Incarnation,
     RetryPort,
     Route,
-    RouteAsk,
     RoutePort,
-    TryFailure,
 )
 from ebonydeal._internal.models.document import Deployment
 from ebonydeal._internal.models.requests import Request
@@ -46,7 +46,7 @@
     routes: RoutePort
     retries: RetryPort
     directory: DirectoryPort
-    health: Health
+    health: EndpointHealth
     crashes: CrashGuard
     metrics: Metrics
     trails: Trails
@@ -73,7 +73,7 @@
         """Call endpoints until one answers."""
         parts = self._parts
         name = call.deployment.name
-        parts.retries.first_send(name, parts.clock.wall())
+        parts.retries.record_first_send(name, parts.clock.wall())
         avoid: set[Incarnation] = set()
         tries = 0
         while True:
@@ -101,10 +101,10 @@
         parts = self._parts
         now = parts.clock.wall()
         views = parts.directory.views(call.deployment.name)
-        if parts.health.any_works(views, avoid, now):
+        if parts.health.any_working(views, avoid, now):
             wait: float | EbonydealError = 0.0
         else:
-            failure = TryFailure(
+            failure = FailedAttempt(
                 kind=error.kind,
                 deployment=call.deployment.name,
                 idempotent=True,
@@ -112,7 +112,7 @@
                 first_byte=False,
                 deadline=call.request.deadline,
             )
-            wait = parts.retries.delay(failure, tries, now)
+            wait = parts.retries.next_delay(failure, tries, now)
         if isinstance(wait, EbonydealError):
             raise wait
         parts.metrics.retried(retry_reason(error.kind, 0))
@@ -129,7 +129,7 @@
         """Return where to call; raises NO_ENDPOINT."""
         parts = self._parts
         now = parts.clock.wall()
-        ask = RouteAsk(call.request, call.deployment, "", avoid=frozenset(avoid))
+        ask = EndpointQuery(call.request, call.deployment, "", avoid=frozenset(avoid))
         route = parts.routes.choose(ask, now)
         if route is None and avoid:
             avoid.clear()
@@ -162,7 +162,7 @@
         if all(incarnation_of(view) in avoid for view in views):
             return False
         now = self._parts.clock.wall()
-        return self._parts.retries.may_hedge(
+        return self._parts.retries.try_hedge(
             call.deployment.name, call.request.deadline, now
         )
 
@@ -172,7 +172,7 @@
         """Start a second try at another endpoint, if routing has one."""
         parts = self._parts
         now = parts.clock.wall()
-        ask = RouteAsk(call.request, call.deployment, "", avoid=frozenset(avoid))
+        ask = EndpointQuery(call.request, call.deployment, "", avoid=frozenset(avoid))
         route = parts.routes.choose(ask, now)
         if route is None:
             return set()
@@ -218,8 +218,8 @@
             )
         except EbonydealError as exc:
             now = parts.clock.wall()
-            parts.health.failed(route.endpoint, now)
-            parts.routes.failed(route, exc.kind, now)
+            parts.health.record_failure(route.endpoint, now)
+            parts.routes.record_failure(route, exc.kind, now)
             await parts.crashes.failed(request, route.endpoint, exc.kind)
             parts.trails.note(
                 request.request_id,
@@ -230,11 +230,11 @@
             )
             raise
         except asyncio.CancelledError:
-            parts.routes.finished(route, 0, parts.clock.wall())
+            parts.routes.record_finished(route, 0, parts.clock.wall())
             raise
         now = parts.clock.wall()
-        parts.health.worked(route.endpoint, now)
-        parts.routes.finished(route, 0, now)
+        parts.health.record_success(route.endpoint, now)
+        parts.routes.record_finished(route, 0, now)
         parts.crashes.answered(request, answer.status)
         return answer
 
--- a/src/ebonydeal/_internal/gateway/health.py
+++ b/src/ebonydeal/_internal/gateway/endpoint_health.py
@@ -16,7 +16,7 @@
     return (view.endpoint_id, view.incarnation)
 
 
-class Health:
+class EndpointHealth:
     """The last word of each endpoint: worked, or failed.
 
     A request that lost its endpoint may go on without drawing on the retry
@@ -36,27 +36,29 @@
         self._fresh = fresh_s
         self._words: OrderedDict[Incarnation, tuple[bool, float]] = OrderedDict()
 
-    def worked(self, view: EndpointView, now: float) -> None:
+    def record_success(self, view: EndpointView, now: float) -> None:
         """Note that tokens or an answer came from ``view``."""
         self._note(view, True, now)
 
-    def failed(self, view: EndpointView, now: float) -> None:
+    def record_failure(self, view: EndpointView, now: float) -> None:
         """Note that a try at ``view`` failed."""
         self._note(view, False, now)
 
-    def works(self, view: EndpointView, now: float) -> bool:
+    def is_working(self, view: EndpointView, now: float) -> bool:
         """Return whether an endpoint is known to work; ``now`` is wall clock."""
         word = self._words.get(incarnation_of(view))
         if word is not None and now - word[1] <= self._fresh:
             return word[0]
         return view.load is not None and now - view.load.at <= _LOAD_FRESH_S
 
-    def any_works(
+    def any_working(
         self, views: Iterable[EndpointView], avoid: Set[Incarnation], now: float
     ) -> bool:
         """Return whether any of ``views`` but those in ``avoid`` works."""
         return any(
-            self.works(view, now) for view in views if incarnation_of(view) not in avoid
+            self.is_working(view, now)
+            for view in views
+            if incarnation_of(view) not in avoid
         )
 
     def _note(self, view: EndpointView, good: bool, now: float) -> None:
--- a/src/ebonydeal/_internal/gateway/watchset.py
+++ b/src/ebonydeal/_internal/gateway/endpoint_subset.py
@@ -21,7 +21,7 @@
         """Return all listed endpoints."""
 
 
-class WatchSet(Service):
+class EndpointSubset(Service):
     """Chooses the endpoints that this gateway sends to and polls.
 
     Parameters
--- a/src/ebonydeal/_internal/gateway/events.py
+++ b/src/ebonydeal/_internal/gateway/events.py
@@ -15,13 +15,13 @@
 from xxhash import xxh3_64
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.live import Piece
+from ebonydeal._internal.gateway.live_stream import Piece
 
 _TAG_BYTES = 12
 _MAX_CHARS = 2048
 
 
-class EventHint(NamedTuple):
+class ResumePoint(NamedTuple):
     """What an event id tells.
 
     Attributes
@@ -100,7 +100,7 @@
     account : str
         Client account of the answer.
     request_id, gateway : str
-        See `EventHint`.
+        See `ResumePoint`.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
         return f"{text}.{_tag(self._key, self._account, text)}"
 
 
-def read_event_id(event_id: str, credential: str, account: str) -> EventHint:
+def read_event_id(event_id: str, credential: str, account: str) -> ResumePoint:
     """Return the hint of an event id; raises BAD_REQUEST for any other text."""
     wrong = EbonydealError(
         ErrorKind.BAD_REQUEST, "Last-Event-ID is not one of this account's"
@@ -148,7 +148,7 @@
         head, position, digest = text.split(".")
         fields = msgspec.json.decode(urlsafe_b64decode(head))
         request_id, gateway, endpoint_id, incarnation, attempt = fields
-        return EventHint(
+        return ResumePoint(
             request_id,
             gateway,
             endpoint_id,
--- a/src/ebonydeal/_internal/gateway/generation.py
+++ b/src/ebonydeal/_internal/gateway/generation.py
@@ -9,25 +9,25 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.answers import (
     DONE,
-    AnswerShape,
+    AnswerBuilder,
     Usage,
     error_event,
     usage,
 )
-from ebonydeal._internal.gateway.events import EventHint, EventIds, read_event_id
+from ebonydeal._internal.gateway.caller_errors import for_caller
+from ebonydeal._internal.gateway.events import EventIds, ResumePoint, read_event_id
 from ebonydeal._internal.gateway.intake import REQUEST_ID, Intake, new_job, ran_perhaps
-from ebonydeal._internal.gateway.live import LiveStream, Piece
+from ebonydeal._internal.gateway.live_stream import LiveStream, Piece
 from ebonydeal._internal.gateway.output import StreamOutput
 from ebonydeal._internal.gateway.parse import GenerationCall, parse_generation
 from ebonydeal._internal.gateway.ports import AdmissionPort, PeerPort, Ticket
 from ebonydeal._internal.gateway.reconnect import (
-    ParkedStreams,
+    DeliveredTokenFilter,
     Reconnector,
-    SkipDelivered,
+    RetainedAnswers,
     caller_has,
 )
-from ebonydeal._internal.gateway.streams import Relay
-from ebonydeal._internal.gateway.told import for_caller
+from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.models.requests import RequestKind
 from ebonydeal._internal.observe.counters import Event, Metrics, Timing
 from ebonydeal._internal.observe.trail import Step, Trails
@@ -42,10 +42,10 @@
 
     intake: Intake
     admission: AdmissionPort
-    relay: Relay
+    runner: StreamRunner
     reconnector: Reconnector
-    left: ParkedStreams
-    finished: ParkedStreams
+    left: RetainedAnswers
+    finished: RetainedAnswers
     metrics: Metrics
     trails: Trails
     clock: Clock
@@ -134,7 +134,7 @@
 
     def _hint(
         self, req: web.Request, account: str, call: GenerationCall
-    ) -> EventHint | None:
+    ) -> ResumePoint | None:
         """Return how far a caller that comes back was."""
         event_id = req.headers.get(LAST_EVENT_HEADER)
         if event_id is None:
@@ -154,12 +154,12 @@
         req: web.Request,
         call: GenerationCall,
         live: LiveStream,
-        hint: EventHint | None,
+        hint: ResumePoint | None,
         started: float,
     ) -> web.StreamResponse:
         """Generate and send the answer, as a stream or whole."""
         request = live.job.request
-        shape = AnswerShape(
+        shape = AnswerBuilder(
             call.kind, request.request_id, call.model, request.accepted_at
         )
         transport = req.transport
@@ -170,10 +170,10 @@
         return await self._whole(live, shape, started)
 
     async def _whole(
-        self, live: LiveStream, shape: AnswerShape, started: float
+        self, live: LiveStream, shape: AnswerBuilder, started: float
     ) -> web.Response:
         """Return the whole answer."""
-        async with aclosing(self._parts.relay.run(live)) as batches:
+        async with aclosing(self._parts.runner.run(live)) as batches:
             async for _batch in batches:
                 started = self._first(started)
         text = "".join(live.delivered)
@@ -198,8 +198,8 @@
         req: web.Request,
         call: GenerationCall,
         live: LiveStream,
-        hint: EventHint | None,
-        shape: AnswerShape,
+        hint: ResumePoint | None,
+        shape: AnswerBuilder,
         started: float,
     ) -> web.StreamResponse:
         """Send the answer as events."""
@@ -231,7 +231,7 @@
         self,
         out: StreamOutput,
         live: LiveStream,
-        hint: EventHint | None,
+        hint: ResumePoint | None,
         ids: EventIds,
         started: float,
     ) -> bytes:
@@ -239,10 +239,10 @@
         clock = self._parts.clock
         skip = None
         if hint is not None and not live.delivered:
-            skip = SkipDelivered(hint)
+            skip = DeliveredTokenFilter(hint)
         if hint is not None and live.delivered:
             await self._replay(out, live, hint, ids)
-        async with aclosing(self._parts.relay.run(live)) as batches:
+        async with aclosing(self._parts.runner.run(live)) as batches:
             async for batch in batches:
                 data = b"".join(
                     out.event(piece) for piece in _lacking(batch, skip, ids)
@@ -256,7 +256,7 @@
         return b""
 
     async def _replay(
-        self, out: StreamOutput, live: LiveStream, hint: EventHint, ids: EventIds
+        self, out: StreamOutput, live: LiveStream, hint: ResumePoint, ids: EventIds
     ) -> None:
         """Write the kept pieces that the caller lacks."""
         has = caller_has(hint, live.delivered, live.finish)
@@ -298,7 +298,7 @@
 
 
 def _lacking(
-    batch: list[Piece], skip: SkipDelivered | None, ids: EventIds
+    batch: list[Piece], skip: DeliveredTokenFilter | None, ids: EventIds
 ) -> list[Piece]:
     """Return the pieces that the caller lacks."""
     if skip is None:
--- a/src/ebonydeal/_internal/gateway/intake.py
+++ b/src/ebonydeal/_internal/gateway/intake.py
@@ -8,7 +8,7 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.auth import Authenticator
-from ebonydeal._internal.gateway.live import Job
+from ebonydeal._internal.gateway.live_stream import Job
 from ebonydeal._internal.gateway.parse import (
     KEY_HEADER,
     CallOptions,
--- a/src/ebonydeal/_internal/gateway/live.py
+++ b/src/ebonydeal/_internal/gateway/live_stream.py
@@ -7,14 +7,14 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.attempts import Attempt
-from ebonydeal._internal.gateway.ports import Incarnation, RouteAsk
+from ebonydeal._internal.gateway.ports import EndpointQuery, Incarnation
 from ebonydeal._internal.models.document import Deployment
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.models.requests import Request
 from ebonydeal._internal.observe.counters import Event, RetryReason
 
 
-class MoveCause(StrEnum):
+class ResumeCause(StrEnum):
     """Why an answer goes on with another try."""
 
     FAILED = "failed"
@@ -24,10 +24,10 @@
 
 
 RECOMPUTED = {
-    MoveCause.FAILED: Event.TOKENS_RECOMPUTED_RESUME,
-    MoveCause.STALLED: Event.TOKENS_RECOMPUTED_STALL,
-    MoveCause.RECLAIM: Event.TOKENS_RECOMPUTED_RECLAIM,
-    MoveCause.RECONNECT: Event.TOKENS_RECOMPUTED_RECONNECT,
+    ResumeCause.FAILED: Event.TOKENS_RECOMPUTED_RESUME,
+    ResumeCause.STALLED: Event.TOKENS_RECOMPUTED_STALL,
+    ResumeCause.RECLAIM: Event.TOKENS_RECOMPUTED_RECLAIM,
+    ResumeCause.RECONNECT: Event.TOKENS_RECOMPUTED_RECONNECT,
 }
 
 _REASONS = {
@@ -134,7 +134,7 @@
     fruitless: int = 0
     moving: bool = False
     planned: Attempt | None = None
-    cause: MoveCause | None = None
+    cause: ResumeCause | None = None
     target: EndpointView | None = None
     kv_handle: str = ""
     prefer: Incarnation | None = None
@@ -159,10 +159,10 @@
         view = self.attempt.route.endpoint
         return (view.endpoint_id, view.incarnation)
 
-    def ask(self) -> RouteAsk:
+    def ask(self) -> EndpointQuery:
         """Return what an endpoint is wanted for."""
         job = self.job
-        return RouteAsk(
+        return EndpointQuery(
             request=job.request,
             deployment=job.deployment,
             model=job.model,
--- a/src/ebonydeal/_internal/gateway/moves.py
+++ b/src/ebonydeal/_internal/gateway/migration_inputs.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from ebonydeal._internal.gateway.attempts import Attempt
-from ebonydeal._internal.gateway.live import LiveStream
+from ebonydeal._internal.gateway.live_stream import LiveStream
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.routing.reclaim.migration_plan import (
     MigrationTarget,
@@ -16,7 +16,7 @@
 _ROOM_UNKNOWN = 4
 
 
-class Affected(NamedTuple):
+class AffectedStream(NamedTuple):
     """A running stream whose endpoint leaves."""
 
     live: LiveStream
@@ -29,12 +29,14 @@
         return live.attempt is self.attempt and not live.moving and not live.finish
 
 
-def stream_key(item: Affected) -> str:
+def stream_key(item: AffectedStream) -> str:
     """Return what the planner knows a stream by; one request may run twice."""
     return item.attempt.attempt_id
 
 
-def running_stream(item: Affected, cfg: GatewaySettings, now: float) -> RunningStream:
+def running_stream(
+    item: AffectedStream, cfg: GatewaySettings, now: float
+) -> RunningStream:
     """Return what the planner needs to know of a stream.
 
     Parameters
@@ -60,7 +62,7 @@
     )
 
 
-def _rate(item: Affected, now: float) -> float:
+def _rate(item: AffectedStream, now: float) -> float:
     """Return the tokens a second of the running try; 0.0 before the first."""
     first_at = item.attempt.first_at
     if first_at is None or now <= first_at:
@@ -83,7 +85,7 @@
     return max(0, view.load.slots - view.load.running - view.load.waiting)
 
 
-def export_rate(affected: Sequence[Affected], gb_per_s: float) -> float:
+def export_rate(affected: Sequence[AffectedStream], gb_per_s: float) -> float:
     """Return this gateway's part of the sources' export rate, gigabytes a second.
 
     Other gateways export from the same engines at the same time, so the part is
--- a/src/ebonydeal/_internal/gateway/output.py
+++ b/src/ebonydeal/_internal/gateway/output.py
@@ -2,9 +2,9 @@
 
 from aiohttp import web
 
-from ebonydeal._internal.gateway.answers import AnswerShape
+from ebonydeal._internal.gateway.answers import AnswerBuilder
 from ebonydeal._internal.gateway.events import EventIds
-from ebonydeal._internal.gateway.live import LiveStream, Piece
+from ebonydeal._internal.gateway.live_stream import LiveStream, Piece
 
 _STREAM_HEADERS = {
     "Content-Type": "text/event-stream; charset=utf-8",
@@ -28,7 +28,7 @@
     """
 
     def __init__(
-        self, req: web.Request, live: LiveStream, ids: EventIds, shape: AnswerShape
+        self, req: web.Request, live: LiveStream, ids: EventIds, shape: AnswerBuilder
     ) -> None:
         self._req = req
         self._live = live
--- a/src/ebonydeal/_internal/gateway/planned.py
+++ b/src/ebonydeal/_internal/gateway/planned_migrations.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-from ebonydeal._internal.gateway.moves import Affected, stream_key
+from ebonydeal._internal.gateway.migration_inputs import AffectedStream, stream_key
 
 
-class Planned(NamedTuple):
+class PlannedMigration(NamedTuple):
     """The newest plan of one stream.
 
     Attributes
@@ -18,26 +18,26 @@
         Availability zones being reclaimed.
     """
 
-    item: Affected
+    item: AffectedStream
     number: int
     zones: frozenset[str]
 
 
-class PlannedMoves:
+class PlannedMigrations:
     """Keeps the newest plan of each stream, so that a source is planned as one."""
 
     def __init__(self) -> None:
         self._number = 0
-        self._planned: dict[str, Planned] = {}
+        self._planned: dict[str, PlannedMigration] = {}
         self._exports: dict[str, tuple[str, float]] = {}
 
-    def add(self, item: Affected, zones: frozenset[str]) -> int:
+    def add(self, item: AffectedStream, zones: frozenset[str]) -> int:
         """Keep a plan in place of the stream's former one; return its number."""
         self._number += 1
-        self._planned[stream_key(item)] = Planned(item, self._number, zones)
+        self._planned[stream_key(item)] = PlannedMigration(item, self._number, zones)
         return self._number
 
-    def begin(self, item: Affected, number: int) -> bool:
+    def begin(self, item: AffectedStream, number: int) -> bool:
         """Return whether a due move still holds; it is no longer planned then."""
         key = stream_key(item)
         planned = self._planned.get(key)
@@ -46,7 +46,7 @@
         del self._planned[key]
         return item.is_current
 
-    def at_source(self, endpoint_id: str) -> list[Planned]:
+    def at_source(self, endpoint_id: str) -> list[PlannedMigration]:
         """Return the streams of an endpoint whose planned move has not begun."""
         return [
             planned
@@ -55,12 +55,12 @@
             and planned.item.is_current
         ]
 
-    def export_begins(self, item: Affected, until: float) -> None:
+    def export_begins(self, item: AffectedStream, until: float) -> None:
         """Note an export, and when it is expected to be over."""
         source = item.attempt.route.endpoint.endpoint_id
         self._exports[stream_key(item)] = (source, until)
 
-    def export_ended(self, item: Affected) -> None:
+    def export_ended(self, item: AffectedStream) -> None:
         """Forget an export."""
         self._exports.pop(stream_key(item), None)
 
--- a/src/ebonydeal/_internal/gateway/ports.py
+++ b/src/ebonydeal/_internal/gateway/ports.py
@@ -18,7 +18,7 @@
 Incarnation = tuple[str, int]
 
 
-class RouteAsk(NamedTuple):
+class EndpointQuery(NamedTuple):
     """What an endpoint is wanted for.
 
     Attributes
@@ -66,24 +66,24 @@
     endpoint: EndpointView
     scores: list[dict[str, Any]]
     choice: Any = None
-    missed_tokens: int = 0
+    cached_elsewhere_tokens: int = 0
 
 
 class RoutePort(Protocol):
     """Chooses endpoints and learns from what became of each try."""
 
-    def choose(self, ask: RouteAsk, now: float) -> Route | None:
+    def choose(self, ask: EndpointQuery, now: float) -> Route | None:
         """Return the best endpoint, already counted as sent, or None."""
 
-    def first_token(
+    def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
     ) -> None:
         """Report the first token and what the prefix cache really held."""
 
-    def finished(self, route: Route, tokens: int, now: float) -> None:
+    def record_finished(self, route: Route, tokens: int, now: float) -> None:
         """Report a whole answer, or a try that ended by our own wish."""
 
-    def failed(self, route: Route, kind: ErrorKind, now: float) -> None:
+    def record_failure(self, route: Route, kind: ErrorKind, now: float) -> None:
         """Report a failed try."""
 
 
@@ -100,11 +100,11 @@
     async def admit(self, request: Request, deployment: Deployment) -> Ticket:
         """Return when admitted; raises the refusal's `EbonydealError`."""
 
-    def admit_later(self, request: Request) -> Ticket:
+    def admit_deferred(self, request: Request) -> Ticket:
         """Count a request that runs later; raises RATE_LIMITED at once."""
 
 
-class TryFailure(NamedTuple):
+class FailedAttempt(NamedTuple):
     """A try that failed.
 
     Attributes
@@ -134,15 +134,15 @@
 class RetryPort(Protocol):
     """Decides on further tries within the deployment's budget."""
 
-    def first_send(self, deployment: str, now: float) -> None:
+    def record_first_send(self, deployment: str, now: float) -> None:
         """Count a request's first try, from which the budget grows."""
 
-    def delay(
-        self, failure: TryFailure, tries: int, now: float
+    def next_delay(
+        self, failure: FailedAttempt, tries: int, now: float
     ) -> float | EbonydealError:
         """Return seconds until the next try, or the error to give up with."""
 
-    def may_hedge(self, deployment: str, deadline: float, now: float) -> bool:
+    def try_hedge(self, deployment: str, deadline: float, now: float) -> bool:
         """Take a hedge from the budget; return whether it allowed one."""
 
 
@@ -175,7 +175,7 @@
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
         """Serve further routes on the peer listener; before the start."""
 
-    async def ask(
+    async def call(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         """Call another gateway; raises its `EbonydealError`."""
--- a/src/ebonydeal/_internal/gateway/program.py
+++ b/src/ebonydeal/_internal/gateway/program.py
@@ -12,20 +12,20 @@
 from ebonydeal._internal.gateway.api import Api, ApiParts
 from ebonydeal._internal.gateway.background import Background
 from ebonydeal._internal.gateway.deferred import Deferred, DeferredParts
-from ebonydeal._internal.gateway.direct import DirectParts
+from ebonydeal._internal.gateway.direct_calls import DirectParts
+from ebonydeal._internal.gateway.endpoint_health import EndpointHealth
 from ebonydeal._internal.gateway.generation import Generation, GenerationParts
-from ebonydeal._internal.gateway.health import Health
 from ebonydeal._internal.gateway.intake import Intake
 from ebonydeal._internal.gateway.parts import GatewayConfig, GatewayPorts
-from ebonydeal._internal.gateway.reclaim import Reclaim, ReclaimParts
 from ebonydeal._internal.gateway.reconnect import (
     RESUME_PATH,
-    ParkedStreams,
     Reconnector,
+    RetainedAnswers,
 )
 from ebonydeal._internal.gateway.services import ServiceParts, Services
-from ebonydeal._internal.gateway.streams import Relay, RelayParts
-from ebonydeal._internal.gateway.watch import StreamWatch
+from ebonydeal._internal.gateway.stream_migrator import MigratorParts, StreamMigrator
+from ebonydeal._internal.gateway.stream_runner import StreamRunner, StreamRunnerParts
+from ebonydeal._internal.gateway.stream_watchdog import StreamWatchdog
 from ebonydeal._internal.gateway.wiring import wire
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.logs import get_logger
@@ -78,21 +78,21 @@
         self.draining = False
         self.trails = ports.trails
         self._background = Background()
-        self._health = Health(_HEALTH_FRESH_S)
+        self._health = EndpointHealth(_HEALTH_FRESH_S)
         self._crashes = CrashGuard(metrics, clock)
         self._intake = Intake(ports.config, cfg.gateway, cfg.shards, clock, rng)
         self._left = self._new_parked()
         self._finished = self._new_parked()
-        self.relay = self._new_relay()
+        self.stream_runner = self._new_runner()
         self._reconnector = Reconnector(
-            self.relay,
+            self.stream_runner,
             self._left,
             self._finished,
             ports.peers,
             metrics,
             clock,
         )
-        self._reclaim = self._new_reclaim()
+        self._migrator = self._new_migrator()
         self._server = self._new_server()
         ports.peers.add_routes([web.post(RESUME_PATH, self._resume_for_peer)])
 
@@ -123,8 +123,8 @@
         """Start the other parts, then the gateway's own, the listener last."""
         own: Iterable[Service] = (
             self._background,
-            StreamWatch(self.relay, self._cfg.gateway, self._clock),
-            self._reclaim,
+            StreamWatchdog(self.stream_runner, self._cfg.gateway, self._clock),
+            self._migrator,
             self._server,
         )
         for child in (*self.ports.children, *own):
@@ -134,18 +134,18 @@
     async def on_stop(self) -> None:
         """Leave the balancer, let what runs finish, then close the listener."""
         self.draining = True
-        logger.info("Draining.", streams=len(self.relay.live))
+        logger.info("Draining.", streams=len(self.stream_runner.live_streams))
         await self._clock.sleep(self._cfg.gateway.settle_seconds)
         await self._server.stop()
 
     # --- building ---
-    def _new_parked(self) -> ParkedStreams:
+    def _new_parked(self) -> RetainedAnswers:
         cfg = self._cfg.gateway
-        return ParkedStreams(cfg.retention_seconds, cfg.retention_tokens // 2)
+        return RetainedAnswers(cfg.retention_seconds, cfg.retention_tokens // 2)
 
-    def _new_relay(self) -> Relay:
+    def _new_runner(self) -> StreamRunner:
         ports = self.ports
-        parts = RelayParts(
+        parts = StreamRunnerParts(
             engine=ports.engine,
             routes=ports.routes,
             retries=ports.retries,
@@ -157,11 +157,11 @@
             clock=self._clock,
             rng=self._rng,
         )
-        return Relay(parts, self._cfg.gateway, self._background.spawn)
+        return StreamRunner(parts, self._cfg.gateway, self._background.spawn)
 
-    def _new_reclaim(self) -> Reclaim:
-        parts = ReclaimParts(
-            relay=self.relay,
+    def _new_migrator(self) -> StreamMigrator:
+        parts = MigratorParts(
+            runner=self.stream_runner,
             engine=self.ports.engine,
             directory=self.ports.directory,
             metrics=self._metrics,
@@ -169,7 +169,7 @@
             clock=self._clock,
             background=self._background.spawn,
         )
-        return Reclaim(parts, self._cfg.gateway)
+        return StreamMigrator(parts, self._cfg.gateway)
 
     def _new_server(self) -> HttpServer:
         cfg = self._cfg.gateway
@@ -197,7 +197,7 @@
         parts = GenerationParts(
             intake=self._intake,
             admission=self.ports.admission,
-            relay=self.relay,
+            runner=self.stream_runner,
             reconnector=self._reconnector,
             left=self._left,
             finished=self._finished,
@@ -246,7 +246,7 @@
         )
 
     # --- for other gateways ---
-    async def hand_over(self, message: dict[str, Any]) -> dict[str, Any]:
+    async def answer_for_peer(self, message: dict[str, Any]) -> dict[str, Any]:
         """Return an answer whose caller went on to another gateway.
 
         Raises NOT_FOUND where it is not kept here.
@@ -262,4 +262,4 @@
 
     async def _resume_for_peer(self, req: web.Request) -> web.Response:
         """``POST /gateway/v1/resume``."""
-        return web.json_response(await self.hand_over(await read_json(req)))
+        return web.json_response(await self.answer_for_peer(await read_json(req)))
--- a/src/ebonydeal/_internal/gateway/reconnect.py
+++ b/src/ebonydeal/_internal/gateway/reconnect.py
@@ -8,13 +8,13 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.events import (
-    EventHint,
+    ResumePoint,
     TextDigest,
     text_digest,
 )
-from ebonydeal._internal.gateway.live import Job, LiveStream, MoveCause, Piece
+from ebonydeal._internal.gateway.live_stream import Job, LiveStream, Piece, ResumeCause
 from ebonydeal._internal.gateway.ports import PeerPort
-from ebonydeal._internal.gateway.streams import Relay
+from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.utils.clock import Clock
 
@@ -24,7 +24,7 @@
 _ENTRY_TOKENS = 16
 
 
-class Parked(NamedTuple):
+class RetainedAnswer(NamedTuple):
     """What is kept of an answer whose caller may come back.
 
     ``until`` is in clock seconds.
@@ -47,7 +47,7 @@
         }
 
 
-class ParkedStreams:
+class RetainedAnswers:
     """Answers kept for a while, in bounded memory.
 
     Parameters
@@ -62,12 +62,12 @@
         self._retention = retention_s
         self._limit = tokens
         self._held = 0
-        self._parked: OrderedDict[str, Parked] = OrderedDict()
+        self._parked: OrderedDict[str, RetainedAnswer] = OrderedDict()
 
     def park(self, live: LiveStream, now: float) -> None:
         """Keep an answer as far as it went."""
         request = live.job.request
-        entry = Parked(
+        entry = RetainedAnswer(
             account=request.account,
             body_digest=request.body_digest,
             delivered=tuple(live.delivered),
@@ -80,7 +80,7 @@
         self._held += _weight(entry)
         self._trim(now)
 
-    def get(self, request_id: str, account: str, now: float) -> Parked | None:
+    def get(self, request_id: str, account: str, now: float) -> RetainedAnswer | None:
         """Return an answer of ``account``, if it is still kept."""
         entry = self._parked.get(request_id)
         if entry is None or entry.account != account or entry.until <= now:
@@ -101,7 +101,7 @@
             self._drop(oldest)
 
 
-def _weight(entry: Parked) -> int:
+def _weight(entry: RetainedAnswer) -> int:
     """Return the tokens that an entry counts for."""
     return len(entry.delivered) + _ENTRY_TOKENS
 
@@ -123,21 +123,21 @@
 
     def __init__(
         self,
-        relay: Relay,
-        left: ParkedStreams,
-        finished: ParkedStreams,
+        runner: StreamRunner,
+        left: RetainedAnswers,
+        finished: RetainedAnswers,
         peers: PeerPort,
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        self._relay = relay
+        self._runner = runner
         self._left = left
         self._finished = finished
         self._peers = peers
         self._metrics = metrics
         self._clock = clock
 
-    async def claim(self, request_id: str, account: str) -> Parked | None:
+    async def claim(self, request_id: str, account: str) -> RetainedAnswer | None:
         """Return a kept answer; an old connection still open is broken first."""
         until = self._clock.now() + _LEAVE_WAIT_S
         while self._clock.now() < until:
@@ -152,22 +152,22 @@
 
     def _find_live(self, request_id: str, account: str) -> LiveStream | None:
         """Return an answer that is still under way here."""
-        for live in self._relay.live:
+        for live in self._runner.live_streams:
             request = live.job.request
             if request.request_id == request_id and request.account == account:
                 return live
         return None
 
-    async def resume(self, hint: EventHint, job: Job) -> LiveStream:
+    async def resume(self, hint: ResumePoint, job: Job) -> LiveStream:
         """Return the answer's state, from which the caller lacks the rest.
 
         Where no gateway has it any more, the state is empty and the answer is
-        generated again: see `SkipDelivered`. Raises BAD_REQUEST where the body
+        generated again: see `DeliveredTokenFilter`. Raises BAD_REQUEST where the body
         is another one.
         """
         kept = await self._find(hint, job)
         live = LiveStream(job)
-        live.cause = MoveCause.RECONNECT
+        live.cause = ResumeCause.RECONNECT
         live.begun = True
         live.prefer = (hint.endpoint_id, hint.incarnation)
         self._metrics.count(Event.STREAMS_RECONNECTED)
@@ -181,7 +181,7 @@
         live.cached_tokens = kept["cached_tokens"]
         return live
 
-    async def _find(self, hint: EventHint, job: Job) -> dict[str, Any] | None:
+    async def _find(self, hint: ResumePoint, job: Job) -> dict[str, Any] | None:
         """Return what the gateway that served the answer kept of it."""
         account = job.request.account
         if hint.gateway == self._peers.address:
@@ -189,14 +189,14 @@
             return entry.to_message() if entry else None
         message = {"request_id": hint.request_id, "account": account}
         try:
-            kept = await self._peers.ask(hint.gateway, RESUME_PATH, message)
+            kept = await self._peers.call(hint.gateway, RESUME_PATH, message)
         except EbonydealError:
             return None
         return kept if _is_kept(kept) else None
 
 
 def _is_kept(message: dict[str, Any]) -> bool:
-    """Return whether a peer's answer has the wire shape of `Parked`."""
+    """Return whether a peer's answer has the wire shape of `RetainedAnswer`."""
     match message:
         case {
             "body_digest": str(),
@@ -208,21 +208,21 @@
     return False
 
 
-def _matches(kept: dict[str, Any], hint: EventHint) -> bool:
+def _matches(kept: dict[str, Any], hint: ResumePoint) -> bool:
     """Return whether the kept tokens begin with those the caller has."""
     count = caller_has(hint, kept["delivered"], kept["finish"])
     tokens = kept["delivered"][:count]
     return len(tokens) == count and text_digest(tokens) == hint.digest
 
 
-def caller_has(hint: EventHint, delivered: list[str], finish: str) -> int:
+def caller_has(hint: ResumePoint, delivered: list[str], finish: str) -> int:
     """Return how many tokens a caller with this hint has."""
     if finish and hint.position == len(delivered):
         return hint.position
     return hint.position + 1
 
 
-class SkipDelivered:
+class DeliveredTokenFilter:
     """Checks that an answer generated again begins as the first one did.
 
     Parameters
@@ -231,7 +231,7 @@
         How far the caller is.
     """
 
-    def __init__(self, hint: EventHint) -> None:
+    def __init__(self, hint: ResumePoint) -> None:
         self._hint = hint
         self._digest = TextDigest()
 
--- a/src/ebonydeal/_internal/gateway/resumption.py
+++ b/src/ebonydeal/_internal/gateway/resumption.py
@@ -1,9 +1,9 @@
 """Whether and when an answer goes on after a try that failed."""
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.health import Health
-from ebonydeal._internal.gateway.live import LiveStream
-from ebonydeal._internal.gateway.ports import DirectoryPort, RetryPort, TryFailure
+from ebonydeal._internal.gateway.endpoint_health import EndpointHealth
+from ebonydeal._internal.gateway.live_stream import LiveStream
+from ebonydeal._internal.gateway.ports import DirectoryPort, FailedAttempt, RetryPort
 from ebonydeal._internal.utils.clock import Clock
 
 FINAL_KINDS = (ErrorKind.BAD_REQUEST, ErrorKind.DEADLINE_EXCEEDED)
@@ -33,7 +33,7 @@
         self,
         retries: RetryPort,
         directory: DirectoryPort,
-        health: Health,
+        health: EndpointHealth,
         clock: Clock,
         patience_s: float,
     ) -> None:
@@ -67,7 +67,7 @@
         """Return the wait before the next try, or the final error."""
         if self._may_try_free(live, now):
             return 0.0
-        failure = TryFailure(
+        failure = FailedAttempt(
             kind=error.kind,
             deployment=live.job.deployment.name,
             idempotent=True,
@@ -75,7 +75,7 @@
             first_byte=bool(live.delivered),
             deadline=live.job.request.deadline,
         )
-        verdict = self._retries.delay(failure, max(1, live.fruitless), now)
+        verdict = self._retries.next_delay(failure, max(1, live.fruitless), now)
         if isinstance(verdict, EbonydealError) and verdict.kind is error.kind:
             return EbonydealError(
                 error.kind, error.detail, retry_after=verdict.retry_after
@@ -91,6 +91,6 @@
         if live.tries == 0 or live.fruitless > _FREE_TRIES:
             return False
         deployment = live.job.deployment.name
-        return self._health.any_works(
+        return self._health.any_working(
             self._directory.views(deployment), live.avoid, now
         )
--- a/src/ebonydeal/_internal/gateway/routes.py
+++ b/src/ebonydeal/_internal/gateway/routes.py
@@ -4,15 +4,15 @@
 from typing import Any
 
 from ebonydeal._internal.errors import ErrorKind
-from ebonydeal._internal.gateway.health import incarnation_of
-from ebonydeal._internal.gateway.ports import DirectoryPort, Route, RouteAsk
+from ebonydeal._internal.gateway.endpoint_health import incarnation_of
+from ebonydeal._internal.gateway.ports import DirectoryPort, EndpointQuery, Route
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.routing.placement.types import Choice, RouteRequest, Scored
 
 
-class RouterRoutes:
+class RouterAdapter:
     """Asks the router about the endpoints that the directory knows.
 
     Parameters
@@ -39,7 +39,7 @@
         self._place = place
         self._watches = watches
 
-    def choose(self, ask: RouteAsk, now: float) -> Route | None:
+    def choose(self, ask: EndpointQuery, now: float) -> Route | None:
         """Return the best endpoint, already counted as sent, or None."""
         views = self._directory.views(ask.deployment.name)
         usable = tuple(view for view in views if incarnation_of(view) not in ask.avoid)
@@ -56,7 +56,7 @@
             endpoint=choice.endpoint,
             scores=_shown(choice),
             choice=request.request_id,
-            missed_tokens=_missed(choice),
+            cached_elsewhere_tokens=_missed(choice),
         )
 
     def capacity(self, deployment: str) -> int:
@@ -67,7 +67,7 @@
         """Return those of ``views`` that this gateway watches."""
         return tuple(view for view in views if self._watches(view))
 
-    def first_token(
+    def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
     ) -> None:
         """Report the first token and what the prefix cache really held."""
@@ -76,12 +76,12 @@
                 route.choice, route.endpoint.endpoint_id, cached, prefilled, now
             )
 
-    def finished(self, route: Route, tokens: int, now: float) -> None:
+    def record_finished(self, route: Route, tokens: int, now: float) -> None:
         """Report a whole answer, or a try that ended by our own wish."""
         if route.choice is not None:
             self._router.record_finished(route.choice, route.endpoint.endpoint_id, now)
 
-    def failed(self, route: Route, kind: ErrorKind, now: float) -> None:
+    def record_failure(self, route: Route, kind: ErrorKind, now: float) -> None:
         """Report a failed try."""
         if kind is ErrorKind.CONNECT_FAILED:
             self._directory.connect_failed(route.endpoint.endpoint_id)
@@ -91,7 +91,9 @@
             )
 
 
-def _warm(views: tuple[EndpointView, ...], ask: RouteAsk) -> tuple[EndpointView, ...]:
+def _warm(
+    views: tuple[EndpointView, ...], ask: EndpointQuery
+) -> tuple[EndpointView, ...]:
     """Return the preferred endpoint alone, if it is there and has a free slot."""
     if ask.prefer is None:
         return ()
@@ -103,7 +105,7 @@
     )
 
 
-def route_request(ask: RouteAsk, place: Place) -> RouteRequest:
+def route_request(ask: EndpointQuery, place: Place) -> RouteRequest:
     """Return what the router needs to know."""
     request = ask.request
     return RouteRequest(
--- a/src/ebonydeal/_internal/gateway/services.py
+++ b/src/ebonydeal/_internal/gateway/services.py
@@ -13,7 +13,11 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.deferred import journal_response
-from ebonydeal._internal.gateway.direct import DirectCall, DirectCalls, DirectParts
+from ebonydeal._internal.gateway.direct_calls import (
+    DirectCall,
+    DirectCalls,
+    DirectParts,
+)
 from ebonydeal._internal.gateway.intake import (
     JOURNAL_ASKED,
     REQUEST_ID,
--- a/src/ebonydeal/_internal/gateway/reclaim.py
+++ b/src/ebonydeal/_internal/gateway/stream_migrator.py
@@ -10,16 +10,16 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway import attempts
 from ebonydeal._internal.gateway.background import Spawn
-from ebonydeal._internal.gateway.moves import (
-    Affected,
+from ebonydeal._internal.gateway.migration_inputs import (
+    AffectedStream,
     export_rate,
     running_stream,
     stream_key,
     targets,
 )
-from ebonydeal._internal.gateway.planned import PlannedMoves
+from ebonydeal._internal.gateway.planned_migrations import PlannedMigrations
 from ebonydeal._internal.gateway.ports import DirectoryPort
-from ebonydeal._internal.gateway.streams import Relay
+from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.models.endpoints import EndpointView, LeavingMark
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
@@ -44,10 +44,10 @@
 _GATHER_S = 0.05
 
 
-class ReclaimParts(NamedTuple):
+class MigratorParts(NamedTuple):
     """What the reclaim service works with."""
 
-    relay: Relay
+    runner: StreamRunner
     engine: Engine
     directory: DirectoryPort
     metrics: Metrics
@@ -77,7 +77,7 @@
     done: bool
 
 
-class Reclaim(Service):
+class StreamMigrator(Service):
     """Moves running streams off endpoints that are marked as leaving.
 
     A stream whose export has begun gets a Move message in any case, at the
@@ -91,11 +91,11 @@
         Time limits and transfer rates.
     """
 
-    def __init__(self, parts: ReclaimParts, cfg: GatewaySettings) -> None:
+    def __init__(self, parts: MigratorParts, cfg: GatewaySettings) -> None:
         super().__init__()
         self._parts = parts
         self._cfg = cfg
-        self._planned = PlannedMoves()
+        self._planned = PlannedMigrations()
         self._marks: asyncio.Queue[LeavingMark] = asyncio.Queue()
         parts.directory.on_mark(self._marks.put_nowait)
 
@@ -115,10 +115,10 @@
             logger.info("Streams leave.", deployment=deployment, streams=len(group))
             self._plan(group, _Wave(zones, deadline))
 
-    def _affected(self) -> dict[tuple[str, float], list[Affected]]:
+    def _affected(self) -> dict[tuple[str, float], list[AffectedStream]]:
         """Return the streams to move, by deployment and deadline."""
         groups = defaultdict(list)
-        for live in self._parts.relay.live:
+        for live in self._parts.runner.live_streams:
             attempt = live.attempt
             if attempt is None or live.moving or live.finish or live.planned is attempt:
                 continue
@@ -127,7 +127,7 @@
                 continue
             live.planned = attempt
             key = (live.job.deployment.name, self._deadline(endpoint))
-            groups[key].append(Affected(live, attempt))
+            groups[key].append(AffectedStream(live, attempt))
         return groups
 
     def _deadline(self, endpoint: EndpointView) -> float:
@@ -136,7 +136,7 @@
         return known or self._parts.clock.wall() + self._cfg.notice_seconds
 
     # --- deciding ---
-    def _plan(self, group: list[Affected], wave: _Wave) -> None:
+    def _plan(self, group: list[AffectedStream], wave: _Wave) -> None:
         """Decide for streams of one deployment and start what was decided."""
         by_key = {stream_key(item): item for item in group}
         for move in self._moves(group, wave):
@@ -144,14 +144,14 @@
             number = self._planned.add(item, wave.zones)
             self._parts.background(self._carry_out(item, move, wave, number))
 
-    def _review(self, item: Affected, wave: _Wave) -> None:
+    def _review(self, item: AffectedStream, wave: _Wave) -> None:
         """Plan again for a stream and all that share its source's time."""
         others = self._planned.at_source(item.attempt.route.endpoint.endpoint_id)
         zones = wave.zones.union(*(planned.zones for planned in others))
         group = [item, *(planned.item for planned in others)]
         self._plan(group, wave._replace(zones=zones))
 
-    def _moves(self, group: list[Affected], wave: _Wave) -> list[StreamAction]:
+    def _moves(self, group: list[AffectedStream], wave: _Wave) -> list[StreamAction]:
         """Return the plan; if it can't be made, the one that always can."""
         clock = self._parts.clock
         job = group[0].live.job
@@ -174,7 +174,7 @@
 
     # --- acting ---
     async def _carry_out(
-        self, item: Affected, move: StreamAction, wave: _Wave, number: int
+        self, item: AffectedStream, move: StreamAction, wave: _Wave, number: int
     ) -> None:
         """Do what was decided for one stream when it is due, if it still holds."""
         at = move.review_at if isinstance(move, KeepRunning) else move.start_at
@@ -195,7 +195,7 @@
         if left > 0.0:
             await self._parts.clock.sleep(left)
 
-    async def _export(self, item: Affected, move: ExportTo, wave: _Wave) -> None:
+    async def _export(self, item: AffectedStream, move: ExportTo, wave: _Wave) -> None:
         """Move a stream's KV cache; where that fails, let it recompute."""
         item.live.moving = True
         until = self._parts.clock.wall() + move.seconds
@@ -208,7 +208,7 @@
             item.attempt.mailbox.post(last)
 
     async def _transfer(
-        self, item: Affected, move: ExportTo, wave: _Wave
+        self, item: AffectedStream, move: ExportTo, wave: _Wave
     ) -> attempts.Move:
         """Export, import, and if need be import at another target."""
         first = await self._try_transfer(item, move.target, "")
@@ -223,7 +223,7 @@
         )
 
     def _second_move(
-        self, item: Affected, move: ExportTo, failed: _Transfer, wave: _Wave
+        self, item: AffectedStream, move: ExportTo, failed: _Transfer, wave: _Wave
     ) -> StreamAction:
         """Decide anew after a transfer failed."""
         clock = self._parts.clock
@@ -245,7 +245,7 @@
         return moves[0]
 
     async def _try_transfer(
-        self, item: Affected, target: EndpointView, handle: str
+        self, item: AffectedStream, target: EndpointView, handle: str
     ) -> _Transfer:
         """Export (unless ``handle`` is given) and import at ``target``."""
         source = item.attempt.route.endpoint
@@ -270,7 +270,7 @@
         return _Transfer(handle, True)
 
     def _failed(
-        self, item: Affected, target: EndpointView, kind: ErrorKind | None
+        self, item: AffectedStream, target: EndpointView, kind: ErrorKind | None
     ) -> None:
         """Count and log a transfer that failed."""
         self._parts.metrics.count(Event.KV_EXPORT_FAILED)
--- a/src/ebonydeal/_internal/gateway/streams.py
+++ b/src/ebonydeal/_internal/gateway/stream_runner.py
@@ -16,12 +16,12 @@
     Order,
 )
 from ebonydeal._internal.gateway.background import Spawn
-from ebonydeal._internal.gateway.health import Health, incarnation_of
-from ebonydeal._internal.gateway.live import (
+from ebonydeal._internal.gateway.endpoint_health import EndpointHealth, incarnation_of
+from ebonydeal._internal.gateway.live_stream import (
     RECOMPUTED,
     LiveStream,
-    MoveCause,
     Piece,
+    ResumeCause,
     retry_reason,
 )
 from ebonydeal._internal.gateway.ports import (
@@ -42,14 +42,14 @@
 _NOT_SENT = (ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED)
 
 
-class RelayParts(NamedTuple):
+class StreamRunnerParts(NamedTuple):
     """What the relay works with."""
 
     engine: Engine
     routes: RoutePort
     retries: RetryPort
     directory: DirectoryPort
-    health: Health
+    health: EndpointHealth
     crashes: CrashGuard
     metrics: Metrics
     trails: Trails
@@ -57,7 +57,7 @@
     rng: Random
 
 
-class Relay:
+class StreamRunner:
     """Generates answers, going on elsewhere when a try ends early.
 
     Each token is handed out once and in order: a try starts after the tokens
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        parts: StreamRunnerParts,
         cfg: GatewaySettings,
         background: Spawn,
     ) -> None:
@@ -89,7 +89,7 @@
             parts.clock,
             cfg.resume_wait_seconds,
         )
-        self.live: set[LiveStream] = set()
+        self.live_streams: set[LiveStream] = set()
 
     async def run(self, live: LiveStream) -> AsyncGenerator[list[Piece], None]:
         """Yield the pieces of an answer as they come, several at once if late.
@@ -97,9 +97,9 @@
         Raises the final `EbonydealError` where the answer can't be made whole.
         Closing the iterator cancels what runs.
         """
-        self.live.add(live)
+        self.live_streams.add(live)
         deployment = live.job.deployment.name
-        self._parts.retries.first_send(deployment, self._parts.clock.wall())
+        self._parts.retries.record_first_send(deployment, self._parts.clock.wall())
         try:
             while not live.finish:
                 async with aclosing(self._try_once(live)) as batches:
@@ -107,7 +107,7 @@
                         yield batch
             self._parts.crashes.answered(live.job.request)
         finally:
-            self.live.discard(live)
+            self.live_streams.discard(live)
 
     async def _try_once(self, live: LiveStream) -> AsyncGenerator[list[Piece], None]:
         """Run one try; on return the answer is whole or the next try is due."""
@@ -241,15 +241,15 @@
         seconds = parts.clock.now() - attempt.started_at
         now = parts.clock.wall()
         cached, prefilled = chunk.cached_tokens, chunk.prefilled_tokens
-        parts.routes.first_token(route, seconds, cached, prefilled, now)
-        parts.health.worked(route.endpoint, now)
+        parts.routes.record_first_token(route, seconds, cached, prefilled, now)
+        parts.health.record_success(route.endpoint, now)
         resume = attempt.order.resume
         if live.cause is not None and live.begun:
             parts.metrics.count(RECOMPUTED[live.cause], prefilled)
         else:
             live.begun = True
             live.cached_tokens = cached
-            missed = min(prefilled, route.missed_tokens)
+            missed = min(prefilled, route.cached_elsewhere_tokens)
             parts.metrics.count(Event.TOKENS_RECOMPUTED_PREFIX, missed)
         if resume is not None and resume.kv_handle:
             parts.metrics.count(Event.KV_IMPORTED)
@@ -274,12 +274,12 @@
         gained = len(live.delivered) - start
         live.fruitless = 0 if gained else live.fruitless + 1
         if isinstance(over, Broke) and over.error.kind not in FINAL_KINDS:
-            parts.health.failed(attempt.route.endpoint, now)
-            parts.routes.failed(attempt.route, over.error.kind, now)
+            parts.health.record_failure(attempt.route.endpoint, now)
+            parts.routes.record_failure(attempt.route, over.error.kind, now)
             if over.error.kind in _NOT_SENT:
                 return
         else:
-            parts.routes.finished(attempt.route, gained, now)
+            parts.routes.record_finished(attempt.route, gained, now)
         if not live.finish:
             self._background(self._cancel(attempt))
 
@@ -296,7 +296,7 @@
     ) -> None:
         """Take note of where the answer goes on."""
         live.moving = False
-        live.cause = MoveCause.RECLAIM
+        live.cause = ResumeCause.RECLAIM
         live.target = target
         live.kv_handle = kv_handle
         self._parts.metrics.retried(RetryReason.LEAVING)
@@ -321,10 +321,10 @@
         if wait > 0.0:
             await parts.clock.sleep(wait)
 
-    def _cause(self, route: Route, error: EbonydealError) -> MoveCause:
+    def _cause(self, route: Route, error: EbonydealError) -> ResumeCause:
         """Return why the tokens computed at ``route`` are lost."""
         if self._parts.directory.is_leaving(route.endpoint):
-            return MoveCause.RECLAIM
+            return ResumeCause.RECLAIM
         if error.kind is ErrorKind.ENDPOINT_STALLED:
-            return MoveCause.STALLED
-        return MoveCause.FAILED
+            return ResumeCause.STALLED
+        return ResumeCause.FAILED
--- a/src/ebonydeal/_internal/gateway/watch.py
+++ b/src/ebonydeal/_internal/gateway/stream_watchdog.py
@@ -4,8 +4,8 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.attempts import Attempt, Broke
-from ebonydeal._internal.gateway.live import LiveStream
-from ebonydeal._internal.gateway.streams import Relay
+from ebonydeal._internal.gateway.live_stream import LiveStream
+from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.settings.gateway import GatewaySettings
 from ebonydeal._internal.utils.clock import Clock
 
@@ -13,7 +13,7 @@
 _STALLED = "the endpoint sent no token for too long"
 
 
-class StreamWatch(Service):
+class StreamWatchdog(Service):
     """Ends tries that stall and answers that are past their deadline.
 
     One look over all answers every tenth of a second, in place of a timer for
@@ -29,9 +29,11 @@
         Time.
     """
 
-    def __init__(self, relay: Relay, cfg: GatewaySettings, clock: Clock) -> None:
+    def __init__(
+        self, runner: StreamRunner, cfg: GatewaySettings, clock: Clock
+    ) -> None:
         super().__init__()
-        self._relay = relay
+        self._runner = runner
         self._cfg = cfg
         self._clock = clock
 
@@ -44,7 +46,7 @@
     def check(self) -> None:
         """Look over all answers once."""
         now, wall = self._clock.now(), self._clock.wall()
-        for live in list(self._relay.live):
+        for live in list(self._runner.live_streams):
             if live.attempt is not None:
                 self._check_try(live, live.attempt, now, wall)
             since = live.writing_since
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -10,11 +10,11 @@
 from ebonydeal._internal.config.follower import ConfigFollower
 from ebonydeal._internal.config.peer_routes import join_peers
 from ebonydeal._internal.directory.service import Directory
+from ebonydeal._internal.gateway.admission_queue import AdmissionQueue
 from ebonydeal._internal.gateway.budget import RetryBudget
-from ebonydeal._internal.gateway.desk import AdmissionDesk
+from ebonydeal._internal.gateway.endpoint_subset import EndpointSubset
 from ebonydeal._internal.gateway.parts import GatewayConfig, GatewayPorts
-from ebonydeal._internal.gateway.routes import RouterRoutes
-from ebonydeal._internal.gateway.watchset import WatchSet
+from ebonydeal._internal.gateway.routes import RouterAdapter
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.trail import Trails
@@ -108,7 +108,7 @@
         """Serve further routes on the peer listener; before the start."""
         self._service.add_routes(routes)
 
-    async def ask(
+    async def call(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         """Call another gateway; raises its `EbonydealError`."""
@@ -181,8 +181,8 @@
 class _Routing(NamedTuple):
     """The router behind its port, and what keeps it in step."""
 
-    routes: RouterRoutes
-    watch: WatchSet
+    routes: RouterAdapter
+    watch: EndpointSubset
 
 
 def _new_routing(
@@ -207,7 +207,7 @@
     def rests(endpoint_id: str, seconds: float) -> None:
         router.back_off(endpoint_id, seconds, clock.wall())
 
-    watch = WatchSet(
+    watch = EndpointSubset(
         PlacedProcess(node.id, place),
         gateways,
         directory,
@@ -219,7 +219,7 @@
     directory.on_cache_events(cache_events)
     parts.clients.engine.on_rest = parts.clients.services.on_rest = rests
     directory.on_change(lambda _change: watch.refresh())
-    return _Routing(RouterRoutes(router, directory, place, watch.watches), watch)
+    return _Routing(RouterAdapter(router, directory, place, watch.watches), watch)
 
 
 def new_demand_topic(limits: AccountLimits, clock: Clock) -> DemandTopic:
@@ -256,7 +256,7 @@
     admission = Admission.from_config(settings["admission"], node.id, rng)
     parts.peers.register(new_demand_topic(admission.limits, clock))
     routes, watch = _new_routing(settings, parts, clock, rng)
-    desk = AdmissionDesk(
+    desk = AdmissionQueue(
         admission, routes.capacity, parts.follower, metrics, trails, clock, rng
     )
     ports = GatewayPorts(
--- a/tests/functional/commands/test_quickstart.py
+++ b/tests/functional/commands/test_quickstart.py
@@ -28,7 +28,9 @@
     async def test_gateway_dies_under_load(self):
         async def kill(tree):
             program = tree.programs["gateway-1"]
-            while not any(live.delivered for live in program.relay.live):
+            while not any(
+                live.delivered for live in program.stream_runner.live_streams
+            ):
                 await asyncio.sleep(0.01)
             await reset_connections(program._server)
             await tree.stop_node("gateway-1")
--- a/tests/functional/gateway/test_generation.py
+++ b/tests/functional/gateway/test_generation.py
@@ -224,7 +224,7 @@
                 await until(lambda: bench.metrics.refusals() == {"caller_left": 1})
             await until(lambda: engine.cancelled == [engine.ran[0].attempt_id])
             assert engine.open == 0
-            assert bench.program.relay.live == set()
+            assert bench.program.stream_runner.live_streams == set()
             assert len(bench.admission.released) == 1
 
     async def test_whole_answer(self):
@@ -240,7 +240,7 @@
                 await until(lambda: bench.metrics.refusals() == {"caller_left": 1})
             await until(lambda: engine.cancelled == [engine.ran[0].attempt_id])
             assert engine.open == 0
-            assert bench.program.relay.live == set()
+            assert bench.program.stream_runner.live_streams == set()
 
     async def test_while_queued(self):
         async with Bench() as bench:
@@ -284,7 +284,7 @@
                 async with http.post(url, json=STREAM):
                     await until(lambda: bench.metrics.refusals() == {"caller_left": 1})
             assert engine.sent < self.COUNT
-            assert (engine.open, bench.program.relay.live) == (0, set())
+            assert (engine.open, bench.program.stream_runner.live_streams) == (0, set())
 
 
 class TestReconnect:
--- a/tests/functional/gateway/test_program.py
+++ b/tests/functional/gateway/test_program.py
@@ -92,7 +92,7 @@
     def busiest_zone(self) -> str:
         """Return the zone that holds the most tokens still to come."""
         left: Counter[str] = Counter()
-        for live in self.program.relay.live:
+        for live in self.program.stream_runner.live_streams:
             prompt = prompt_text(live.job.body)
             total = len(expected_tokens(self.model, prompt, TOKENS))
             if live.attempt is not None:
@@ -137,8 +137,10 @@
         async with System() as system:
             asks = [f"Covers of kitchen {n}?" for n in range(12)]
             calls = [asyncio.ensure_future(system.ask(words)) for words in asks]
-            relay = system.program.relay
-            await until(lambda: sum(len(live.delivered) for live in relay.live) > 60)
+            runner = system.program.stream_runner
+            await until(
+                lambda: sum(len(live.delivered) for live in runner.live_streams) > 60
+            )
             system.world.reclaim_zone(system.busiest_zone(), notice)
             assert await asyncio.gather(*calls) == [True] * 12
         assert system.metrics.refusals() == {}
@@ -182,7 +184,7 @@
                 messages=[{"role": "user", "content": "Covers of the coast?"}],
                 max_tokens=2,
             )
-            ask = system.program.ports.peers.ask
+            ask = system.program.ports.peers.call
             address = system.program.ports.peers.address
             status = await ask(address, STATUS_PATH, {})
             request_id = raw.headers["X-Request-Id"]
--- a/tests/functional/gateway/test_reclaim.py
+++ b/tests/functional/gateway/test_reclaim.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway import reclaim
+from ebonydeal._internal.gateway import stream_migrator
 from ebonydeal._internal.routing.reclaim.migration_plan import (
     ExportTo,
     KeepRunning,
@@ -39,9 +39,11 @@
         async with Bench(engine, max_output_tokens=100_000) as bench:
             async with client(bench) as api:
                 call = asyncio.ensure_future(api.chat.completions.create(**BODY))
-                relay = bench.program.relay
+                runner = bench.program.stream_runner
                 await until(
-                    lambda: any(len(live.delivered) == 3 for live in relay.live)
+                    lambda: any(
+                        len(live.delivered) == 3 for live in runner.live_streams
+                    )
                 )
                 bench.directory.mark("e1", time.time() + notice)
                 await until(lambda: len(engine.ran) == 2)
@@ -129,11 +131,11 @@
 
         engine.pace = three_each
         engine.export_kv = export_kv
-        monkeypatch.setattr(reclaim, "plan_migrations", plan)
+        monkeypatch.setattr(stream_migrator, "plan_migrations", plan)
         async with Bench(engine) as bench, client(bench) as api:
             create = api.chat.completions.create
             calls = [asyncio.ensure_future(create(**BODY)) for _ in range(2)]
-            live = bench.program.relay.live
+            live = bench.program.stream_runner.live_streams
             await until(lambda: [len(it.delivered) for it in live] == [3, 3])
             bench.directory.mark("e1", time.time() + 100.0)
             await until(lambda: len(engine.ran) == 3)
--- a/tests/lib/gateway_fakes.py
+++ b/tests/lib/gateway_fakes.py
@@ -8,7 +8,12 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.parts import GatewayConfig, GatewayPorts
-from ebonydeal._internal.gateway.ports import RetryPort, Route, RouteAsk, TryFailure
+from ebonydeal._internal.gateway.ports import (
+    EndpointQuery,
+    FailedAttempt,
+    RetryPort,
+    Route,
+)
 from ebonydeal._internal.gateway.program import GatewayProgram
 from ebonydeal._internal.models.document import (
     Account,
@@ -196,25 +201,25 @@
 
     def __init__(self, directory: "FakeDirectory") -> None:
         self._directory = directory
-        self.asks: list[RouteAsk] = []
+        self.asks: list[EndpointQuery] = []
         self.reports: list[tuple[str, str]] = []
 
-    def choose(self, ask: RouteAsk, now: float) -> Route | None:
+    def choose(self, ask: EndpointQuery, now: float) -> Route | None:
         self.asks.append(ask)
         for item in self._directory.views(ask.deployment.name):
             if (item.endpoint_id, item.incarnation) not in ask.avoid:
                 return Route(item, [{"endpoint": item.endpoint_id, "score": 1.0}])
         return None
 
-    def first_token(
+    def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
     ) -> None:
         self.reports.append(("first", route.endpoint.endpoint_id))
 
-    def finished(self, route: Route, tokens: int, now: float) -> None:
+    def record_finished(self, route: Route, tokens: int, now: float) -> None:
         self.reports.append(("finished", route.endpoint.endpoint_id))
 
-    def failed(self, route: Route, kind: ErrorKind, now: float) -> None:
+    def record_failure(self, route: Route, kind: ErrorKind, now: float) -> None:
         self.reports.append((str(kind), route.endpoint.endpoint_id))
 
 
@@ -224,13 +229,13 @@
     def __init__(self, left: int = 3) -> None:
         self.left = left
         self.hedges = 1
-        self.failures: list[TryFailure] = []
+        self.failures: list[FailedAttempt] = []
 
-    def first_send(self, deployment: str, now: float) -> None:
+    def record_first_send(self, deployment: str, now: float) -> None:
         pass
 
-    def delay(
-        self, failure: TryFailure, tries: int, now: float
+    def next_delay(
+        self, failure: FailedAttempt, tries: int, now: float
     ) -> float | EbonydealError:
         self.failures.append(failure)
         if self.left == 0:
@@ -238,7 +243,7 @@
         self.left -= 1
         return 0.0
 
-    def may_hedge(self, deployment: str, deadline: float, now: float) -> bool:
+    def try_hedge(self, deployment: str, deadline: float, now: float) -> bool:
         self.hedges -= 1
         return self.hedges >= 0
 
@@ -263,7 +268,7 @@
         self.admitted.append(request)
         return FakeTicket(self)
 
-    def admit_later(self, request: Request) -> FakeTicket:
+    def admit_deferred(self, request: Request) -> FakeTicket:
         if self.refusal:
             raise self.refusal
         return FakeTicket(self)
@@ -369,13 +374,13 @@
     def add_routes(self, routes: Any) -> None:
         pass
 
-    async def ask(
+    async def call(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         peer = self._net.get(address)
         if peer is None:
             raise EbonydealError(ErrorKind.CONNECT_FAILED, address)
-        return await peer.hand_over(message)
+        return await peer.answer_for_peer(message)
 
 
 class Bench:
--- a/tests/unit/directory/test_crash_guard.py
+++ b/tests/unit/directory/test_crash_guard.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from tests.lib.clock import ManualClock
 from tests.lib.gateway_fakes import view
-from tests.unit.gateway.test_streams import request
+from tests.unit.gateway.test_stream_runner import request
 
 FATAL = request()._replace(body_digest="fatal")
 OTHER = request()._replace(body_digest="other")
--- a/tests/unit/gateway/test_desk.py
+++ b/tests/unit/gateway/test_admission_queue.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.desk import AdmissionDesk
+from ebonydeal._internal.gateway.admission_queue import AdmissionQueue
 from ebonydeal._internal.models.requests import Priority
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.trail import Trails
@@ -12,7 +12,7 @@
 from ebonydeal._internal.settings.routing import AdmissionSettings
 from tests.lib.clock import ManualClock, settle
 from tests.lib.gateway_fakes import POOL, FakeConfig, deployment
-from tests.unit.gateway.test_streams import request
+from tests.unit.gateway.test_stream_runner import request
 
 DEPLOYMENT = deployment(POOL, "engine")
 
@@ -25,7 +25,7 @@
         self.trails = Trails(10)
         cfg = AdmissionSettings(**settings)
         rng = random.Random(1)
-        self.desk = AdmissionDesk(
+        self.desk = AdmissionQueue(
             Admission.from_config(cfg, "gw-1", rng),
             lambda _name: self.slots,
             self.config,
@@ -114,10 +114,10 @@
         account = office.config.document.accounts["kitchen"]
         limited = account._replace(requests_per_s=1.0)
         office.config.document.accounts["kitchen"] = limited
-        office.desk.admit_later(request()).release(0)
+        office.desk.admit_deferred(request()).release(0)
         with pytest.raises(EbonydealError) as caught:
-            office.desk.admit_later(request())
+            office.desk.admit_deferred(request())
         assert caught.value.kind is ErrorKind.RATE_LIMITED
         assert caught.value.retry_after > 0
         await office.clock.advance(1.5)
-        office.desk.admit_later(request()).release(0)
+        office.desk.admit_deferred(request()).release(0)
--- a/tests/unit/gateway/test_events.py
+++ b/tests/unit/gateway/test_events.py
@@ -9,7 +9,7 @@
     read_event_id,
     text_digest,
 )
-from ebonydeal._internal.gateway.live import Piece
+from ebonydeal._internal.gateway.live_stream import Piece
 
 SOURCE = ("e-1", 3, "a-1")
 TOKENS = ["one ", "two ", "three "]
--- a/tests/unit/gateway/test_parts.py
+++ b/tests/unit/gateway/test_parts.py
@@ -2,8 +2,12 @@
 
 import pytest
 
-from ebonydeal._internal.gateway.moves import Affected, export_rate, targets
-from ebonydeal._internal.gateway.watchset import WatchSet
+from ebonydeal._internal.gateway.endpoint_subset import EndpointSubset
+from ebonydeal._internal.gateway.migration_inputs import (
+    AffectedStream,
+    export_rate,
+    targets,
+)
 from ebonydeal._internal.gateway.wiring import new_demand_topic
 from ebonydeal._internal.models.endpoints import LoadReport
 from ebonydeal._internal.models.places import Place
@@ -74,7 +78,7 @@
             class route:
                 endpoint = loaded("e1", 8)
 
-        mine = [Affected(None, Attempt)] * 2
+        mine = [AffectedStream(None, Attempt)] * 2
         assert export_rate(mine, 4.0) == 1.0
 
     def test_export_rate_when_the_report_lags(self):
@@ -82,7 +86,7 @@
             class route:
                 endpoint = loaded("e1", 0)
 
-        assert export_rate([Affected(None, Attempt)], 4.0) == 4.0
+        assert export_rate([AffectedStream(None, Attempt)], 4.0) == 4.0
 
 
 class TestWatchSet:
@@ -95,7 +99,7 @@
             def all_views(self):
                 return tuple(views)
 
-        watch = WatchSet(
+        watch = EndpointSubset(
             PlacedProcess("gw-1", PLACE),
             lambda: gateways,
             Views(),
--- a/tests/unit/gateway/test_reconnect.py
+++ b/tests/unit/gateway/test_reconnect.py
@@ -3,11 +3,11 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.events import EventHint, text_digest
-from ebonydeal._internal.gateway.live import Job, LiveStream, Piece
-from ebonydeal._internal.gateway.reconnect import ParkedStreams, SkipDelivered
+from ebonydeal._internal.gateway.events import ResumePoint, text_digest
+from ebonydeal._internal.gateway.live_stream import Job, LiveStream, Piece
+from ebonydeal._internal.gateway.reconnect import DeliveredTokenFilter, RetainedAnswers
 from tests.lib.gateway_fakes import ACCOUNT, MODEL, POOL, deployment, words
-from tests.unit.gateway.test_streams import request
+from tests.unit.gateway.test_stream_runner import request
 
 TEXT = words(6)
 
@@ -21,7 +21,7 @@
 
 class TestParkedStreams:
     def test_kept_for_its_account_and_time(self):
-        parked = ParkedStreams(10.0, 1000)
+        parked = RetainedAnswers(10.0, 1000)
         parked.park(live(), 0.0)
         assert parked.get("r-1", ACCOUNT, 9.0).delivered == tuple(words(3))
         assert parked.get("r-1", "other", 9.0) is None
@@ -29,14 +29,14 @@
         assert parked.get("r-1", ACCOUNT, 10.0) is None
 
     def test_later_state_replaces_earlier(self):
-        parked = ParkedStreams(10.0, 1000)
+        parked = RetainedAnswers(10.0, 1000)
         parked.park(live(tokens=3), 0.0)
         parked.park(live(tokens=5), 1.0)
         assert len(parked.get("r-1", ACCOUNT, 2.0).delivered) == 5
 
     @given(st.lists(st.integers(0, 60), max_size=30))
     def test_memory_is_bounded(self, sizes):
-        parked = ParkedStreams(10.0, 100)
+        parked = RetainedAnswers(10.0, 100)
         for number, size in enumerate(sizes):
             parked.park(live(f"r-{number}", size), float(number))
             held = sum(len(item.delivered) for item in parked._parked.values())
@@ -46,8 +46,8 @@
 
 class TestSkipDelivered:
     def skip(self, position: int, digest: str, pieces: list[Piece]) -> list[Piece]:
-        hint = EventHint("r-1", "gw", "e", 1, "a", position, digest)
-        skip = SkipDelivered(hint)
+        hint = ResumePoint("r-1", "gw", "e", 1, "a", position, digest)
+        skip = DeliveredTokenFilter(hint)
         return [piece for piece in pieces if skip.keep(piece)]
 
     def pieces(self, text: list[str], split_end: bool) -> list[Piece]:
--- a/tests/unit/gateway/test_streams.py
+++ b/tests/unit/gateway/test_stream_runner.py
@@ -8,10 +8,10 @@
 from ebonydeal._internal.directory.crash_guard import CrashGuard
 from ebonydeal._internal.errors import EbonydealError, ErrorKind, Outcome
 from ebonydeal._internal.gateway.attempts import Broke, Move
-from ebonydeal._internal.gateway.health import Health
-from ebonydeal._internal.gateway.live import Job, LiveStream
-from ebonydeal._internal.gateway.streams import Relay, RelayParts
-from ebonydeal._internal.gateway.watch import StreamWatch
+from ebonydeal._internal.gateway.endpoint_health import EndpointHealth
+from ebonydeal._internal.gateway.live_stream import Job, LiveStream
+from ebonydeal._internal.gateway.stream_runner import StreamRunner, StreamRunnerParts
+from ebonydeal._internal.gateway.stream_watchdog import StreamWatchdog
 from ebonydeal._internal.models.requests import Priority, Request, RequestKind
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.trail import Trails
@@ -124,20 +124,20 @@
         self.cancels: list = []
         self.gone: set[str] = set()
         self.cfg = GatewaySettings()
-        parts = RelayParts(
+        parts = StreamRunnerParts(
             engine=engine,
             routes=FakeRoutes(self.directory),
             retries=self.retries,
             directory=self.directory,
-            health=Health(30.0),
+            health=EndpointHealth(30.0),
             crashes=CrashGuard(self.metrics, self.clock, self.refuses),
             metrics=self.metrics,
             trails=Trails(10),
             clock=self.clock,
             rng=random.Random(1),
         )
-        self.relay = Relay(parts, self.cfg, self.spawn)
-        self.watch = StreamWatch(self.relay, self.cfg, self.clock)
+        self.runner = StreamRunner(parts, self.cfg, self.spawn)
+        self.watch = StreamWatchdog(self.runner, self.cfg, self.clock)
 
     async def refuses(self, address: str, _seconds: float) -> bool:
         return address in self.gone
@@ -151,7 +151,7 @@
 
     async def run(self, live: LiveStream) -> list:
         pieces = []
-        async for batch in self.relay.run(live):
+        async for batch in self.runner.run(live):
             pieces.extend(batch)
         return pieces
 
@@ -175,7 +175,7 @@
         assert pieces[-1].finish == "stop"
         assert live.delivered == engine.text
         await asyncio.gather(*stage.cancels)
-        assert (engine.open, stage.relay.live) == (0, set())
+        assert (engine.open, stage.runner.live_streams) == (0, set())
 
     async def test_deadline_is_checked_before_each_try(self):
         engine = FakeEngine()
@@ -239,7 +239,9 @@
 
         engine.post = post
         starts = []
-        stage.relay._parts.routes.choose = spy(stage.relay._parts.routes.choose, starts)
+        stage.runner._parts.routes.choose = spy(
+            stage.runner._parts.routes.choose, starts
+        )
         await stage.run(live)
         assert [route.endpoint.endpoint_id for route in starts] == ["e1", "e2"]
         assert live.delivered == engine.text
@@ -277,7 +279,7 @@
 
     async def test_move_under_way_is_no_stall(self):
         stage, call = await self.stalled(3)
-        (live,) = stage.relay.live
+        (live,) = stage.runner.live_streams
         live.moving = True
         await stage.clock.advance(60.0)
         stage.watch.check()
@@ -292,7 +294,7 @@
         stage = Stage(FakeEngine())
         live = stage.live()
         stage.cfg = stage.cfg._replace(buffer_tokens=2)
-        batches = Relay(stage.relay._parts, stage.cfg, stage.spawn).run(live)
+        batches = StreamRunner(stage.runner._parts, stage.cfg, stage.spawn).run(live)
         await anext(batches)
         await settle()
         assert live.attempt.waiting_since is None
@@ -305,8 +307,8 @@
         engine = ScriptedEngine([(0, "fail")] * 9, False)
         stage = Stage(engine)
         stage.gone = {"e1:80", "e2:80", "e3:80"}
-        stage.retries.delay = lambda *_args: 0.2
-        stage.relay._parts.health.any_works = lambda *_args: False
+        stage.retries.next_delay = lambda *_args: 0.2
+        stage.runner._parts.health.any_working = lambda *_args: False
         answer = asyncio.ensure_future(stage.run(stage.live()))
         while not answer.done():
             await stage.clock.advance(0.2)
