--- a/src/ebonydeal/_internal/gateway/admission_queue.py
+++ b/src/ebonydeal/_internal/gateway/admission_queue.py
@@ -23,22 +23,22 @@
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.ids import new_token
 
-_PERIOD_S = 0.1
+_REFRESH_INTERVAL_S = 0.1
 
 
 class _Ticket:
     """An admitted request's share of the limits."""
 
-    def __init__(self, desk: "AdmissionQueue", ticket_id: str) -> None:
-        self._desk = desk
+    def __init__(self, queue: "AdmissionQueue", ticket_id: str) -> None:
+        self._queue = queue
         self._id = ticket_id
 
     def release(self, tokens: int) -> None:
         """Give the share back; ``tokens`` were really used."""
-        self._desk.release(self._id, tokens)
+        self._queue.release(self._id, tokens)
 
 
-class _LaterTicket:
+class _DeferredTicket:
     """A deferred request's share of its account's limits while it is accepted."""
 
     def __init__(self, limits: AccountLimits, account: str, clock: Clock) -> None:
@@ -90,8 +90,8 @@
     async def admit(self, request: Request, deployment: Deployment) -> Ticket:
         """Return when admitted; raises the refusal's `EbonydealError`."""
         started = self._clock.now()
-        self._follow_config()
-        self._measure(deployment.name)
+        self._apply_config()
+        self._update_capacity(deployment.name)
         ask = AdmissionRequest(
             request_id=new_token("q", self._rng),
             account=request.account,
@@ -119,7 +119,7 @@
 
         It needs no endpoint now, so it neither waits nor takes a slot.
         """
-        self._follow_config()
+        self._apply_config()
         limits = self._admission.limits
         over = limits.take(request.account, 0.0, self._clock.wall())
         if over is not None:
@@ -127,18 +127,18 @@
             raise EbonydealError(
                 ErrorKind.RATE_LIMITED, detail, retry_after=over.retry_after
             )
-        return _LaterTicket(limits, request.account, self._clock)
+        return _DeferredTicket(limits, request.account, self._clock)
 
     async def _wait(self, ticket_id: str) -> None:
         """Wait for a queued request's turn; raises its refusal."""
         fut = asyncio.get_running_loop().create_future()
         self._waiting[ticket_id] = fut
-        self._pump()
+        self._admit_waiting()
         try:
             await fut
         except asyncio.CancelledError:
             self._admission.cancel(ticket_id, self._clock.wall())
-            self._pump()
+            self._admit_waiting()
             raise
         finally:
             self._waiting.pop(ticket_id, None)
@@ -146,9 +146,9 @@
     def release(self, ticket_id: str, tokens: int) -> None:
         """End an admitted request."""
         self._admission.release(ticket_id, float(tokens), self._clock.wall())
-        self._pump()
+        self._admit_waiting()
 
-    def _pump(self) -> None:
+    def _admit_waiting(self) -> None:
         """Tell all that start now or are given up on."""
         for verdict in self._admission.next_ready(self._clock.wall()):
             fut = self._waiting.get(verdict.request_id)
@@ -163,23 +163,23 @@
                     fut.set_exception(_error(refusal))
 
     @Service.task
-    async def _follow(self) -> None:
+    async def _refresh_periodically(self) -> None:
         """Follow capacity, configuration and the queue's time limits."""
         while not self.should_stop:
-            self._follow_config()
+            self._apply_config()
             for name in list(self._config.document.deployments):
-                self._measure(name)
-            self._pump()
-            await self._clock.sleep(_PERIOD_S)
+                self._update_capacity(name)
+            self._admit_waiting()
+            await self._clock.sleep(_REFRESH_INTERVAL_S)
 
-    def _follow_config(self) -> None:
+    def _apply_config(self) -> None:
         """Take the accounts of a new document."""
         document = self._config.document
         if document.version != self._version:
             self._version = document.version
             self._admission.configure(document.accounts)
 
-    def _measure(self, deployment: str) -> None:
+    def _update_capacity(self, deployment: str) -> None:
         """Take a deployment's present capacity."""
         slots = self._capacity(deployment)
         self._admission.set_capacity(deployment, slots, self._clock.wall())
--- a/src/ebonydeal/_internal/gateway/answers.py
+++ b/src/ebonydeal/_internal/gateway/answers.py
@@ -85,7 +85,7 @@
         message = self._object(self._chunk_name(), choices=[], usage=counts)
         return b"data: %b\n\n" % _encode(message)
 
-    def whole(self, text: str, finish: str, counts: Usage) -> bytes:
+    def complete(self, text: str, finish: str, counts: Usage) -> bytes:
         """Return a whole answer."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
         if self._chat:
--- a/src/ebonydeal/_internal/gateway/api.py
+++ b/src/ebonydeal/_internal/gateway/api.py
@@ -9,10 +9,10 @@
 from aiohttp import web
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.caller_errors import for_caller
+from ebonydeal._internal.gateway.caller_errors import error_for_caller
 from ebonydeal._internal.gateway.deferred import DEFERRED_PATH, Deferred
 from ebonydeal._internal.gateway.generation import Generation
-from ebonydeal._internal.gateway.intake import PATHS, REQUEST_ID, Intake, ran_perhaps
+from ebonydeal._internal.gateway.intake import PATHS, REQUEST_ID, Intake, may_have_run
 from ebonydeal._internal.gateway.services import Services
 from ebonydeal._internal.models.requests import RequestKind
 from ebonydeal._internal.observe.counters import Event, Metrics
@@ -71,7 +71,7 @@
             parts.trails.note(
                 req[REQUEST_ID], now, Step.REFUSED, kind=str(exc.kind), why=exc.detail
             )
-            raise for_caller(exc, ran_perhaps(req)) from exc
+            raise error_for_caller(exc, may_have_run(req)) from exc
         except ConnectionError:
             parts.metrics.refused(ErrorKind.CALLER_LEFT)
             raise asyncio.CancelledError from None
--- a/src/ebonydeal/_internal/gateway/attempts.py
+++ b/src/ebonydeal/_internal/gateway/attempts.py
@@ -13,21 +13,21 @@
 
 
 @dataclass(frozen=True)
-class Arrived:
+class ChunkReceived:
     """A chunk came from the engine."""
 
     chunk: Chunk
 
 
 @dataclass(frozen=True)
-class Broke:
+class AttemptFailed:
     """The try is over without a whole answer."""
 
     error: EbonydealError
 
 
 @dataclass(frozen=True)
-class Move:
+class Migrate:
     """The stream shall go on elsewhere, because its endpoint leaves.
 
     ``target`` is None where routing may choose; ``kv_handle`` is empty where
@@ -38,7 +38,7 @@
     kv_handle: str
 
 
-Message = Arrived | Broke | Move
+Message = ChunkReceived | AttemptFailed | Migrate
 
 
 class Mailbox:
@@ -78,7 +78,7 @@
         return messages
 
 
-class Order(NamedTuple):
+class EngineRequest(NamedTuple):
     """What an engine is asked for."""
 
     path: str
@@ -103,10 +103,15 @@
     """
 
     def __init__(
-        self, engine: Engine, route: Route, order: Order, bound: int, clock: Clock
+        self,
+        engine: Engine,
+        route: Route,
+        engine_request: EngineRequest,
+        bound: int,
+        clock: Clock,
     ) -> None:
         self.route = route
-        self.order = order
+        self.engine_request = engine_request
         self.mailbox = Mailbox(bound)
         self.started_at = clock.now()
         self.waiting_since: float | None = self.started_at
@@ -118,38 +123,38 @@
     @property
     def attempt_id(self) -> str:
         """Id that the engine knows this try by."""
-        return self.order.attempt_id
+        return self.engine_request.attempt_id
 
     async def _run(self) -> None:
         """Read until the engine ends or breaks off."""
         try:
             await self._read()
         except EbonydealError as exc:
-            self.mailbox.post(Broke(exc))
+            self.mailbox.post(AttemptFailed(exc))
         except Exception as exc:
             detail = f"the endpoint's stream failed: {type(exc).__name__}"
             error = EbonydealError(ErrorKind.ENDPOINT_FAILED, detail)
-            self.mailbox.post(Broke(error))
+            self.mailbox.post(AttemptFailed(error))
         else:
             detail = "the endpoint's stream ended early"
             error = EbonydealError(ErrorKind.ENDPOINT_FAILED, detail)
-            self.mailbox.post(Broke(error))
+            self.mailbox.post(AttemptFailed(error))
 
     async def _read(self) -> None:
         """Post each chunk; stop after the last one."""
-        order = self.order
+        engine_request = self.engine_request
         stream = self._engine.stream(
             self.route.endpoint,
-            order.path,
-            order.body,
-            order.attempt_id,
-            order.resume,
+            engine_request.path,
+            engine_request.body,
+            engine_request.attempt_id,
+            engine_request.resume,
         )
         try:
             async for chunk in stream:
                 self.waiting_since = None
                 await self.mailbox.has_room()
-                self.mailbox.post(Arrived(chunk))
+                self.mailbox.post(ChunkReceived(chunk))
                 self.waiting_since = self._clock.now()
         finally:
             self.waiting_since = None
--- a/src/ebonydeal/_internal/gateway/budget.py
+++ b/src/ebonydeal/_internal/gateway/budget.py
@@ -27,18 +27,18 @@
         self._policy.record_first_send(deployment, now)
 
     def next_delay(
-        self, failure: FailedAttempt, tries: int, now: float
+        self, failure: FailedAttempt, attempts: int, now: float
     ) -> float | EbonydealError:
         """Return seconds until the next try, or the error to give up with."""
-        asked = Failure(
+        failed = Failure(
             kind=failure.kind,
             deployment=failure.deployment,
             idempotent=failure.idempotent,
-            may_have_run=failure.ran_before,
-            first_byte_received=failure.first_byte,
+            may_have_run=failure.may_have_run,
+            first_byte_received=failure.first_byte_received,
             deadline=failure.deadline,
         )
-        match self._policy.next_attempt(asked, tries, now):
+        match self._policy.next_attempt(failed, attempts, now):
             case Retry(delay_s=after):
                 return after
             case GiveUp(kind=kind, retry_after=wait, reason=why):
--- a/src/ebonydeal/_internal/gateway/caller_errors.py
+++ b/src/ebonydeal/_internal/gateway/caller_errors.py
@@ -1,11 +1,11 @@
-"""What callers are told of a failure.
+"""Error messages as callers see them.
 
-Never an endpoint's address or text, and never a false "not run".
+They hold no address or text of an endpoint, and "not run" only where it is certain.
 """
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind, Outcome
 
-_TOLD = {
+_CALLER_MESSAGES = {
     ErrorKind.CONNECT_FAILED: "No endpoint could be reached.",
     ErrorKind.ENDPOINT_REFUSED: "The endpoints take no more requests now.",
     ErrorKind.ENDPOINT_FAILED: "The endpoint failed.",
@@ -15,25 +15,27 @@
 }
 
 
-def for_caller(error: EbonydealError, keyed: bool = False) -> EbonydealError:
+def error_for_caller(
+    error: EbonydealError, may_have_run: bool = False
+) -> EbonydealError:
     """Return the error as a caller may see it; the detail stays in the trail.
 
     Parameters
     ----------
     error : EbonydealError
         What went wrong.
-    keyed : bool
+    may_have_run : bool
         Whether the request is under an idempotency key and its journal wasn't
         asked: an earlier try under the key may have run, so a refusal of this
         one says nothing of the outcome.
     """
-    told = _TOLD.get(error.kind, error.detail)
-    outcome = Outcome.UNKNOWN if keyed else error.outcome
-    if told == error.detail and outcome is error.outcome:
+    message = _CALLER_MESSAGES.get(error.kind, error.detail)
+    outcome = Outcome.UNKNOWN if may_have_run else error.outcome
+    if message == error.detail and outcome is error.outcome:
         return error
     return EbonydealError(
         error.kind,
-        told,
+        message,
         retry_after=error.retry_after,
         owner=error.owner,
         outcome=outcome,
--- a/src/ebonydeal/_internal/gateway/deferred.py
+++ b/src/ebonydeal/_internal/gateway/deferred.py
@@ -92,8 +92,8 @@
             )
         if call.options.key:
             req[REQUEST_ID] = parts.intake.keyed_id(account.name, call.options.key)
-        times = parts.intake.deadlines(call.options, 0.0)
-        request, deployment = parts.intake.generation(
+        times = parts.intake.request_times(call.options, 0.0)
+        request, deployment = parts.intake.generation_request(
             call, account, req[REQUEST_ID], times, raw
         )
         ticket = parts.admission.admit_deferred(request)
--- a/src/ebonydeal/_internal/gateway/direct_calls.py
+++ b/src/ebonydeal/_internal/gateway/direct_calls.py
@@ -28,7 +28,7 @@
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.ids import new_token
 
-_LOOKUPS = ("GET", "HEAD")
+_HEDGED_METHODS = ("GET", "HEAD")
 
 
 class DirectCall(NamedTuple):
@@ -75,14 +75,14 @@
         name = call.deployment.name
         parts.retries.record_first_send(name, parts.clock.wall())
         avoid: set[Incarnation] = set()
-        tries = 0
+        attempts = 0
         while True:
-            parts.crashes.check(call.request, ran=tries > 0)
-            tries += 1
+            parts.crashes.check(call.request, ran=attempts > 0)
+            attempts += 1
             try:
                 answer = await self._hedged(call, avoid)
             except EbonydealError as exc:
-                await self._next_try(call, exc, tries, avoid)
+                await self._prepare_retry(call, exc, attempts, avoid)
                 continue
             return web.Response(
                 body=answer.body,
@@ -90,11 +90,11 @@
                 headers={"Content-Type": answer.content_type},
             )
 
-    async def _next_try(
+    async def _prepare_retry(
         self,
         call: DirectCall,
         error: EbonydealError,
-        tries: int,
+        attempts: int,
         avoid: set[Incarnation],
     ) -> None:
         """Wait until the next try, or raise the final error at once."""
@@ -108,11 +108,11 @@
                 kind=error.kind,
                 deployment=call.deployment.name,
                 idempotent=True,
-                ran_before=tries > 1,
-                first_byte=False,
+                may_have_run=attempts > 1,
+                first_byte_received=False,
                 deadline=call.request.deadline,
             )
-            wait = parts.retries.next_delay(failure, tries, now)
+            wait = parts.retries.next_delay(failure, attempts, now)
         if isinstance(wait, EbonydealError):
             raise wait
         parts.metrics.retried(retry_reason(error.kind, 0))
@@ -129,11 +129,11 @@
         """Return where to call; raises NO_ENDPOINT."""
         parts = self._parts
         now = parts.clock.wall()
-        ask = EndpointQuery(call.request, call.deployment, "", avoid=frozenset(avoid))
-        route = parts.routes.choose(ask, now)
+        query = EndpointQuery(call.request, call.deployment, "", avoid=frozenset(avoid))
+        route = parts.routes.choose(query, now)
         if route is None and avoid:
             avoid.clear()
-            route = parts.routes.choose(ask._replace(avoid=frozenset()), now)
+            route = parts.routes.choose(query._replace(avoid=frozenset()), now)
         if route is None:
             detail = "no endpoint of the service is up"
             raise EbonydealError(ErrorKind.NO_ENDPOINT, detail)
@@ -143,20 +143,20 @@
         """Call once; a look-up that takes long is tried at a second endpoint."""
         parts = self._parts
         hedge_after = self._cfg.hedge_seconds
-        first = self._start(call, avoid)
-        if call.request.method not in _LOOKUPS or not hedge_after:
+        first = self._start_attempt(call, avoid)
+        if call.request.method not in _HEDGED_METHODS or not hedge_after:
             return await first
         tasks: set[asyncio.Task] = {first}
         timer = asyncio.ensure_future(parts.clock.sleep(hedge_after))
         try:
             await asyncio.wait({first, timer}, return_when=asyncio.FIRST_COMPLETED)
-            if not first.done() and self._may_hedge(call, avoid):
+            if not first.done() and self._can_hedge(call, avoid):
                 tasks |= self._start_hedge(call, avoid)
             return await _first_success(tasks)
         finally:
             await _cancel_all({timer, *tasks})
 
-    def _may_hedge(self, call: DirectCall, avoid: set[Incarnation]) -> bool:
+    def _can_hedge(self, call: DirectCall, avoid: set[Incarnation]) -> bool:
         """Return whether a second endpoint exists and the budget allows it."""
         views = self._parts.directory.views(call.deployment.name)
         if all(incarnation_of(view) in avoid for view in views):
@@ -172,24 +172,24 @@
         """Start a second try at another endpoint, if routing has one."""
         parts = self._parts
         now = parts.clock.wall()
-        ask = EndpointQuery(call.request, call.deployment, "", avoid=frozenset(avoid))
-        route = parts.routes.choose(ask, now)
+        query = EndpointQuery(call.request, call.deployment, "", avoid=frozenset(avoid))
+        route = parts.routes.choose(query, now)
         if route is None:
             return set()
         avoid.add(incarnation_of(route.endpoint))
         parts.metrics.retried(RetryReason.HEDGE)
         parts.trails.note(call.request.request_id, now, Step.HEDGED)
-        return {asyncio.create_task(self._once(call, route))}
+        return {asyncio.create_task(self._call_endpoint(call, route))}
 
-    def _start(
+    def _start_attempt(
         self, call: DirectCall, avoid: set[Incarnation]
     ) -> asyncio.Task[ServiceAnswer]:
         """Start a try at an endpoint not tried before; raises NO_ENDPOINT."""
         route = self._choose(call, avoid)
         avoid.add(incarnation_of(route.endpoint))
-        return asyncio.create_task(self._once(call, route))
+        return asyncio.create_task(self._call_endpoint(call, route))
 
-    async def _once(self, call: DirectCall, route: Route) -> ServiceAnswer:
+    async def _call_endpoint(self, call: DirectCall, route: Route) -> ServiceAnswer:
         """Call one endpoint once and report how it went."""
         parts = self._parts
         request = call.request
--- a/src/ebonydeal/_internal/gateway/endpoint_health.py
+++ b/src/ebonydeal/_internal/gateway/endpoint_health.py
@@ -7,7 +7,7 @@
 
 _MAX_ENDPOINTS = 4096
 # Idle endpoints are asked for their load every few seconds.
-_LOAD_FRESH_S = 12.0
+_LOAD_REPORT_TTL_S = 12.0
 Incarnation = tuple[str, int]
 
 
@@ -32,9 +32,9 @@
         How long a word counts, seconds.
     """
 
-    def __init__(self, fresh_s: float) -> None:
-        self._fresh = fresh_s
-        self._words: OrderedDict[Incarnation, tuple[bool, float]] = OrderedDict()
+    def __init__(self, result_ttl_s: float) -> None:
+        self._result_ttl_s = result_ttl_s
+        self._results: OrderedDict[Incarnation, tuple[bool, float]] = OrderedDict()
 
     def record_success(self, view: EndpointView, now: float) -> None:
         """Note that tokens or an answer came from ``view``."""
@@ -46,10 +46,10 @@
 
     def is_working(self, view: EndpointView, now: float) -> bool:
         """Return whether an endpoint is known to work; ``now`` is wall clock."""
-        word = self._words.get(incarnation_of(view))
-        if word is not None and now - word[1] <= self._fresh:
-            return word[0]
-        return view.load is not None and now - view.load.at <= _LOAD_FRESH_S
+        result = self._results.get(incarnation_of(view))
+        if result is not None and now - result[1] <= self._result_ttl_s:
+            return result[0]
+        return view.load is not None and now - view.load.at <= _LOAD_REPORT_TTL_S
 
     def any_working(
         self, views: Iterable[EndpointView], avoid: Set[Incarnation], now: float
@@ -61,10 +61,10 @@
             if incarnation_of(view) not in avoid
         )
 
-    def _note(self, view: EndpointView, good: bool, now: float) -> None:
+    def _note(self, view: EndpointView, success: bool, now: float) -> None:
         """Keep the word, dropping the oldest of too many."""
         key = incarnation_of(view)
-        self._words[key] = (good, now)
-        self._words.move_to_end(key)
-        if len(self._words) > _MAX_ENDPOINTS:
-            self._words.popitem(last=False)
+        self._results[key] = (success, now)
+        self._results.move_to_end(key)
+        if len(self._results) > _MAX_ENDPOINTS:
+            self._results.popitem(last=False)
--- a/src/ebonydeal/_internal/gateway/endpoint_subset.py
+++ b/src/ebonydeal/_internal/gateway/endpoint_subset.py
@@ -11,10 +11,10 @@
 from ebonydeal._internal.settings.routing import RoutingSettings
 from ebonydeal._internal.utils.clock import Clock
 
-_PERIOD_S = 1.0
+_REFRESH_INTERVAL_S = 1.0
 
 
-class Views(Protocol):
+class EndpointSource(Protocol):
     """Where the endpoints are known."""
 
     def all_views(self) -> tuple[EndpointView, ...]:
@@ -44,7 +44,7 @@
         self,
         own: PlacedProcess,
         gateways: Callable[[], Iterable[PlacedProcess]],
-        views: Views,
+        views: EndpointSource,
         cfg: RoutingSettings,
         on_change: Callable[[frozenset[str]], None],
         clock: Clock,
@@ -56,11 +56,11 @@
         self._cfg = cfg
         self._on_change = on_change
         self._clock = clock
-        self._watched: frozenset[str] | None = None
+        self._chosen_ids: frozenset[str] | None = None
 
-    def watches(self, view: EndpointView) -> bool:
+    def includes(self, view: EndpointView) -> bool:
         """Return whether an endpoint is watched; all are before the first choice."""
-        return self._watched is None or view.endpoint_id in self._watched
+        return self._chosen_ids is None or view.endpoint_id in self._chosen_ids
 
     def refresh(self) -> None:
         """Choose anew from what is known now."""
@@ -78,12 +78,12 @@
                 self._cfg.spill_share,
             )
         chosen = frozenset(watched)
-        if chosen != self._watched:
-            self._watched = chosen
+        if chosen != self._chosen_ids:
+            self._chosen_ids = chosen
             self._on_change(chosen)
 
     @Service.task
-    async def _follow(self) -> None:
+    async def _refresh_periodically(self) -> None:
         while not self.should_stop:
             self.refresh()
-            await self._clock.sleep(_PERIOD_S)
+            await self._clock.sleep(_REFRESH_INTERVAL_S)
--- a/src/ebonydeal/_internal/gateway/events.py
+++ b/src/ebonydeal/_internal/gateway/events.py
@@ -113,7 +113,7 @@
         self._source: tuple[str, int, str] | None = None
         self._head = ""
 
-    def skip(self, tokens: list[str]) -> None:
+    def add_delivered(self, tokens: list[str]) -> None:
         """Take in tokens that the caller already has."""
         for token in tokens:
             self._digest.add(token)
--- a/src/ebonydeal/_internal/gateway/generation.py
+++ b/src/ebonydeal/_internal/gateway/generation.py
@@ -14,9 +14,14 @@
     error_event,
     usage,
 )
-from ebonydeal._internal.gateway.caller_errors import for_caller
+from ebonydeal._internal.gateway.caller_errors import error_for_caller
 from ebonydeal._internal.gateway.events import EventIds, ResumePoint, read_event_id
-from ebonydeal._internal.gateway.intake import REQUEST_ID, Intake, new_job, ran_perhaps
+from ebonydeal._internal.gateway.intake import (
+    REQUEST_ID,
+    Intake,
+    build_job,
+    may_have_run,
+)
 from ebonydeal._internal.gateway.live_stream import LiveStream, Piece
 from ebonydeal._internal.gateway.output import StreamOutput
 from ebonydeal._internal.gateway.parse import GenerationCall, parse_generation
@@ -25,7 +30,7 @@
     DeliveredTokenFilter,
     Reconnector,
     RetainedAnswers,
-    caller_has,
+    delivered_count,
 )
 from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.models.requests import RequestKind
@@ -44,7 +49,7 @@
     admission: AdmissionPort
     runner: StreamRunner
     reconnector: Reconnector
-    left: RetainedAnswers
+    interrupted: RetainedAnswers
     finished: RetainedAnswers
     metrics: Metrics
     trails: Trails
@@ -95,17 +100,17 @@
         account = parts.intake.account(req)
         raw = await parts.intake.body(req)
         call = parse_generation(kind, raw, req.headers).alt(_raise).unwrap()
-        hint = self._hint(req, account.name, call)
-        if hint is not None:
-            req[REQUEST_ID] = hint.request_id
-        times = parts.intake.deadlines(call.options, self._cfg.request_seconds)
-        request, deployment = parts.intake.generation(
+        resume_point = self._resume_point(req, account.name, call)
+        if resume_point is not None:
+            req[REQUEST_ID] = resume_point.request_id
+        times = parts.intake.request_times(call.options, self._cfg.request_seconds)
+        request, deployment = parts.intake.generation_request(
             call, account, req[REQUEST_ID], times, raw
         )
-        job = new_job(call, request, deployment)
+        job = build_job(call, request, deployment)
         parts.trails.note(
             request.request_id,
-            times.at,
+            times.received_at,
             Step.RECEIVED,
             deployment=deployment.name,
             model=call.model,
@@ -113,12 +118,12 @@
             prompt_tokens=request.prompt_tokens,
         )
         live = LiveStream(job)
-        if hint is not None:
-            live = await parts.reconnector.resume(hint, job)
+        if resume_point is not None:
+            live = await parts.reconnector.resume(resume_point, job)
         ticket = await parts.admission.admit(request, deployment)
         parts.trails.note(request.request_id, parts.clock.wall(), Step.ADMITTED)
         try:
-            resp = await self._answer(req, call, live, hint, started)
+            resp = await self._answer(req, call, live, resume_point, started)
         finally:
             self._release(ticket, live)
         parts.metrics.count(Event.ANSWERED)
@@ -128,11 +133,11 @@
             parts.clock.wall(),
             Step.ANSWERED,
             tokens=len(live.delivered),
-            tries=live.tries,
+            tries=live.attempt_count,
         )
         return resp
 
-    def _hint(
+    def _resume_point(
         self, req: web.Request, account: str, call: GenerationCall
     ) -> ResumePoint | None:
         """Return how far a caller that comes back was."""
@@ -154,33 +159,33 @@
         req: web.Request,
         call: GenerationCall,
         live: LiveStream,
-        hint: ResumePoint | None,
+        resume_point: ResumePoint | None,
         started: float,
     ) -> web.StreamResponse:
         """Generate and send the answer, as a stream or whole."""
         request = live.job.request
-        shape = AnswerBuilder(
+        builder = AnswerBuilder(
             call.kind, request.request_id, call.model, request.accepted_at
         )
         transport = req.transport
         if transport is not None:
             live.abort = transport.abort
         if call.stream:
-            return await self._stream(req, call, live, hint, shape, started)
-        return await self._whole(live, shape, started)
+            return await self._stream(req, call, live, resume_point, builder, started)
+        return await self._complete(live, builder, started)
 
-    async def _whole(
-        self, live: LiveStream, shape: AnswerBuilder, started: float
+    async def _complete(
+        self, live: LiveStream, builder: AnswerBuilder, started: float
     ) -> web.Response:
         """Return the whole answer."""
         async with aclosing(self._parts.runner.run(live)) as batches:
             async for _batch in batches:
-                started = self._first(started)
+                started = self._time_first_token(started)
         text = "".join(live.delivered)
-        body = shape.whole(text, live.finish, self._usage(live))
+        body = builder.complete(text, live.finish, self._usage(live))
         return web.Response(body=body, content_type="application/json")
 
-    def _first(self, started: float) -> float:
+    def _time_first_token(self, started: float) -> float:
         """Time the first token; returns 0.0, so that it is timed once."""
         if started:
             seconds = self._parts.clock.now() - started
@@ -198,8 +203,8 @@
         req: web.Request,
         call: GenerationCall,
         live: LiveStream,
-        hint: ResumePoint | None,
-        shape: AnswerBuilder,
+        resume_point: ResumePoint | None,
+        builder: AnswerBuilder,
         started: float,
     ) -> web.StreamResponse:
         """Send the answer as events."""
@@ -207,23 +212,23 @@
         ids = EventIds(
             self._credential, request.account, request.request_id, self._peers.address
         )
-        out = StreamOutput(req, live, ids, shape)
+        out = StreamOutput(req, live, ids, builder)
         try:
-            last = await self._send(out, live, hint, ids, started)
+            last = await self._send(out, live, resume_point, ids, started)
             if call.usage:
-                last += shape.usage_event(self._usage(live))
+                last += builder.usage_event(self._usage(live))
             await out.end(last + DONE, self._parts.clock.now())
         except EbonydealError as exc:
             if out.resp is None:
                 raise
-            self._refuse(live, exc)
-            told = for_caller(exc, ran_perhaps(req))
+            self._record_final_error(live, exc)
+            told = error_for_caller(exc, may_have_run(req))
             await out.end(error_event(told), self._parts.clock.now())
         except (ConnectionError, asyncio.CancelledError):
-            self._left(live)
+            self._retain_interrupted(live)
             raise
         else:
-            self._parts.finished.park(live, self._parts.clock.now())
+            self._parts.finished.retain(live, self._parts.clock.now())
         assert out.resp is not None
         return out.resp
 
@@ -231,24 +236,25 @@
         self,
         out: StreamOutput,
         live: LiveStream,
-        hint: ResumePoint | None,
+        resume_point: ResumePoint | None,
         ids: EventIds,
         started: float,
     ) -> bytes:
         """Write the pieces that the caller lacks; return the last ones unwritten."""
         clock = self._parts.clock
-        skip = None
-        if hint is not None and not live.delivered:
-            skip = DeliveredTokenFilter(hint)
-        if hint is not None and live.delivered:
-            await self._replay(out, live, hint, ids)
+        token_filter = None
+        if resume_point is not None and not live.delivered:
+            token_filter = DeliveredTokenFilter(resume_point)
+        if resume_point is not None and live.delivered:
+            await self._replay(out, live, resume_point, ids)
         async with aclosing(self._parts.runner.run(live)) as batches:
             async for batch in batches:
                 data = b"".join(
-                    out.event(piece) for piece in _lacking(batch, skip, ids)
+                    out.event(piece)
+                    for piece in _missing_pieces(batch, token_filter, ids)
                 )
                 if data:
-                    started = self._first(started)
+                    started = self._time_first_token(started)
                 if live.finish:
                     return data
                 if data:
@@ -256,11 +262,15 @@
         return b""
 
     async def _replay(
-        self, out: StreamOutput, live: LiveStream, hint: ResumePoint, ids: EventIds
+        self,
+        out: StreamOutput,
+        live: LiveStream,
+        resume_point: ResumePoint,
+        ids: EventIds,
     ) -> None:
         """Write the kept pieces that the caller lacks."""
-        has = caller_has(hint, live.delivered, live.finish)
-        ids.skip(live.delivered[:has])
+        has = delivered_count(resume_point, live.delivered, live.finish)
+        ids.add_delivered(live.delivered[:has])
         pieces = [
             Piece(position, text)
             for position, text in enumerate(live.delivered)
@@ -272,10 +282,10 @@
             data = b"".join(out.event(piece) for piece in pieces)
             await out.write(data, self._parts.clock.now())
 
-    def _left(self, live: LiveStream) -> None:
+    def _retain_interrupted(self, live: LiveStream) -> None:
         """Keep an answer whose caller left, for when it comes back."""
         parts = self._parts
-        parts.left.park(live, parts.clock.now())
+        parts.interrupted.retain(live, parts.clock.now())
         parts.trails.note(
             live.request_id,
             parts.clock.wall(),
@@ -283,11 +293,11 @@
             delivered=len(live.delivered),
         )
 
-    def _refuse(self, live: LiveStream, error: EbonydealError) -> None:
+    def _record_final_error(self, live: LiveStream, error: EbonydealError) -> None:
         """Count a final error that goes out inside a stream."""
         parts = self._parts
         parts.metrics.refused(error.kind)
-        parts.left.park(live, parts.clock.now())
+        parts.interrupted.retain(live, parts.clock.now())
         parts.trails.note(
             live.request_id,
             parts.clock.wall(),
@@ -297,19 +307,19 @@
         )
 
 
-def _lacking(
-    batch: list[Piece], skip: DeliveredTokenFilter | None, ids: EventIds
+def _missing_pieces(
+    batch: list[Piece], token_filter: DeliveredTokenFilter | None, ids: EventIds
 ) -> list[Piece]:
     """Return the pieces that the caller lacks."""
-    if skip is None:
+    if token_filter is None:
         return batch
-    lacking = []
+    missing = []
     for piece in batch:
-        if skip.keep(piece):
-            lacking.append(piece)
+        if token_filter.is_missing(piece):
+            missing.append(piece)
         else:
-            ids.skip([piece.text])
-    return lacking
+            ids.add_delivered([piece.text])
+    return missing
 
 
 def _raise(error: EbonydealError) -> None:
--- a/src/ebonydeal/_internal/gateway/intake.py
+++ b/src/ebonydeal/_internal/gateway/intake.py
@@ -35,10 +35,10 @@
 _PRIORITY_FIELD = "priority"
 
 
-class Deadlines(NamedTuple):
+class RequestTimes(NamedTuple):
     """When a request came and by when it must be answered, wall clock seconds."""
 
-    at: float
+    received_at: float
     deadline: float
 
 
@@ -101,11 +101,11 @@
         """Return the one request id of an account's idempotency key."""
         return keyed_request_id(account, key, self._shards)
 
-    def deadlines(self, options: CallOptions, default_s: float) -> Deadlines:
+    def request_times(self, options: CallOptions, default_s: float) -> RequestTimes:
         """Return the times of a request; ``default_s`` 0.0 means no deadline."""
         now = self._clock.wall()
         seconds = options.deadline_s or default_s
-        return Deadlines(now, now + seconds if seconds else 0.0)
+        return RequestTimes(now, now + seconds if seconds else 0.0)
 
     def engine_deployment(self, model: str, account: Account) -> Deployment:
         """Return the deployment that serves ``model``; raises UNKNOWN_MODEL."""
@@ -115,12 +115,12 @@
             raise EbonydealError(ErrorKind.UNKNOWN_MODEL, detail)
         return found
 
-    def generation(
+    def generation_request(
         self,
         call: GenerationCall,
         account: Account,
         request_id: str,
-        times: Deadlines,
+        times: RequestTimes,
         raw: bytes,
     ) -> tuple[Request, Deployment]:
         """Return the request of a checked generation call."""
@@ -140,7 +140,7 @@
             key=call.options.key,
             idempotent=True,
             priority=allowed_priority(call.options.priority, deployment, account),
-            accepted_at=times.at,
+            accepted_at=times.received_at,
             deadline=times.deadline,
             prompt_tokens=call.prompt_tokens,
             max_tokens=call.max_tokens or self._cfg.max_output_tokens,
@@ -148,7 +148,7 @@
         return request, deployment
 
 
-def ran_perhaps(req: web.Request) -> bool:
+def may_have_run(req: web.Request) -> bool:
     """Return whether an earlier try may have run that the journal wasn't asked of."""
     return bool(req.headers.get(KEY_HEADER)) and not req.get(JOURNAL_ASKED, False)
 
@@ -161,7 +161,7 @@
     return max(wanted, account.priority)
 
 
-def new_job(call: GenerationCall, request: Request, deployment: Deployment) -> Job:
+def build_job(call: GenerationCall, request: Request, deployment: Deployment) -> Job:
     """Return what the relay is asked for."""
     blocks = prefix_blocks(call.model, prompt_text(call.body))
     # The class that was allowed, whatever the caller's own body says.
--- a/src/ebonydeal/_internal/gateway/live_stream.py
+++ b/src/ebonydeal/_internal/gateway/live_stream.py
@@ -23,7 +23,7 @@
     RECONNECT = "reconnect"
 
 
-RECOMPUTED = {
+RECOMPUTED_EVENTS = {
     ResumeCause.FAILED: Event.TOKENS_RECOMPUTED_RESUME,
     ResumeCause.STALLED: Event.TOKENS_RECOMPUTED_STALL,
     ResumeCause.RECLAIM: Event.TOKENS_RECOMPUTED_RECLAIM,
@@ -97,15 +97,15 @@
         Tokens handed to the caller's connection, in order.
     attempt : Attempt or None
         The running try; None between tries.
-    tries : int
+    attempt_count : int
         Tries started.
-    fruitless : int
+    attempts_without_token : int
         Tries in a row, up to the last, that gave no token.
-    moving : bool
+    migrating : bool
         Whether a Move will come whatever becomes of the running try.
-    planned : Attempt or None
+    planned_attempt : Attempt or None
         Try for which a way off its leaving endpoint was decided.
-    cause : MoveCause or None
+    cause : ResumeCause or None
         Why the next try is needed; None before the first.
     target : EndpointView or None
         Where the next try shall go.
@@ -117,7 +117,7 @@
         Endpoints that failed this answer.
     finish : str
         Finish reason once the answer is whole.
-    begun : bool
+    has_started : bool
         Whether any try got as far as a first chunk.
     cached_tokens : int
         Prompt tokens that the first such try found cached.
@@ -130,17 +130,17 @@
     job: Job
     delivered: list[str] = field(default_factory=list)
     attempt: Attempt | None = None
-    tries: int = 0
-    fruitless: int = 0
-    moving: bool = False
-    planned: Attempt | None = None
+    attempt_count: int = 0
+    attempts_without_token: int = 0
+    migrating: bool = False
+    planned_attempt: Attempt | None = None
     cause: ResumeCause | None = None
     target: EndpointView | None = None
     kv_handle: str = ""
     prefer: Incarnation | None = None
     avoid: set[Incarnation] = field(default_factory=set)
     finish: str = ""
-    begun: bool = False
+    has_started: bool = False
     cached_tokens: int = 0
     last_token_at: float = 0.0
     writing_since: float | None = None
@@ -159,7 +159,7 @@
         view = self.attempt.route.endpoint
         return (view.endpoint_id, view.incarnation)
 
-    def ask(self) -> EndpointQuery:
+    def endpoint_query(self) -> EndpointQuery:
         """Return what an endpoint is wanted for."""
         job = self.job
         return EndpointQuery(
--- a/src/ebonydeal/_internal/gateway/migration_inputs.py
+++ b/src/ebonydeal/_internal/gateway/migration_inputs.py
@@ -13,7 +13,7 @@
 from ebonydeal._internal.settings.gateway import GatewaySettings
 
 _MB_PER_GB = 1024.0
-_ROOM_UNKNOWN = 4
+_ROOM_IF_UNKNOWN = 4
 
 
 class AffectedStream(NamedTuple):
@@ -26,16 +26,16 @@
     def is_current(self) -> bool:
         """Whether the try still runs and no move of it is under way."""
         live = self.live
-        return live.attempt is self.attempt and not live.moving and not live.finish
+        return live.attempt is self.attempt and not live.migrating and not live.finish
 
 
-def stream_key(item: AffectedStream) -> str:
+def stream_key(stream: AffectedStream) -> str:
     """Return what the planner knows a stream by; one request may run twice."""
-    return item.attempt.attempt_id
+    return stream.attempt.attempt_id
 
 
 def running_stream(
-    item: AffectedStream, cfg: GatewaySettings, now: float
+    stream: AffectedStream, cfg: GatewaySettings, now: float
 ) -> RunningStream:
     """Return what the planner needs to know of a stream.
 
@@ -48,30 +48,36 @@
     now : float
         Clock seconds.
     """
-    live, attempt = item
+    live, attempt = stream
     request = live.job.request
     context = request.prompt_tokens + len(live.delivered)
     return RunningStream(
-        request_id=stream_key(item),
+        request_id=stream_key(stream),
         endpoint_id=attempt.route.endpoint.endpoint_id,
         context_tokens=context,
         remaining_tokens_estimate=max(1.0, request.max_tokens - len(live.delivered)),
-        tokens_per_s=_rate(item, now),
+        tokens_per_s=_rate(stream, now),
         kv_gb=context * cfg.kv_mb_per_token / _MB_PER_GB,
         prefix=live.job.prefix,
     )
 
 
-def _rate(item: AffectedStream, now: float) -> float:
+def _rate(stream: AffectedStream, now: float) -> float:
     """Return the tokens a second of the running try; 0.0 before the first."""
-    first_at = item.attempt.first_at
+    first_at = stream.attempt.first_at
     if first_at is None or now <= first_at:
         return 0.0
-    start = len(item.attempt.order.resume.delivered) if item.attempt.order.resume else 0
-    return (len(item.live.delivered) - start) / (now - first_at)
+    start = (
+        len(stream.attempt.engine_request.resume.delivered)
+        if stream.attempt.engine_request.resume
+        else 0
+    )
+    return (len(stream.live.delivered) - start) / (now - first_at)
 
 
-def targets(views: Iterable[EndpointView], model: str) -> list[MigrationTarget]:
+def migration_targets(
+    views: Iterable[EndpointView], model: str
+) -> list[MigrationTarget]:
     """Return the endpoints that may take streams of ``model``, with their room."""
     return [
         MigrationTarget(view, _room(view)) for view in views if model in view.models
@@ -81,7 +87,7 @@
 def _room(view: EndpointView) -> int:
     """Return the streams that an endpoint takes without queueing."""
     if view.load is None:
-        return _ROOM_UNKNOWN
+        return _ROOM_IF_UNKNOWN
     return max(0, view.load.slots - view.load.running - view.load.waiting)
 
 
@@ -92,8 +98,8 @@
     that of the running streams that are this gateway's own.
     """
     sources = {
-        item.attempt.route.endpoint.endpoint_id: item.attempt.route.endpoint
-        for item in affected
+        stream.attempt.route.endpoint.endpoint_id: stream.attempt.route.endpoint
+        for stream in affected
     }
     running = sum(view.load.running for view in sources.values() if view.load)
     return gb_per_s * len(affected) / max(running, len(affected), 1)
--- a/src/ebonydeal/_internal/gateway/output.py
+++ b/src/ebonydeal/_internal/gateway/output.py
@@ -28,12 +28,12 @@
     """
 
     def __init__(
-        self, req: web.Request, live: LiveStream, ids: EventIds, shape: AnswerBuilder
+        self, req: web.Request, live: LiveStream, ids: EventIds, builder: AnswerBuilder
     ) -> None:
         self._req = req
         self._live = live
         self._ids = ids
-        self._shape = shape
+        self._builder = builder
         self.resp: web.StreamResponse | None = None
 
     def event(self, piece: Piece) -> bytes:
@@ -43,9 +43,9 @@
         if attempt is not None:
             view = attempt.route.endpoint
             source = (view.endpoint_id, view.incarnation, attempt.attempt_id)
-        return self._shape.event(piece, self._ids.make(source, piece))
+        return self._builder.event(piece, self._ids.make(source, piece))
 
-    async def _begin(self) -> web.StreamResponse:
+    async def _prepare(self) -> web.StreamResponse:
         """Return the response, begun."""
         if self.resp is None:
             self.resp = web.StreamResponse(headers=_STREAM_HEADERS)
@@ -54,14 +54,14 @@
 
     async def write(self, data: bytes, now: float) -> None:
         """Write data; waits while the caller takes none."""
-        resp = await self._begin()
+        resp = await self._prepare()
         self._live.writing_since = now
         await resp.write(data)
         self._live.writing_since = None
 
     async def end(self, data: bytes, now: float) -> None:
         """Write the last data and the end of the response, in one go."""
-        resp = await self._begin()
+        resp = await self._prepare()
         self._live.writing_since = now
         await resp.write_eof(data)
         self._live.writing_since = None
--- a/src/ebonydeal/_internal/gateway/parse.py
+++ b/src/ebonydeal/_internal/gateway/parse.py
@@ -20,7 +20,7 @@
 _MAX_OUTPUT_TOKENS = 1 << 20
 _MAX_MODEL_CHARS = 256
 # The engine's own field for resumed streams; a caller must not name KV caches.
-_RESERVED = ("resume",)
+_RESERVED_FIELDS = ("resume",)
 
 Body = dict[str, Any]
 
@@ -69,7 +69,7 @@
     options: CallOptions
 
 
-def _bad(detail: str) -> EbonydealError:
+def _bad_request(detail: str) -> EbonydealError:
     """Return a BAD_REQUEST."""
     return EbonydealError(ErrorKind.BAD_REQUEST, detail)
 
@@ -79,14 +79,14 @@
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise _bad(f"body is not JSON: {exc}") from exc
+        raise _bad_request(f"body is not JSON: {exc}") from exc
     except RecursionError as exc:
-        raise _bad("body nests too deep") from exc
+        raise _bad_request("body nests too deep") from exc
     if not isinstance(body, dict):
-        raise _bad("body must be a JSON object")
-    for name in _RESERVED:
+        raise _bad_request("body must be a JSON object")
+    for name in _RESERVED_FIELDS:
         if name in body:
-            raise _bad(f"field '{name}' is reserved")
+            raise _bad_request(f"field '{name}' is reserved")
     return body
 
 
@@ -94,7 +94,7 @@
     """Return an optional boolean field."""
     value = body.get(name)
     if value is not None and not isinstance(value, bool):
-        raise _bad(f"'{name}' must be true or false")
+        raise _bad_request(f"'{name}' must be true or false")
     return bool(value)
 
 
@@ -102,7 +102,7 @@
     """Return the model's name."""
     model = body.get("model")
     if not isinstance(model, str) or not 0 < len(model) <= _MAX_MODEL_CHARS:
-        raise _bad("'model' must be the name of a model")
+        raise _bad_request("'model' must be the name of a model")
     return model
 
 
@@ -113,7 +113,7 @@
         if value is None:
             continue
         if type(value) is not int or not 1 <= value <= _MAX_OUTPUT_TOKENS:
-            raise _bad(f"'{name}' must be a whole number from 1 to 1048576")
+            raise _bad_request(f"'{name}' must be a whole number from 1 to 1048576")
         return value
     return 0
 
@@ -122,16 +122,16 @@
     """Check a chat's messages."""
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _bad("'messages' must be a list with at least one message")
+        raise _bad_request("'messages' must be a list with at least one message")
     for item in messages:
         if not isinstance(item, dict) or not isinstance(item.get("role"), str):
-            raise _bad("each message must be an object with a 'role'")
+            raise _bad_request("each message must be an object with a 'role'")
 
 
 def _check_prompt(body: Body) -> None:
     """Check a completion's prompt."""
     if not isinstance(body.get("prompt"), str):
-        raise _bad("'prompt' must be one text")
+        raise _bad_request("'prompt' must be one text")
 
 
 def _check_choices(body: Body) -> None:
@@ -139,7 +139,7 @@
     for name in ("n", "best_of"):
         value = body.get(name)
         if value is not None and (type(value) is not int or value != 1):
-            raise _bad(f"'{name}' must be 1")
+            raise _bad_request(f"'{name}' must be 1")
 
 
 def _read_usage(body: Body) -> bool:
@@ -148,7 +148,7 @@
     if options is None:
         return False
     if not isinstance(options, dict):
-        raise _bad("'stream_options' must be an object")
+        raise _bad_request("'stream_options' must be an object")
     return _read_flag(options, "include_usage")
 
 
@@ -161,7 +161,7 @@
         return Priority[word.strip().upper()]
     except KeyError:
         names = ", ".join(item.name.lower() for item in Priority)
-        raise _bad(f"{PRIORITY_HEADER} must be one of {names}") from None
+        raise _bad_request(f"{PRIORITY_HEADER} must be one of {names}") from None
 
 
 def _read_deadline(headers: Mapping[str, str]) -> float:
@@ -174,7 +174,9 @@
     except ValueError:
         seconds = math.nan
     if not 0 < seconds <= _MAX_DEADLINE_S:
-        raise _bad(f"{DEADLINE_HEADER} must be seconds, above 0, at most 7 days")
+        raise _bad_request(
+            f"{DEADLINE_HEADER} must be seconds, above 0, at most 7 days"
+        )
     return seconds
 
 
@@ -184,7 +186,9 @@
     if key is None:
         return ""
     if not 0 < len(key) <= _MAX_KEY_CHARS or not key.isprintable():
-        raise _bad(f"{KEY_HEADER} must be 1 to {_MAX_KEY_CHARS} printable characters")
+        raise _bad_request(
+            f"{KEY_HEADER} must be 1 to {_MAX_KEY_CHARS} printable characters"
+        )
     return key
 
 
--- a/src/ebonydeal/_internal/gateway/planned_migrations.py
+++ b/src/ebonydeal/_internal/gateway/planned_migrations.py
@@ -18,7 +18,7 @@
         Availability zones being reclaimed.
     """
 
-    item: AffectedStream
+    stream: AffectedStream
     number: int
     zones: frozenset[str]
 
@@ -31,40 +31,42 @@
         self._planned: dict[str, PlannedMigration] = {}
         self._exports: dict[str, tuple[str, float]] = {}
 
-    def add(self, item: AffectedStream, zones: frozenset[str]) -> int:
+    def add(self, stream: AffectedStream, zones: frozenset[str]) -> int:
         """Keep a plan in place of the stream's former one; return its number."""
         self._number += 1
-        self._planned[stream_key(item)] = PlannedMigration(item, self._number, zones)
+        self._planned[stream_key(stream)] = PlannedMigration(
+            stream, self._number, zones
+        )
         return self._number
 
-    def begin(self, item: AffectedStream, number: int) -> bool:
+    def start(self, stream: AffectedStream, number: int) -> bool:
         """Return whether a due move still holds; it is no longer planned then."""
-        key = stream_key(item)
+        key = stream_key(stream)
         planned = self._planned.get(key)
         if planned is None or planned.number != number:
             return False
         del self._planned[key]
-        return item.is_current
+        return stream.is_current
 
     def at_source(self, endpoint_id: str) -> list[PlannedMigration]:
         """Return the streams of an endpoint whose planned move has not begun."""
         return [
             planned
             for planned in self._planned.values()
-            if planned.item.attempt.route.endpoint.endpoint_id == endpoint_id
-            and planned.item.is_current
+            if planned.stream.attempt.route.endpoint.endpoint_id == endpoint_id
+            and planned.stream.is_current
         ]
 
-    def export_begins(self, item: AffectedStream, until: float) -> None:
+    def record_export_start(self, stream: AffectedStream, until: float) -> None:
         """Note an export, and when it is expected to be over."""
-        source = item.attempt.route.endpoint.endpoint_id
-        self._exports[stream_key(item)] = (source, until)
+        source = stream.attempt.route.endpoint.endpoint_id
+        self._exports[stream_key(stream)] = (source, until)
 
-    def export_ended(self, item: AffectedStream) -> None:
+    def record_export_end(self, stream: AffectedStream) -> None:
         """Forget an export."""
-        self._exports.pop(stream_key(item), None)
+        self._exports.pop(stream_key(stream), None)
 
-    def busy(self, now: float) -> dict[str, float]:
+    def remaining_export_s(self, now: float) -> dict[str, float]:
         """Return the seconds that exports under way still take at each endpoint."""
         seconds: dict[str, float] = {}
         for source, until in self._exports.values():
--- a/src/ebonydeal/_internal/gateway/ports.py
+++ b/src/ebonydeal/_internal/gateway/ports.py
@@ -72,7 +72,7 @@
 class RoutePort(Protocol):
     """Chooses endpoints and learns from what became of each try."""
 
-    def choose(self, ask: EndpointQuery, now: float) -> Route | None:
+    def choose(self, query: EndpointQuery, now: float) -> Route | None:
         """Return the best endpoint, already counted as sent, or None."""
 
     def record_first_token(
@@ -115,9 +115,9 @@
         Whose retry budget counts.
     idempotent : bool
         Whether running the request twice is harmless.
-    ran_before : bool
+    may_have_run : bool
         Whether an earlier try may have run.
-    first_byte : bool
+    first_byte_received : bool
         Whether a byte of the answer came.
     deadline : float
         Wall clock seconds; 0.0 means none.
@@ -126,8 +126,8 @@
     kind: ErrorKind
     deployment: str
     idempotent: bool
-    ran_before: bool
-    first_byte: bool
+    may_have_run: bool
+    first_byte_received: bool
     deadline: float
 
 
@@ -138,7 +138,7 @@
         """Count a request's first try, from which the budget grows."""
 
     def next_delay(
-        self, failure: FailedAttempt, tries: int, now: float
+        self, failure: FailedAttempt, attempts: int, now: float
     ) -> float | EbonydealError:
         """Return seconds until the next try, or the error to give up with."""
 
--- a/src/ebonydeal/_internal/gateway/program.py
+++ b/src/ebonydeal/_internal/gateway/program.py
@@ -26,7 +26,7 @@
 from ebonydeal._internal.gateway.stream_migrator import MigratorParts, StreamMigrator
 from ebonydeal._internal.gateway.stream_runner import StreamRunner, StreamRunnerParts
 from ebonydeal._internal.gateway.stream_watchdog import StreamWatchdog
-from ebonydeal._internal.gateway.wiring import wire
+from ebonydeal._internal.gateway.wiring import build_ports
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.logs import get_logger
 from ebonydeal._internal.utils.clock import Clock
@@ -34,7 +34,7 @@
 
 logger = get_logger("gateway")
 
-_HEALTH_FRESH_S = 30.0
+_HEALTH_RESULT_TTL_S = 30.0
 
 
 class GatewayProgram(Service):
@@ -78,15 +78,15 @@
         self.draining = False
         self.trails = ports.trails
         self._background = Background()
-        self._health = EndpointHealth(_HEALTH_FRESH_S)
+        self._health = EndpointHealth(_HEALTH_RESULT_TTL_S)
         self._crashes = CrashGuard(metrics, clock)
         self._intake = Intake(ports.config, cfg.gateway, cfg.shards, clock, rng)
-        self._left = self._new_parked()
-        self._finished = self._new_parked()
+        self._interrupted = self._new_retained()
+        self._finished = self._new_retained()
         self.stream_runner = self._new_runner()
         self._reconnector = Reconnector(
             self.stream_runner,
-            self._left,
+            self._interrupted,
             self._finished,
             ports.peers,
             metrics,
@@ -105,7 +105,7 @@
         rng: Random,
     ) -> "GatewayProgram":
         """Build the whole tree from all settings sections."""
-        cfg, ports = wire(settings, metrics, clock, rng)
+        cfg, ports = build_ports(settings, metrics, clock, rng)
         return cls(cfg, ports, metrics, clock, rng)
 
     @property
@@ -139,7 +139,7 @@
         await self._server.stop()
 
     # --- building ---
-    def _new_parked(self) -> RetainedAnswers:
+    def _new_retained(self) -> RetainedAnswers:
         cfg = self._cfg.gateway
         return RetainedAnswers(cfg.retention_seconds, cfg.retention_tokens // 2)
 
@@ -199,7 +199,7 @@
             admission=self.ports.admission,
             runner=self.stream_runner,
             reconnector=self._reconnector,
-            left=self._left,
+            interrupted=self._interrupted,
             finished=self._finished,
             metrics=self._metrics,
             trails=self.trails,
@@ -253,7 +253,7 @@
         """
         match message:
             case {"request_id": str(request_id), "account": str(account)}:
-                entry = await self._reconnector.claim(request_id, account)
+                entry = await self._reconnector.take_over(request_id, account)
             case _:
                 raise EbonydealError(ErrorKind.BAD_REQUEST, "no request id or account")
         if entry is None:
--- a/src/ebonydeal/_internal/gateway/reconnect.py
+++ b/src/ebonydeal/_internal/gateway/reconnect.py
@@ -19,13 +19,13 @@
 from ebonydeal._internal.utils.clock import Clock
 
 RESUME_PATH = "/gateway/v1/resume"
-_LEAVE_POLL_S = 0.02
-_LEAVE_WAIT_S = 2.0
-_ENTRY_TOKENS = 16
+_DISCONNECT_POLL_INTERVAL_S = 0.02
+_DISCONNECT_TIMEOUT_S = 2.0
+_ENTRY_OVERHEAD_TOKENS = 16
 
 
 class RetainedAnswer(NamedTuple):
-    """What is kept of an answer whose caller may come back.
+    """What is retained of an answer whose caller may come back.
 
     ``until`` is in clock seconds.
     """
@@ -35,7 +35,7 @@
     delivered: tuple[str, ...]
     finish: str
     cached_tokens: int
-    until: float
+    expires_at: float
 
     def to_message(self) -> dict[str, Any]:
         """Return the wire shape, without what the asker knows."""
@@ -48,7 +48,7 @@
 
 
 class RetainedAnswers:
-    """Answers kept for a while, in bounded memory.
+    """Answers retained for a while, in bounded memory.
 
     Parameters
     ----------
@@ -61,10 +61,10 @@
     def __init__(self, retention_s: float, tokens: int) -> None:
         self._retention = retention_s
         self._limit = tokens
-        self._held = 0
-        self._parked: OrderedDict[str, RetainedAnswer] = OrderedDict()
+        self._total_tokens = 0
+        self._answers: OrderedDict[str, RetainedAnswer] = OrderedDict()
 
-    def park(self, live: LiveStream, now: float) -> None:
+    def retain(self, live: LiveStream, now: float) -> None:
         """Keep an answer as far as it went."""
         request = live.job.request
         entry = RetainedAnswer(
@@ -73,37 +73,37 @@
             delivered=tuple(live.delivered),
             finish=live.finish,
             cached_tokens=live.cached_tokens,
-            until=now + self._retention,
+            expires_at=now + self._retention,
         )
         self._drop(request.request_id)
-        self._parked[request.request_id] = entry
-        self._held += _weight(entry)
+        self._answers[request.request_id] = entry
+        self._total_tokens += _token_cost(entry)
         self._trim(now)
 
     def get(self, request_id: str, account: str, now: float) -> RetainedAnswer | None:
-        """Return an answer of ``account``, if it is still kept."""
-        entry = self._parked.get(request_id)
-        if entry is None or entry.account != account or entry.until <= now:
+        """Return an answer of ``account``, if it is still retained."""
+        entry = self._answers.get(request_id)
+        if entry is None or entry.account != account or entry.expires_at <= now:
             return None
         return entry
 
     def _drop(self, request_id: str) -> None:
-        entry = self._parked.pop(request_id, None)
+        entry = self._answers.pop(request_id, None)
         if entry is not None:
-            self._held -= _weight(entry)
+            self._total_tokens -= _token_cost(entry)
 
     def _trim(self, now: float) -> None:
         """Drop what is too old or too much."""
-        while self._parked:
-            oldest, entry = next(iter(self._parked.items()))
-            if self._held <= self._limit and entry.until > now:
+        while self._answers:
+            oldest, entry = next(iter(self._answers.items()))
+            if self._total_tokens <= self._limit and entry.expires_at > now:
                 return
             self._drop(oldest)
 
 
-def _weight(entry: RetainedAnswer) -> int:
+def _token_cost(entry: RetainedAnswer) -> int:
     """Return the tokens that an entry counts for."""
-    return len(entry.delivered) + _ENTRY_TOKENS
+    return len(entry.delivered) + _ENTRY_OVERHEAD_TOKENS
 
 
 class Reconnector:
@@ -114,7 +114,7 @@
     relay : Relay
         For answers whose old connection is still open here.
     left, finished : ParkedStreams
-        Answers kept here: cut off, and sent whole.
+        Answers retained here: cut off, and sent whole.
     peers : PeerPort
         Other gateways.
     metrics, clock : Metrics, Clock
@@ -124,31 +124,31 @@
     def __init__(
         self,
         runner: StreamRunner,
-        left: RetainedAnswers,
+        interrupted: RetainedAnswers,
         finished: RetainedAnswers,
         peers: PeerPort,
         metrics: Metrics,
         clock: Clock,
     ) -> None:
         self._runner = runner
-        self._left = left
+        self._interrupted = interrupted
         self._finished = finished
         self._peers = peers
         self._metrics = metrics
         self._clock = clock
 
-    async def claim(self, request_id: str, account: str) -> RetainedAnswer | None:
-        """Return a kept answer; an old connection still open is broken first."""
-        until = self._clock.now() + _LEAVE_WAIT_S
+    async def take_over(self, request_id: str, account: str) -> RetainedAnswer | None:
+        """Return a retained answer; an old connection still open is broken first."""
+        until = self._clock.now() + _DISCONNECT_TIMEOUT_S
         while self._clock.now() < until:
             live = self._find_live(request_id, account)
             if live is None:
                 break
             live.abort()
-            await self._clock.sleep(_LEAVE_POLL_S)
+            await self._clock.sleep(_DISCONNECT_POLL_INTERVAL_S)
         now = self._clock.now()
-        kept = self._left.get(request_id, account, now)
-        return kept or self._finished.get(request_id, account, now)
+        retained = self._interrupted.get(request_id, account, now)
+        return retained or self._finished.get(request_id, account, now)
 
     def _find_live(self, request_id: str, account: str) -> LiveStream | None:
         """Return an answer that is still under way here."""
@@ -158,44 +158,46 @@
                 return live
         return None
 
-    async def resume(self, hint: ResumePoint, job: Job) -> LiveStream:
+    async def resume(self, resume_point: ResumePoint, job: Job) -> LiveStream:
         """Return the answer's state, from which the caller lacks the rest.
 
         Where no gateway has it any more, the state is empty and the answer is
         generated again: see `DeliveredTokenFilter`. Raises BAD_REQUEST where the body
         is another one.
         """
-        kept = await self._find(hint, job)
+        retained = await self._find(resume_point, job)
         live = LiveStream(job)
         live.cause = ResumeCause.RECONNECT
-        live.begun = True
-        live.prefer = (hint.endpoint_id, hint.incarnation)
+        live.has_started = True
+        live.prefer = (resume_point.endpoint_id, resume_point.incarnation)
         self._metrics.count(Event.STREAMS_RECONNECTED)
-        if kept is None or not _matches(kept, hint):
+        if retained is None or not _matches(retained, resume_point):
             return live
-        if kept["body_digest"] != job.request.body_digest:
+        if retained["body_digest"] != job.request.body_digest:
             detail = "the body is not the one that the answer was for"
             raise EbonydealError(ErrorKind.BAD_REQUEST, detail)
-        live.delivered = list(kept["delivered"])
-        live.finish = kept["finish"]
-        live.cached_tokens = kept["cached_tokens"]
+        live.delivered = list(retained["delivered"])
+        live.finish = retained["finish"]
+        live.cached_tokens = retained["cached_tokens"]
         return live
 
-    async def _find(self, hint: ResumePoint, job: Job) -> dict[str, Any] | None:
-        """Return what the gateway that served the answer kept of it."""
+    async def _find(self, resume_point: ResumePoint, job: Job) -> dict[str, Any] | None:
+        """Return what the gateway that served the answer retained of it."""
         account = job.request.account
-        if hint.gateway == self._peers.address:
-            entry = await self.claim(hint.request_id, account)
+        if resume_point.gateway == self._peers.address:
+            entry = await self.take_over(resume_point.request_id, account)
             return entry.to_message() if entry else None
-        message = {"request_id": hint.request_id, "account": account}
+        message = {"request_id": resume_point.request_id, "account": account}
         try:
-            kept = await self._peers.call(hint.gateway, RESUME_PATH, message)
+            retained = await self._peers.call(
+                resume_point.gateway, RESUME_PATH, message
+            )
         except EbonydealError:
             return None
-        return kept if _is_kept(kept) else None
+        return retained if _is_retained_answer(retained) else None
 
 
-def _is_kept(message: dict[str, Any]) -> bool:
+def _is_retained_answer(message: dict[str, Any]) -> bool:
     """Return whether a peer's answer has the wire shape of `RetainedAnswer`."""
     match message:
         case {
@@ -208,18 +210,20 @@
     return False
 
 
-def _matches(kept: dict[str, Any], hint: ResumePoint) -> bool:
-    """Return whether the kept tokens begin with those the caller has."""
-    count = caller_has(hint, kept["delivered"], kept["finish"])
-    tokens = kept["delivered"][:count]
-    return len(tokens) == count and text_digest(tokens) == hint.digest
+def _matches(retained: dict[str, Any], resume_point: ResumePoint) -> bool:
+    """Return whether the retained tokens begin with those the caller has."""
+    count = delivered_count(resume_point, retained["delivered"], retained["finish"])
+    tokens = retained["delivered"][:count]
+    return len(tokens) == count and text_digest(tokens) == resume_point.digest
 
 
-def caller_has(hint: ResumePoint, delivered: list[str], finish: str) -> int:
+def delivered_count(
+    resume_point: ResumePoint, delivered: list[str], finish: str
+) -> int:
     """Return how many tokens a caller with this hint has."""
-    if finish and hint.position == len(delivered):
-        return hint.position
-    return hint.position + 1
+    if finish and resume_point.position == len(delivered):
+        return resume_point.position
+    return resume_point.position + 1
 
 
 class DeliveredTokenFilter:
@@ -231,17 +235,17 @@
         How far the caller is.
     """
 
-    def __init__(self, hint: ResumePoint) -> None:
-        self._hint = hint
+    def __init__(self, resume_point: ResumePoint) -> None:
+        self._resume_point = resume_point
         self._digest = TextDigest()
 
-    def keep(self, piece: Piece) -> bool:
+    def is_missing(self, piece: Piece) -> bool:
         """Return whether the caller lacks this piece.
 
         Raises EXPIRED where the text differs or ends earlier: the rest would
         not fit to what the caller was given.
         """
-        position = self._hint.position
+        position = self._resume_point.position
         if piece.position > position:
             return True
         if piece.is_token:
@@ -252,7 +256,7 @@
 
     def _check(self, piece: Piece) -> None:
         """Raise EXPIRED unless this is the text that the caller has."""
-        same = self._digest.hexdigest() == self._hint.digest
-        if not same or piece.position != self._hint.position:
-            detail = "the answer is no longer kept and came out differently"
+        same = self._digest.hexdigest() == self._resume_point.digest
+        if not same or piece.position != self._resume_point.position:
+            detail = "the answer is no longer retained and came out differently"
             raise EbonydealError(ErrorKind.EXPIRED, detail)
--- a/src/ebonydeal/_internal/gateway/resumption.py
+++ b/src/ebonydeal/_internal/gateway/resumption.py
@@ -8,8 +8,8 @@
 
 FINAL_KINDS = (ErrorKind.BAD_REQUEST, ErrorKind.DEADLINE_EXCEEDED)
 # Tries without a token that one answer may make beside the retry budget.
-_FREE_TRIES = 8
-_SURVIVOR_POLL_S = 0.1
+_MAX_FREE_ATTEMPTS = 8
+_ENDPOINT_POLL_INTERVAL_S = 0.1
 
 
 class Resumption:
@@ -35,13 +35,13 @@
         directory: DirectoryPort,
         health: EndpointHealth,
         clock: Clock,
-        patience_s: float,
+        max_wait_s: float,
     ) -> None:
         self._retries = retries
         self._directory = directory
         self._health = health
         self._clock = clock
-        self._patience = patience_s
+        self._max_wait_s = max_wait_s
 
     async def wait(self, live: LiveStream, error: EbonydealError) -> float:
         """Return seconds until the next try, or raise the final error.
@@ -50,45 +50,47 @@
         known to work or the budget allows a try; one that has not begun gets
         its final error at once.
         """
-        until = self._clock.wall() + self._patience
+        until = self._clock.wall() + self._max_wait_s
         while True:
             now = self._clock.wall()
             live.check_deadline(now)
-            verdict = self._verdict(live, error, now)
+            verdict = self._decide(live, error, now)
             if not isinstance(verdict, EbonydealError):
                 return verdict
             if not live.delivered or now >= until:
                 raise verdict
-            await self._clock.sleep(_SURVIVOR_POLL_S)
+            await self._clock.sleep(_ENDPOINT_POLL_INTERVAL_S)
 
-    def _verdict(
+    def _decide(
         self, live: LiveStream, error: EbonydealError, now: float
     ) -> float | EbonydealError:
         """Return the wait before the next try, or the final error."""
-        if self._may_try_free(live, now):
+        if self._can_retry_free(live, now):
             return 0.0
         failure = FailedAttempt(
             kind=error.kind,
             deployment=live.job.deployment.name,
             idempotent=True,
-            ran_before=live.tries > 1,
-            first_byte=bool(live.delivered),
+            may_have_run=live.attempt_count > 1,
+            first_byte_received=bool(live.delivered),
             deadline=live.job.request.deadline,
         )
-        verdict = self._retries.next_delay(failure, max(1, live.fruitless), now)
+        verdict = self._retries.next_delay(
+            failure, max(1, live.attempts_without_token), now
+        )
         if isinstance(verdict, EbonydealError) and verdict.kind is error.kind:
             return EbonydealError(
                 error.kind, error.detail, retry_after=verdict.retry_after
             )
         return verdict
 
-    def _may_try_free(self, live: LiveStream, now: float) -> bool:
+    def _can_retry_free(self, live: LiveStream, now: float) -> bool:
         """Return whether the next try may be made without a budget.
 
         So it is if another endpoint is known to work: then the failure was that
         endpoint's own, and going on can't multiply the load of a brown-out.
         """
-        if live.tries == 0 or live.fruitless > _FREE_TRIES:
+        if live.attempt_count == 0 or live.attempts_without_token > _MAX_FREE_ATTEMPTS:
             return False
         deployment = live.job.deployment.name
         return self._health.any_working(
--- a/src/ebonydeal/_internal/gateway/routes.py
+++ b/src/ebonydeal/_internal/gateway/routes.py
@@ -32,21 +32,23 @@
         router: Router,
         directory: DirectoryPort,
         place: Place,
-        watches: Callable[[EndpointView], bool] = lambda _view: True,
+        in_subset: Callable[[EndpointView], bool] = lambda _view: True,
     ) -> None:
         self._router = router
         self._directory = directory
         self._place = place
-        self._watches = watches
+        self._in_subset = in_subset
 
-    def choose(self, ask: EndpointQuery, now: float) -> Route | None:
+    def choose(self, query: EndpointQuery, now: float) -> Route | None:
         """Return the best endpoint, already counted as sent, or None."""
-        views = self._directory.views(ask.deployment.name)
-        usable = tuple(view for view in views if incarnation_of(view) not in ask.avoid)
-        request = route_request(ask, self._place)
+        views = self._directory.views(query.deployment.name)
+        usable = tuple(
+            view for view in views if incarnation_of(view) not in query.avoid
+        )
+        request = route_request(query, self._place)
         choice = None
         # The preferred one, else the watched ones, else whatever there is.
-        for group in (_warm(usable, ask), self._watched(usable), usable):
+        for group in (_preferred(usable, query), self._subset_of(usable), usable):
             if group and choice is None:
                 choice = self._router.choose(request, group, now)
         if choice is None:
@@ -54,18 +56,18 @@
         self._router.record_sent(choice, request, now)
         return Route(
             endpoint=choice.endpoint,
-            scores=_shown(choice),
+            scores=_trail_entries(choice),
             choice=request.request_id,
-            cached_elsewhere_tokens=_missed(choice),
+            cached_elsewhere_tokens=_cached_elsewhere(choice),
         )
 
     def capacity(self, deployment: str) -> int:
         """Return how many requests of a deployment may be in flight here."""
-        return self._router.capacity(self._watched(self._directory.views(deployment)))
+        return self._router.capacity(self._subset_of(self._directory.views(deployment)))
 
-    def _watched(self, views: tuple[EndpointView, ...]) -> tuple[EndpointView, ...]:
+    def _subset_of(self, views: tuple[EndpointView, ...]) -> tuple[EndpointView, ...]:
         """Return those of ``views`` that this gateway watches."""
-        return tuple(view for view in views if self._watches(view))
+        return tuple(view for view in views if self._in_subset(view))
 
     def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
@@ -91,43 +93,43 @@
             )
 
 
-def _warm(
-    views: tuple[EndpointView, ...], ask: EndpointQuery
+def _preferred(
+    views: tuple[EndpointView, ...], query: EndpointQuery
 ) -> tuple[EndpointView, ...]:
     """Return the preferred endpoint alone, if it is there and has a free slot."""
-    if ask.prefer is None:
+    if query.prefer is None:
         return ()
     return tuple(
         view
         for view in views
-        if incarnation_of(view) == ask.prefer
+        if incarnation_of(view) == query.prefer
         and (view.load is None or view.load.running < view.load.slots)
     )
 
 
-def route_request(ask: EndpointQuery, place: Place) -> RouteRequest:
+def route_request(query: EndpointQuery, place: Place) -> RouteRequest:
     """Return what the router needs to know."""
-    request = ask.request
+    request = query.request
     return RouteRequest(
         request_id=request.request_id,
-        deployment=ask.deployment.name,
-        model=ask.model,
-        blocks=ask.prefix,
-        prompt_tokens=request.prompt_tokens + ask.delivered,
-        max_tokens=max(0, request.max_tokens - ask.delivered),
+        deployment=query.deployment.name,
+        model=query.model,
+        blocks=query.prefix,
+        prompt_tokens=request.prompt_tokens + query.delivered,
+        max_tokens=max(0, request.max_tokens - query.delivered),
         place=place,
-        weights=ask.deployment.weights,
-        first_token_s=ask.deployment.first_token_s,
+        weights=query.deployment.weights,
+        first_token_s=query.deployment.first_token_s,
     )
 
 
-def _missed(choice: Choice) -> int:
+def _cached_elsewhere(choice: Choice) -> int:
     """Return the prompt tokens that another endpoint was believed to hold."""
     best = max((item.terms.cached_tokens for item in choice.alternatives), default=0.0)
     return int(max(0.0, best - choice.terms.cached_tokens))
 
 
-def _shown(choice: Choice) -> list[dict[str, Any]]:
+def _trail_entries(choice: Choice) -> list[dict[str, Any]]:
     """Return the best choices with their terms, for the decision trail."""
     best = Scored(choice.endpoint, choice.score, choice.terms)
     return [
--- a/src/ebonydeal/_internal/gateway/services.py
+++ b/src/ebonydeal/_internal/gateway/services.py
@@ -121,7 +121,7 @@
     ) -> Request:
         """Return the request; raises KEY_REQUIRED or BAD_REQUEST."""
         intake = self._parts.intake
-        times = intake.deadlines(options, self._cfg.service_seconds)
+        times = intake.request_times(options, self._cfg.service_seconds)
         request_id = req[REQUEST_ID]
         if not idempotent:
             request_id = self._keyed_id(account, options, req)
@@ -139,7 +139,7 @@
             key=options.key,
             idempotent=idempotent,
             priority=allowed_priority(options.priority, deployment, account),
-            accepted_at=times.at,
+            accepted_at=times.received_at,
             deadline=times.deadline,
             prompt_tokens=0,
             max_tokens=0,
--- a/src/ebonydeal/_internal/gateway/stream_migrator.py
+++ b/src/ebonydeal/_internal/gateway/stream_migrator.py
@@ -13,9 +13,9 @@
 from ebonydeal._internal.gateway.migration_inputs import (
     AffectedStream,
     export_rate,
+    migration_targets,
     running_stream,
     stream_key,
-    targets,
 )
 from ebonydeal._internal.gateway.planned_migrations import PlannedMigrations
 from ebonydeal._internal.gateway.ports import DirectoryPort
@@ -41,7 +41,7 @@
 
 # Marks of one wave come within moments of each other; a plan made before the
 # last one might move streams to endpoints that leave as well.
-_GATHER_S = 0.05
+_BATCH_WINDOW_S = 0.05
 
 
 class MigratorParts(NamedTuple):
@@ -56,7 +56,7 @@
     background: Spawn
 
 
-class _Wave(NamedTuple):
+class _ReclaimBatch(NamedTuple):
     """What is known of the marks that are acted on together.
 
     ``deadline`` in wall clock seconds.
@@ -66,15 +66,15 @@
     deadline: float
 
 
-class _Transfer(NamedTuple):
+class _TransferResult(NamedTuple):
     """How the move of one KV cache went.
 
-    ``handle`` is empty where the export failed; ``done`` says that the target
+    ``handle`` is empty where the export failed; ``imported`` says that the target
     holds the cache.
     """
 
     handle: str
-    done: bool
+    imported: bool
 
 
 class StreamMigrator(Service):
@@ -95,7 +95,7 @@
         super().__init__()
         self._parts = parts
         self._cfg = cfg
-        self._planned = PlannedMigrations()
+        self._migrations = PlannedMigrations()
         self._marks: asyncio.Queue[LeavingMark] = asyncio.Queue()
         parts.directory.on_mark(self._marks.put_nowait)
 
@@ -103,7 +103,7 @@
     async def _follow_marks(self) -> None:
         while not self.should_stop:
             marks = [await self._marks.get()]
-            await self._parts.clock.sleep(_GATHER_S)
+            await self._parts.clock.sleep(_BATCH_WINDOW_S)
             while not self._marks.empty():
                 marks.append(self._marks.get_nowait())
             self.handle(marks)
@@ -113,19 +113,24 @@
         zones = frozenset(mark.zone for mark in marks if not mark.endpoint_id)
         for (deployment, deadline), group in self._affected().items():
             logger.info("Streams leave.", deployment=deployment, streams=len(group))
-            self._plan(group, _Wave(zones, deadline))
+            self._plan_and_start(group, _ReclaimBatch(zones, deadline))
 
     def _affected(self) -> dict[tuple[str, float], list[AffectedStream]]:
         """Return the streams to move, by deployment and deadline."""
         groups = defaultdict(list)
         for live in self._parts.runner.live_streams:
             attempt = live.attempt
-            if attempt is None or live.moving or live.finish or live.planned is attempt:
+            if (
+                attempt is None
+                or live.migrating
+                or live.finish
+                or live.planned_attempt is attempt
+            ):
                 continue
             endpoint = attempt.route.endpoint
             if not self._parts.directory.is_leaving(endpoint):
                 continue
-            live.planned = attempt
+            live.planned_attempt = attempt
             key = (live.job.deployment.name, self._deadline(endpoint))
             groups[key].append(AffectedStream(live, attempt))
         return groups
@@ -136,58 +141,68 @@
         return known or self._parts.clock.wall() + self._cfg.notice_seconds
 
     # --- deciding ---
-    def _plan(self, group: list[AffectedStream], wave: _Wave) -> None:
+    def _plan_and_start(
+        self, group: list[AffectedStream], batch: _ReclaimBatch
+    ) -> None:
         """Decide for streams of one deployment and start what was decided."""
-        by_key = {stream_key(item): item for item in group}
-        for move in self._moves(group, wave):
-            item = by_key[move.request_id]
-            number = self._planned.add(item, wave.zones)
-            self._parts.background(self._carry_out(item, move, wave, number))
+        by_key = {stream_key(stream): stream for stream in group}
+        for action in self._decide_actions(group, batch):
+            stream = by_key[action.request_id]
+            number = self._migrations.add(stream, batch.zones)
+            self._parts.background(self._execute(stream, action, batch, number))
 
-    def _review(self, item: AffectedStream, wave: _Wave) -> None:
+    def _replan(self, stream: AffectedStream, batch: _ReclaimBatch) -> None:
         """Plan again for a stream and all that share its source's time."""
-        others = self._planned.at_source(item.attempt.route.endpoint.endpoint_id)
-        zones = wave.zones.union(*(planned.zones for planned in others))
-        group = [item, *(planned.item for planned in others)]
-        self._plan(group, wave._replace(zones=zones))
-
-    def _moves(self, group: list[AffectedStream], wave: _Wave) -> list[StreamAction]:
+        others = self._migrations.at_source(stream.attempt.route.endpoint.endpoint_id)
+        zones = batch.zones.union(*(planned.zones for planned in others))
+        group = [stream, *(planned.stream for planned in others)]
+        self._plan_and_start(group, batch._replace(zones=zones))
+
+    def _decide_actions(
+        self, group: list[AffectedStream], batch: _ReclaimBatch
+    ) -> list[StreamAction]:
         """Return the plan; if it can't be made, the one that always can."""
         clock = self._parts.clock
         job = group[0].live.job
         try:
             return plan_migrations(
-                [running_stream(item, self._cfg, clock.now()) for item in group],
-                max(0.0, wave.deadline - clock.wall()),
+                [running_stream(stream, self._cfg, clock.now()) for stream in group],
+                max(0.0, batch.deadline - clock.wall()),
                 export_rate(group, self._cfg.kv_gb_per_s),
-                targets(
+                migration_targets(
                     self._parts.directory.views(job.deployment.name),
                     job.model,
                 ),
                 clock.wall(),
-                leaving_zones=wave.zones,
-                source_busy=self._planned.busy(clock.wall()),
+                leaving_zones=batch.zones,
+                source_busy=self._migrations.remaining_export_s(clock.wall()),
             )
         except Exception as exc:
             logger.error("A plan failed.", exc_info=exc)
-            return [Recompute(stream_key(item), None, clock.wall()) for item in group]
+            return [
+                Recompute(stream_key(stream), None, clock.wall()) for stream in group
+            ]
 
     # --- acting ---
-    async def _carry_out(
-        self, item: AffectedStream, move: StreamAction, wave: _Wave, number: int
+    async def _execute(
+        self,
+        stream: AffectedStream,
+        action: StreamAction,
+        batch: _ReclaimBatch,
+        number: int,
     ) -> None:
         """Do what was decided for one stream when it is due, if it still holds."""
-        at = move.review_at if isinstance(move, KeepRunning) else move.start_at
+        at = action.review_at if isinstance(action, KeepRunning) else action.start_at
         await self._wait_until(at)
-        if not self._planned.begin(item, number):
+        if not self._migrations.start(stream, number):
             return
-        match move:
+        match action:
             case KeepRunning():
-                self._review(item, wave)
+                self._replan(stream, batch)
             case Recompute(target=target):
-                item.attempt.mailbox.post(attempts.Move(target, ""))
+                stream.attempt.mailbox.post(attempts.Migrate(target, ""))
             case ExportTo():
-                await self._export(item, move, wave)
+                await self._export(stream, action, batch)
 
     async def _wait_until(self, at: float) -> None:
         """Wait for a wall clock time."""
@@ -195,89 +210,97 @@
         if left > 0.0:
             await self._parts.clock.sleep(left)
 
-    async def _export(self, item: AffectedStream, move: ExportTo, wave: _Wave) -> None:
+    async def _export(
+        self, stream: AffectedStream, action: ExportTo, batch: _ReclaimBatch
+    ) -> None:
         """Move a stream's KV cache; where that fails, let it recompute."""
-        item.live.moving = True
-        until = self._parts.clock.wall() + move.seconds
-        self._planned.export_begins(item, until)
-        last = attempts.Move(None, "")
+        stream.live.migrating = True
+        until = self._parts.clock.wall() + action.seconds
+        self._migrations.record_export_start(stream, until)
+        last = attempts.Migrate(None, "")
         try:
-            last = await self._transfer(item, move, wave)
+            last = await self._transfer(stream, action, batch)
         finally:
-            self._planned.export_ended(item)
-            item.attempt.mailbox.post(last)
+            self._migrations.record_export_end(stream)
+            stream.attempt.mailbox.post(last)
 
     async def _transfer(
-        self, item: AffectedStream, move: ExportTo, wave: _Wave
-    ) -> attempts.Move:
+        self, stream: AffectedStream, action: ExportTo, batch: _ReclaimBatch
+    ) -> attempts.Migrate:
         """Export, import, and if need be import at another target."""
-        first = await self._try_transfer(item, move.target, "")
-        if first.done:
-            return attempts.Move(move.target, first.handle)
-        second = self._second_move(item, move, first, wave)
+        first = await self._try_transfer(stream, action.target, "")
+        if first.imported:
+            return attempts.Migrate(action.target, first.handle)
+        second = self._action_after_failure(stream, action, first, batch)
         if isinstance(second, ExportTo):
-            again = await self._try_transfer(item, second.target, first.handle)
-            return attempts.Move(second.target, again.handle if again.done else "")
-        return attempts.Move(
+            again = await self._try_transfer(stream, second.target, first.handle)
+            return attempts.Migrate(
+                second.target, again.handle if again.imported else ""
+            )
+        return attempts.Migrate(
             second.target if isinstance(second, Recompute) else None, ""
         )
 
-    def _second_move(
-        self, item: AffectedStream, move: ExportTo, failed: _Transfer, wave: _Wave
+    def _action_after_failure(
+        self,
+        stream: AffectedStream,
+        action: ExportTo,
+        failed: _TransferResult,
+        batch: _ReclaimBatch,
     ) -> StreamAction:
         """Decide anew after a transfer failed."""
         clock = self._parts.clock
-        job = item.live.job
+        job = stream.live.job
         views = [
             view
             for view in self._parts.directory.views(job.deployment.name)
-            if view.endpoint_id != move.target.endpoint_id
+            if view.endpoint_id != action.target.endpoint_id
         ]
-        moves = replan_failed_exports(
-            [running_stream(item, self._cfg, clock.now())],
-            [ExportFailure(stream_key(item), bool(failed.handle))],
-            max(0.0, wave.deadline - clock.wall()),
-            export_rate([item], self._cfg.kv_gb_per_s),
-            targets(views, job.model),
+        actions = replan_failed_exports(
+            [running_stream(stream, self._cfg, clock.now())],
+            [ExportFailure(stream_key(stream), bool(failed.handle))],
+            max(0.0, batch.deadline - clock.wall()),
+            export_rate([stream], self._cfg.kv_gb_per_s),
+            migration_targets(views, job.model),
             clock.wall(),
-            leaving_zones=wave.zones,
+            leaving_zones=batch.zones,
         )
-        return moves[0]
+        return actions[0]
 
     async def _try_transfer(
-        self, item: AffectedStream, target: EndpointView, handle: str
-    ) -> _Transfer:
+        self, stream: AffectedStream, target: EndpointView, handle: str
+    ) -> _TransferResult:
         """Export (unless ``handle`` is given) and import at ``target``."""
-        source = item.attempt.route.endpoint
+        source = stream.attempt.route.endpoint
         engine = self._parts.engine
         try:
             async with asyncio.timeout(self._cfg.export_seconds):
                 if not handle:
-                    handle = await engine.export_kv(source, item.attempt.attempt_id)
+                    handle = await engine.export_kv(source, stream.attempt.attempt_id)
                 tokens = await engine.import_kv(target, handle, source)
         except (EbonydealError, TimeoutError) as exc:
             kind = exc.kind if isinstance(exc, EbonydealError) else None
-            self._failed(item, target, kind)
-            return _Transfer(handle, False)
+            self._record_failed_transfer(stream, target, kind)
+            return _TransferResult(handle, False)
         self._parts.trails.note(
-            item.live.request_id,
+            stream.live.request_id,
             self._parts.clock.wall(),
             Step.EXPORTED,
             source=source.endpoint_id,
             target=target.endpoint_id,
             tokens=tokens,
         )
-        return _Transfer(handle, True)
+        return _TransferResult(handle, True)
 
-    def _failed(
-        self, item: AffectedStream, target: EndpointView, kind: ErrorKind | None
+    def _record_failed_transfer(
+        self, stream: AffectedStream, target: EndpointView, kind: ErrorKind | None
     ) -> None:
         """Count and log a transfer that failed."""
         self._parts.metrics.count(Event.KV_EXPORT_FAILED)
         reason = str(kind) if kind else "timeout"
         logger.warning(
             "A KV cache could not be moved.",
-            request_id=item.live.request_id,
+            request_id=stream.live.request_id,
             target=target.endpoint_id,
             reason=reason,
         )
--- a/src/ebonydeal/_internal/gateway/stream_runner.py
+++ b/src/ebonydeal/_internal/gateway/stream_runner.py
@@ -8,17 +8,17 @@
 from ebonydeal._internal.directory.crash_guard import CrashGuard
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.attempts import (
-    Arrived,
     Attempt,
-    Broke,
+    AttemptFailed,
+    ChunkReceived,
+    EngineRequest,
     Message,
-    Move,
-    Order,
+    Migrate,
 )
 from ebonydeal._internal.gateway.background import Spawn
 from ebonydeal._internal.gateway.endpoint_health import EndpointHealth, incarnation_of
 from ebonydeal._internal.gateway.live_stream import (
-    RECOMPUTED,
+    RECOMPUTED_EVENTS,
     LiveStream,
     Piece,
     ResumeCause,
@@ -39,7 +39,7 @@
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.ids import new_token
 
-_NOT_SENT = (ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED)
+_NOT_RUN_KINDS = (ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED)
 
 
 class StreamRunnerParts(NamedTuple):
@@ -102,18 +102,18 @@
         self._parts.retries.record_first_send(deployment, self._parts.clock.wall())
         try:
             while not live.finish:
-                async with aclosing(self._try_once(live)) as batches:
+                async with aclosing(self._run_attempt(live)) as batches:
                     async for batch in batches:
                         yield batch
             self._parts.crashes.answered(live.job.request)
         finally:
             self.live_streams.discard(live)
 
-    async def _try_once(self, live: LiveStream) -> AsyncGenerator[list[Piece], None]:
+    async def _run_attempt(self, live: LiveStream) -> AsyncGenerator[list[Piece], None]:
         """Run one try; on return the answer is whole or the next try is due."""
         parts = self._parts
         live.check_deadline(parts.clock.wall())
-        parts.crashes.check(live.job.request, ran=live.tries > 0)
+        parts.crashes.check(live.job.request, ran=live.attempt_count > 0)
         route = self._route(live)
         if route is None:
             detail = "no endpoint can take the request"
@@ -122,21 +122,21 @@
             )
             return
         start = len(live.delivered)
-        attempt = self._start(live, route)
-        over: Broke | Move | None = None
+        attempt = self._start_attempt(live, route)
+        ending: AttemptFailed | Migrate | None = None
         try:
-            while over is None and not live.finish:
+            while ending is None and not live.finish:
                 messages = await attempt.mailbox.take()
-                batch, over = self._digest(live, attempt, messages)
+                batch, ending = self._process(live, attempt, messages)
                 if batch:
                     yield batch
         finally:
             live.attempt = None
-            await self._end(live, attempt, over, start)
-        match over:
-            case Move(target=target, kv_handle=handle):
-                self._moved(live, target, handle)
-            case Broke(error=error):
+            await self._end_attempt(live, attempt, ending, start)
+        match ending:
+            case Migrate(target=target, kv_handle=handle):
+                self._record_migration(live, target, handle)
+            case AttemptFailed(error=error):
                 await self._after_failure(live, route, error)
 
     # --- starting a try ---
@@ -148,16 +148,16 @@
         if target is not None and not parts.directory.is_leaving(target):
             return Route(target, [])
         live.kv_handle = ""
-        route = parts.routes.choose(live.ask(), now)
+        route = parts.routes.choose(live.endpoint_query(), now)
         if route is None and live.avoid:
             # Better an endpoint that failed before than none.
             live.avoid.clear()
-            route = parts.routes.choose(live.ask(), now)
+            route = parts.routes.choose(live.endpoint_query(), now)
         if route is not None:
             parts.trails.note(live.request_id, now, Step.SCORED, choices=route.scores)
         return route
 
-    def _start(self, live: LiveStream, route: Route) -> Attempt:
+    def _start_attempt(self, live: LiveStream, route: Route) -> Attempt:
         """Start a try at ``route``."""
         parts = self._parts
         attempt_id = new_token("a", parts.rng)
@@ -165,13 +165,13 @@
         if live.delivered:
             resume = Resume(tuple(live.delivered), live.kv_handle)
         request = live.job.request
-        order = Order(request.path, live.job.body, attempt_id, resume)
+        engine_request = EngineRequest(request.path, live.job.body, attempt_id, resume)
         attempt = Attempt(
-            parts.engine, route, order, self._cfg.buffer_tokens, parts.clock
+            parts.engine, route, engine_request, self._cfg.buffer_tokens, parts.clock
         )
         live.attempt = attempt
         live.kv_handle = ""
-        live.tries += 1
+        live.attempt_count += 1
         parts.trails.note(
             live.request_id,
             parts.clock.wall(),
@@ -185,30 +185,30 @@
         return attempt
 
     # --- while a try runs ---
-    def _digest(
+    def _process(
         self, live: LiveStream, attempt: Attempt, messages: list[Message]
-    ) -> tuple[list[Piece], Broke | Move | None]:
+    ) -> tuple[list[Piece], AttemptFailed | Migrate | None]:
         """Return the pieces of some messages, and the one that ends the try."""
         batch: list[Piece] = []
         for message in messages:
             match message:
-                case Arrived(chunk=chunk):
+                case ChunkReceived(chunk=chunk):
                     try:
-                        self._take(live, attempt, chunk, batch)
+                        self._accept_chunk(live, attempt, chunk, batch)
                     except EbonydealError as exc:
-                        return batch, Broke(exc)
+                        return batch, AttemptFailed(exc)
                     if live.finish:
                         break
-                case Broke() if live.moving:
+                case AttemptFailed() if live.migrating:
                     # An export stops the try at its source; its Move follows.
                     continue
-                case Broke() | Move():
+                case AttemptFailed() | Migrate():
                     return batch, message
         if batch:
             self._parts.metrics.count(Event.TOKENS_OUT, len(batch))
         return batch, None
 
-    def _take(
+    def _accept_chunk(
         self, live: LiveStream, attempt: Attempt, chunk: Chunk, batch: list[Piece]
     ) -> None:
         """Add a chunk's piece to ``batch``; raises ENDPOINT_GARBAGE for a gap."""
@@ -216,7 +216,7 @@
         now = self._parts.clock.now()
         if attempt.first_at is None:
             attempt.first_at = now
-            self._first_chunk(live, attempt, chunk)
+            self._record_first_chunk(live, attempt, chunk)
         if chunk.finish and not chunk.text:
             live.finish = chunk.finish
             batch.append(Piece(position, "", chunk.finish))
@@ -234,7 +234,9 @@
         live.finish = chunk.finish
         batch.append(Piece(position, chunk.text, chunk.finish))
 
-    def _first_chunk(self, live: LiveStream, attempt: Attempt, chunk: Chunk) -> None:
+    def _record_first_chunk(
+        self, live: LiveStream, attempt: Attempt, chunk: Chunk
+    ) -> None:
         """Report a try's first chunk and count what it had to compute again."""
         parts = self._parts
         route = attempt.route
@@ -243,11 +245,11 @@
         cached, prefilled = chunk.cached_tokens, chunk.prefilled_tokens
         parts.routes.record_first_token(route, seconds, cached, prefilled, now)
         parts.health.record_success(route.endpoint, now)
-        resume = attempt.order.resume
-        if live.cause is not None and live.begun:
-            parts.metrics.count(RECOMPUTED[live.cause], prefilled)
+        resume = attempt.engine_request.resume
+        if live.cause is not None and live.has_started:
+            parts.metrics.count(RECOMPUTED_EVENTS[live.cause], prefilled)
         else:
-            live.begun = True
+            live.has_started = True
             live.cached_tokens = cached
             missed = min(prefilled, route.cached_elsewhere_tokens)
             parts.metrics.count(Event.TOKENS_RECOMPUTED_PREFIX, missed)
@@ -264,19 +266,23 @@
         )
 
     # --- when a try is over ---
-    async def _end(
-        self, live: LiveStream, attempt: Attempt, over: Broke | Move | None, start: int
+    async def _end_attempt(
+        self,
+        live: LiveStream,
+        attempt: Attempt,
+        ending: AttemptFailed | Migrate | None,
+        start: int,
     ) -> None:
         """Close a try's connection, tell its engine, and report it to routing."""
         parts = self._parts
         now = parts.clock.wall()
         await attempt.stop()
         gained = len(live.delivered) - start
-        live.fruitless = 0 if gained else live.fruitless + 1
-        if isinstance(over, Broke) and over.error.kind not in FINAL_KINDS:
+        live.attempts_without_token = 0 if gained else live.attempts_without_token + 1
+        if isinstance(ending, AttemptFailed) and ending.error.kind not in FINAL_KINDS:
             parts.health.record_failure(attempt.route.endpoint, now)
-            parts.routes.record_failure(attempt.route, over.error.kind, now)
-            if over.error.kind in _NOT_SENT:
+            parts.routes.record_failure(attempt.route, ending.error.kind, now)
+            if ending.error.kind in _NOT_RUN_KINDS:
                 return
         else:
             parts.routes.record_finished(attempt.route, gained, now)
@@ -291,11 +297,11 @@
         except EbonydealError:
             return
 
-    def _moved(
+    def _record_migration(
         self, live: LiveStream, target: EndpointView | None, kv_handle: str
     ) -> None:
         """Take note of where the answer goes on."""
-        live.moving = False
+        live.migrating = False
         live.cause = ResumeCause.RECLAIM
         live.target = target
         live.kv_handle = kv_handle
@@ -314,14 +320,14 @@
         if route is not None:
             await parts.crashes.failed(live.job.request, route.endpoint, error.kind)
             live.avoid.add(incarnation_of(route.endpoint))
-            live.cause = self._cause(route, error)
+            live.cause = self._resume_cause(route, error)
         wait = await self._resumption.wait(live, error)
         parts.metrics.retried(retry_reason(error.kind, len(live.delivered)))
         parts.trails.note(live.request_id, now, Step.RETRIED, wait=round(wait, 4))
         if wait > 0.0:
             await parts.clock.sleep(wait)
 
-    def _cause(self, route: Route, error: EbonydealError) -> ResumeCause:
+    def _resume_cause(self, route: Route, error: EbonydealError) -> ResumeCause:
         """Return why the tokens computed at ``route`` are lost."""
         if self._parts.directory.is_leaving(route.endpoint):
             return ResumeCause.RECLAIM
--- a/src/ebonydeal/_internal/gateway/stream_watchdog.py
+++ b/src/ebonydeal/_internal/gateway/stream_watchdog.py
@@ -3,13 +3,13 @@
 from mode import Service
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.attempts import Attempt, Broke
+from ebonydeal._internal.gateway.attempts import Attempt, AttemptFailed
 from ebonydeal._internal.gateway.live_stream import LiveStream
 from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.settings.gateway import GatewaySettings
 from ebonydeal._internal.utils.clock import Clock
 
-_PERIOD_S = 0.1
+_CHECK_INTERVAL_S = 0.1
 _STALLED = "the endpoint sent no token for too long"
 
 
@@ -40,7 +40,7 @@
     @Service.task
     async def _watch(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep(_PERIOD_S)
+            await self._clock.sleep(_CHECK_INTERVAL_S)
             self.check()
 
     def check(self) -> None:
@@ -48,27 +48,31 @@
         now, wall = self._clock.now(), self._clock.wall()
         for live in list(self._runner.live_streams):
             if live.attempt is not None:
-                self._check_try(live, live.attempt, now, wall)
+                self._check_attempt(live, live.attempt, now, wall)
             since = live.writing_since
             if since is not None and now - since > self._cfg.write_seconds:
                 live.abort()
 
-    def _check_try(
+    def _check_attempt(
         self, live: LiveStream, attempt: Attempt, now: float, wall: float
     ) -> None:
         """Post the end of a try that is out of time."""
         try:
             live.check_deadline(wall)
         except EbonydealError as exc:
-            live.moving = False
-            attempt.mailbox.post(Broke(exc))
+            live.migrating = False
+            attempt.mailbox.post(AttemptFailed(exc))
             return
         since = attempt.waiting_since
-        if since is not None and not live.moving and now - since > self._limit(attempt):
+        if (
+            since is not None
+            and not live.migrating
+            and now - since > self._max_gap_s(attempt)
+        ):
             error = EbonydealError(ErrorKind.ENDPOINT_STALLED, _STALLED)
-            attempt.mailbox.post(Broke(error))
+            attempt.mailbox.post(AttemptFailed(error))
 
-    def _limit(self, attempt: Attempt) -> float:
+    def _max_gap_s(self, attempt: Attempt) -> float:
         """Return how long the engine may take for its next chunk, seconds."""
         if attempt.first_at is None:
             return self._cfg.first_token_seconds
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -67,7 +67,7 @@
     "journal": JournalSettings,
 }
 _ROLE = "gateway"
-_ASK_SECONDS = 3.0
+_PEER_CALL_TIMEOUT_S = 3.0
 
 
 class _Clients:
@@ -112,10 +112,10 @@
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         """Call another gateway; raises its `EbonydealError`."""
-        return await self._client.call(address, path, message, _ASK_SECONDS)
+        return await self._client.call(address, path, message, _PEER_CALL_TIMEOUT_S)
 
 
-class _Parts(NamedTuple):
+class _Components(NamedTuple):
     """Everything that is built, before it is put behind the ports."""
 
     clients: _Clients
@@ -129,7 +129,7 @@
 
 def _build(
     settings: dict[str, Any], metrics: Metrics, clock: Clock, rng: Random
-) -> _Parts:
+) -> _Components:
     """Build the parts that own sockets."""
     clients = _Clients(settings["platform"])
     tls = TlsContexts.from_config(settings["tls"], clock)
@@ -175,18 +175,18 @@
         ssl_context=tls.client,
     )
     client = PeerClient(credential, tls.client)
-    return _Parts(clients, tls, directory, peers, follower, journal, client)
+    return _Components(clients, tls, directory, peers, follower, journal, client)
 
 
 class _Routing(NamedTuple):
     """The router behind its port, and what keeps it in step."""
 
     routes: RouterAdapter
-    watch: EndpointSubset
+    subset: EndpointSubset
 
 
 def _new_routing(
-    settings: dict[str, Any], parts: _Parts, clock: Clock, rng: Random
+    settings: dict[str, Any], parts: _Components, clock: Clock, rng: Random
 ) -> _Routing:
     """Build the router and let it follow directory and peers."""
     node: NodeSettings = settings["node"]
@@ -204,10 +204,10 @@
     def cache_events(endpoint_id: str, events: list[CacheEvent]) -> None:
         router.apply_cache_events(endpoint_id, events, clock.wall())
 
-    def rests(endpoint_id: str, seconds: float) -> None:
+    def back_off(endpoint_id: str, seconds: float) -> None:
         router.back_off(endpoint_id, seconds, clock.wall())
 
-    watch = EndpointSubset(
+    subset = EndpointSubset(
         PlacedProcess(node.id, place),
         gateways,
         directory,
@@ -215,11 +215,11 @@
         router.retain_only,
         clock,
     )
-    directory.set_watch(watch.watches)
+    directory.set_watch(subset.includes)
     directory.on_cache_events(cache_events)
-    parts.clients.engine.on_rest = parts.clients.services.on_rest = rests
-    directory.on_change(lambda _change: watch.refresh())
-    return _Routing(RouterAdapter(router, directory, place, watch.watches), watch)
+    parts.clients.engine.on_rest = parts.clients.services.on_rest = back_off
+    directory.on_change(lambda _change: subset.refresh())
+    return _Routing(RouterAdapter(router, directory, place, subset.includes), subset)
 
 
 def new_demand_topic(limits: AccountLimits, clock: Clock) -> DemandTopic:
@@ -230,10 +230,10 @@
     )
 
 
-class _Closer(Service):
+class _ClientCloser(Service):
     """Closes the clients when all that use them have stopped."""
 
-    def __init__(self, parts: _Parts) -> None:
+    def __init__(self, parts: _Components) -> None:
         super().__init__()
         self._parts = parts
 
@@ -244,7 +244,7 @@
         await self._parts.clients.close()
 
 
-def wire(
+def build_ports(
     settings: dict[str, Any], metrics: Metrics, clock: Clock, rng: Random
 ) -> tuple[GatewayConfig, GatewayPorts]:
     """Build the real parts from settings sections (see `SECTIONS`)."""
@@ -255,8 +255,8 @@
     join_peers(parts.peers, parts.follower, metrics, trails.steps)
     admission = Admission.from_config(settings["admission"], node.id, rng)
     parts.peers.register(new_demand_topic(admission.limits, clock))
-    routes, watch = _new_routing(settings, parts, clock, rng)
-    desk = AdmissionQueue(
+    routes, subset = _new_routing(settings, parts, clock, rng)
+    queue = AdmissionQueue(
         admission, routes.capacity, parts.follower, metrics, trails, clock, rng
     )
     ports = GatewayPorts(
@@ -264,20 +264,20 @@
         services=parts.clients.services,
         routes=routes,
         retries=RetryBudget(RetryPolicy.from_config(settings["retries"], rng)),
-        admission=desk,
+        admission=queue,
         directory=parts.directory,
         config=parts.follower,
         journal=parts.journal,
         peers=_Peers(parts.peers, parts.client),
         trails=trails,
         children=(
-            _Closer(parts),
+            _ClientCloser(parts),
             parts.tls,
             parts.directory,
             parts.peers,
             parts.follower,
-            watch,
-            desk,
+            subset,
+            queue,
         ),
     )
     cfg = GatewayConfig(
--- a/tests/lib/gateway_fakes.py
+++ b/tests/lib/gateway_fakes.py
@@ -201,13 +201,13 @@
 
     def __init__(self, directory: "FakeDirectory") -> None:
         self._directory = directory
-        self.asks: list[EndpointQuery] = []
+        self.queries: list[EndpointQuery] = []
         self.reports: list[tuple[str, str]] = []
 
-    def choose(self, ask: EndpointQuery, now: float) -> Route | None:
-        self.asks.append(ask)
-        for item in self._directory.views(ask.deployment.name):
-            if (item.endpoint_id, item.incarnation) not in ask.avoid:
+    def choose(self, query: EndpointQuery, now: float) -> Route | None:
+        self.queries.append(query)
+        for item in self._directory.views(query.deployment.name):
+            if (item.endpoint_id, item.incarnation) not in query.avoid:
                 return Route(item, [{"endpoint": item.endpoint_id, "score": 1.0}])
         return None
 
@@ -235,7 +235,7 @@
         pass
 
     def next_delay(
-        self, failure: FailedAttempt, tries: int, now: float
+        self, failure: FailedAttempt, attempts: int, now: float
     ) -> float | EbonydealError:
         self.failures.append(failure)
         if self.left == 0:
--- a/tests/unit/gateway/test_admission_queue.py
+++ b/tests/unit/gateway/test_admission_queue.py
@@ -25,7 +25,7 @@
         self.trails = Trails(10)
         cfg = AdmissionSettings(**settings)
         rng = random.Random(1)
-        self.desk = AdmissionQueue(
+        self.queue = AdmissionQueue(
             Admission.from_config(cfg, "gw-1", rng),
             lambda _name: self.slots,
             self.config,
@@ -37,7 +37,7 @@
 
     def ask(self, name: str = "r-1", priority: Priority = Priority.STANDARD):
         req = request()._replace(request_id=name, priority=priority)
-        return asyncio.ensure_future(self.desk.admit(req, DEPLOYMENT))
+        return asyncio.ensure_future(self.queue.admit(req, DEPLOYMENT))
 
     def steps(self, name: str) -> list[str]:
         return [step["step"] for step in self.trails.steps(name) or []]
@@ -93,7 +93,7 @@
         second = office.ask("r-2")
         await settle()
         await office.clock.advance(5.1)
-        office.desk._pump()
+        office.queue._admit_waiting()
         with pytest.raises(EbonydealError) as caught:
             await second
         assert caught.value.kind is ErrorKind.QUEUE_FULL
@@ -114,10 +114,10 @@
         account = office.config.document.accounts["kitchen"]
         limited = account._replace(requests_per_s=1.0)
         office.config.document.accounts["kitchen"] = limited
-        office.desk.admit_deferred(request()).release(0)
+        office.queue.admit_deferred(request()).release(0)
         with pytest.raises(EbonydealError) as caught:
-            office.desk.admit_deferred(request())
+            office.queue.admit_deferred(request())
         assert caught.value.kind is ErrorKind.RATE_LIMITED
         assert caught.value.retry_after > 0
         await office.clock.advance(1.5)
-        office.desk.admit_deferred(request()).release(0)
+        office.queue.admit_deferred(request()).release(0)
--- a/tests/unit/gateway/test_events.py
+++ b/tests/unit/gateway/test_events.py
@@ -33,23 +33,23 @@
 
 class TestEventIds:
     def test_there_and_back(self):
-        hint = read_event_id(id_after(2), "secret", "kitchen")
-        assert hint[:6] == ("r-0001-aa", "10.0.0.1:9200", "e-1", 3, "a-1", 1)
-        assert hint.digest == text_digest(TOKENS[:2])
+        resume_point = read_event_id(id_after(2), "secret", "kitchen")
+        assert resume_point[:6] == ("r-0001-aa", "10.0.0.1:9200", "e-1", 3, "a-1", 1)
+        assert resume_point.digest == text_digest(TOKENS[:2])
 
     def test_skipped_tokens_count(self):
         made = ids()
-        made.skip(TOKENS[:2])
+        made.add_delivered(TOKENS[:2])
         text = made.make(SOURCE, Piece(2, TOKENS[2]))
-        hint = read_event_id(text, "secret", "kitchen")
-        assert hint.digest == text_digest(TOKENS)
+        resume_point = read_event_id(text, "secret", "kitchen")
+        assert resume_point.digest == text_digest(TOKENS)
 
     def test_end_mark_is_no_token(self):
         made = ids()
-        made.skip(TOKENS)
+        made.add_delivered(TOKENS)
         text = made.make(SOURCE, Piece(3, "", "stop"))
-        hint = read_event_id(text, "secret", "kitchen")
-        assert (hint.position, hint.digest) == (3, text_digest(TOKENS))
+        resume_point = read_event_id(text, "secret", "kitchen")
+        assert (resume_point.position, resume_point.digest) == (3, text_digest(TOKENS))
 
     def test_only_for_its_account_and_credential(self):
         assert refused(id_after(1), account="other")
--- a/tests/unit/gateway/test_parts.py
+++ b/tests/unit/gateway/test_parts.py
@@ -1,4 +1,4 @@
-"""The small pure parts: demand topic, moves, watch set."""
+"""The small pure parts: demand topic, moves, subset set."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from ebonydeal._internal.gateway.migration_inputs import (
     AffectedStream,
     export_rate,
-    targets,
+    migration_targets,
 )
 from ebonydeal._internal.gateway.wiring import new_demand_topic
 from ebonydeal._internal.models.endpoints import LoadReport
@@ -69,9 +69,11 @@
 class TestMoves:
     def test_room_of_targets(self):
         views = (loaded("e1", 3, 1), loaded("e2", 8, 4), view("e3"))
-        rooms = {item.view.endpoint_id: item.room for item in targets(views, MODEL)}
+        rooms = {
+            item.view.endpoint_id: item.room for item in migration_targets(views, MODEL)
+        }
         assert rooms == {"e1": 4, "e2": 0, "e3": 4}
-        assert targets(views, "other") == []
+        assert migration_targets(views, "other") == []
 
     def test_export_rate_is_shared_with_other_gateways(self):
         class Attempt:
@@ -99,7 +101,7 @@
             def all_views(self):
                 return tuple(views)
 
-        watch = EndpointSubset(
+        subset = EndpointSubset(
             PlacedProcess("gw-1", PLACE),
             lambda: gateways,
             Views(),
@@ -107,14 +109,14 @@
             told.append,
             ManualClock(),
         )
-        assert all(watch.watches(item) for item in views)
-        watch.refresh()
-        watch.refresh()
+        assert all(subset.includes(item) for item in views)
+        subset.refresh()
+        subset.refresh()
         # Alone, it has to cover all of them.
         assert [len(ids) for ids in told] == [20]
         gateways.extend(
             PlacedProcess(f"gw-{n}", Place("wales", "z")) for n in range(2, 9)
         )
-        watch.refresh()
+        subset.refresh()
         assert 4 <= len(told[-1]) <= 20
-        assert {item.endpoint_id for item in views if watch.watches(item)} == told[-1]
+        assert {item.endpoint_id for item in views if subset.includes(item)} == told[-1]
--- a/tests/unit/gateway/test_reconnect.py
+++ b/tests/unit/gateway/test_reconnect.py
@@ -21,34 +21,34 @@
 
 class TestParkedStreams:
     def test_kept_for_its_account_and_time(self):
-        parked = RetainedAnswers(10.0, 1000)
-        parked.park(live(), 0.0)
-        assert parked.get("r-1", ACCOUNT, 9.0).delivered == tuple(words(3))
-        assert parked.get("r-1", "other", 9.0) is None
-        assert parked.get("r-2", ACCOUNT, 9.0) is None
-        assert parked.get("r-1", ACCOUNT, 10.0) is None
+        retained = RetainedAnswers(10.0, 1000)
+        retained.retain(live(), 0.0)
+        assert retained.get("r-1", ACCOUNT, 9.0).delivered == tuple(words(3))
+        assert retained.get("r-1", "other", 9.0) is None
+        assert retained.get("r-2", ACCOUNT, 9.0) is None
+        assert retained.get("r-1", ACCOUNT, 10.0) is None
 
     def test_later_state_replaces_earlier(self):
-        parked = RetainedAnswers(10.0, 1000)
-        parked.park(live(tokens=3), 0.0)
-        parked.park(live(tokens=5), 1.0)
-        assert len(parked.get("r-1", ACCOUNT, 2.0).delivered) == 5
+        retained = RetainedAnswers(10.0, 1000)
+        retained.retain(live(tokens=3), 0.0)
+        retained.retain(live(tokens=5), 1.0)
+        assert len(retained.get("r-1", ACCOUNT, 2.0).delivered) == 5
 
     @given(st.lists(st.integers(0, 60), max_size=30))
     def test_memory_is_bounded(self, sizes):
-        parked = RetainedAnswers(10.0, 100)
+        retained = RetainedAnswers(10.0, 100)
         for number, size in enumerate(sizes):
-            parked.park(live(f"r-{number}", size), float(number))
-            held = sum(len(item.delivered) for item in parked._parked.values())
+            retained.retain(live(f"r-{number}", size), float(number))
+            held = sum(len(item.delivered) for item in retained._answers.values())
             assert held <= 100
-            assert parked._held == held + 16 * len(parked._parked)
+            assert retained._total_tokens == held + 16 * len(retained._answers)
 
 
 class TestSkipDelivered:
     def skip(self, position: int, digest: str, pieces: list[Piece]) -> list[Piece]:
-        hint = ResumePoint("r-1", "gw", "e", 1, "a", position, digest)
-        skip = DeliveredTokenFilter(hint)
-        return [piece for piece in pieces if skip.keep(piece)]
+        resume_point = ResumePoint("r-1", "gw", "e", 1, "a", position, digest)
+        token_filter = DeliveredTokenFilter(resume_point)
+        return [piece for piece in pieces if token_filter.is_missing(piece)]
 
     def pieces(self, text: list[str], split_end: bool) -> list[Piece]:
         pieces = [Piece(n, token) for n, token in enumerate(text)]
--- a/tests/unit/gateway/test_stream_runner.py
+++ b/tests/unit/gateway/test_stream_runner.py
@@ -7,7 +7,7 @@
 
 from ebonydeal._internal.directory.crash_guard import CrashGuard
 from ebonydeal._internal.errors import EbonydealError, ErrorKind, Outcome
-from ebonydeal._internal.gateway.attempts import Broke, Move
+from ebonydeal._internal.gateway.attempts import AttemptFailed, Migrate
 from ebonydeal._internal.gateway.endpoint_health import EndpointHealth
 from ebonydeal._internal.gateway.live_stream import Job, LiveStream
 from ebonydeal._internal.gateway.stream_runner import StreamRunner, StreamRunnerParts
@@ -64,7 +64,7 @@
         self.resumes: list = []
         self.split_end = split_end
         self.post = lambda message: None
-        self.begin_move = lambda: None
+        self.begin_migration = lambda: None
 
     async def stream(self, endpoint, path, body, attempt_id, resume=None):
         self.open += 1
@@ -100,14 +100,16 @@
             case "repeat":
                 return [Chunk(n, "again") for n in range(position)]
             case "move":
-                self.post(Move(None, ""))
+                self.post(Migrate(None, ""))
             case "export":
-                self.begin_move()
-                asyncio.get_running_loop().call_later(0.001, self.post, Move(None, ""))
+                self.begin_migration()
+                asyncio.get_running_loop().call_later(
+                    0.001, self.post, Migrate(None, "")
+                )
                 raise EbonydealError(ErrorKind.ENDPOINT_FAILED)
             case "stall":
                 error = EbonydealError(ErrorKind.ENDPOINT_STALLED)
-                self.post(Broke(error))
+                self.post(AttemptFailed(error))
                 await asyncio.Event().wait()
         return []
 
@@ -166,7 +168,7 @@
         stage = Stage(engine)
         live = stage.live()
         engine.post = lambda message: live.attempt.mailbox.post(message)
-        engine.begin_move = lambda: setattr(live, "moving", True)
+        engine.begin_migration = lambda: setattr(live, "migrating", True)
         pieces = await stage.run(live)
         tokens = [piece for piece in pieces if piece.is_token]
         assert [piece.text for piece in tokens] == engine.text
@@ -221,9 +223,9 @@
         engine = ScriptedEngine([(3, "export")], False)
         stage = Stage(engine)
         live = stage.live()
-        target = Move(view("e2"), "kv-1")
+        target = Migrate(view("e2"), "kv-1")
         engine.post = lambda _message: live.attempt.mailbox.post(target)
-        engine.begin_move = lambda: setattr(live, "moving", True)
+        engine.begin_migration = lambda: setattr(live, "migrating", True)
         await stage.run(live)
         assert engine.resumes[1] == Resume(tuple(engine.text[:3]), "kv-1")
         assert stage.metrics.retries() == {"leaving": 1}
@@ -235,7 +237,7 @@
 
         def post(_message) -> None:
             stage.directory.leaving = {"e1": 0.0, "e3": 0.0}
-            live.attempt.mailbox.post(Move(view("e3"), "kv-1"))
+            live.attempt.mailbox.post(Migrate(view("e3"), "kv-1"))
 
         engine.post = post
         starts = []
@@ -280,13 +282,13 @@
     async def test_move_under_way_is_no_stall(self):
         stage, call = await self.stalled(3)
         (live,) = stage.runner.live_streams
-        live.moving = True
+        live.migrating = True
         await stage.clock.advance(60.0)
         stage.watch.check()
         await settle()
         assert len(stage.engine.ran) == 1
         stage.directory.mark("e1")
-        live.attempt.mailbox.post(Move(None, ""))
+        live.attempt.mailbox.post(Migrate(None, ""))
         await call
         assert stage.metrics.retries() == {"leaving": 1}
 
