--- a/src/ebonydeal/_internal/gateway/__init__.py
+++ b/src/ebonydeal/_internal/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' connections: admission, forwarding, streams, retries."""
+"""Client connections: admission, forwarding, streaming, retries."""
--- a/src/ebonydeal/_internal/gateway/api.py
+++ b/src/ebonydeal/_internal/gateway/api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API: routes, request ids, health and operators' pages."""
+"""The HTTP API for callers: routes, request ids, health and operator endpoints."""
 
 import asyncio
 import hmac
@@ -23,11 +23,11 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 OPERATOR_HEADER = "X-Operator-Token"
-_COUNTED = ("/v1/", "/services/")
+_COUNTED_PATHS = ("/v1/", "/services/")
 
 
 class ApiParts(NamedTuple):
-    """What the API is made of."""
+    """Handlers and state that the API is built from."""
 
     generation: Generation
     services: Services
@@ -40,15 +40,15 @@
 
 
 def _finish_headers(parts: ApiParts) -> Callable:
-    """Return what completes the headers of every answer."""
+    """Return the signal handler that adds the headers of every response."""
 
     async def prepare(req: web.Request, resp: web.StreamResponse) -> None:
         request_id = req.get(REQUEST_ID)
         if request_id is not None:
             resp.headers[REQUEST_ID_HEADER] = request_id
         if parts.draining():
-            # So that callers who keep their connections go elsewhere too. The
-            # library has set its own headers by now, hence both.
+            # Makes callers with keep-alive connections reconnect elsewhere. aiohttp
+            # has already set its headers here, so both statements are needed.
             resp.force_close()
             resp.headers["Connection"] = "close"
 
@@ -56,13 +56,13 @@
 
 
 def _trail_middleware(parts: ApiParts) -> Callable:
-    """Return a middleware that names each request and notes how it failed."""
+    """Return a middleware that assigns request ids and records failures."""
 
     @web.middleware
     async def middleware(req: web.Request, handler: Handler) -> web.StreamResponse:
         req[REQUEST_ID] = parts.intake.new_id()
         structlog.contextvars.bind_contextvars(request_id=req[REQUEST_ID])
-        if req.path.startswith(_COUNTED):
+        if req.path.startswith(_COUNTED_PATHS):
             parts.metrics.count(Event.REQUESTS)
         try:
             return await handler(req)
@@ -83,14 +83,14 @@
 
 
 class Api:
-    """Builds the application of the callers' listener.
+    """Builds the web application of the listener for callers.
 
     Parameters
     ----------
     parts : ApiParts
         Handlers and state.
     cfg : GatewaySettings
-        Limits and the operators' token.
+        Limits and the operator token.
     """
 
     def __init__(self, parts: ApiParts, cfg: GatewaySettings) -> None:
@@ -118,7 +118,7 @@
         return app
 
     async def _models(self, req: web.Request) -> web.Response:
-        """``GET /v1/models``: what the caller's account may use."""
+        """``GET /v1/models``: the models that the caller's account may use."""
         account = self._parts.intake.account(req)
         names = {
             name: item.name
@@ -133,27 +133,29 @@
         return web.json_response({"object": "list", "data": data})
 
     async def _ready(self, _req: web.Request) -> web.Response:
-        """``GET /health/ready``: whether the balancer should send requests.
+        """``GET /health/ready``: whether the load balancer should send requests.
 
-        A look of the balancer's is no refused request, so it isn't counted.
+        A failed health check is not a refused request, so it isn't counted.
         """
         if self._parts.draining():
             detail = "this gateway is stopping"
             return error_response(EbonydealError(ErrorKind.DRAINING, detail))
         if self._parts.intake.document.version == 0:
-            detail = "no configuration is in force yet"
+            detail = "no configuration has been loaded yet"
             return error_response(EbonydealError(ErrorKind.NO_ENDPOINT, detail))
         return web.json_response({"ready": True})
 
     async def _explain(self, req: web.Request) -> web.Response:
-        """``GET /ops/explain/{id}``: what was decided for a request."""
+        """``GET /ops/explain/{id}``: the decision trail of a request."""
         token = self._cfg.operator_token.encode()
         given = req.headers.get(OPERATOR_HEADER, "").encode()
         if not token or not hmac.compare_digest(given, token):
-            raise EbonydealError(ErrorKind.UNAUTHORIZED, "the token is wrong")
+            raise EbonydealError(
+                ErrorKind.UNAUTHORIZED, "the operator token is missing or wrong"
+            )
         request_id = req.match_info["id"]
         steps = self._parts.trails.steps(request_id)
         if steps is None:
-            detail = "this gateway keeps no trail of the request"
+            detail = "this gateway has no decision trail of the request"
             raise EbonydealError(ErrorKind.NOT_FOUND, detail)
         return web.json_response({"request_id": request_id, "steps": steps})
--- a/src/ebonydeal/_internal/gateway/budget.py
+++ b/src/ebonydeal/_internal/gateway/budget.py
@@ -11,25 +11,25 @@
 
 
 class RetryBudget:
-    """Asks the retry policy.
+    """Adapts the retry policy to the gateway.
 
     Parameters
     ----------
     policy : RetryPolicy
-        The decision.
+        Decides on retries and hedges.
     """
 
     def __init__(self, policy: RetryPolicy) -> None:
         self._policy = policy
 
     def record_first_send(self, deployment: str, now: float) -> None:
-        """Count a request's first try, from which the budget grows."""
+        """Record a request's first attempt, which adds to the retry budget."""
         self._policy.record_first_send(deployment, now)
 
     def next_delay(
         self, failure: FailedAttempt, attempts: int, now: float
     ) -> float | EbonydealError:
-        """Return seconds until the next try, or the error to give up with."""
+        """Return seconds until the next attempt, or the final error."""
         failed = Failure(
             kind=failure.kind,
             deployment=failure.deployment,
@@ -39,11 +39,11 @@
             deadline=failure.deadline,
         )
         match self._policy.next_attempt(failed, attempts, now):
-            case Retry(delay_s=after):
-                return after
-            case GiveUp(kind=kind, retry_after=wait, reason=why):
-                return EbonydealError(kind, why, retry_after=wait)
+            case Retry(delay_s=delay):
+                return delay
+            case GiveUp(kind=kind, retry_after=retry_after, reason=reason):
+                return EbonydealError(kind, reason, retry_after=retry_after)
 
     def try_hedge(self, deployment: str, deadline: float, now: float) -> bool:
-        """Take a hedge from the budget; return whether it allowed one."""
+        """Return whether the budget allows a hedge; if so, charge it."""
         return self._policy.try_hedge(deployment, True, deadline, now)
--- a/src/ebonydeal/_internal/gateway/deferred.py
+++ b/src/ebonydeal/_internal/gateway/deferred.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.gateway.intake import JOURNAL_ASKED, REQUEST_ID, Intake
+from ebonydeal._internal.gateway.intake import JOURNAL_CALLED, REQUEST_ID, Intake
 from ebonydeal._internal.gateway.parse import parse_generation
 from ebonydeal._internal.gateway.ports import AdmissionPort, JournalPort
 from ebonydeal._internal.observe.counters import Event, Metrics
@@ -13,11 +13,11 @@
 from ebonydeal._internal.utils.clock import Clock
 
 DEFERRED_PATH = "/v1/deferred"
-_POLL_SECONDS = 1
+_POLL_INTERVAL_S = 1
 
 
 class DeferredParts(NamedTuple):
-    """What the handlers of deferred requests work with."""
+    """Dependencies of the handlers of deferred requests."""
 
     intake: Intake
     admission: AdmissionPort
@@ -27,9 +27,9 @@
 
 
 def journal_response(status: JournalStatus) -> web.Response:
-    """Return the answer for a request's status, if need be "not yet".
+    """Return the response for a request's status; 202 while it has no answer.
 
-    Raises the error that a final status without an answer stands for.
+    Raises the error of a request that ended without an answer.
     """
     if status.error is not None:
         raise status.error
@@ -41,23 +41,23 @@
         )
     if status.is_final:
         raise EbonydealError(ErrorKind.INTERNAL, "the journal lost the answer")
-    return _not_yet(status)
+    return _accepted_response(status)
 
 
-def _not_yet(status: JournalStatus) -> web.Response:
-    """Return the answer for a request that is still to run or running."""
+def _accepted_response(status: JournalStatus) -> web.Response:
+    """Return the response for a request that is queued or running."""
     return web.json_response(
         {"id": status.request_id, "object": "deferred", "status": status.state},
         status=202,
         headers={
             "Location": f"{DEFERRED_PATH}/{status.request_id}",
-            "Retry-After": str(_POLL_SECONDS),
+            "Retry-After": str(_POLL_INTERVAL_S),
         },
     )
 
 
 def _status_response(status: JournalStatus) -> web.Response:
-    """Return a request's status as callers see it."""
+    """Return a request's status in the form that callers receive."""
     error = None if status.error is None else status.error.to_body()["error"]
     body = {
         "id": status.request_id,
@@ -74,7 +74,7 @@
     Parameters
     ----------
     parts : DeferredParts
-        What they work with.
+        Dependencies.
     """
 
     def __init__(self, parts: DeferredParts) -> None:
@@ -97,13 +97,13 @@
             call, account, req[REQUEST_ID], times, raw
         )
         ticket = parts.admission.admit_deferred(request)
-        req[JOURNAL_ASKED] = True
+        req[JOURNAL_CALLED] = True
         try:
             status = await parts.journal.accept(request)
         finally:
             ticket.release(0)
         parts.metrics.count(Event.ANSWERED)
-        return _not_yet(status)
+        return _accepted_response(status)
 
     async def status(self, req: web.Request) -> web.Response:
         """``GET /v1/deferred/{id}``."""
@@ -117,7 +117,7 @@
         """``DELETE /v1/deferred/{id}``."""
         account = self._parts.intake.account(req)
         request_id = req.match_info["id"]
-        req[JOURNAL_ASKED] = True
+        req[JOURNAL_CALLED] = True
         status = await self._parts.journal.cancel(request_id, account.name)
         return _status_response(status)
 
@@ -125,10 +125,10 @@
         """Return the status of the request in the path."""
         account = self._parts.intake.account(req)
         request_id = req.match_info["id"]
-        req[JOURNAL_ASKED] = True
+        req[JOURNAL_CALLED] = True
         return await self._parts.journal.status(request_id, account.name)
 
 
 def _raise(error: EbonydealError) -> None:
-    """Raise a failure of the parser where the error table catches it."""
+    """Raise a parser failure, so that the error middleware handles it."""
     raise error
--- a/src/ebonydeal/_internal/gateway/generation.py
+++ b/src/ebonydeal/_internal/gateway/generation.py
@@ -323,5 +323,5 @@
 
 
 def _raise(error: EbonydealError) -> None:
-    """Raise a failure of the parser where the error table catches it."""
+    """Raise a parser failure, so that the error middleware handles it."""
     raise error
--- a/src/ebonydeal/_internal/gateway/intake.py
+++ b/src/ebonydeal/_internal/gateway/intake.py
@@ -1,4 +1,4 @@
-"""What every caller's request goes through first: key, body, ids, deadline."""
+"""First steps of every request: authentication, body, ids, deadline."""
 
 import asyncio
 from random import Random
@@ -24,8 +24,8 @@
 from ebonydeal._internal.utils.prefix import prefix_blocks, prompt_text
 
 REQUEST_ID = web.RequestKey("request_id", str)
-# Set once the journal is asked: it tells the outcome itself from then on.
-JOURNAL_ASKED = web.RequestKey("journal_asked", bool)
+# Set once the journal is called: it reports the outcome itself from then on.
+JOURNAL_CALLED = web.RequestKey("journal_asked", bool)
 SESSION_HEADER = "X-Session-Id"
 PATHS = {
     RequestKind.CHAT: "/v1/chat/completions",
@@ -36,23 +36,23 @@
 
 
 class RequestTimes(NamedTuple):
-    """When a request came and by when it must be answered, wall clock seconds."""
+    """Arrival and deadline of a request, wall clock seconds; deadline 0.0: none."""
 
     received_at: float
     deadline: float
 
 
 class Intake:
-    """Turns what came over HTTP into checked values.
+    """Turns HTTP requests into validated values.
 
     Parameters
     ----------
     config : ConfigPort
-        Where the document in force is.
+        Holds the document in force.
     cfg : GatewaySettings
         Limits.
     shards : int
-        Journal shards, which request ids name.
+        Number of journal shards; a request id contains its shard.
     clock, rng : Clock, random.Random
         Time and ids.
     """
@@ -94,26 +94,26 @@
             raise EbonydealError(ErrorKind.BODY_TOO_LARGE, detail) from None
 
     def new_id(self) -> str:
-        """Return a fresh request id on any shard."""
+        """Return a new request id on a random shard."""
         return new_request_id(self._rng.randrange(self._shards), self._rng)
 
     def keyed_id(self, account: str, key: str) -> str:
-        """Return the one request id of an account's idempotency key."""
+        """Return the request id derived from an account's idempotency key."""
         return keyed_request_id(account, key, self._shards)
 
     def request_times(self, options: CallOptions, default_s: float) -> RequestTimes:
-        """Return the times of a request; ``default_s`` 0.0 means no deadline."""
+        """Return arrival and deadline of a request; ``default_s`` 0.0: no deadline."""
         now = self._clock.wall()
         seconds = options.deadline_s or default_s
         return RequestTimes(now, now + seconds if seconds else 0.0)
 
     def engine_deployment(self, model: str, account: Account) -> Deployment:
         """Return the deployment that serves ``model``; raises UNKNOWN_MODEL."""
-        found = self.document.for_model(model, account.name)
-        if found is None or found.kind != _ENGINE:
-            detail = f"model '{model}' is not served to this account"
+        deployment = self.document.for_model(model, account.name)
+        if deployment is None or deployment.kind != _ENGINE:
+            detail = f"model '{model}' is not available to this account"
             raise EbonydealError(ErrorKind.UNKNOWN_MODEL, detail)
-        return found
+        return deployment
 
     def generation_request(
         self,
@@ -123,7 +123,7 @@
         times: RequestTimes,
         raw: bytes,
     ) -> tuple[Request, Deployment]:
-        """Return the request of a checked generation call."""
+        """Return the request and the deployment of a validated generation call."""
         deployment = self.engine_deployment(call.model, account)
         path = PATHS[call.kind]
         request = Request(
@@ -149,21 +149,24 @@
 
 
 def may_have_run(req: web.Request) -> bool:
-    """Return whether an earlier try may have run that the journal wasn't asked of."""
-    return bool(req.headers.get(KEY_HEADER)) and not req.get(JOURNAL_ASKED, False)
+    """Return whether an earlier call under the same key may have run.
+
+    It is False once the journal was called, which knows the outcome.
+    """
+    return bool(req.headers.get(KEY_HEADER)) and not req.get(JOURNAL_CALLED, False)
 
 
 def allowed_priority(
-    asked: Priority | None, deployment: Deployment, account: Account
+    requested: Priority | None, deployment: Deployment, account: Account
 ) -> Priority:
-    """Return the class asked for, or the deployment's, but none above the account's."""
-    wanted = deployment.priority if asked is None else asked
+    """Return the requested or the deployment's priority, capped by the account's."""
+    wanted = deployment.priority if requested is None else requested
     return max(wanted, account.priority)
 
 
 def build_job(call: GenerationCall, request: Request, deployment: Deployment) -> Job:
-    """Return what the relay is asked for."""
+    """Return the job for the stream runner."""
     blocks = prefix_blocks(call.model, prompt_text(call.body))
-    # The class that was allowed, whatever the caller's own body says.
+    # The allowed priority replaces any priority in the caller's body.
     body = {**call.body, _PRIORITY_FIELD: int(request.priority)}
     return Job(request, deployment, call.model, body, blocks)
--- a/src/ebonydeal/_internal/gateway/parse.py
+++ b/src/ebonydeal/_internal/gateway/parse.py
@@ -1,4 +1,4 @@
-"""From a caller's bytes to a checked call; pure."""
+"""Validates the body and headers of calls; pure functions."""
 
 import math
 from collections.abc import Mapping
@@ -19,16 +19,16 @@
 _MAX_DEADLINE_S = 7 * 86_400.0
 _MAX_OUTPUT_TOKENS = 1 << 20
 _MAX_MODEL_CHARS = 256
-# The engine's own field for resumed streams; a caller must not name KV caches.
+# The engine's field for resumed streams; a caller must not refer to KV caches.
 _RESERVED_FIELDS = ("resume",)
 
 Body = dict[str, Any]
 
 
 class CallOptions(NamedTuple):
-    """What the headers of any call ask for.
+    """Options from the headers of a call.
 
-    ``priority`` is None and ``deadline_s`` 0.0 where the caller named none.
+    ``priority`` is None and ``deadline_s`` is 0.0 if the header is absent.
     """
 
     priority: Priority | None
@@ -37,7 +37,7 @@
 
 
 class GenerationCall(NamedTuple):
-    """A checked chat or completion body.
+    """A validated chat or completion call.
 
     Attributes
     ----------
@@ -48,13 +48,13 @@
     body : dict
         The whole body, unknown fields included.
     stream : bool
-        Whether the caller wants SSE.
+        Whether the caller requests server-sent events.
     usage : bool
         Whether a stream ends with a usage chunk.
     prompt_tokens : int
-        Estimate.
+        Estimated number of prompt tokens.
     max_tokens : int
-        Most output tokens; 0 where the caller named none.
+        Maximum number of output tokens; 0 if the caller gave none.
     options : CallOptions
         From the headers.
     """
@@ -70,7 +70,7 @@
 
 
 def _bad_request(detail: str) -> EbonydealError:
-    """Return a BAD_REQUEST."""
+    """Return a BAD_REQUEST error."""
     return EbonydealError(ErrorKind.BAD_REQUEST, detail)
 
 
@@ -81,7 +81,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise _bad_request(f"body is not JSON: {exc}") from exc
     except RecursionError as exc:
-        raise _bad_request("body nests too deep") from exc
+        raise _bad_request("body is nested too deeply") from exc
     if not isinstance(body, dict):
         raise _bad_request("body must be a JSON object")
     for name in _RESERVED_FIELDS:
@@ -102,18 +102,18 @@
     """Return the model's name."""
     model = body.get("model")
     if not isinstance(model, str) or not 0 < len(model) <= _MAX_MODEL_CHARS:
-        raise _bad_request("'model' must be the name of a model")
+        raise _bad_request("'model' must be a model name")
     return model
 
 
 def _read_max_tokens(body: Body) -> int:
-    """Return the most output tokens; 0 where none are named."""
+    """Return the maximum number of output tokens; 0 if none is given."""
     for name in ("max_completion_tokens", "max_tokens"):
         value = body.get(name)
         if value is None:
             continue
         if type(value) is not int or not 1 <= value <= _MAX_OUTPUT_TOKENS:
-            raise _bad_request(f"'{name}' must be a whole number from 1 to 1048576")
+            raise _bad_request(f"'{name}' must be an integer from 1 to 1048576")
         return value
     return 0
 
@@ -131,11 +131,11 @@
 def _check_prompt(body: Body) -> None:
     """Check a completion's prompt."""
     if not isinstance(body.get("prompt"), str):
-        raise _bad_request("'prompt' must be one text")
+        raise _bad_request("'prompt' must be a string")
 
 
 def _check_choices(body: Body) -> None:
-    """Refuse several choices, whose tokens could not be resumed in order."""
+    """Refuse several choices: their tokens could not be resumed in order."""
     for name in ("n", "best_of"):
         value = body.get(name)
         if value is not None and (type(value) is not int or value != 1):
@@ -153,24 +153,24 @@
 
 
 def _read_priority(headers: Mapping[str, str]) -> Priority | None:
-    """Return the priority class asked for, if any."""
-    word = headers.get(PRIORITY_HEADER)
-    if word is None:
+    """Return the requested priority, if any."""
+    value = headers.get(PRIORITY_HEADER)
+    if value is None:
         return None
     try:
-        return Priority[word.strip().upper()]
+        return Priority[value.strip().upper()]
     except KeyError:
         names = ", ".join(item.name.lower() for item in Priority)
         raise _bad_request(f"{PRIORITY_HEADER} must be one of {names}") from None
 
 
 def _read_deadline(headers: Mapping[str, str]) -> float:
-    """Return the seconds allowed; 0.0 where the caller named none."""
-    word = headers.get(DEADLINE_HEADER)
-    if word is None:
+    """Return the time limit, seconds; 0.0 if the header is absent."""
+    value = headers.get(DEADLINE_HEADER)
+    if value is None:
         return 0.0
     try:
-        seconds = float(word)
+        seconds = float(value)
     except ValueError:
         seconds = math.nan
     if not 0 < seconds <= _MAX_DEADLINE_S:
@@ -181,7 +181,7 @@
 
 
 def _read_key(headers: Mapping[str, str]) -> str:
-    """Return the idempotency key, or an empty text."""
+    """Return the idempotency key, or an empty string."""
     key = headers.get(KEY_HEADER)
     if key is None:
         return ""
@@ -193,14 +193,14 @@
 
 
 def _read_options(headers: Mapping[str, str]) -> CallOptions:
-    """Return what the headers ask for; raises BAD_REQUEST."""
+    """Return the options of the headers; raises BAD_REQUEST."""
     return CallOptions(
         _read_priority(headers), _read_deadline(headers), _read_key(headers)
     )
 
 
 def parse_options(headers: Mapping[str, str]) -> Result[CallOptions, EbonydealError]:
-    """Return what the headers of a call ask for."""
+    """Return the options from the headers of a call."""
     try:
         return Success(_read_options(headers))
     except EbonydealError as exc:
@@ -210,7 +210,7 @@
 def _read_generation(
     kind: RequestKind | None, raw: bytes, headers: Mapping[str, str]
 ) -> GenerationCall:
-    """Check a generation body; raises BAD_REQUEST."""
+    """Check a generation call; raises BAD_REQUEST."""
     body = _read_object(raw)
     if kind is None:
         is_chat = "messages" in body or "prompt" not in body
@@ -240,11 +240,11 @@
     Parameters
     ----------
     kind : RequestKind or None
-        Chat or completion; None where the body tells.
+        Chat or completion; None to derive it from the body.
     raw : bytes
-        Body as received; its size is checked by the listener.
+        Body as received; the listener has checked its size.
     headers : mapping of str to str
-        Case-insensitive.
+        Headers; lookup is case-insensitive.
     """
     try:
         return Success(_read_generation(kind, raw, headers))
@@ -253,5 +253,5 @@
 
 
 def body_digest(method: str, path: str, raw: bytes) -> str:
-    """Return the digest that tells "same key, other body"."""
+    """Return the digest that detects a reused key with a different call."""
     return xxh3_128_hexdigest(b"\0".join((method.encode(), path.encode(), raw)))
--- a/src/ebonydeal/_internal/gateway/parts.py
+++ b/src/ebonydeal/_internal/gateway/parts.py
@@ -1,4 +1,4 @@
-"""What a gateway is built from."""
+"""Ports and settings that a gateway is built from."""
 
 from ssl import SSLContext
 from typing import NamedTuple
@@ -21,10 +21,10 @@
 
 
 class GatewayPorts(NamedTuple):
-    """The other parts, as the gateway sees them.
+    """Interfaces of the gateway to the other components.
 
-    ``children`` are their services, started before the gateway's own and
-    stopped after them.
+    ``children`` are the components' services. They start before the gateway's
+    own services and stop after them.
     """
 
     engine: Engine
--- a/src/ebonydeal/_internal/gateway/ports.py
+++ b/src/ebonydeal/_internal/gateway/ports.py
@@ -1,7 +1,7 @@
-"""What the gateway asks of the other parts, as narrow protocols.
+"""Protocols of the components that the gateway depends on.
 
-The gateway's tasks depend on these only; `gateway.wiring` puts the real parts
-behind them and tests put fakes.
+The gateway's tasks depend only on these. `gateway.wiring` provides the real
+components, tests provide fakes.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,14 +19,14 @@
 
 
 class EndpointQuery(NamedTuple):
-    """What an endpoint is wanted for.
+    """Parameters for the choice of an endpoint.
 
     Attributes
     ----------
     request : Request
         The caller's request.
     deployment : Deployment
-        Whose endpoints may be chosen.
+        The deployment to choose an endpoint from.
     model : str
         Model name; empty for a plain service.
     prefix : tuple of str
@@ -34,9 +34,9 @@
     delivered : int
         Tokens that the caller already has.
     avoid : frozenset of (endpoint id, incarnation)
-        Already tried without success.
+        Endpoints that failed the request before.
     prefer : (endpoint id, incarnation) or None
-        Where the request's KV cache may still be warm.
+        Endpoint that may still hold the request's KV cache.
     """
 
     request: Request
@@ -56,11 +56,12 @@
     endpoint : EndpointView
         The endpoint.
     scores : list of dict
-        Best choices with their terms, best first, for the decision trail.
+        The candidates with their score terms, best first, for the decision trail.
     choice : object
-        The router's own value, handed back with each report.
+        Opaque value of the router, passed back with each record.
     missed_tokens : int
-        Prompt tokens that another endpoint was believed to have cached.
+        Prompt tokens that another endpoint was expected to have cached beyond
+        those of this one.
     """
 
     endpoint: EndpointView
@@ -70,55 +71,55 @@
 
 
 class RoutePort(Protocol):
-    """Chooses endpoints and learns from what became of each try."""
+    """Chooses endpoints and learns from the outcome of each attempt."""
 
     def choose(self, query: EndpointQuery, now: float) -> Route | None:
-        """Return the best endpoint, already counted as sent, or None."""
+        """Return the best endpoint or None; records the choice as sent."""
 
     def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
     ) -> None:
-        """Report the first token and what the prefix cache really held."""
+        """Record the first token and the actual prefix cache hit."""
 
     def record_finished(self, route: Route, tokens: int, now: float) -> None:
-        """Report a whole answer, or a try that ended by our own wish."""
+        """Record a complete answer, or an attempt that the gateway ended."""
 
     def record_failure(self, route: Route, kind: ErrorKind, now: float) -> None:
-        """Report a failed try."""
+        """Record a failed attempt."""
 
 
 class Ticket(Protocol):
     """An admitted request's share of the limits."""
 
     def release(self, tokens: int) -> None:
-        """Give the share back; ``tokens`` were really used."""
+        """Release the share; ``tokens`` is the number used."""
 
 
 class AdmissionPort(Protocol):
     """Admits, queues or refuses requests."""
 
     async def admit(self, request: Request, deployment: Deployment) -> Ticket:
-        """Return when admitted; raises the refusal's `EbonydealError`."""
+        """Wait for admission; raises `EbonydealError` if refused."""
 
     def admit_deferred(self, request: Request) -> Ticket:
-        """Count a request that runs later; raises RATE_LIMITED at once."""
+        """Count a request that runs later; raises RATE_LIMITED without waiting."""
 
 
 class FailedAttempt(NamedTuple):
-    """A try that failed.
+    """A failed attempt.
 
     Attributes
     ----------
     kind : ErrorKind
-        How.
+        Kind of the failure.
     deployment : str
-        Whose retry budget counts.
+        The deployment whose retry budget applies.
     idempotent : bool
         Whether running the request twice is harmless.
     may_have_run : bool
-        Whether an earlier try may have run.
+        Whether an earlier attempt may have run.
     first_byte_received : bool
-        Whether a byte of the answer came.
+        Whether any byte of the answer was received.
     deadline : float
         Wall clock seconds; 0.0 means none.
     """
@@ -132,48 +133,48 @@
 
 
 class RetryPort(Protocol):
-    """Decides on further tries within the deployment's budget."""
+    """Decides on retries within the deployment's retry budget."""
 
     def record_first_send(self, deployment: str, now: float) -> None:
-        """Count a request's first try, from which the budget grows."""
+        """Record a request's first attempt, which adds to the retry budget."""
 
     def next_delay(
         self, failure: FailedAttempt, attempts: int, now: float
     ) -> float | EbonydealError:
-        """Return seconds until the next try, or the error to give up with."""
+        """Return seconds until the next attempt, or the final error."""
 
     def try_hedge(self, deployment: str, deadline: float, now: float) -> bool:
-        """Take a hedge from the budget; return whether it allowed one."""
+        """Return whether the budget allows a hedge; if so, charge it."""
 
 
 class DirectoryPort(Protocol):
-    """The endpoints known, without those marked as leaving."""
+    """The known endpoints, without those marked as leaving."""
 
     def views(self, deployment: str) -> tuple[EndpointView, ...]:
-        """Return the endpoints that may get new work."""
+        """Return the endpoints that may receive new requests."""
 
     def is_leaving(self, view: EndpointView) -> bool:
         """Return whether this incarnation is marked as leaving."""
 
     def deadline(self, view: EndpointView) -> float:
-        """Return when an endpoint is taken, wall clock seconds; 0.0: unknown."""
+        """Return when an endpoint is reclaimed, wall clock seconds; 0.0: unknown."""
 
     def connect_failed(self, endpoint_id: str) -> None:
-        """Note that an endpoint refused the connection."""
+        """Record that an endpoint refused the connection."""
 
     def on_mark(self, callback: Callable[[LeavingMark], None]) -> None:
-        """Call ``callback`` with each new mark."""
+        """Call ``callback`` with each new leaving mark."""
 
 
 class PeerPort(Protocol):
-    """Other gateways, and this one's listener for them."""
+    """Calls to other gateways, and this gateway's listener for them."""
 
     @property
     def address(self) -> str:
-        """``host:port`` of this gateway's peer listener; after the start."""
+        """``host:port`` of this gateway's peer listener; set after the start."""
 
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
-        """Serve further routes on the peer listener; before the start."""
+        """Add routes to the peer listener; only before the start."""
 
     async def call(
         self, address: str, path: str, message: dict[str, Any]
@@ -186,20 +187,20 @@
 
     @property
     def document(self) -> Document:
-        """Highest version seen."""
+        """The document with the highest version seen."""
 
 
 class JournalPort(Protocol):
-    """The request journal's owners, wherever they are."""
+    """The request journal; routes each call to the owner of the shard."""
 
     async def accept(self, request: Request) -> JournalStatus:
-        """Return once ``request`` is durable."""
+        """Accept a request; returns once it is durable."""
 
     async def call(self, request: Request, wait: float) -> JournalStatus:
-        """Accept, and wait up to ``wait`` seconds for the end."""
+        """Accept a request and wait up to ``wait`` seconds for its final status."""
 
     async def status(self, request_id: str, account: str) -> JournalStatus:
         """Return a request's status."""
 
     async def cancel(self, request_id: str, account: str) -> JournalStatus:
-        """Stop a request; returns its status."""
+        """Cancel a request; returns its status."""
--- a/src/ebonydeal/_internal/gateway/program.py
+++ b/src/ebonydeal/_internal/gateway/program.py
@@ -38,27 +38,27 @@
 
 
 class GatewayProgram(Service):
-    """Callers' connections and all that serves them.
+    """Listener for callers, and the services that it depends on.
 
     Parameters
     ----------
     cfg : GatewayConfig
         Settings.
     ports : GatewayPorts
-        The other parts.
+        Interfaces to the other components.
     metrics, clock, rng : Metrics, Clock, random.Random
         Counters, time, ids.
 
     Attributes
     ----------
     draining : bool
-        Whether a stop has begun, so that the balancer sends no more.
+        Whether shutdown has begun; ``/health/ready`` then fails.
     ports : GatewayPorts
-        The other parts.
+        Interfaces to the other components.
     relay : Relay
-        Answers under way.
+        Runs the answers in progress.
     trails : Trails
-        Decision trails of the latest requests.
+        Decision trails of the most recent requests.
     """
 
     def __init__(
@@ -104,23 +104,23 @@
         clock: Clock,
         rng: Random,
     ) -> "GatewayProgram":
-        """Build the whole tree from all settings sections."""
+        """Build the supervisor tree from the settings sections."""
         cfg, ports = build_ports(settings, metrics, clock, rng)
         return cls(cfg, ports, metrics, clock, rng)
 
     @property
     def address(self) -> str:
-        """``host:port`` of the callers' listener; after the start."""
+        """``host:port`` of the listener for callers; set after the start."""
         return self._server.address
 
     @property
     def metrics(self) -> Metrics:
-        """Counters of this program."""
+        """Metrics of this program."""
         return self._metrics
 
-    # --- life ---
+    # --- lifecycle ---
     async def on_start(self) -> None:
-        """Start the other parts, then the gateway's own, the listener last."""
+        """Start the other components, then the gateway's own; the listener last."""
         own: Iterable[Service] = (
             self._background,
             StreamWatchdog(self.stream_runner, self._cfg.gateway, self._clock),
@@ -132,7 +132,7 @@
         logger.info("Listening.", address=self.address)
 
     async def on_stop(self) -> None:
-        """Leave the balancer, let what runs finish, then close the listener."""
+        """Fail the readiness check, let running requests finish, close the listener."""
         self.draining = True
         logger.info("Draining.", streams=len(self.stream_runner.live_streams))
         await self._clock.sleep(self._cfg.gateway.settle_seconds)
@@ -247,17 +247,20 @@
 
     # --- for other gateways ---
     async def answer_for_peer(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Return an answer whose caller went on to another gateway.
+        """Return a retained answer whose caller reconnected to another gateway.
 
-        Raises NOT_FOUND where it is not kept here.
+        Raises NOT_FOUND if it is not retained here.
         """
         match message:
             case {"request_id": str(request_id), "account": str(account)}:
                 entry = await self._reconnector.take_over(request_id, account)
             case _:
-                raise EbonydealError(ErrorKind.BAD_REQUEST, "no request id or account")
+                raise EbonydealError(
+                    ErrorKind.BAD_REQUEST,
+                    "the message lacks a request id or an account",
+                )
         if entry is None:
-            raise EbonydealError(ErrorKind.NOT_FOUND, "the answer is not kept here")
+            raise EbonydealError(ErrorKind.NOT_FOUND, "the answer is not retained here")
         return entry.to_message()
 
     async def _resume_for_peer(self, req: web.Request) -> web.Response:
--- a/src/ebonydeal/_internal/gateway/routes.py
+++ b/src/ebonydeal/_internal/gateway/routes.py
@@ -13,18 +13,19 @@
 
 
 class RouterAdapter:
-    """Asks the router about the endpoints that the directory knows.
+    """Lets the router choose among the endpoints of the directory.
 
     Parameters
     ----------
     router : Router
-        The decision.
+        Chooses endpoints.
     directory : DirectoryPort
-        The endpoints.
+        The known endpoints.
     place : Place
-        Where this gateway runs.
+        Region and zone of this gateway.
     watches : callable
-        Whether this gateway sends to an endpoint while others of the set work.
+        Returns whether an endpoint is in this gateway's subset, which is
+        preferred to all others.
     """
 
     def __init__(
@@ -40,14 +41,14 @@
         self._in_subset = in_subset
 
     def choose(self, query: EndpointQuery, now: float) -> Route | None:
-        """Return the best endpoint, already counted as sent, or None."""
+        """Return the best endpoint or None; records the choice as sent."""
         views = self._directory.views(query.deployment.name)
         usable = tuple(
             view for view in views if incarnation_of(view) not in query.avoid
         )
         request = route_request(query, self._place)
         choice = None
-        # The preferred one, else the watched ones, else whatever there is.
+        # The preferred endpoint, else the subset, else any endpoint.
         for group in (_preferred(usable, query), self._subset_of(usable), usable):
             if group and choice is None:
                 choice = self._router.choose(request, group, now)
@@ -62,29 +63,29 @@
         )
 
     def capacity(self, deployment: str) -> int:
-        """Return how many requests of a deployment may be in flight here."""
+        """Return how many requests of a deployment this gateway may have in flight."""
         return self._router.capacity(self._subset_of(self._directory.views(deployment)))
 
     def _subset_of(self, views: tuple[EndpointView, ...]) -> tuple[EndpointView, ...]:
-        """Return those of ``views`` that this gateway watches."""
+        """Return those of ``views`` that are in this gateway's subset."""
         return tuple(view for view in views if self._in_subset(view))
 
     def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
     ) -> None:
-        """Report the first token and what the prefix cache really held."""
+        """Record the first token and the actual prefix cache hit."""
         if route.choice is not None:
             self._router.record_first_token(
                 route.choice, route.endpoint.endpoint_id, cached, prefilled, now
             )
 
     def record_finished(self, route: Route, tokens: int, now: float) -> None:
-        """Report a whole answer, or a try that ended by our own wish."""
+        """Record a complete answer, or an attempt that the gateway ended."""
         if route.choice is not None:
             self._router.record_finished(route.choice, route.endpoint.endpoint_id, now)
 
     def record_failure(self, route: Route, kind: ErrorKind, now: float) -> None:
-        """Report a failed try."""
+        """Record a failed attempt."""
         if kind is ErrorKind.CONNECT_FAILED:
             self._directory.connect_failed(route.endpoint.endpoint_id)
         if route.choice is not None:
@@ -96,7 +97,7 @@
 def _preferred(
     views: tuple[EndpointView, ...], query: EndpointQuery
 ) -> tuple[EndpointView, ...]:
-    """Return the preferred endpoint alone, if it is there and has a free slot."""
+    """Return only the preferred endpoint if it has a free slot, else nothing."""
     if query.prefer is None:
         return ()
     return tuple(
@@ -108,7 +109,7 @@
 
 
 def route_request(query: EndpointQuery, place: Place) -> RouteRequest:
-    """Return what the router needs to know."""
+    """Return the router's request for a query."""
     request = query.request
     return RouteRequest(
         request_id=request.request_id,
@@ -124,13 +125,13 @@
 
 
 def _cached_elsewhere(choice: Choice) -> int:
-    """Return the prompt tokens that another endpoint was believed to hold."""
+    """Return the prompt tokens that an alternative was expected to have cached."""
     best = max((item.terms.cached_tokens for item in choice.alternatives), default=0.0)
     return int(max(0.0, best - choice.terms.cached_tokens))
 
 
 def _trail_entries(choice: Choice) -> list[dict[str, Any]]:
-    """Return the best choices with their terms, for the decision trail."""
+    """Return the candidates with their score terms, for the decision trail."""
     best = Scored(choice.endpoint, choice.score, choice.terms)
     return [
         {
--- a/src/ebonydeal/_internal/gateway/services.py
+++ b/src/ebonydeal/_internal/gateway/services.py
@@ -19,7 +19,7 @@
     DirectParts,
 )
 from ebonydeal._internal.gateway.intake import (
-    JOURNAL_ASKED,
+    JOURNAL_CALLED,
     REQUEST_ID,
     Intake,
     allowed_priority,
@@ -92,7 +92,7 @@
             if idempotent:
                 resp = await self._direct.answer(DirectCall(request, deployment, raw))
             else:
-                req[JOURNAL_ASKED] = True
+                req[JOURNAL_CALLED] = True
                 resp = await self._through_journal(request, raw)
         finally:
             ticket.release(0)
@@ -193,5 +193,5 @@
 
 
 def _raise(error: EbonydealError) -> None:
-    """Raise a failure of the parser where the error table catches it."""
+    """Raise a parser failure, so that the error middleware handles it."""
     raise error
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -1,4 +1,4 @@
-"""The real parts behind the gateway's ports."""
+"""Builds the components behind the gateway's ports."""
 
 from collections.abc import Iterable
 from random import Random
@@ -71,7 +71,7 @@
 
 
 class _Clients:
-    """The clients of the outside systems."""
+    """Clients of the external systems."""
 
     def __init__(self, cfg: PlatformSettings) -> None:
         self.tables = HttpTables.from_config(cfg)
@@ -101,11 +101,11 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` of this gateway's peer listener; after the start."""
+        """``host:port`` of this gateway's peer listener; set after the start."""
         return self._service.address
 
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
-        """Serve further routes on the peer listener; before the start."""
+        """Add routes to the peer listener; only before the start."""
         self._service.add_routes(routes)
 
     async def call(
@@ -116,7 +116,7 @@
 
 
 class _Components(NamedTuple):
-    """Everything that is built, before it is put behind the ports."""
+    """Components that are put behind the ports."""
 
     clients: _Clients
     tls: TlsContexts
@@ -130,7 +130,7 @@
 def _build(
     settings: dict[str, Any], metrics: Metrics, clock: Clock, rng: Random
 ) -> _Components:
-    """Build the parts that own sockets."""
+    """Build the components that own sockets."""
     clients = _Clients(settings["platform"])
     tls = TlsContexts.from_config(settings["tls"], clock)
     credential = settings["peers"].credential
@@ -179,7 +179,7 @@
 
 
 class _Routing(NamedTuple):
-    """The router behind its port, and what keeps it in step."""
+    """The router behind its port, and the subset that it chooses from."""
 
     routes: RouterAdapter
     subset: EndpointSubset
@@ -188,7 +188,7 @@
 def _new_routing(
     settings: dict[str, Any], parts: _Components, clock: Clock, rng: Random
 ) -> _Routing:
-    """Build the router and let it follow directory and peers."""
+    """Build the router and subscribe it to the directory and the peers."""
     node: NodeSettings = settings["node"]
     place = Place(node.region, node.zone)
     directory = parts.directory
@@ -223,7 +223,7 @@
 
 
 def new_demand_topic(limits: AccountLimits, clock: Clock) -> DemandTopic:
-    """Return the topic that carries the accounts' demand between gateways."""
+    """Return the gossip topic for the accounts' demand at each gateway."""
     return DemandTopic(
         lambda: limits.report(clock.wall()),
         lambda report: limits.merge_report(report, clock.wall()),
@@ -231,7 +231,7 @@
 
 
 class _ClientCloser(Service):
-    """Closes the clients when all that use them have stopped."""
+    """Closes the clients after the services that use them have stopped."""
 
     def __init__(self, parts: _Components) -> None:
         super().__init__()
@@ -247,7 +247,7 @@
 def build_ports(
     settings: dict[str, Any], metrics: Metrics, clock: Clock, rng: Random
 ) -> tuple[GatewayConfig, GatewayPorts]:
-    """Build the real parts from settings sections (see `SECTIONS`)."""
+    """Build settings and ports from the settings sections (see `SECTIONS`)."""
     node: NodeSettings = settings["node"]
     gateway: GatewaySettings = settings["gateway"]
     parts = _build(settings, metrics, clock, rng)
--- a/tests/unit/gateway/test_auth.py
+++ b/tests/unit/gateway/test_auth.py
@@ -43,5 +43,5 @@
         auth.account(HEADER, doc)
         auth.account("Bearer sk-other", doc)
         refusal(auth, "Bearer sk-guess", doc)
-        assert len(auth._known) == 1
+        assert len(auth._verified) == 1
         assert auth.account(HEADER, doc).name == ACCOUNT
