--- a/src/ebonydeal/_internal/gateway/background.py
+++ b/src/ebonydeal/_internal/gateway/background.py
@@ -1,4 +1,4 @@
-"""Short work that must go on after the request that caused it."""
+"""Short tasks that outlive the request that started them."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,26 +14,26 @@
 
 
 class Background(Service):
-    """Owns tasks that no request waits for; a failed one is logged."""
+    """Runs tasks that no request waits for; logs their failures."""
 
     def __init__(self) -> None:
         super().__init__()
         self._running: set[asyncio.Task] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run ``work`` to its end."""
+        """Run ``work`` as a task."""
         task = asyncio.create_task(work)
         self._running.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
-    def _ended(self, task: asyncio.Task) -> None:
-        """Forget a task; log its failure."""
+    def _on_done(self, task: asyncio.Task) -> None:
+        """Remove a finished task; log its failure."""
         self._running.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logger.error("Background work failed.", exc_info=task.exception())
+            logger.error("Background task failed.", exc_info=task.exception())
 
     async def on_stop(self) -> None:
-        """End what still runs."""
+        """Cancel the tasks that still run."""
         for task in list(self._running):
             task.cancel()
         await asyncio.gather(*self._running, return_exceptions=True)
--- a/src/ebonydeal/_internal/gateway/endpoint_health.py
+++ b/src/ebonydeal/_internal/gateway/endpoint_health.py
@@ -1,4 +1,4 @@
-"""Which endpoints are known to work right now; pure state."""
+"""Tracks which endpoints are known to work; pure state."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Set
@@ -6,7 +6,7 @@
 from ebonydeal._internal.models.endpoints import EndpointView
 
 _MAX_ENDPOINTS = 4096
-# Idle endpoints are asked for their load every few seconds.
+# Idle endpoints are polled for their load every few seconds.
 _LOAD_REPORT_TTL_S = 12.0
 Incarnation = tuple[str, int]
 
@@ -17,19 +17,19 @@
 
 
 class EndpointHealth:
-    """The last word of each endpoint: worked, or failed.
+    """The last result of each endpoint: success or failure.
 
-    A request that lost its endpoint may go on without drawing on the retry
-    budget if the next endpoint's last word is that it works, or if it has given
-    no word lately but reports its load. When everything fails each endpoint's
-    last word soon is a failure, which no load report outweighs, so that this
-    can't multiply the sends in a brown-out: at most the requests in flight at
-    that moment are sent once more.
+    A request that lost its endpoint may be retried without drawing on the retry
+    budget if another endpoint's last result is a success, or if that endpoint has
+    no recent result but reports its load. When all endpoints fail, the last result
+    of each is soon a failure, which no load report overrides. So these retries
+    can't multiply the load in a brown-out: at most the requests in flight at that
+    moment are sent once more.
 
     Parameters
     ----------
-    fresh_s : float
-        How long a word counts, seconds.
+    result_ttl_s : float
+        How long a result counts, seconds.
     """
 
     def __init__(self, result_ttl_s: float) -> None:
@@ -37,12 +37,12 @@
         self._results: OrderedDict[Incarnation, tuple[bool, float]] = OrderedDict()
 
     def record_success(self, view: EndpointView, now: float) -> None:
-        """Note that tokens or an answer came from ``view``."""
-        self._note(view, True, now)
+        """Record that ``view`` sent tokens or an answer."""
+        self._record(view, True, now)
 
     def record_failure(self, view: EndpointView, now: float) -> None:
-        """Note that a try at ``view`` failed."""
-        self._note(view, False, now)
+        """Record that an attempt at ``view`` failed."""
+        self._record(view, False, now)
 
     def is_working(self, view: EndpointView, now: float) -> bool:
         """Return whether an endpoint is known to work; ``now`` is wall clock."""
@@ -54,15 +54,15 @@
     def any_working(
         self, views: Iterable[EndpointView], avoid: Set[Incarnation], now: float
     ) -> bool:
-        """Return whether any of ``views`` but those in ``avoid`` works."""
+        """Return whether any of ``views`` that is not in ``avoid`` works."""
         return any(
             self.is_working(view, now)
             for view in views
             if incarnation_of(view) not in avoid
         )
 
-    def _note(self, view: EndpointView, success: bool, now: float) -> None:
-        """Keep the word, dropping the oldest of too many."""
+    def _record(self, view: EndpointView, success: bool, now: float) -> None:
+        """Store a result; evicts the oldest one if there are too many."""
         key = incarnation_of(view)
         self._results[key] = (success, now)
         self._results.move_to_end(key)
--- a/src/ebonydeal/_internal/gateway/endpoint_subset.py
+++ b/src/ebonydeal/_internal/gateway/endpoint_subset.py
@@ -1,4 +1,4 @@
-"""Which endpoints this gateway watches, kept in step with gateways and endpoints."""
+"""Keeps this gateway's subset of endpoints up to date."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -15,7 +15,7 @@
 
 
 class EndpointSource(Protocol):
-    """Where the endpoints are known."""
+    """Source of the listed endpoints."""
 
     def all_views(self) -> tuple[EndpointView, ...]:
         """Return all listed endpoints."""
@@ -27,15 +27,15 @@
     Parameters
     ----------
     own : PlacedProcess
-        This gateway.
+        This gateway and its place.
     gateways : callable
-        Returns the other gateways that are alive.
-    views : Views
-        The endpoints.
+        Returns the other live gateways.
+    views : EndpointSource
+        The listed endpoints.
     cfg : RoutingSettings
         Size of the subset.
     on_change : callable
-        Called with the ids watched whenever they change.
+        Called with the endpoint ids of the subset whenever they change.
     clock : Clock
         Time.
     """
@@ -59,25 +59,25 @@
         self._chosen_ids: frozenset[str] | None = None
 
     def includes(self, view: EndpointView) -> bool:
-        """Return whether an endpoint is watched; all are before the first choice."""
+        """Return whether the subset has an endpoint; before the first refresh: all."""
         return self._chosen_ids is None or view.endpoint_id in self._chosen_ids
 
     def refresh(self) -> None:
-        """Choose anew from what is known now."""
+        """Choose the subset again from the current endpoints and gateways."""
         groups: dict[str, list[PlacedProcess]] = defaultdict(list)
         for view in self._views.all_views():
             groups[view.deployment].append(PlacedProcess(view.endpoint_id, view.place))
         gateways = list(self._gateways())
-        watched: set[str] = set()
+        chosen_ids: set[str] = set()
         for endpoints in groups.values():
-            watched |= choose_subset(
+            chosen_ids |= choose_subset(
                 self._own,
                 gateways,
                 endpoints,
                 self._cfg.subset,
                 self._cfg.spill_share,
             )
-        chosen = frozenset(watched)
+        chosen = frozenset(chosen_ids)
         if chosen != self._chosen_ids:
             self._chosen_ids = chosen
             self._on_change(chosen)
--- a/src/ebonydeal/_internal/gateway/migration_inputs.py
+++ b/src/ebonydeal/_internal/gateway/migration_inputs.py
@@ -1,4 +1,4 @@
-"""From running streams and endpoint views to the reclaim planner's values; pure."""
+"""Converts streams and endpoint views to the migration planner's inputs; pure."""
 
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
@@ -17,34 +17,34 @@
 
 
 class AffectedStream(NamedTuple):
-    """A running stream whose endpoint leaves."""
+    """A running stream whose endpoint is leaving."""
 
     live: LiveStream
     attempt: Attempt
 
     @property
     def is_current(self) -> bool:
-        """Whether the try still runs and no move of it is under way."""
+        """Whether the attempt is still running and not being migrated."""
         live = self.live
         return live.attempt is self.attempt and not live.migrating and not live.finish
 
 
 def stream_key(stream: AffectedStream) -> str:
-    """Return what the planner knows a stream by; one request may run twice."""
+    """Return the planner's id of a stream: per attempt, as requests may run twice."""
     return stream.attempt.attempt_id
 
 
 def running_stream(
     stream: AffectedStream, cfg: GatewaySettings, now: float
 ) -> RunningStream:
-    """Return what the planner needs to know of a stream.
+    """Return the planner's input for a stream.
 
     Parameters
     ----------
     item : Affected
         The stream.
     cfg : GatewaySettings
-        Size of a token's KV cache.
+        KV cache size per token.
     now : float
         Clock seconds.
     """
@@ -63,7 +63,7 @@
 
 
 def _rate(stream: AffectedStream, now: float) -> float:
-    """Return the tokens a second of the running try; 0.0 before the first."""
+    """Return the running attempt's tokens per second; 0.0 before the first token."""
     first_at = stream.attempt.first_at
     if first_at is None or now <= first_at:
         return 0.0
@@ -78,24 +78,24 @@
 def migration_targets(
     views: Iterable[EndpointView], model: str
 ) -> list[MigrationTarget]:
-    """Return the endpoints that may take streams of ``model``, with their room."""
+    """Return the endpoints that serve ``model``, with their free capacity."""
     return [
         MigrationTarget(view, _room(view)) for view in views if model in view.models
     ]
 
 
 def _room(view: EndpointView) -> int:
-    """Return the streams that an endpoint takes without queueing."""
+    """Return how many more streams an endpoint can run without queueing."""
     if view.load is None:
         return _ROOM_IF_UNKNOWN
     return max(0, view.load.slots - view.load.running - view.load.waiting)
 
 
 def export_rate(affected: Sequence[AffectedStream], gb_per_s: float) -> float:
-    """Return this gateway's part of the sources' export rate, gigabytes a second.
+    """Return this gateway's share of the sources' export rate, gigabytes per second.
 
-    Other gateways export from the same engines at the same time, so the part is
-    that of the running streams that are this gateway's own.
+    Other gateways export from the same engines at the same time, so the share is
+    this gateway's fraction of the streams running there.
     """
     sources = {
         stream.attempt.route.endpoint.endpoint_id: stream.attempt.route.endpoint
--- a/src/ebonydeal/_internal/gateway/planned_migrations.py
+++ b/src/ebonydeal/_internal/gateway/planned_migrations.py
@@ -1,4 +1,4 @@
-"""Streams with a planned move that has not begun, and the exports under way."""
+"""Planned migrations that have not started, and exports in progress."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class PlannedMigration(NamedTuple):
-    """The newest plan of one stream.
+    """The latest plan of one stream.
 
     Attributes
     ----------
     item : Affected
         The stream.
     number : int
-        A higher one replaces a lower one.
+        Sequence number of the plan; a higher one replaces a lower one.
     zones : frozenset of str
         Availability zones being reclaimed.
     """
@@ -24,7 +24,7 @@
 
 
 class PlannedMigrations:
-    """Keeps the newest plan of each stream, so that a source is planned as one."""
+    """Holds the latest plan of each stream, so a source is planned as a whole."""
 
     def __init__(self) -> None:
         self._number = 0
@@ -32,7 +32,7 @@
         self._exports: dict[str, tuple[str, float]] = {}
 
     def add(self, stream: AffectedStream, zones: frozenset[str]) -> int:
-        """Keep a plan in place of the stream's former one; return its number."""
+        """Replace the stream's plan; return the new plan's number."""
         self._number += 1
         self._planned[stream_key(stream)] = PlannedMigration(
             stream, self._number, zones
@@ -40,7 +40,7 @@
         return self._number
 
     def start(self, stream: AffectedStream, number: int) -> bool:
-        """Return whether a due move still holds; it is no longer planned then."""
+        """Return whether a due plan is still current; if so, remove it."""
         key = stream_key(stream)
         planned = self._planned.get(key)
         if planned is None or planned.number != number:
@@ -49,7 +49,7 @@
         return stream.is_current
 
     def at_source(self, endpoint_id: str) -> list[PlannedMigration]:
-        """Return the streams of an endpoint whose planned move has not begun."""
+        """Return the planned migrations off an endpoint that have not started."""
         return [
             planned
             for planned in self._planned.values()
@@ -58,16 +58,16 @@
         ]
 
     def record_export_start(self, stream: AffectedStream, until: float) -> None:
-        """Note an export, and when it is expected to be over."""
+        """Record an export and its expected end."""
         source = stream.attempt.route.endpoint.endpoint_id
         self._exports[stream_key(stream)] = (source, until)
 
     def record_export_end(self, stream: AffectedStream) -> None:
-        """Forget an export."""
+        """Remove a finished export."""
         self._exports.pop(stream_key(stream), None)
 
     def remaining_export_s(self, now: float) -> dict[str, float]:
-        """Return the seconds that exports under way still take at each endpoint."""
+        """Return the expected remaining export time of each endpoint, seconds."""
         seconds: dict[str, float] = {}
         for source, until in self._exports.values():
             seconds[source] = seconds.get(source, 0.0) + max(0.0, until - now)
--- a/src/ebonydeal/_internal/gateway/program.py
+++ b/src/ebonydeal/_internal/gateway/program.py
@@ -55,7 +55,7 @@
         Whether shutdown has begun; ``/health/ready`` then fails.
     ports : GatewayPorts
         Interfaces to the other components.
-    relay : Relay
+    stream_runner : StreamRunner
         Runs the answers in progress.
     trails : Trails
         Decision trails of the most recent requests.
@@ -257,7 +257,7 @@
             case _:
                 raise EbonydealError(
                     ErrorKind.BAD_REQUEST,
-                    "the message lacks a request id or an account",
+                    "missing request id or account",
                 )
         if entry is None:
             raise EbonydealError(ErrorKind.NOT_FOUND, "the answer is not retained here")
--- a/src/ebonydeal/_internal/gateway/reconnect.py
+++ b/src/ebonydeal/_internal/gateway/reconnect.py
@@ -1,6 +1,6 @@
-"""Callers who come back with ``Last-Event-ID``, at any gateway.
+"""Resumes answers of callers that reconnect with ``Last-Event-ID``, at any gateway.
 
-See docs/design/streams.md for the ways that were weighed.
+See docs/design/streams.md for the alternatives considered.
 """
 
 from collections import OrderedDict
@@ -25,9 +25,9 @@
 
 
 class RetainedAnswer(NamedTuple):
-    """What is retained of an answer whose caller may come back.
+    """Retained state of an answer whose caller may reconnect.
 
-    ``until`` is in clock seconds.
+    ``expires_at`` is in clock seconds.
     """
 
     account: str
@@ -38,7 +38,7 @@
     expires_at: float
 
     def to_message(self) -> dict[str, Any]:
-        """Return the wire shape, without what the asker knows."""
+        """Return the message for another gateway, without the fields that it knows."""
         return {
             "body_digest": self.body_digest,
             "delivered": list(self.delivered),
@@ -48,24 +48,24 @@
 
 
 class RetainedAnswers:
-    """Answers retained for a while, in bounded memory.
+    """Answers retained for a limited time, in bounded memory.
 
     Parameters
     ----------
     retention_s : float
-        How long, seconds.
-    tokens : int
-        Most tokens held over all answers; the oldest answers are dropped.
+        Retention time, seconds.
+    max_tokens : int
+        Maximum number of tokens over all answers; the oldest are evicted.
     """
 
-    def __init__(self, retention_s: float, tokens: int) -> None:
+    def __init__(self, retention_s: float, max_tokens: int) -> None:
         self._retention = retention_s
-        self._limit = tokens
+        self._max_tokens = max_tokens
         self._total_tokens = 0
         self._answers: OrderedDict[str, RetainedAnswer] = OrderedDict()
 
     def retain(self, live: LiveStream, now: float) -> None:
-        """Keep an answer as far as it went."""
+        """Retain the delivered part of an answer."""
         request = live.job.request
         entry = RetainedAnswer(
             account=request.account,
@@ -93,28 +93,28 @@
             self._total_tokens -= _token_cost(entry)
 
     def _trim(self, now: float) -> None:
-        """Drop what is too old or too much."""
+        """Evict expired answers, and the oldest while over the limit."""
         while self._answers:
             oldest, entry = next(iter(self._answers.items()))
-            if self._total_tokens <= self._limit and entry.expires_at > now:
+            if self._total_tokens <= self._max_tokens and entry.expires_at > now:
                 return
             self._drop(oldest)
 
 
 def _token_cost(entry: RetainedAnswer) -> int:
-    """Return the tokens that an entry counts for."""
+    """Return the tokens that an entry counts toward the limit."""
     return len(entry.delivered) + _ENTRY_OVERHEAD_TOKENS
 
 
 class Reconnector:
-    """Finds how far an answer went and lets it go on.
+    """Finds the delivered part of an answer, so that it can be resumed.
 
     Parameters
     ----------
-    relay : Relay
-        For answers whose old connection is still open here.
-    left, finished : ParkedStreams
-        Answers retained here: cut off, and sent whole.
+    runner : StreamRunner
+        Runs the answers whose old connection is still open here.
+    interrupted, finished : RetainedAnswers
+        Answers retained here: interrupted, and completely sent.
     peers : PeerPort
         Other gateways.
     metrics, clock : Metrics, Clock
@@ -138,7 +138,7 @@
         self._clock = clock
 
     async def take_over(self, request_id: str, account: str) -> RetainedAnswer | None:
-        """Return a retained answer; an old connection still open is broken first."""
+        """Return a retained answer; aborts its old connection first if still open."""
         until = self._clock.now() + _DISCONNECT_TIMEOUT_S
         while self._clock.now() < until:
             live = self._find_live(request_id, account)
@@ -151,7 +151,7 @@
         return retained or self._finished.get(request_id, account, now)
 
     def _find_live(self, request_id: str, account: str) -> LiveStream | None:
-        """Return an answer that is still under way here."""
+        """Return an answer that is still in progress here."""
         for live in self._runner.live_streams:
             request = live.job.request
             if request.request_id == request_id and request.account == account:
@@ -159,11 +159,11 @@
         return None
 
     async def resume(self, resume_point: ResumePoint, job: Job) -> LiveStream:
-        """Return the answer's state, from which the caller lacks the rest.
+        """Return the state from which the answer is resumed.
 
-        Where no gateway has it any more, the state is empty and the answer is
-        generated again: see `DeliveredTokenFilter`. Raises BAD_REQUEST where the body
-        is another one.
+        If no gateway retains the answer, the state is empty and the answer is
+        generated again: see `DeliveredTokenFilter`. Raises BAD_REQUEST if the
+        body differs.
         """
         retained = await self._find(resume_point, job)
         live = LiveStream(job)
@@ -174,7 +174,7 @@
         if retained is None or not _matches(retained, resume_point):
             return live
         if retained["body_digest"] != job.request.body_digest:
-            detail = "the body is not the one that the answer was for"
+            detail = "the body differs from that of the original request"
             raise EbonydealError(ErrorKind.BAD_REQUEST, detail)
         live.delivered = list(retained["delivered"])
         live.finish = retained["finish"]
@@ -182,7 +182,7 @@
         return live
 
     async def _find(self, resume_point: ResumePoint, job: Job) -> dict[str, Any] | None:
-        """Return what the gateway that served the answer retained of it."""
+        """Return the answer's retained state from the gateway that served it."""
         account = job.request.account
         if resume_point.gateway == self._peers.address:
             entry = await self.take_over(resume_point.request_id, account)
@@ -198,7 +198,7 @@
 
 
 def _is_retained_answer(message: dict[str, Any]) -> bool:
-    """Return whether a peer's answer has the wire shape of `RetainedAnswer`."""
+    """Return whether a peer's reply is a valid `RetainedAnswer` message."""
     match message:
         case {
             "body_digest": str(),
@@ -211,7 +211,7 @@
 
 
 def _matches(retained: dict[str, Any], resume_point: ResumePoint) -> bool:
-    """Return whether the retained tokens begin with those the caller has."""
+    """Return whether the retained tokens start with those the caller has."""
     count = delivered_count(resume_point, retained["delivered"], retained["finish"])
     tokens = retained["delivered"][:count]
     return len(tokens) == count and text_digest(tokens) == resume_point.digest
@@ -220,19 +220,19 @@
 def delivered_count(
     resume_point: ResumePoint, delivered: list[str], finish: str
 ) -> int:
-    """Return how many tokens a caller with this hint has."""
+    """Return how many tokens a caller at this resume point has."""
     if finish and resume_point.position == len(delivered):
         return resume_point.position
     return resume_point.position + 1
 
 
 class DeliveredTokenFilter:
-    """Checks that an answer generated again begins as the first one did.
+    """Drops the tokens the caller has from a regenerated answer, after a check.
 
     Parameters
     ----------
-    hint : EventHint
-        How far the caller is.
+    resume_point : ResumePoint
+        Position and digest of the tokens that the caller has.
     """
 
     def __init__(self, resume_point: ResumePoint) -> None:
@@ -242,8 +242,8 @@
     def is_missing(self, piece: Piece) -> bool:
         """Return whether the caller lacks this piece.
 
-        Raises EXPIRED where the text differs or ends earlier: the rest would
-        not fit to what the caller was given.
+        Raises EXPIRED if the text differs or ends earlier, because the rest would
+        not match the tokens that the caller has.
         """
         position = self._resume_point.position
         if piece.position > position:
@@ -255,8 +255,8 @@
         return not piece.is_token
 
     def _check(self, piece: Piece) -> None:
-        """Raise EXPIRED unless this is the text that the caller has."""
+        """Raise EXPIRED unless the text so far equals the caller's."""
         same = self._digest.hexdigest() == self._resume_point.digest
         if not same or piece.position != self._resume_point.position:
-            detail = "the answer is no longer retained and came out differently"
+            detail = "the answer is no longer retained and the regenerated one differs"
             raise EbonydealError(ErrorKind.EXPIRED, detail)
--- a/src/ebonydeal/_internal/gateway/resumption.py
+++ b/src/ebonydeal/_internal/gateway/resumption.py
@@ -1,4 +1,4 @@
-"""Whether and when an answer goes on after a try that failed."""
+"""Decides whether and when an answer continues after a failed attempt."""
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.endpoint_health import EndpointHealth
@@ -7,26 +7,27 @@
 from ebonydeal._internal.utils.clock import Clock
 
 FINAL_KINDS = (ErrorKind.BAD_REQUEST, ErrorKind.DEADLINE_EXCEEDED)
-# Tries without a token that one answer may make beside the retry budget.
+# Consecutive attempts without a token that one answer may make without drawing on
+# the retry budget.
 _MAX_FREE_ATTEMPTS = 8
 _ENDPOINT_POLL_INTERVAL_S = 0.1
 
 
 class Resumption:
-    """Decides on the next try of an answer.
+    """Decides on the next attempt of an answer.
 
     Parameters
     ----------
     retries : RetryPort
-        The deployment's retry budget.
+        Retry budgets of the deployments.
     directory : DirectoryPort
-        Endpoints that may get new work.
+        Endpoints that may receive new requests.
     health : Health
-        Which of them are known to work.
+        Which endpoints are known to work.
     clock : Clock
         Time.
-    patience_s : float
-        How long an answer that has begun waits for an endpoint, seconds.
+    max_wait_s : float
+        Maximum wait of a started answer for an endpoint, seconds.
     """
 
     def __init__(
@@ -44,27 +45,27 @@
         self._max_wait_s = max_wait_s
 
     async def wait(self, live: LiveStream, error: EbonydealError) -> float:
-        """Return seconds until the next try, or raise the final error.
+        """Return seconds until the next attempt, or raise the final error.
 
-        An answer that has begun waits, sending nothing, until an endpoint is
-        known to work or the budget allows a try; one that has not begun gets
-        its final error at once.
+        A started answer waits, without sending anything, until an endpoint is
+        known to work or the budget allows a retry. An answer that has not
+        started fails without waiting.
         """
-        until = self._clock.wall() + self._max_wait_s
+        wait_until = self._clock.wall() + self._max_wait_s
         while True:
             now = self._clock.wall()
             live.check_deadline(now)
             verdict = self._decide(live, error, now)
             if not isinstance(verdict, EbonydealError):
                 return verdict
-            if not live.delivered or now >= until:
+            if not live.delivered or now >= wait_until:
                 raise verdict
             await self._clock.sleep(_ENDPOINT_POLL_INTERVAL_S)
 
     def _decide(
         self, live: LiveStream, error: EbonydealError, now: float
     ) -> float | EbonydealError:
-        """Return the wait before the next try, or the final error."""
+        """Return seconds until the next attempt, or the final error."""
         if self._can_retry_free(live, now):
             return 0.0
         failure = FailedAttempt(
@@ -85,10 +86,10 @@
         return verdict
 
     def _can_retry_free(self, live: LiveStream, now: float) -> bool:
-        """Return whether the next try may be made without a budget.
+        """Return whether the next attempt needs no retry budget.
 
-        So it is if another endpoint is known to work: then the failure was that
-        endpoint's own, and going on can't multiply the load of a brown-out.
+        It needs none if another endpoint is known to work: then only one
+        endpoint failed, and a retry can't multiply the load during a brown-out.
         """
         if live.attempt_count == 0 or live.attempts_without_token > _MAX_FREE_ATTEMPTS:
             return False
--- a/src/ebonydeal/_internal/gateway/services.py
+++ b/src/ebonydeal/_internal/gateway/services.py
@@ -1,8 +1,8 @@
 """Calls of plain services.
 
-A call that may be repeated goes straight to an endpoint, with retries, and with
-a hedge for a look-up. Any other needs an idempotency key and goes through the
-request journal, which runs it at most once.
+A repeatable call is sent directly to an endpoint, with retries, and with a hedge
+if it is a GET or HEAD. Any other call needs an idempotency key and goes through
+the request journal, which runs it at most once.
 """
 
 from collections.abc import Mapping
@@ -34,11 +34,11 @@
 from ebonydeal._internal.utils.clock import Clock
 
 _SERVICE = "service"
-_PASSED_ON = ("Accept", "Accept-Language", "Content-Type")
+_FORWARDED_HEADERS = ("Accept", "Accept-Language", "Content-Type")
 
 
 class ServiceParts(NamedTuple):
-    """What the handler of service calls works with."""
+    """Dependencies of the handler of service calls."""
 
     intake: Intake
     admission: AdmissionPort
@@ -55,7 +55,7 @@
     Parameters
     ----------
     parts : ServiceParts
-        What it works with.
+        Dependencies.
     cfg : GatewaySettings
         Time limits.
     """
@@ -66,7 +66,7 @@
         self._direct = DirectCalls(parts.direct, cfg)
 
     async def handle(self, req: web.Request) -> web.StreamResponse:
-        """Any method of ``/services/{name}/{path}``."""
+        """Handle any method of ``/services/{name}/{path}``."""
         parts = self._parts
         started = parts.clock.now()
         account = parts.intake.account(req)
@@ -101,7 +101,7 @@
         return resp
 
     def _deployment(self, name: str, account: Account) -> Deployment:
-        """Return the plain service; raises NOT_FOUND."""
+        """Return the deployment of a plain service; raises NOT_FOUND."""
         found = self._parts.intake.document.deployments.get(name)
         allowed = found is not None and account.name in found.accounts
         if found is None or found.kind != _SERVICE or not allowed:
@@ -132,7 +132,7 @@
             kind=RequestKind.SERVICE,
             method=req.method,
             path=path,
-            headers=passed_on(req.headers),
+            headers=forwarded_headers(req.headers),
             body="" if idempotent else _text(raw),
             body_object="",
             body_digest=body_digest(req.method, path, raw),
@@ -148,25 +148,25 @@
     def _keyed_id(
         self, account: Account, options: CallOptions, req: web.Request
     ) -> str:
-        """Return the request id of a call's key; raises KEY_REQUIRED."""
+        """Return the request id of an idempotency key; raises KEY_REQUIRED."""
         if not options.key:
-            detail = f"{req.method} {req.path} may not run twice"
+            detail = f"{req.method} {req.path} needs an idempotency key"
             raise EbonydealError(ErrorKind.KEY_REQUIRED, detail)
         return self._parts.intake.keyed_id(account.name, options.key)
 
     # --- through the journal ---
     async def _through_journal(self, request: Request, raw: bytes) -> web.Response:
-        """Have the journal run the call at most once."""
+        """Let the journal run the call at most once."""
         wait = max(0.0, request.deadline - self._parts.clock.wall())
         status = await self._parts.journal.call(request, wait)
         return journal_response(status)
 
 
 def service_path(raw_path: str, name: str) -> str:
-    """Return the path and query at the service, as the caller encoded them.
+    """Return the path and query for the service, as encoded by the caller.
 
-    Dot segments are refused: a service may resolve them to a path that another
-    call rule names. Raises BAD_REQUEST.
+    Raises BAD_REQUEST for dot segments: a service could resolve them to a path
+    to which another call rule applies.
     """
     _head, _sep, tail = raw_path.partition("/services/")
     path = "/" + tail.partition("/")[2] if "/" in tail else "/"
@@ -174,21 +174,21 @@
         path += tail[tail.index("?") :]
     segments = unquote(path.partition("?")[0]).replace("\\", "/").split("/")
     if "." in segments or ".." in segments:
-        raise EbonydealError(ErrorKind.BAD_REQUEST, "the path holds dot segments")
+        raise EbonydealError(ErrorKind.BAD_REQUEST, "the path contains dot segments")
     return path
 
 
-def passed_on(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the caller's headers that a service gets; never its API key."""
-    return {name: headers[name] for name in _PASSED_ON if name in headers}
+def forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
+    """Return the headers that are forwarded to a service; never the API key."""
+    return {name: headers[name] for name in _FORWARDED_HEADERS if name in headers}
 
 
 def _text(raw: bytes) -> str:
-    """Return a body that is kept in the journal as text; raises BAD_REQUEST."""
+    """Return a body as text for the journal; raises BAD_REQUEST."""
     try:
         return raw.decode()
     except UnicodeDecodeError:
-        detail = "the body of a call under a key must be UTF-8 text"
+        detail = "the body of a call with an idempotency key must be UTF-8 text"
         raise EbonydealError(ErrorKind.BAD_REQUEST, detail) from None
 
 
--- a/src/ebonydeal/_internal/gateway/stream_migrator.py
+++ b/src/ebonydeal/_internal/gateway/stream_migrator.py
@@ -1,4 +1,4 @@
-"""Streams on endpoints that are leaving: finish, move the KV cache, or recompute."""
+"""Migrates streams off leaving endpoints: finish, move the KV cache or recompute."""
 
 import asyncio
 from collections import defaultdict
@@ -39,13 +39,13 @@
 
 logger = get_logger("reclaim")
 
-# Marks of one wave come within moments of each other; a plan made before the
-# last one might move streams to endpoints that leave as well.
+# Leaving marks of one reclaim burst arrive shortly after each other. A plan made
+# before the last mark could migrate streams to endpoints that leave as well.
 _BATCH_WINDOW_S = 0.05
 
 
 class MigratorParts(NamedTuple):
-    """What the reclaim service works with."""
+    """Dependencies of the stream migrator."""
 
     runner: StreamRunner
     engine: Engine
@@ -57,9 +57,9 @@
 
 
 class _ReclaimBatch(NamedTuple):
-    """What is known of the marks that are acted on together.
+    """Leaving marks that are handled together.
 
-    ``deadline`` in wall clock seconds.
+    ``zones`` are being reclaimed as a whole; ``deadline`` is in wall clock seconds.
     """
 
     zones: frozenset[str]
@@ -67,9 +67,9 @@
 
 
 class _TransferResult(NamedTuple):
-    """How the move of one KV cache went.
+    """Outcome of the transfer of one KV cache.
 
-    ``handle`` is empty where the export failed; ``imported`` says that the target
+    ``handle`` is empty if the export failed; ``imported`` is True if the target
     holds the cache.
     """
 
@@ -78,15 +78,15 @@
 
 
 class StreamMigrator(Service):
-    """Moves running streams off endpoints that are marked as leaving.
+    """Migrates running streams off endpoints that are marked as leaving.
 
-    A stream whose export has begun gets a Move message in any case, at the
-    latest when the time for it is over; until then its relay waits for it.
+    A stream whose export has begun always gets a Migrate message, at the latest
+    when the export times out; the stream runner waits for it.
 
     Parameters
     ----------
     parts : ReclaimParts
-        What it works with.
+        Dependencies.
     cfg : GatewaySettings
         Time limits and transfer rates.
     """
@@ -100,7 +100,7 @@
         parts.directory.on_mark(self._marks.put_nowait)
 
     @Service.task
-    async def _follow_marks(self) -> None:
+    async def _handle_marks(self) -> None:
         while not self.should_stop:
             marks = [await self._marks.get()]
             await self._parts.clock.sleep(_BATCH_WINDOW_S)
@@ -109,14 +109,16 @@
             self.handle(marks)
 
     def handle(self, marks: Collection[LeavingMark]) -> None:
-        """Start to act on new marks."""
+        """Plan and start migrations for new marks."""
         zones = frozenset(mark.zone for mark in marks if not mark.endpoint_id)
         for (deployment, deadline), group in self._affected().items():
-            logger.info("Streams leave.", deployment=deployment, streams=len(group))
+            logger.info(
+                "Planning stream migrations.", deployment=deployment, streams=len(group)
+            )
             self._plan_and_start(group, _ReclaimBatch(zones, deadline))
 
     def _affected(self) -> dict[tuple[str, float], list[AffectedStream]]:
-        """Return the streams to move, by deployment and deadline."""
+        """Return the streams to migrate, by deployment and deadline."""
         groups = defaultdict(list)
         for live in self._parts.runner.live_streams:
             attempt = live.attempt
@@ -136,15 +138,15 @@
         return groups
 
     def _deadline(self, endpoint: EndpointView) -> float:
-        """Return when an endpoint is taken; a guess where nobody said."""
+        """Return when an endpoint is reclaimed; estimated if the time is unknown."""
         known = self._parts.directory.deadline(endpoint)
         return known or self._parts.clock.wall() + self._cfg.notice_seconds
 
-    # --- deciding ---
+    # --- planning ---
     def _plan_and_start(
         self, group: list[AffectedStream], batch: _ReclaimBatch
     ) -> None:
-        """Decide for streams of one deployment and start what was decided."""
+        """Plan the streams of one deployment and start the actions."""
         by_key = {stream_key(stream): stream for stream in group}
         for action in self._decide_actions(group, batch):
             stream = by_key[action.request_id]
@@ -152,7 +154,7 @@
             self._parts.background(self._execute(stream, action, batch, number))
 
     def _replan(self, stream: AffectedStream, batch: _ReclaimBatch) -> None:
-        """Plan again for a stream and all that share its source's time."""
+        """Plan again for a stream and all planned streams of the same source."""
         others = self._migrations.at_source(stream.attempt.route.endpoint.endpoint_id)
         zones = batch.zones.union(*(planned.zones for planned in others))
         group = [stream, *(planned.stream for planned in others)]
@@ -161,7 +163,7 @@
     def _decide_actions(
         self, group: list[AffectedStream], batch: _ReclaimBatch
     ) -> list[StreamAction]:
-        """Return the plan; if it can't be made, the one that always can."""
+        """Return the planned actions; if planning fails, recompute every stream."""
         clock = self._parts.clock
         job = group[0].live.job
         try:
@@ -178,12 +180,12 @@
                 source_busy=self._migrations.remaining_export_s(clock.wall()),
             )
         except Exception as exc:
-            logger.error("A plan failed.", exc_info=exc)
+            logger.error("Migration planning failed.", exc_info=exc)
             return [
                 Recompute(stream_key(stream), None, clock.wall()) for stream in group
             ]
 
-    # --- acting ---
+    # --- executing ---
     async def _execute(
         self,
         stream: AffectedStream,
@@ -191,7 +193,7 @@
         batch: _ReclaimBatch,
         number: int,
     ) -> None:
-        """Do what was decided for one stream when it is due, if it still holds."""
+        """Execute an action when it is due, unless a newer plan replaced it."""
         at = action.review_at if isinstance(action, KeepRunning) else action.start_at
         await self._wait_until(at)
         if not self._migrations.start(stream, number):
@@ -206,36 +208,36 @@
 
     async def _wait_until(self, at: float) -> None:
         """Wait for a wall clock time."""
-        left = at - self._parts.clock.wall()
-        if left > 0.0:
-            await self._parts.clock.sleep(left)
+        delay = at - self._parts.clock.wall()
+        if delay > 0.0:
+            await self._parts.clock.sleep(delay)
 
     async def _export(
         self, stream: AffectedStream, action: ExportTo, batch: _ReclaimBatch
     ) -> None:
-        """Move a stream's KV cache; where that fails, let it recompute."""
+        """Transfer a stream's KV cache; if that fails, let the stream recompute."""
         stream.live.migrating = True
         until = self._parts.clock.wall() + action.seconds
         self._migrations.record_export_start(stream, until)
-        last = attempts.Migrate(None, "")
+        message = attempts.Migrate(None, "")
         try:
-            last = await self._transfer(stream, action, batch)
+            message = await self._transfer(stream, action, batch)
         finally:
             self._migrations.record_export_end(stream)
-            stream.attempt.mailbox.post(last)
+            stream.attempt.mailbox.post(message)
 
     async def _transfer(
         self, stream: AffectedStream, action: ExportTo, batch: _ReclaimBatch
     ) -> attempts.Migrate:
-        """Export, import, and if need be import at another target."""
+        """Export and import; after a failure, import at another target if possible."""
         first = await self._try_transfer(stream, action.target, "")
         if first.imported:
             return attempts.Migrate(action.target, first.handle)
         second = self._action_after_failure(stream, action, first, batch)
         if isinstance(second, ExportTo):
-            again = await self._try_transfer(stream, second.target, first.handle)
+            retried = await self._try_transfer(stream, second.target, first.handle)
             return attempts.Migrate(
-                second.target, again.handle if again.imported else ""
+                second.target, retried.handle if retried.imported else ""
             )
         return attempts.Migrate(
             second.target if isinstance(second, Recompute) else None, ""
@@ -248,7 +250,7 @@
         failed: _TransferResult,
         batch: _ReclaimBatch,
     ) -> StreamAction:
-        """Decide anew after a transfer failed."""
+        """Return the next action after a transfer failed."""
         clock = self._parts.clock
         job = stream.live.job
         views = [
@@ -295,11 +297,11 @@
     def _record_failed_transfer(
         self, stream: AffectedStream, target: EndpointView, kind: ErrorKind | None
     ) -> None:
-        """Count and log a transfer that failed."""
+        """Count and log a failed transfer."""
         self._parts.metrics.count(Event.KV_EXPORT_FAILED)
         reason = str(kind) if kind else "timeout"
         logger.warning(
-            "A KV cache could not be moved.",
+            "KV cache transfer failed.",
             request_id=stream.live.request_id,
             target=target.endpoint_id,
             reason=reason,
--- a/src/ebonydeal/_internal/gateway/stream_runner.py
+++ b/src/ebonydeal/_internal/gateway/stream_runner.py
@@ -1,4 +1,4 @@
-"""The stream relay: one unbroken answer out of as many tries as it takes."""
+"""Generates one continuous answer from one or several attempts."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -43,7 +43,7 @@
 
 
 class StreamRunnerParts(NamedTuple):
-    """What the relay works with."""
+    """Dependencies of the stream runner."""
 
     engine: Engine
     routes: RoutePort
@@ -58,19 +58,19 @@
 
 
 class StreamRunner:
-    """Generates answers, going on elsewhere when a try ends early.
+    """Generates answers; continues at another endpoint if an attempt ends early.
 
-    Each token is handed out once and in order: a try starts after the tokens
-    delivered so far and its positions are checked against their count.
+    Each token is yielded once and in order: an attempt starts after the tokens
+    delivered so far, and its positions are checked against their count.
 
     Parameters
     ----------
     parts : RelayParts
-        Engine, decisions and observation.
+        Dependencies.
     cfg : GatewaySettings
-        Time limits and bounds.
+        Time limits and buffer sizes.
     background : callable
-        Runs a coroutine to its end, apart from the caller.
+        Runs a coroutine to its end, independently of the request.
     """
 
     def __init__(
@@ -92,10 +92,10 @@
         self.live_streams: set[LiveStream] = set()
 
     async def run(self, live: LiveStream) -> AsyncGenerator[list[Piece], None]:
-        """Yield the pieces of an answer as they come, several at once if late.
+        """Yield the pieces of an answer in batches as they arrive.
 
-        Raises the final `EbonydealError` where the answer can't be made whole.
-        Closing the iterator cancels what runs.
+        Raises the final `EbonydealError` if the answer can't be completed.
+        Closing the iterator cancels the running attempt.
         """
         self.live_streams.add(live)
         deployment = live.job.deployment.name
@@ -110,13 +110,13 @@
             self.live_streams.discard(live)
 
     async def _run_attempt(self, live: LiveStream) -> AsyncGenerator[list[Piece], None]:
-        """Run one try; on return the answer is whole or the next try is due."""
+        """Run one attempt; on return the answer is complete or another one is due."""
         parts = self._parts
         live.check_deadline(parts.clock.wall())
         parts.crashes.check(live.job.request, ran=live.attempt_count > 0)
         route = self._route(live)
         if route is None:
-            detail = "no endpoint can take the request"
+            detail = "no endpoint is available for the request"
             await self._after_failure(
                 live, None, EbonydealError(ErrorKind.NO_ENDPOINT, detail)
             )
@@ -139,9 +139,9 @@
             case AttemptFailed(error=error):
                 await self._after_failure(live, route, error)
 
-    # --- starting a try ---
+    # --- starting an attempt ---
     def _route(self, live: LiveStream) -> Route | None:
-        """Return where the next try goes."""
+        """Return the endpoint of the next attempt, or None."""
         parts = self._parts
         now = parts.clock.wall()
         target, live.target = live.target, None
@@ -150,7 +150,7 @@
         live.kv_handle = ""
         route = parts.routes.choose(live.endpoint_query(), now)
         if route is None and live.avoid:
-            # Better an endpoint that failed before than none.
+            # If all other endpoints are gone, allow those that failed before.
             live.avoid.clear()
             route = parts.routes.choose(live.endpoint_query(), now)
         if route is not None:
@@ -158,7 +158,7 @@
         return route
 
     def _start_attempt(self, live: LiveStream, route: Route) -> Attempt:
-        """Start a try at ``route``."""
+        """Start an attempt at ``route``."""
         parts = self._parts
         attempt_id = new_token("a", parts.rng)
         resume = None
@@ -184,11 +184,11 @@
         )
         return attempt
 
-    # --- while a try runs ---
+    # --- while an attempt runs ---
     def _process(
         self, live: LiveStream, attempt: Attempt, messages: list[Message]
     ) -> tuple[list[Piece], AttemptFailed | Migrate | None]:
-        """Return the pieces of some messages, and the one that ends the try."""
+        """Return the pieces of messages, and the message that ends the attempt."""
         batch: list[Piece] = []
         for message in messages:
             match message:
@@ -200,7 +200,7 @@
                     if live.finish:
                         break
                 case AttemptFailed() if live.migrating:
-                    # An export stops the try at its source; its Move follows.
+                    # An export stops the attempt at its source; a Migrate follows.
                     continue
                 case AttemptFailed() | Migrate():
                     return batch, message
@@ -211,7 +211,7 @@
     def _accept_chunk(
         self, live: LiveStream, attempt: Attempt, chunk: Chunk, batch: list[Piece]
     ) -> None:
-        """Add a chunk's piece to ``batch``; raises ENDPOINT_GARBAGE for a gap."""
+        """Add a chunk's piece to ``batch``; raises ENDPOINT_GARBAGE on a gap."""
         position = len(live.delivered)
         now = self._parts.clock.now()
         if attempt.first_at is None:
@@ -225,7 +225,7 @@
             self._parts.metrics.count(Event.LATE_ANSWER_DROPPED)
             return
         if chunk.position > position:
-            detail = f"token {chunk.position} came in place of {position}"
+            detail = f"received token {chunk.position}, expected token {position}"
             raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, detail)
         if live.last_token_at:
             self._parts.metrics.timed(Timing.BETWEEN_TOKENS, now - live.last_token_at)
@@ -237,7 +237,7 @@
     def _record_first_chunk(
         self, live: LiveStream, attempt: Attempt, chunk: Chunk
     ) -> None:
-        """Report a try's first chunk and count what it had to compute again."""
+        """Record an attempt's first chunk and count the recomputed tokens."""
         parts = self._parts
         route = attempt.route
         seconds = parts.clock.now() - attempt.started_at
@@ -251,8 +251,8 @@
         else:
             live.has_started = True
             live.cached_tokens = cached
-            missed = min(prefilled, route.cached_elsewhere_tokens)
-            parts.metrics.count(Event.TOKENS_RECOMPUTED_PREFIX, missed)
+            recomputed = min(prefilled, route.cached_elsewhere_tokens)
+            parts.metrics.count(Event.TOKENS_RECOMPUTED_PREFIX, recomputed)
         if resume is not None and resume.kv_handle:
             parts.metrics.count(Event.KV_IMPORTED)
         parts.trails.note(
@@ -265,7 +265,7 @@
             prefilled_tokens=prefilled,
         )
 
-    # --- when a try is over ---
+    # --- when an attempt has ended ---
     async def _end_attempt(
         self,
         live: LiveStream,
@@ -273,7 +273,7 @@
         ending: AttemptFailed | Migrate | None,
         start: int,
     ) -> None:
-        """Close a try's connection, tell its engine, and report it to routing."""
+        """Stop an attempt, cancel it at the engine and record its outcome."""
         parts = self._parts
         now = parts.clock.wall()
         await attempt.stop()
@@ -290,7 +290,7 @@
             self._background(self._cancel(attempt))
 
     async def _cancel(self, attempt: Attempt) -> None:
-        """Tell the engine to stop; it may well be gone."""
+        """Cancel an attempt at its engine; errors are ignored, it may be gone."""
         self._parts.metrics.count(Event.CANCELS_SENT)
         try:
             await self._parts.engine.cancel(attempt.route.endpoint, attempt.attempt_id)
@@ -300,7 +300,7 @@
     def _record_migration(
         self, live: LiveStream, target: EndpointView | None, kv_handle: str
     ) -> None:
-        """Take note of where the answer goes on."""
+        """Record where the answer continues."""
         live.migrating = False
         live.cause = ResumeCause.RECLAIM
         live.target = target
@@ -311,7 +311,7 @@
     async def _after_failure(
         self, live: LiveStream, route: Route | None, error: EbonydealError
     ) -> None:
-        """Wait until the next try, or raise the final error at once."""
+        """Wait until the next attempt, or raise the final error."""
         parts = self._parts
         now = parts.clock.wall()
         parts.trails.note(live.request_id, now, Step.FAILED, kind=str(error.kind))
@@ -328,7 +328,7 @@
             await parts.clock.sleep(wait)
 
     def _resume_cause(self, route: Route, error: EbonydealError) -> ResumeCause:
-        """Return why the tokens computed at ``route`` are lost."""
+        """Return the cause to which the loss of the tokens at ``route`` is counted."""
         if self._parts.directory.is_leaving(route.endpoint):
             return ResumeCause.RECLAIM
         if error.kind is ErrorKind.ENDPOINT_STALLED:
--- a/src/ebonydeal/_internal/gateway/stream_watchdog.py
+++ b/src/ebonydeal/_internal/gateway/stream_watchdog.py
@@ -1,4 +1,4 @@
-"""Time limits of running answers: stalls, deadlines, readers that take nothing."""
+"""Enforces time limits of running answers: stalls, deadlines, blocked callers."""
 
 from mode import Service
 
@@ -10,19 +10,19 @@
 from ebonydeal._internal.utils.clock import Clock
 
 _CHECK_INTERVAL_S = 0.1
-_STALLED = "the endpoint sent no token for too long"
+_STALLED_DETAIL = "the endpoint sent no token within the time limit"
 
 
 class StreamWatchdog(Service):
-    """Ends tries that stall and answers that are past their deadline.
+    """Ends stalled attempts and answers that are past their deadline.
 
-    One look over all answers every tenth of a second, in place of a timer for
-    each token.
+    All answers are checked every tenth of a second, instead of a timer for each
+    token.
 
     Parameters
     ----------
-    relay : Relay
-        Whose answers are watched.
+    runner : StreamRunner
+        Runs the answers to check.
     cfg : GatewaySettings
         Time limits.
     clock : Clock
@@ -44,7 +44,7 @@
             self.check()
 
     def check(self) -> None:
-        """Look over all answers once."""
+        """Check all answers once."""
         now, wall = self._clock.now(), self._clock.wall()
         for live in list(self._runner.live_streams):
             if live.attempt is not None:
@@ -56,7 +56,7 @@
     def _check_attempt(
         self, live: LiveStream, attempt: Attempt, now: float, wall: float
     ) -> None:
-        """Post the end of a try that is out of time."""
+        """End an attempt that exceeded a time limit."""
         try:
             live.check_deadline(wall)
         except EbonydealError as exc:
@@ -69,11 +69,11 @@
             and not live.migrating
             and now - since > self._max_gap_s(attempt)
         ):
-            error = EbonydealError(ErrorKind.ENDPOINT_STALLED, _STALLED)
+            error = EbonydealError(ErrorKind.ENDPOINT_STALLED, _STALLED_DETAIL)
             attempt.mailbox.post(AttemptFailed(error))
 
     def _max_gap_s(self, attempt: Attempt) -> float:
-        """Return how long the engine may take for its next chunk, seconds."""
+        """Return the maximum time to the engine's next chunk, seconds."""
         if attempt.first_at is None:
             return self._cfg.first_token_seconds
         return self._cfg.token_gap_seconds
