--- a/src/ebonydeal/_internal/gateway/output.py
+++ b/src/ebonydeal/_internal/gateway/output.py
@@ -23,7 +23,7 @@
         The answer; its ``writing_since`` is set while a write is pending.
     ids : EventIds
         Creates the event ids.
-    shape : AnswerShape
+    builder : AnswerBuilder
         Builds the events.
     """
 
--- a/src/ebonydeal/_internal/gateway/resumption.py
+++ b/src/ebonydeal/_internal/gateway/resumption.py
@@ -22,7 +22,7 @@
         Retry budgets of the deployments.
     directory : DirectoryPort
         Endpoints that may receive new requests.
-    health : Health
+    health : EndpointHealth
         Which endpoints are known to work.
     clock : Clock
         Time.
--- a/src/ebonydeal/_internal/gateway/stream_migrator.py
+++ b/src/ebonydeal/_internal/gateway/stream_migrator.py
@@ -85,7 +85,7 @@
 
     Parameters
     ----------
-    parts : ReclaimParts
+    parts : MigratorParts
         Dependencies.
     cfg : GatewaySettings
         Time limits and transfer rates.
--- a/src/ebonydeal/_internal/gateway/stream_runner.py
+++ b/src/ebonydeal/_internal/gateway/stream_runner.py
@@ -65,7 +65,7 @@
 
     Parameters
     ----------
-    parts : RelayParts
+    parts : StreamRunnerParts
         Dependencies.
     cfg : GatewaySettings
         Time limits and buffer sizes.
--- a/tests/functional/gateway/test_amplification.py
+++ b/tests/functional/gateway/test_amplification.py
@@ -22,7 +22,7 @@
 
 
 class TestLostEndpoint:
-    async def test_request_not_begun_goes_on_without_budget(self):
+    async def test_unstarted_request_is_retried_without_budget(self):
         engine = FakeEngine()
         engine.faults = {"e1": (0, FAILED)}
         async with Bench(engine) as bench, client(bench) as api:
@@ -37,7 +37,7 @@
     @pytest.mark.parametrize(
         "kind", [ErrorKind.ENDPOINT_FAILED, ErrorKind.CONNECT_FAILED]
     )
-    async def test_sends_are_at_most_a_tenth_more(self, kind, reporting):
+    async def test_sends_grow_by_at_most_a_tenth(self, kind, reporting):
         engine = FakeEngine()
         fault = (0, EbonydealError(kind, "down"))
         engine.faults = dict.fromkeys(("e1", "e2", "e3"), fault)
@@ -50,4 +50,4 @@
                 with pytest.raises(openai.APIStatusError) as caught:
                     await api.chat.completions.create(**BODY)
                 assert float(caught.value.response.headers["Retry-After"]) >= 1
-        assert REQUESTS <= len(engine.ran) <= REQUESTS * 1.1
+        assert REQUESTS <= len(engine.attempts) <= REQUESTS * 1.1
--- a/tests/functional/gateway/test_entry.py
+++ b/tests/functional/gateway/test_entry.py
@@ -37,7 +37,7 @@
         assert (result.exit_code, result.stderr) == (0, "")
         assert [type(built_one) for built_one in built] == [GatewayProgram]
 
-    def test_every_mistake_is_named(self, built, tmp_path):
+    def test_every_settings_error_is_reported(self, built, tmp_path):
         file = tmp_path / "node.ini"
         file.write_text("[gateway]\nport = much\n[covers]\na = 1\n")
         result = self.run(file)
--- a/tests/functional/gateway/test_explain.py
+++ b/tests/functional/gateway/test_explain.py
@@ -7,7 +7,7 @@
 from tests.functional.gateway.test_generation import BODY, client
 from tests.lib.gateway_fakes import Bench
 
-NOBODY = "http://127.0.0.1:1"
+UNREACHABLE_URL = "http://127.0.0.1:1"
 
 
 def run(*args: str):
@@ -19,7 +19,15 @@
         async with Bench() as bench, client(bench) as api:
             raw = await api.chat.completions.with_raw_response.create(**BODY)
             request_id = request_id or raw.headers["X-Request-Id"]
-            args = (request_id, "--url", NOBODY, "--url", bench.url, "--token", token)
+            args = (
+                request_id,
+                "--url",
+                UNREACHABLE_URL,
+                "--url",
+                bench.url,
+                "--token",
+                token,
+            )
             result = await asyncio.to_thread(run, *args, *more)
         return request_id, result
 
--- a/tests/functional/gateway/test_generation.py
+++ b/tests/functional/gateway/test_generation.py
@@ -70,14 +70,14 @@
             models = [item.id async for item in api.models.list()]
         assert models == [MODEL]
 
-    async def test_wrong_key(self):
+    async def test_wrong_key_is_refused(self):
         async with Bench() as bench, client(bench, "sk-wrong") as api:
             with pytest.raises(openai.AuthenticationError):
                 await api.chat.completions.create(**BODY)
         assert bench.metrics.refusals() == {"unauthorized": 1}
-        assert bench.engine.ran == []
+        assert bench.engine.attempts == []
 
-    async def test_unknown_model(self):
+    async def test_unknown_model_is_refused(self):
         async with Bench() as bench, client(bench) as api:
             with pytest.raises(openai.NotFoundError) as caught:
                 await api.chat.completions.create(
@@ -85,7 +85,7 @@
                 )
         assert caught.value.code == "unknown_model"
 
-    async def test_repeats_after_refusal(self):
+    async def test_client_retries_after_refusal(self):
         async with Bench() as bench, client(bench, retries=1) as api:
             bench.admission.refusal = EbonydealError(
                 ErrorKind.RATE_LIMITED, retry_after=0.0
@@ -99,7 +99,7 @@
     async def test_unknown_fields_reach_the_engine(self):
         async with Bench() as bench, client(bench) as api:
             await api.chat.completions.create(**BODY, extra_body={"top_k": 7})
-        assert bench.engine.ran[0].body["top_k"] == 7
+        assert bench.engine.attempts[0].body["top_k"] == 7
 
     @pytest.mark.parametrize(
         "headers, body, priority",
@@ -116,8 +116,10 @@
             await api.chat.completions.create(
                 **BODY, extra_headers=headers, extra_body=body
             )
-        assert [ran.endpoint for ran in bench.engine.ran] == ["e1", "e2"]
-        assert [ran.body["priority"] for ran in bench.engine.ran] == [priority] * 2
+        assert [attempt.endpoint for attempt in bench.engine.attempts] == ["e1", "e2"]
+        assert [attempt.body["priority"] for attempt in bench.engine.attempts] == [
+            priority
+        ] * 2
 
 
 class TestResume:
@@ -126,7 +128,7 @@
         [FAILED, EbonydealError(ErrorKind.ENDPOINT_GARBAGE), "gap", ValueError()],
     )
     @pytest.mark.parametrize("after", [0, 1, 7])
-    async def test_content_is_whole(self, fault, after):
+    async def test_content_is_complete(self, fault, after):
         engine = FakeEngine()
         engine.faults = {"e1": (after, fault)}
         async with Bench(engine) as bench, client(bench) as api:
@@ -134,20 +136,20 @@
             chunks = [chunk async for chunk in stream]
         pieces = [chunk.choices[0].delta.content for chunk in chunks]
         assert pieces == engine.text
-        assert engine.ran[1].endpoint == "e2"
+        assert engine.attempts[1].endpoint == "e2"
 
-    async def test_half_a_stream(self):
+    async def test_interrupted_stream_resumes_after_its_tokens(self):
         engine = FakeEngine()
         engine.faults = {"e1": (3, FAILED)}
         async with Bench(engine) as bench, client(bench) as api:
             await api.chat.completions.create(**BODY)
             await until(lambda: len(engine.cancelled) == 1)
-        assert list(engine.ran[1].resume.delivered) == engine.text[:3]
-        assert engine.cancelled == [engine.ran[0].attempt_id]
+        assert list(engine.attempts[1].resume.delivered) == engine.text[:3]
+        assert engine.cancelled == [engine.attempts[0].attempt_id]
         assert bench.metrics.retries() == {"stream_resumed": 1}
         assert bench.metrics.events()["tokens_recomputed_resume"] == 13
 
-    async def test_stalled_endpoint(self):
+    async def test_stalled_endpoint_is_replaced(self):
         engine = FakeEngine()
         engine.faults = {"e1": (2, "stall")}
         async with Bench(engine, token_gap_seconds=0.05) as bench:
@@ -157,7 +159,7 @@
         assert bench.metrics.retries() == {"endpoint_stalled": 1}
         assert engine.open == 0
 
-    async def test_error_before_first_token(self):
+    async def test_failure_before_the_first_token_is_final(self):
         engine = FakeEngine()
         engine.faults = {name: (0, FAILED) for name in ("e1", "e2", "e3")}
         async with Bench(engine) as bench, client(bench) as api:
@@ -168,7 +170,7 @@
         assert "gone" not in caught.value.message
         assert caught.value.response.headers["Retry-After"] == "2"
         assert caught.value.response.headers["X-Outcome"] == "unknown"
-        assert len(engine.ran) == 2
+        assert len(engine.attempts) == 2
 
     async def test_final_error_inside_a_stream(self):
         engine = FakeEngine()
@@ -184,7 +186,7 @@
         assert "gone" not in caught.value.message
         assert bench.metrics.refusals() == {"endpoint_failed": 1}
 
-    async def test_begun_stream_waits_for_an_endpoint(self):
+    async def test_started_stream_waits_for_an_endpoint(self):
         engine = FakeEngine()
         engine.faults = {"e1": (2, FAILED)}
         async with Bench(engine) as bench:
@@ -199,7 +201,7 @@
                 answer = await call
         assert answer.choices[0].message.content == "".join(engine.text)
 
-    async def test_deadline(self):
+    async def test_deadline_ends_the_request(self):
         engine = FakeEngine()
         engine.faults = {"e1": (2, "stall")}
         async with Bench(engine) as bench, client(bench) as api:
@@ -208,12 +210,12 @@
                     **BODY, extra_headers={"X-Deadline-Seconds": "0.2"}
                 )
         assert caught.value.code == "deadline_exceeded"
-        assert len(engine.ran) == 1
+        assert len(engine.attempts) == 1
         assert engine.open == 0
 
 
-class TestCallerLeaves:
-    async def test_nothing_is_left_behind(self):
+class TestCallerDisconnects:
+    async def test_stream_releases_everything(self):
         engine = FakeEngine()
         engine.faults = {"e1": (3, "stall")}
         async with Bench(engine) as bench:
@@ -222,7 +224,7 @@
                 await resp.content.readuntil(b"\n\n")
                 resp.close()
                 await until(lambda: bench.metrics.refusals() == {"caller_left": 1})
-            await until(lambda: engine.cancelled == [engine.ran[0].attempt_id])
+            await until(lambda: engine.cancelled == [engine.attempts[0].attempt_id])
             assert engine.open == 0
             assert bench.program.stream_runner.live_streams == set()
             assert len(bench.admission.released) == 1
@@ -238,11 +240,11 @@
                 await until(lambda: engine.open == 1)
                 call.cancel()
                 await until(lambda: bench.metrics.refusals() == {"caller_left": 1})
-            await until(lambda: engine.cancelled == [engine.ran[0].attempt_id])
+            await until(lambda: engine.cancelled == [engine.attempts[0].attempt_id])
             assert engine.open == 0
             assert bench.program.stream_runner.live_streams == set()
 
-    async def test_while_queued(self):
+    async def test_disconnect_while_queued(self):
         async with Bench() as bench:
             queue = asyncio.Event()
             bench.admission.admit = lambda *_args: queue.wait()
@@ -253,14 +255,14 @@
                 await until(lambda: bench.metrics.events().get("requests") == 1)
                 call.cancel()
                 await until(lambda: bench.metrics.refusals() == {"caller_left": 1})
-            assert bench.engine.ran == []
+            assert bench.engine.attempts == []
 
 
-class TestSlowReader:
+class TestSlowCaller:
     COUNT = 20_000
 
     async def read_slowly(self, bench: Bench) -> tuple[int, bytes]:
-        """Read nothing until the engine is held up; return its tokens by then."""
+        """Read nothing until the engine stops sending; return its token count then."""
         async with ClientSession(headers=AUTH, read_bufsize=1024) as http:
             url = f"{bench.url}/v1/chat/completions"
             async with http.post(url, json=STREAM) as resp:
@@ -288,7 +290,7 @@
 
 
 class TestReconnect:
-    async def cut_off(self, bench: Bench, http: ClientSession) -> tuple[str, bytes]:
+    async def interrupt(self, bench: Bench, http: ClientSession) -> tuple[str, bytes]:
         resp = await http.post(f"{bench.url}/v1/chat/completions", json=STREAM)
         raw = b""
         for _ in range(3):
@@ -296,14 +298,14 @@
         resp.close()
         return read_events(raw)[-1][0], raw
 
-    async def go_on(self, bench: Bench, http: ClientSession, event_id: str, **more):
+    async def reconnect(self, bench: Bench, http: ClientSession, event_id: str, **more):
         headers = {"Last-Event-ID": event_id}
         url = f"{bench.url}/v1/chat/completions"
         async with http.post(url, json={**STREAM, **more}, headers=headers) as resp:
             return resp.status, await resp.read()
 
-    @pytest.mark.parametrize("again", ["gw-1:9200", "gw-2:9200"])
-    async def test_goes_on_at_any_gateway(self, again):
+    @pytest.mark.parametrize("gateway", ["gw-1:9200", "gw-2:9200"])
+    async def test_resumes_at_any_gateway(self, gateway):
         net: dict = {}
         engine = FakeEngine()
         engine.faults = {"e1": (4, "stall")}
@@ -312,47 +314,47 @@
             Bench(engine, net=net, address="gw-2:9200") as two,
             ClientSession(headers=AUTH) as http,
         ):
-            event_id, first = await self.cut_off(one, http)
+            event_id, first = await self.interrupt(one, http)
             engine.faults = {}
-            bench = one if again == "gw-1:9200" else two
-            status, rest = await self.go_on(bench, http, event_id)
+            bench = one if gateway == "gw-1:9200" else two
+            status, rest = await self.reconnect(bench, http, event_id)
         assert status == 200
         assert text_of(read_events(first + rest)) == "".join(engine.text)
-        assert list(engine.ran[1].resume.delivered) == engine.text[:4]
+        assert list(engine.attempts[1].resume.delivered) == engine.text[:4]
 
-    async def test_generated_again_when_no_gateway_keeps_it(self):
+    async def test_regenerated_if_no_gateway_retains_it(self):
         engine = FakeEngine()
         engine.faults = {"e1": (4, "stall")}
         async with ClientSession(headers=AUTH) as http:
             async with Bench(engine) as one:
-                event_id, first = await self.cut_off(one, http)
+                event_id, first = await self.interrupt(one, http)
             engine.faults = {}
             async with Bench(engine, address="gw-2:9200") as two:
-                status, rest = await self.go_on(two, http, event_id)
+                status, rest = await self.reconnect(two, http, event_id)
         assert status == 200
         assert text_of(read_events(first + rest)) == "".join(engine.text)
 
-    async def test_refused_when_it_came_out_differently(self):
+    async def test_refused_if_the_regenerated_text_differs(self):
         engine = FakeEngine()
         engine.faults = {"e1": (4, "stall")}
         async with ClientSession(headers=AUTH) as http:
             async with Bench(engine) as one:
-                event_id, _first = await self.cut_off(one, http)
+                event_id, _first = await self.interrupt(one, http)
             engine.faults = {}
             engine.text[1] = "other "
             async with Bench(engine, address="gw-2:9200") as two:
-                status, _rest = await self.go_on(two, http, event_id)
+                status, _rest = await self.reconnect(two, http, event_id)
         assert status == 410
 
-    async def test_other_body(self):
+    async def test_different_body_is_refused(self):
         engine = FakeEngine()
         engine.faults = {"e1": (4, "stall")}
         async with Bench(engine) as bench, ClientSession(headers=AUTH) as http:
-            event_id, _first = await self.cut_off(bench, http)
-            status, _rest = await self.go_on(bench, http, event_id, seed=4)
+            event_id, _first = await self.interrupt(bench, http)
+            status, _rest = await self.reconnect(bench, http, event_id, seed=4)
         assert status == 400
 
-    async def test_other_account(self):
+    async def test_id_of_another_account_is_refused(self):
         async with Bench() as bench, ClientSession() as http:
             resp = await http.post(
                 f"{bench.url}/v1/chat/completions", json=STREAM, headers=AUTH
--- a/tests/functional/gateway/test_listener.py
+++ b/tests/functional/gateway/test_listener.py
@@ -30,7 +30,7 @@
         writer.close()
         return answer
 
-    async def test_slow_sender(self):
+    async def test_slow_body_times_out(self):
         async with Bench(body_seconds=0.1) as bench:
             head = (
                 f"POST {CHAT} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
@@ -58,7 +58,7 @@
             answer = await self.send_raw(bench, head.encode())
         assert answer.endswith(b'{"live": true}')
 
-    async def test_slow_head(self):
+    async def test_slow_headers_time_out(self):
         async with Bench(idle_seconds=0.1) as bench:
             answer = await self.send_raw(bench, b"GET /v1/models HTTP/1.1\r\nX-")
         assert answer == b""
@@ -66,13 +66,13 @@
     @pytest.mark.parametrize(
         "data", [b"{", b"[]", b"", b'{"model": 3}', b"\xff\xfe", b"[" * 5000]
     )
-    async def test_garbage(self, data):
+    async def test_invalid_body_is_refused(self, data):
         async with Bench() as bench:
             status, text, headers = await ask(bench, "POST", CHAT, data=data)
         assert (status, headers["X-Outcome"]) == (400, "not_run")
         assert "bad_request" in text
         assert headers["X-Request-Id"].startswith("r-")
-        assert bench.engine.ran == []
+        assert bench.engine.attempts == []
 
     async def test_unknown_path(self):
         async with Bench() as bench:
@@ -82,7 +82,7 @@
 
 
 class TestDeferred:
-    async def test_accepted(self):
+    async def test_request_is_accepted(self):
         async with Bench() as bench:
             status, text, headers = await ask(
                 bench,
@@ -97,9 +97,9 @@
         assert request.request_id in text
         assert (request.path, request.deadline) == (CHAT, 0.0)
         assert (request.priority.name, request.idempotent) == ("BATCH", True)
-        assert bench.engine.ran == []
+        assert bench.engine.attempts == []
 
-    async def test_over_the_account_limit(self):
+    async def test_refused_over_the_account_limit(self):
         async with Bench() as bench:
             bench.admission.refusal = EbonydealError(ErrorKind.RATE_LIMITED)
             status, _text, headers = await ask(bench, "POST", "/v1/deferred", json=BODY)
@@ -115,7 +115,7 @@
         assert status == 202
         assert bench.journal.accepted[0].path == "/v1/completions"
 
-    async def test_key_names_the_request(self):
+    async def test_key_determines_the_request_id(self):
         async with Bench() as bench:
             for _ in range(2):
                 await ask(
@@ -144,11 +144,11 @@
             waiting = await ask(bench, "GET", path + "/answer")
             bench.journal.status_now = JournalStatus("r-0001-00", "completed", answer)
             status = await ask(bench, "GET", path)
-            whole = await ask(bench, "GET", path + "/answer")
+            complete = await ask(bench, "GET", path + "/answer")
             await ask(bench, "DELETE", path)
         assert waiting[0] == 202
         assert '"status": "completed"' in status[1]
-        assert whole[:2] == (200, '{"covers": 40}')
+        assert complete[:2] == (200, '{"covers": 40}')
         assert bench.journal.asked[-1] == ("cancel", "r-0001-00", "kitchen")
 
     async def test_cancelled(self):
@@ -160,7 +160,7 @@
 
 
 class TestDrain:
-    async def test_cuts_nothing_under_load(self):
+    async def test_drain_interrupts_no_request(self):
         engine = FakeEngine(count=20)
         held = asyncio.Event()
         engine.pace = held.wait
@@ -173,15 +173,15 @@
                 )
                 for n in range(20)
             ]
-            await until(lambda: len(engine.ran) == 20)
+            await until(lambda: len(engine.attempts) == 20)
             stopping = asyncio.ensure_future(bench.program.stop())
             await until(lambda: bench.program.draining)
             ready = await http.get(bench.url + "/health/ready")
-            late = asyncio.ensure_future(http.post(bench.url + CHAT, json=BODY))
-            await until(lambda: len(engine.ran) == 21)
+            late_call = asyncio.ensure_future(http.post(bench.url + CHAT, json=BODY))
+            await until(lambda: len(engine.attempts) == 21)
             await bench.clock.advance(5.0)
             held.set()
-            answers = [await (await call).text() for call in (*calls, late)]
+            answers = [await (await call).text() for call in (*calls, late_call)]
             await stopping
         assert (ready.status, ready.headers["Connection"]) == (503, "close")
         assert all("w19 " in answer for answer in answers)
@@ -197,8 +197,8 @@
         assert (ready[0], not_ready[0]) == (200, 503)
 
 
-class TestExplain:
-    async def test_steps_without_text(self):
+class TestDecisionTrail:
+    async def test_trail_holds_no_request_text(self):
         engine = FakeEngine()
         engine.faults = {"e1": (2, EbonydealError(ErrorKind.ENDPOINT_FAILED, "gone"))}
         async with Bench(engine) as bench:
@@ -229,7 +229,7 @@
         assert "covers?" not in text
         assert "w1 " not in text
 
-    async def test_refusal_tells_why(self):
+    async def test_trail_has_the_reason_of_a_refusal(self):
         async with Bench() as bench:
             bench.admission.refusal = EbonydealError(ErrorKind.QUEUE_FULL, "full")
             _status, _text, headers = await ask(bench, "POST", CHAT, json=BODY)
@@ -244,7 +244,7 @@
             )
         assert status == 401
 
-    async def test_closed_without_a_token_setting(self):
+    async def test_refused_without_a_token_setting(self):
         async with Bench(operator_token="") as bench:
             status, _text, _headers = await ask(
                 bench, "GET", "/ops/explain/r", headers={"X-Operator-Token": ""}
--- a/tests/functional/gateway/test_outcome.py
+++ b/tests/functional/gateway/test_outcome.py
@@ -8,7 +8,7 @@
 KEY = {"Idempotency-Key": "note-7"}
 NOTE = {"bag": 7}
 PROMPT = {"model": MODEL, "messages": [{"role": "user", "content": "Covers?"}]}
-SUBMITS = {
+REQUEST_BODIES = {
     "/services/tracking/notes": NOTE,
     "/services/tracking/status": NOTE,
     "/v1/deferred": PROMPT,
@@ -31,46 +31,46 @@
                 wait = resp.headers.get("Retry-After")
                 return resp.status, error["code"], wait, error["outcome"]
 
-    @pytest.mark.parametrize("path", SUBMITS)
+    @pytest.mark.parametrize("path", REQUEST_BODIES)
     @pytest.mark.parametrize("refusal, status, wait", REFUSALS)
     async def test_refused_by_admission(self, path, refusal, status, wait):
         async with Bench() as bench:
             bench.admission.refusal = refusal
-            got = await self.post(bench, path, {**AUTH, **KEY}, SUBMITS[path])
-        assert got == (status, str(refusal.kind), wait, "unknown")
+            actual = await self.post(bench, path, {**AUTH, **KEY}, REQUEST_BODIES[path])
+        assert actual == (status, str(refusal.kind), wait, "unknown")
         assert bench.journal.called == bench.journal.accepted == []
 
-    @pytest.mark.parametrize("path", SUBMITS)
-    async def test_wrong_api_key(self, path):
+    @pytest.mark.parametrize("path", REQUEST_BODIES)
+    async def test_refused_api_key(self, path):
         async with Bench() as bench:
             headers = {"Authorization": "Bearer sk-old", **KEY}
-            got = await self.post(bench, path, headers, SUBMITS[path])
-        assert got == (401, "unauthorized", None, "unknown")
+            actual = await self.post(bench, path, headers, REQUEST_BODIES[path])
+        assert actual == (401, "unauthorized", None, "unknown")
 
-    @pytest.mark.parametrize("path", SUBMITS)
+    @pytest.mark.parametrize("path", REQUEST_BODIES)
     async def test_body_too_large(self, path):
         async with Bench(max_body_bytes=5) as bench:
-            got = await self.post(bench, path, {**AUTH, **KEY}, SUBMITS[path])
-        assert got == (413, "body_too_large", None, "unknown")
+            actual = await self.post(bench, path, {**AUTH, **KEY}, REQUEST_BODIES[path])
+        assert actual == (413, "body_too_large", None, "unknown")
 
     async def test_failures_without_the_journal(self):
         async with Bench() as bench:
             bench.directory.all.clear()
             headers = {**AUTH, **KEY}
-            got = await self.post(bench, "/services/tracking/status", headers, NOTE)
-        assert got == (503, "no_endpoint", "2", "unknown")
+            actual = await self.post(bench, "/services/tracking/status", headers, NOTE)
+        assert actual == (503, "no_endpoint", "2", "unknown")
 
     @pytest.mark.parametrize("path", ["/v1/deferred", "/v1/chat/completions"])
-    async def test_without_a_key(self, path):
+    async def test_refusal_without_a_key_is_not_run(self, path):
         async with Bench() as bench:
             bench.admission.refusal = EbonydealError(ErrorKind.SHED, "load")
-            got = await self.post(bench, path, AUTH, SUBMITS[path])
-        assert got == (503, "shed", "5", "not_run")
+            actual = await self.post(bench, path, AUTH, REQUEST_BODIES[path])
+        assert actual == (503, "shed", "5", "not_run")
 
-    async def test_endpoint_failure_told_by_the_journal(self):
+    async def test_endpoint_failure_reported_by_the_journal(self):
         error = EbonydealError(ErrorKind.ENDPOINT_REFUSED, "10.0.0.7 is full")
         async with Bench() as bench:
             bench.journal.status_now = JournalStatus("k-1", "ended", error=error)
             headers = {**AUTH, **KEY}
-            got = await self.post(bench, "/services/tracking/notes", headers, NOTE)
-        assert got == (503, "endpoint_refused", "1", "not_run")
+            actual = await self.post(bench, "/services/tracking/notes", headers, NOTE)
+        assert actual == (503, "endpoint_refused", "1", "not_run")
--- a/tests/functional/gateway/test_program.py
+++ b/tests/functional/gateway/test_program.py
@@ -33,7 +33,7 @@
 
 
 class System:
-    """The stand-in platform, a document in force, and one real gateway."""
+    """The stand-in platform, a document in force and one real gateway."""
 
     def __init__(self) -> None:
         self.document = example_document("cadwaladr")
@@ -90,18 +90,18 @@
         await self.world.stop()
 
     def busiest_zone(self) -> str:
-        """Return the zone that holds the most tokens still to come."""
-        left: Counter[str] = Counter()
+        """Return the zone with the most tokens remaining to generate."""
+        remaining: Counter[str] = Counter()
         for live in self.program.stream_runner.live_streams:
             prompt = prompt_text(live.job.body)
             total = len(expected_tokens(self.model, prompt, TOKENS))
             if live.attempt is not None:
                 zone = live.attempt.route.endpoint.place.zone
-                left[zone] += total - len(live.delivered)
-        return left.most_common(1)[0][0]
+                remaining[zone] += total - len(live.delivered)
+        return remaining.most_common(1)[0][0]
 
-    async def ask(self, words: str) -> bool:
-        """Return whether a streamed answer is just what was to be generated."""
+    async def answer_is_correct(self, words: str) -> bool:
+        """Return whether a streamed answer has the expected text and finish reason."""
         stream = await self.api.chat.completions.create(
             model=self.model,
             messages=[{"role": "user", "content": words}],
@@ -135,8 +135,11 @@
     @pytest.mark.parametrize("notice", [2.0, 0.0])
     async def test_reclaimed_zone_breaks_no_stream(self, notice):
         async with System() as system:
-            asks = [f"Covers of kitchen {n}?" for n in range(12)]
-            calls = [asyncio.ensure_future(system.ask(words)) for words in asks]
+            prompts = [f"Covers of kitchen {n}?" for n in range(12)]
+            calls = [
+                asyncio.ensure_future(system.answer_is_correct(words))
+                for words in prompts
+            ]
             runner = system.program.stream_runner
             await until(
                 lambda: sum(len(live.delivered) for live in runner.live_streams) > 60
@@ -150,7 +153,7 @@
             assert events.get("tokens_recomputed_reclaim", 0) == 0
         assert sum(system.metrics.retries().values()) > 0
 
-    async def test_caller_goes_on_at_another_gateway(self):
+    async def test_caller_resumes_at_another_gateway(self):
         words = "Covers of the coast?"
         async with System() as system, ClientSession(headers=AUTH) as http:
             metrics = Metrics()
@@ -177,20 +180,20 @@
         assert metrics.events()["streams_reconnected"] == 1
         assert metrics.refusals() == {}
 
-    async def test_tells_peers_status_and_trails(self):
+    async def test_peers_can_query_status_and_trails(self):
         async with System() as system:
             raw = await system.api.chat.completions.with_raw_response.create(
                 model=system.model,
                 messages=[{"role": "user", "content": "Covers of the coast?"}],
                 max_tokens=2,
             )
-            ask = system.program.ports.peers.call
+            call = system.program.ports.peers.call
             address = system.program.ports.peers.address
-            status = await ask(address, STATUS_PATH, {})
+            status = await call(address, STATUS_PATH, {})
             request_id = raw.headers["X-Request-Id"]
-            trail = await ask(address, EXPLAIN_PATH, {"request_id": request_id})
+            trail = await call(address, EXPLAIN_PATH, {"request_id": request_id})
             with pytest.raises(EbonydealError) as caught:
-                await ask(address, EXPLAIN_PATH, {"request_id": "r-0000-none"})
+                await call(address, EXPLAIN_PATH, {"request_id": "r-0000-none"})
         assert (status["version"], status["refusals"]) == (1, {})
         assert status["events"]["answered"] == 1
         assert trail["steps"] == system.program.ports.trails.steps(request_id)
--- a/tests/functional/gateway/test_services.py
+++ b/tests/functional/gateway/test_services.py
@@ -21,7 +21,7 @@
             async with http.request(method, url, **more) as resp:
                 return resp.status, await resp.text(), resp.headers
 
-    async def test_look_up(self):
+    async def test_lookup_is_sent_to_an_endpoint(self):
         async with Bench() as bench:
             status, text, headers = await self.call(
                 bench, "GET", "tracking/bags/7%2F8?full=1"
@@ -31,14 +31,14 @@
         assert bench.services.calls == [("s1", "GET", "/bags/7%2F8?full=1", b"")]
         assert "Authorization" not in bench.services.headers[0]
 
-    async def test_look_up_is_tried_elsewhere(self):
+    async def test_failed_lookup_is_retried_elsewhere(self):
         async with Bench() as bench:
             bench.services.answers["s1"] = FAILED
             status, text, _headers = await self.call(bench, "GET", "tracking/bags/7")
         assert (status, text) == (200, "s2")
         assert bench.metrics.retries() == {"endpoint_failed": 1}
 
-    async def test_look_up_is_hedged(self):
+    async def test_slow_lookup_is_hedged(self):
         async with Bench(hedge_seconds=0.01) as bench:
             bench.services.answers["s1"] = asyncio.Event()
             status, text, _headers = await self.call(bench, "GET", "tracking/bags/7")
@@ -62,8 +62,8 @@
             bench.services.answers["s1"] = event = asyncio.Event()
             choose = bench.routes.choose
 
-            def only_s1(ask, now):
-                route = choose(ask, now)
+            def only_s1(query, now):
+                route = choose(query, now)
                 return route if route and route.endpoint.endpoint_id == "s1" else None
 
             bench.routes.choose = only_s1
@@ -76,7 +76,7 @@
         assert len(bench.services.calls) == 1
         assert bench.metrics.retries() == {}
 
-    async def test_gives_up_at_once(self):
+    async def test_fails_without_waiting_after_the_budget(self):
         async with Bench() as bench:
             bench.retries.left = 1
             bench.services.answers = {"s1": FAILED, "s2": FAILED}
@@ -85,7 +85,7 @@
         assert (headers["Retry-After"], headers["X-Outcome"]) == ("2", "unknown")
         assert len(bench.services.calls) == 2
 
-    async def test_call_that_may_run_twice_by_rule(self):
+    async def test_call_that_is_idempotent_by_rule_needs_no_key(self):
         async with Bench() as bench:
             status, text, _headers = await self.call(
                 bench, "POST", "tracking/status", data=NOTE
@@ -93,7 +93,7 @@
         assert (status, text) == (200, "s1")
         assert bench.services.calls[0][3] == NOTE.encode()
 
-    async def test_call_that_may_not_run_twice_needs_a_key(self):
+    async def test_other_call_needs_a_key(self):
         async with Bench() as bench:
             status, text, headers = await self.call(
                 bench, "POST", "tracking/notes", data=NOTE
@@ -138,10 +138,10 @@
             bench.journal.status_now = JournalStatus(
                 "k-1", "ended", error=EbonydealError(kind)
             )
-            got, _text, headers = await self.call(
+            actual_status, _text, headers = await self.call(
                 bench, "POST", "tracking/notes", data=NOTE, headers=KEY
             )
-        assert (got, headers["X-Outcome"]) == (status, outcome)
+        assert (actual_status, headers["X-Outcome"]) == (status, outcome)
 
     async def test_still_running(self):
         async with Bench() as bench:
@@ -151,7 +151,7 @@
             )
         assert (status, headers["Location"]) == (202, "/v1/deferred/k-1")
 
-    async def test_binary_body_under_a_key(self):
+    async def test_binary_body_with_a_key_is_refused(self):
         async with Bench() as bench:
             status, _text, _headers = await self.call(
                 bench, "POST", "tracking/notes", data=b"\xff", headers=KEY
@@ -176,14 +176,14 @@
             ("/services/t/services/t", "/services/t"),
         ],
     )
-    def test_kept_as_sent(self, raw, path):
+    def test_encoding_is_kept(self, raw, path):
         assert service_path(raw, "t") == path
 
     @pytest.mark.parametrize(
         "raw",
         ["/status/../notes", "/status/%2e%2E/notes", "/a/.", "/status/..%5Cnotes"],
     )
-    def test_dot_segments(self, raw):
+    def test_dot_segments_are_refused(self, raw):
         with pytest.raises(EbonydealError) as caught:
             service_path(f"/services/t{raw}", "t")
         assert caught.value.kind is ErrorKind.BAD_REQUEST
--- a/tests/lib/gateway_fakes.py
+++ b/tests/lib/gateway_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes behind the gateway's ports, and a whole gateway on top of them."""
+"""Fakes of the gateway's ports, and a gateway that runs on top of them."""
 
 import asyncio
 import random
@@ -109,12 +109,12 @@
     )
 
 
-def words(count: int) -> list[str]:
+def token_texts(count: int) -> list[str]:
     return [f"w{n} " for n in range(count)]
 
 
 @dataclass
-class Ran:
+class EngineAttempt:
     endpoint: str
     attempt_id: str
     body: dict[str, Any]
@@ -122,15 +122,15 @@
 
 
 class FakeEngine:
-    """Engines whose answer is `words`; `faults[name]` holds what goes wrong.
+    """Engines whose answer is `token_texts`; `faults[endpoint id]` makes one fail.
 
-    A fault is an error to raise after so many chunks, or "stall" or "gap".
+    A fault is (number of chunks before it, an exception to raise, "stall" or "gap").
     """
 
     def __init__(self, count: int = 8) -> None:
-        self.text = words(count)
+        self.text = token_texts(count)
         self.faults: dict[str, tuple[int, Any]] = {}
-        self.ran: list[Ran] = []
+        self.attempts: list[EngineAttempt] = []
         self.cancelled: list[str] = []
         self.exports: list[tuple[str, str]] = []
         self.export_fault: Exception | None = None
@@ -148,7 +148,7 @@
         resume: Resume | None = None,
     ) -> AsyncIterator[Chunk]:
         name = endpoint.endpoint_id
-        self.ran.append(Ran(name, attempt_id, body, resume))
+        self.attempts.append(EngineAttempt(name, attempt_id, body, resume))
         self.open += 1
         try:
             start = len(resume.delivered) if resume else 0
@@ -197,7 +197,7 @@
 
 
 class FakeRoutes:
-    """Takes the first endpoint that is not to be avoided."""
+    """Chooses the first endpoint that is not in ``avoid``."""
 
     def __init__(self, directory: "FakeDirectory") -> None:
         self._directory = directory
@@ -224,7 +224,7 @@
 
 
 class FakeRetries:
-    """Allows `left` tries beside the free ones."""
+    """Allows `left` attempts in addition to the free ones."""
 
     def __init__(self, left: int = 3) -> None:
         self.left = left
@@ -335,7 +335,7 @@
 
 
 class FakeServices:
-    """`answers[name]` is what an endpoint gives: an answer, an error or an event."""
+    """`answers[endpoint id]` is an answer, an error, or an event to wait for."""
 
     def __init__(self) -> None:
         self.answers: dict[str, Any] = {}
@@ -365,7 +365,7 @@
 
 
 class FakePeers:
-    """Gateways that reach each other by address without a socket."""
+    """Connects gateways by address, without sockets."""
 
     def __init__(self, address: str, net: dict[str, GatewayProgram]) -> None:
         self.address = address
@@ -384,7 +384,7 @@
 
 
 class Bench:
-    """One gateway with all its fakes."""
+    """One gateway on top of fakes."""
 
     def __init__(
         self,
--- a/tests/unit/gateway/test_admission_queue.py
+++ b/tests/unit/gateway/test_admission_queue.py
@@ -17,7 +17,7 @@
 DEPLOYMENT = deployment(POOL, "engine")
 
 
-class Office:
+class QueueSetup:
     def __init__(self, slots: int, **settings) -> None:
         self.slots = slots
         self.clock = ManualClock()
@@ -35,7 +35,7 @@
             rng,
         )
 
-    def ask(self, name: str = "r-1", priority: Priority = Priority.STANDARD):
+    def admit(self, name: str = "r-1", priority: Priority = Priority.STANDARD):
         req = request()._replace(request_id=name, priority=priority)
         return asyncio.ensure_future(self.queue.admit(req, DEPLOYMENT))
 
@@ -43,23 +43,23 @@
         return [step["step"] for step in self.trails.steps(name) or []]
 
 
-class TestAdmissionDesk:
-    async def test_waits_for_a_slot(self):
-        office = Office(1)
-        first = await office.ask()
-        second = office.ask("r-2")
+class TestAdmissionQueue:
+    async def test_request_waits_for_a_slot(self):
+        setup = QueueSetup(1)
+        first = await setup.admit()
+        second = setup.admit("r-2")
         await settle()
         assert not second.done()
-        assert office.steps("r-2") == ["queued"]
+        assert setup.steps("r-2") == ["queued"]
         first.release(10)
         assert (await second) is not None
 
-    async def test_higher_class_goes_first(self):
-        office = Office(1)
-        first = await office.ask()
-        batch = office.ask("r-2", Priority.BATCH)
+    async def test_higher_priority_is_admitted_first(self):
+        setup = QueueSetup(1)
+        first = await setup.admit()
+        batch = setup.admit("r-2", Priority.BATCH)
         await settle()
-        urgent = office.ask("r-3", Priority.INTERACTIVE)
+        urgent = setup.admit("r-3", Priority.INTERACTIVE)
         await settle()
         first.release(10)
         await settle()
@@ -67,57 +67,57 @@
         urgent.result().release(10)
         await batch
 
-    async def test_full_queue_is_refused_at_once(self):
-        office = Office(1, queue=0)
-        await office.ask()
+    async def test_full_queue_refuses_without_waiting(self):
+        setup = QueueSetup(1, queue=0)
+        await setup.admit()
         with pytest.raises(EbonydealError) as caught:
-            await office.ask("r-2")
+            await setup.admit("r-2")
         assert caught.value.kind is ErrorKind.QUEUE_FULL
         assert caught.value.retry_after > 0
 
-    async def test_caller_who_leaves_the_queue_holds_no_slot(self):
-        office = Office(1)
-        first = await office.ask()
-        left = office.ask("r-2")
-        third = office.ask("r-3")
+    async def test_cancelled_wait_holds_no_slot(self):
+        setup = QueueSetup(1)
+        first = await setup.admit()
+        cancelled = setup.admit("r-2")
+        third = setup.admit("r-3")
         await settle()
-        left.cancel()
+        cancelled.cancel()
         await settle()
         first.release(10)
         (await third).release(10)
-        assert (await office.ask("r-4")) is not None
+        assert (await setup.admit("r-4")) is not None
 
-    async def test_waits_no_longer_than_allowed(self):
-        office = Office(1, longest_wait=5.0)
-        await office.ask()
-        second = office.ask("r-2")
+    async def test_wait_ends_at_the_limit(self):
+        setup = QueueSetup(1, longest_wait=5.0)
+        await setup.admit()
+        second = setup.admit("r-2")
         await settle()
-        await office.clock.advance(5.1)
-        office.queue._admit_waiting()
+        await setup.clock.advance(5.1)
+        setup.queue._admit_waiting()
         with pytest.raises(EbonydealError) as caught:
             await second
         assert caught.value.kind is ErrorKind.QUEUE_FULL
 
-    async def test_account_limit(self):
-        office = Office(9)
-        account = office.config.document.accounts["kitchen"]
-        office.config.document.accounts["kitchen"] = account._replace(concurrency=1)
-        ticket = await office.ask()
+    async def test_account_limit_refuses_a_request(self):
+        setup = QueueSetup(9)
+        account = setup.config.document.accounts["kitchen"]
+        setup.config.document.accounts["kitchen"] = account._replace(concurrency=1)
+        ticket = await setup.admit()
         with pytest.raises(EbonydealError) as caught:
-            await office.ask("r-2")
+            await setup.admit("r-2")
         assert caught.value.kind is ErrorKind.RATE_LIMITED
         ticket.release(1)
-        assert (await office.ask("r-3")) is not None
+        assert (await setup.admit("r-3")) is not None
 
-    async def test_deferred_needs_no_slot_but_counts(self):
-        office = Office(0)
-        account = office.config.document.accounts["kitchen"]
+    async def test_deferred_request_needs_no_slot_but_counts(self):
+        setup = QueueSetup(0)
+        account = setup.config.document.accounts["kitchen"]
         limited = account._replace(requests_per_s=1.0)
-        office.config.document.accounts["kitchen"] = limited
-        office.queue.admit_deferred(request()).release(0)
+        setup.config.document.accounts["kitchen"] = limited
+        setup.queue.admit_deferred(request()).release(0)
         with pytest.raises(EbonydealError) as caught:
-            office.queue.admit_deferred(request())
+            setup.queue.admit_deferred(request())
         assert caught.value.kind is ErrorKind.RATE_LIMITED
         assert caught.value.retry_after > 0
-        await office.clock.advance(1.5)
-        office.queue.admit_deferred(request()).release(0)
+        await setup.clock.advance(1.5)
+        setup.queue.admit_deferred(request()).release(0)
--- a/tests/unit/gateway/test_auth.py
+++ b/tests/unit/gateway/test_auth.py
@@ -22,7 +22,7 @@
         "header",
         [None, "", KEY, "Basic abc", "Bearer ", "Bearer x", "Bearer " + "k" * 600],
     )
-    def test_wrong_header(self, header):
+    def test_invalid_header_is_refused(self, header):
         assert refusal(Authenticator(), header, document()) is ErrorKind.UNAUTHORIZED
 
     def test_revoked_key_is_refused_at_once(self):
@@ -32,13 +32,13 @@
         assert refusal(auth, HEADER, revoked) is ErrorKind.UNAUTHORIZED
         assert auth.account("Bearer sk-new", revoked).name == ACCOUNT
 
-    def test_key_that_moved_to_another_account(self):
+    def test_key_reassigned_to_another_account(self):
         auth, doc = Authenticator(), document()
         auth.account(HEADER, doc)
-        moved = doc._replace(accounts={"new": account("new")})
-        assert auth.account(HEADER, moved).name == "new"
+        reassigned = doc._replace(accounts={"new": account("new")})
+        assert auth.account(HEADER, reassigned).name == "new"
 
-    def test_memory_is_bounded(self):
+    def test_cache_is_bounded(self):
         auth, doc = Authenticator(entries=1), document()
         auth.account(HEADER, doc)
         auth.account("Bearer sk-other", doc)
--- a/tests/unit/gateway/test_events.py
+++ b/tests/unit/gateway/test_events.py
@@ -15,14 +15,14 @@
 TOKENS = ["one ", "two ", "three "]
 
 
-def ids() -> EventIds:
+def new_event_ids() -> EventIds:
     return EventIds("secret", "kitchen", "r-0001-aa", "10.0.0.1:9200")
 
 
 def id_after(count: int) -> str:
-    made = ids()
+    event_ids = new_event_ids()
     pieces = [Piece(n, text) for n, text in enumerate(TOKENS[:count])]
-    return [made.make(SOURCE, piece) for piece in pieces][-1]
+    return [event_ids.make(SOURCE, piece) for piece in pieces][-1]
 
 
 def refused(text: str, account: str = "kitchen", credential: str = "secret") -> bool:
@@ -32,26 +32,26 @@
 
 
 class TestEventIds:
-    def test_there_and_back(self):
+    def test_id_round_trip(self):
         resume_point = read_event_id(id_after(2), "secret", "kitchen")
         assert resume_point[:6] == ("r-0001-aa", "10.0.0.1:9200", "e-1", 3, "a-1", 1)
         assert resume_point.digest == text_digest(TOKENS[:2])
 
-    def test_skipped_tokens_count(self):
-        made = ids()
-        made.add_delivered(TOKENS[:2])
-        text = made.make(SOURCE, Piece(2, TOKENS[2]))
+    def test_delivered_tokens_count_in_the_digest(self):
+        event_ids = new_event_ids()
+        event_ids.add_delivered(TOKENS[:2])
+        text = event_ids.make(SOURCE, Piece(2, TOKENS[2]))
         resume_point = read_event_id(text, "secret", "kitchen")
         assert resume_point.digest == text_digest(TOKENS)
 
-    def test_end_mark_is_no_token(self):
-        made = ids()
-        made.add_delivered(TOKENS)
-        text = made.make(SOURCE, Piece(3, "", "stop"))
+    def test_end_marker_is_no_token(self):
+        event_ids = new_event_ids()
+        event_ids.add_delivered(TOKENS)
+        text = event_ids.make(SOURCE, Piece(3, "", "stop"))
         resume_point = read_event_id(text, "secret", "kitchen")
         assert (resume_point.position, resume_point.digest) == (3, text_digest(TOKENS))
 
-    def test_only_for_its_account_and_credential(self):
+    def test_valid_only_for_its_account_and_credential(self):
         assert refused(id_after(1), account="other")
         assert refused(id_after(1), credential="guess")
 
@@ -64,13 +64,13 @@
             assert refused(changed)
 
     @given(st.text(max_size=60))
-    def test_any_text_is_refused(self, text):
+    def test_random_text_is_refused(self, text):
         assert refused(text)
 
 
 class TestTextDigest:
-    def test_tokens_are_set_off(self):
+    def test_digest_includes_token_boundaries(self):
         assert text_digest(["ab", "c"]) != text_digest(["a", "bc"])
 
-    def test_of_nothing(self):
+    def test_digest_of_no_tokens(self):
         assert text_digest([]) == TextDigest().hexdigest()
--- a/tests/unit/gateway/test_parse.py
+++ b/tests/unit/gateway/test_parse.py
@@ -45,7 +45,7 @@
         assert call.body["top_k"] == 3
         assert call.prompt_tokens == 3
 
-    def test_newer_name_of_max_tokens_goes_first(self):
+    def test_max_completion_tokens_takes_precedence(self):
         body = {**CHAT, "max_tokens": 5, "max_completion_tokens": 9}
         assert parse(body).unwrap().max_tokens == 9
 
@@ -53,7 +53,7 @@
         call = parse({"model": "m", "prompt": "a b"}, kind=RequestKind.COMPLETION)
         assert call.unwrap().prompt_tokens == 2
 
-    def test_body_tells_its_kind(self):
+    def test_kind_is_derived_from_the_body(self):
         chat = parse({**CHAT, "prompt": 7}, kind=None).unwrap()
         text = parse({"model": "m", "prompt": "a"}, kind=None).unwrap()
         assert (chat.kind, text.kind) == (RequestKind.CHAT, RequestKind.COMPLETION)
@@ -77,19 +77,19 @@
             {"resume": {"kv_handle": "of-another"}},
         ],
     )
-    def test_wrong_field(self, change):
+    def test_invalid_field_is_refused(self, change):
         assert kind_of(parse({**CHAT, **change})) is ErrorKind.BAD_REQUEST
 
     @pytest.mark.parametrize("raw", [b"", b"{", b"[]", b"\xff", b"[" * 100_000])
-    def test_not_an_object(self, raw):
+    def test_body_that_is_not_an_object_is_refused(self, raw):
         assert kind_of(parse(raw)) is ErrorKind.BAD_REQUEST
 
     @given(st.binary(max_size=64))
-    def test_any_bytes(self, raw):
+    def test_random_bytes_are_refused(self, raw):
         assert kind_of(parse(raw)) is ErrorKind.BAD_REQUEST
 
     @given(st.dictionaries(FIELDS, JSON, max_size=6))
-    def test_any_fields(self, changes):
+    def test_random_fields_are_parsed_or_refused(self, changes):
         match parse({**CHAT, **changes}):
             case Success(GenerationCall() as call):
                 assert 0 < len(call.model)
@@ -102,7 +102,7 @@
 
 
 class TestOptions:
-    def test_all(self):
+    def test_all_headers(self):
         headers = {
             "X-Priority": "Batch",
             "X-Deadline-Seconds": "1.5",
@@ -111,7 +111,7 @@
         options = parse_options(headers).unwrap()
         assert options == (Priority.BATCH, 1.5, "note-7")
 
-    def test_none(self):
+    def test_no_headers(self):
         assert parse_options({}).unwrap() == (None, 0.0, "")
 
     @pytest.mark.parametrize(
@@ -127,11 +127,11 @@
             ("Idempotency-Key", "k" * 256),
         ],
     )
-    def test_wrong(self, name, value):
+    def test_invalid_header_is_refused(self, name, value):
         assert kind_of(parse_options({name: value})) is ErrorKind.BAD_REQUEST
 
     @given(st.text(max_size=20), st.text(max_size=20), st.text(max_size=300))
-    def test_any_text(self, priority, deadline, key):
+    def test_random_headers_are_parsed_or_refused(self, priority, deadline, key):
         headers = {
             "X-Priority": priority,
             "X-Deadline-Seconds": deadline,
@@ -146,6 +146,6 @@
 
 class TestDigest:
     @given(st.binary(max_size=20), st.binary(max_size=20))
-    def test_tells_bodies_apart(self, one, other):
+    def test_digest_differs_for_different_bodies(self, one, other):
         same = body_digest("POST", "/a", one) == body_digest("POST", "/a", other)
         assert same == (one == other)
--- a/tests/unit/gateway/test_parts.py
+++ b/tests/unit/gateway/test_parts.py
@@ -1,4 +1,4 @@
-"""The small pure parts: demand topic, moves, subset set."""
+"""Small pure parts: demand topic, migration inputs, endpoint subset."""
 
 import pytest
 
@@ -28,22 +28,22 @@
         limits.take("kitchen", 10.0, clock.wall())
         return new_demand_topic(limits, clock), limits
 
-    def known(self, topic) -> dict[str, int]:
+    def sequence_numbers(self, topic) -> dict[str, int]:
         return {item["gateway"]: item["seq"] for item in topic.digest()}
 
-    def test_spreads_over_a_third_gateway(self):
+    def test_demand_spreads_through_another_gateway(self):
         clock = ManualClock()
         (one, _), (two, _), (three, limits) = (
             self.topic(f"gw-{n}", clock) for n in (1, 2, 3)
         )
-        told = one.digest()
-        two.receive(told)
+        report = one.digest()
+        two.receive(report)
         three.receive(two.digest())
-        assert set(self.known(three)) == {"gw-1", "gw-2", "gw-3"}
-        assert self.known(three)["gw-1"] == told[0]["seq"]
+        assert set(self.sequence_numbers(three)) == {"gw-1", "gw-2", "gw-3"}
+        assert self.sequence_numbers(three)["gw-1"] == report[0]["seq"]
         limits.configure({"kitchen": account()._replace(concurrency=3)})
-        over = limits.take("kitchen", 10.0, clock.wall())
-        assert over is not None and over.limit == "concurrency"
+        exceeded = limits.take("kitchen", 10.0, clock.wall())
+        assert exceeded is not None and exceeded.limit == "concurrency"
 
     async def test_older_report_is_ignored(self):
         clock = ManualClock()
@@ -51,23 +51,23 @@
         old = one.digest()
         await clock.advance(2.0)
         two.receive(one.digest())
-        newest = self.known(two)["gw-1"]
+        newest = self.sequence_numbers(two)["gw-1"]
         two.receive(old)
         assert newest > old[0]["seq"]
-        assert self.known(two)["gw-1"] == newest
+        assert self.sequence_numbers(two)["gw-1"] == newest
 
     @pytest.mark.parametrize(
         "payload",
         [None, 7, [7], [{}], [{"gateway": "x", "seq": "y", "demands": {"a": [1]}}]],
     )
-    def test_garbage(self, payload):
+    def test_invalid_payload_is_ignored(self, payload):
         topic, _limits = self.topic("gw-1", ManualClock())
         topic.receive(payload)
-        assert set(self.known(topic)) == {"gw-1"}
+        assert set(self.sequence_numbers(topic)) == {"gw-1"}
 
 
-class TestMoves:
-    def test_room_of_targets(self):
+class TestMigrationInputs:
+    def test_free_capacity_of_targets(self):
         views = (loaded("e1", 3, 1), loaded("e2", 8, 4), view("e3"))
         rooms = {
             item.view.endpoint_id: item.room for item in migration_targets(views, MODEL)
@@ -91,32 +91,34 @@
         assert export_rate([AffectedStream(None, Attempt)], 4.0) == 4.0
 
 
-class TestWatchSet:
-    def test_follows_endpoints_and_gateways(self):
+class TestEndpointSubset:
+    def test_subset_follows_endpoints_and_gateways(self):
         views = [view(f"e{n}") for n in range(20)]
         gateways: list[PlacedProcess] = []
-        told: list[frozenset[str]] = []
+        changes: list[frozenset[str]] = []
 
-        class Views:
+        class AllViews:
             def all_views(self):
                 return tuple(views)
 
         subset = EndpointSubset(
             PlacedProcess("gw-1", PLACE),
             lambda: gateways,
-            Views(),
+            AllViews(),
             RoutingSettings(subset=4),
-            told.append,
+            changes.append,
             ManualClock(),
         )
         assert all(subset.includes(item) for item in views)
         subset.refresh()
         subset.refresh()
-        # Alone, it has to cover all of them.
-        assert [len(ids) for ids in told] == [20]
+        # The only gateway must cover all endpoints.
+        assert [len(ids) for ids in changes] == [20]
         gateways.extend(
             PlacedProcess(f"gw-{n}", Place("wales", "z")) for n in range(2, 9)
         )
         subset.refresh()
-        assert 4 <= len(told[-1]) <= 20
-        assert {item.endpoint_id for item in views if subset.includes(item)} == told[-1]
+        assert 4 <= len(changes[-1]) <= 20
+        assert {item.endpoint_id for item in views if subset.includes(item)} == changes[
+            -1
+        ]
--- a/tests/unit/gateway/test_reconnect.py
+++ b/tests/unit/gateway/test_reconnect.py
@@ -6,24 +6,24 @@
 from ebonydeal._internal.gateway.events import ResumePoint, text_digest
 from ebonydeal._internal.gateway.live_stream import Job, LiveStream, Piece
 from ebonydeal._internal.gateway.reconnect import DeliveredTokenFilter, RetainedAnswers
-from tests.lib.gateway_fakes import ACCOUNT, MODEL, POOL, deployment, words
+from tests.lib.gateway_fakes import ACCOUNT, MODEL, POOL, deployment, token_texts
 from tests.unit.gateway.test_stream_runner import request
 
-TEXT = words(6)
+TEXT = token_texts(6)
 
 
 def live(name: str = "r-1", tokens: int = 3) -> LiveStream:
     job = Job(
         request()._replace(request_id=name), deployment(POOL, "engine"), MODEL, {}, ()
     )
-    return LiveStream(job, delivered=words(tokens))
+    return LiveStream(job, delivered=token_texts(tokens))
 
 
-class TestParkedStreams:
-    def test_kept_for_its_account_and_time(self):
+class TestRetainedAnswers:
+    def test_retained_for_its_account_and_time(self):
         retained = RetainedAnswers(10.0, 1000)
         retained.retain(live(), 0.0)
-        assert retained.get("r-1", ACCOUNT, 9.0).delivered == tuple(words(3))
+        assert retained.get("r-1", ACCOUNT, 9.0).delivered == tuple(token_texts(3))
         assert retained.get("r-1", "other", 9.0) is None
         assert retained.get("r-2", ACCOUNT, 9.0) is None
         assert retained.get("r-1", ACCOUNT, 10.0) is None
@@ -44,8 +44,10 @@
             assert retained._total_tokens == held + 16 * len(retained._answers)
 
 
-class TestSkipDelivered:
-    def skip(self, position: int, digest: str, pieces: list[Piece]) -> list[Piece]:
+class TestDeliveredTokenFilter:
+    def missing_pieces(
+        self, position: int, digest: str, pieces: list[Piece]
+    ) -> list[Piece]:
         resume_point = ResumePoint("r-1", "gw", "e", 1, "a", position, digest)
         token_filter = DeliveredTokenFilter(resume_point)
         return [piece for piece in pieces if token_filter.is_missing(piece)]
@@ -58,15 +60,15 @@
 
     @pytest.mark.parametrize("split_end", [False, True])
     @pytest.mark.parametrize("position", range(6))
-    def test_keeps_the_rest(self, position, split_end):
+    def test_missing_tokens_are_passed(self, position, split_end):
         digest = text_digest(TEXT[: position + 1])
-        kept = self.skip(position, digest, self.pieces(TEXT, split_end))
-        texts = [piece.text for piece in kept if piece.is_token]
+        missing = self.missing_pieces(position, digest, self.pieces(TEXT, split_end))
+        texts = [piece.text for piece in missing if piece.is_token]
         assert texts == TEXT[position + 1 :]
 
-    def test_caller_who_has_the_end_mark(self):
-        kept = self.skip(6, text_digest(TEXT), self.pieces(TEXT, True))
-        assert kept == [Piece(6, "", "stop")]
+    def test_end_marker_is_sent_again(self):
+        missing = self.missing_pieces(6, text_digest(TEXT), self.pieces(TEXT, True))
+        assert missing == [Piece(6, "", "stop")]
 
     @pytest.mark.parametrize(
         "text",
@@ -78,7 +80,7 @@
         ],
     )
     @pytest.mark.parametrize("split_end", [False, True])
-    def test_other_text(self, text, split_end):
+    def test_different_text_is_refused(self, text, split_end):
         with pytest.raises(EbonydealError) as caught:
-            self.skip(3, text_digest(TEXT[:4]), self.pieces(text, split_end))
+            self.missing_pieces(3, text_digest(TEXT[:4]), self.pieces(text, split_end))
         assert caught.value.kind is ErrorKind.EXPIRED
--- a/tests/unit/gateway/test_stream_runner.py
+++ b/tests/unit/gateway/test_stream_runner.py
@@ -56,7 +56,7 @@
 
 
 class ScriptedEngine(FakeEngine):
-    """Each try takes the next (tokens before it, fault) of a script."""
+    """Each attempt takes the next (tokens before the fault, fault) of a script."""
 
     def __init__(self, script, split_end: bool) -> None:
         super().__init__()
@@ -114,8 +114,8 @@
         return []
 
 
-class Stage:
-    """A relay over fakes, without sockets."""
+class RunnerSetup:
+    """A stream runner on top of fakes, without sockets."""
 
     def __init__(self, engine: FakeEngine) -> None:
         self.clock = ManualClock()
@@ -123,8 +123,8 @@
         self.retries = FakeRetries(left=1000)
         self.metrics = Metrics()
         self.engine = engine
-        self.cancels: list = []
-        self.gone: set[str] = set()
+        self.background_tasks: list = []
+        self.crashed_addresses: set[str] = set()
         self.cfg = GatewaySettings()
         parts = StreamRunnerParts(
             engine=engine,
@@ -132,20 +132,20 @@
             retries=self.retries,
             directory=self.directory,
             health=EndpointHealth(30.0),
-            crashes=CrashGuard(self.metrics, self.clock, self.refuses),
+            crashes=CrashGuard(self.metrics, self.clock, self.refuses_connection),
             metrics=self.metrics,
             trails=Trails(10),
             clock=self.clock,
             rng=random.Random(1),
         )
         self.runner = StreamRunner(parts, self.cfg, self.spawn)
-        self.watch = StreamWatchdog(self.runner, self.cfg, self.clock)
+        self.watchdog = StreamWatchdog(self.runner, self.cfg, self.clock)
 
-    async def refuses(self, address: str, _seconds: float) -> bool:
-        return address in self.gone
+    async def refuses_connection(self, address: str, _seconds: float) -> bool:
+        return address in self.crashed_addresses
 
     def spawn(self, work) -> None:
-        self.cancels.append(asyncio.ensure_future(work))
+        self.background_tasks.append(asyncio.ensure_future(work))
 
     def live(self, deadline: float = 0.0) -> LiveStream:
         job = Job(request(deadline), deployment(POOL, "engine"), MODEL, {}, ())
@@ -158,94 +158,94 @@
         return pieces
 
 
-class TestRelay:
+class TestStreamRunner:
     @given(SCRIPT, st.booleans())
     def test_each_token_once_and_in_order(self, script, split_end):
         asyncio.run(self.check(script, split_end))
 
     async def check(self, script, split_end):
         engine = ScriptedEngine(script, split_end)
-        stage = Stage(engine)
-        live = stage.live()
+        setup = RunnerSetup(engine)
+        live = setup.live()
         engine.post = lambda message: live.attempt.mailbox.post(message)
         engine.begin_migration = lambda: setattr(live, "migrating", True)
-        pieces = await stage.run(live)
+        pieces = await setup.run(live)
         tokens = [piece for piece in pieces if piece.is_token]
         assert [piece.text for piece in tokens] == engine.text
         assert [piece.position for piece in tokens] == list(range(len(engine.text)))
         assert [piece.finish for piece in pieces if piece.finish] == ["stop"]
         assert pieces[-1].finish == "stop"
         assert live.delivered == engine.text
-        await asyncio.gather(*stage.cancels)
-        assert (engine.open, stage.runner.live_streams) == (0, set())
+        await asyncio.gather(*setup.background_tasks)
+        assert (engine.open, setup.runner.live_streams) == (0, set())
 
-    async def test_deadline_is_checked_before_each_try(self):
+    async def test_deadline_is_checked_before_each_attempt(self):
         engine = FakeEngine()
-        stage = Stage(engine)
-        live = stage.live(deadline=stage.clock.wall())
+        setup = RunnerSetup(engine)
+        live = setup.live(deadline=setup.clock.wall())
         with pytest.raises(EbonydealError) as caught:
-            await stage.run(live)
+            await setup.run(live)
         assert caught.value.kind is ErrorKind.DEADLINE_EXCEEDED
-        assert engine.ran == []
+        assert engine.attempts == []
 
     async def test_no_retry_past_the_deadline(self):
         engine = FakeEngine()
         engine.faults = {"e1": (2, EbonydealError(ErrorKind.ENDPOINT_FAILED))}
-        stage = Stage(engine)
-        stage.retries.left = 0
-        stage.directory.all = stage.directory.all[:1]
-        live = stage.live(deadline=stage.clock.wall() + 5.0)
-        call = asyncio.ensure_future(stage.run(live))
-        await stage.clock.advance(6.0)
+        setup = RunnerSetup(engine)
+        setup.retries.left = 0
+        setup.directory.all = setup.directory.all[:1]
+        live = setup.live(deadline=setup.clock.wall() + 5.0)
+        call = asyncio.ensure_future(setup.run(live))
+        await setup.clock.advance(6.0)
         with pytest.raises(EbonydealError) as caught:
             await call
         assert caught.value.kind is ErrorKind.DEADLINE_EXCEEDED
-        assert len(engine.ran) == 1
+        assert len(engine.attempts) == 1
 
-    async def test_engine_refuses_the_body(self):
+    async def test_body_refused_by_the_engine_is_not_retried(self):
         engine = FakeEngine()
         engine.faults = {"e1": (0, EbonydealError(ErrorKind.BAD_REQUEST, "top_k"))}
-        stage = Stage(engine)
+        setup = RunnerSetup(engine)
         with pytest.raises(EbonydealError) as caught:
-            await stage.run(stage.live())
+            await setup.run(setup.live())
         assert caught.value.kind is ErrorKind.BAD_REQUEST
-        assert len(engine.ran) == 1
+        assert len(engine.attempts) == 1
 
-    async def test_nowhere_to_go(self):
-        stage = Stage(FakeEngine())
-        stage.directory.all.clear()
-        stage.retries.left = 0
+    async def test_final_error_without_an_endpoint(self):
+        setup = RunnerSetup(FakeEngine())
+        setup.directory.all.clear()
+        setup.retries.left = 0
         with pytest.raises(EbonydealError) as caught:
-            await stage.run(stage.live())
+            await setup.run(setup.live())
         assert caught.value.kind is ErrorKind.NO_ENDPOINT
 
-    async def test_export_that_stops_its_source(self):
+    async def test_stream_stopped_by_its_export_resumes_at_the_target(self):
         engine = ScriptedEngine([(3, "export")], False)
-        stage = Stage(engine)
-        live = stage.live()
+        setup = RunnerSetup(engine)
+        live = setup.live()
         target = Migrate(view("e2"), "kv-1")
         engine.post = lambda _message: live.attempt.mailbox.post(target)
         engine.begin_migration = lambda: setattr(live, "migrating", True)
-        await stage.run(live)
+        await setup.run(live)
         assert engine.resumes[1] == Resume(tuple(engine.text[:3]), "kv-1")
-        assert stage.metrics.retries() == {"leaving": 1}
+        assert setup.metrics.retries() == {"leaving": 1}
 
-    async def test_moved_to_a_target_that_leaves_meanwhile(self):
+    async def test_migration_target_that_leaves_is_not_used(self):
         engine = ScriptedEngine([(2, "move")], False)
-        stage = Stage(engine)
-        live = stage.live()
+        setup = RunnerSetup(engine)
+        live = setup.live()
 
         def post(_message) -> None:
-            stage.directory.leaving = {"e1": 0.0, "e3": 0.0}
+            setup.directory.leaving = {"e1": 0.0, "e3": 0.0}
             live.attempt.mailbox.post(Migrate(view("e3"), "kv-1"))
 
         engine.post = post
-        starts = []
-        stage.runner._parts.routes.choose = spy(
-            stage.runner._parts.routes.choose, starts
+        routes = []
+        setup.runner._parts.routes.choose = spy(
+            setup.runner._parts.routes.choose, routes
         )
-        await stage.run(live)
-        assert [route.endpoint.endpoint_id for route in starts] == ["e1", "e2"]
+        await setup.run(live)
+        assert [route.endpoint.endpoint_id for route in routes] == ["e1", "e2"]
         assert live.delivered == engine.text
 
 
@@ -257,65 +257,65 @@
     return wrapper
 
 
-class TestStreamWatch:
-    async def stalled(self, after: int) -> tuple[Stage, asyncio.Future]:
+class TestStreamWatchdog:
+    async def stalled(self, after: int) -> tuple[RunnerSetup, asyncio.Future]:
         engine = FakeEngine()
         engine.faults = {"e1": (after, "stall")}
-        stage = Stage(engine)
-        call = asyncio.ensure_future(stage.run(stage.live()))
+        setup = RunnerSetup(engine)
+        call = asyncio.ensure_future(setup.run(setup.live()))
         await settle()
-        return stage, call
+        return setup, call
 
     @pytest.mark.parametrize("after, limit", [(0, 30.0), (3, 5.0)])
-    async def test_stall(self, after, limit):
-        stage, call = await self.stalled(after)
-        await stage.clock.advance(limit)
-        stage.watch.check()
+    async def test_stalled_attempt_ends_after_the_limit(self, after, limit):
+        setup, call = await self.stalled(after)
+        await setup.clock.advance(limit)
+        setup.watchdog.check()
         await settle()
-        assert len(stage.engine.ran) == 1
-        await stage.clock.advance(0.1)
-        stage.watch.check()
+        assert len(setup.engine.attempts) == 1
+        await setup.clock.advance(0.1)
+        setup.watchdog.check()
         pieces = await call
-        assert "".join(piece.text for piece in pieces) == "".join(stage.engine.text)
-        assert stage.metrics.retries() == {"endpoint_stalled": 1}
+        assert "".join(piece.text for piece in pieces) == "".join(setup.engine.text)
+        assert setup.metrics.retries() == {"endpoint_stalled": 1}
 
-    async def test_move_under_way_is_no_stall(self):
-        stage, call = await self.stalled(3)
-        (live,) = stage.runner.live_streams
+    async def test_migration_in_progress_is_no_stall(self):
+        setup, call = await self.stalled(3)
+        (live,) = setup.runner.live_streams
         live.migrating = True
-        await stage.clock.advance(60.0)
-        stage.watch.check()
+        await setup.clock.advance(60.0)
+        setup.watchdog.check()
         await settle()
-        assert len(stage.engine.ran) == 1
-        stage.directory.mark("e1")
+        assert len(setup.engine.attempts) == 1
+        setup.directory.mark("e1")
         live.attempt.mailbox.post(Migrate(None, ""))
         await call
-        assert stage.metrics.retries() == {"leaving": 1}
+        assert setup.metrics.retries() == {"leaving": 1}
 
-    async def test_slow_reader_is_no_stall(self):
-        stage = Stage(FakeEngine())
-        live = stage.live()
-        stage.cfg = stage.cfg._replace(buffer_tokens=2)
-        batches = StreamRunner(stage.runner._parts, stage.cfg, stage.spawn).run(live)
+    async def test_slow_caller_is_no_stall(self):
+        setup = RunnerSetup(FakeEngine())
+        live = setup.live()
+        setup.cfg = setup.cfg._replace(buffer_tokens=2)
+        batches = StreamRunner(setup.runner._parts, setup.cfg, setup.spawn).run(live)
         await anext(batches)
         await settle()
         assert live.attempt.waiting_since is None
         await batches.aclose()
-        assert stage.engine.open == 0
+        assert setup.engine.open == 0
 
 
 class TestCrashes:
-    async def test_a_request_that_brings_endpoints_down_isnt_sent_to_a_fourth(self):
+    async def test_request_that_crashes_endpoints_is_not_sent_to_a_fourth(self):
         engine = ScriptedEngine([(0, "fail")] * 9, False)
-        stage = Stage(engine)
-        stage.gone = {"e1:80", "e2:80", "e3:80"}
-        stage.retries.next_delay = lambda *_args: 0.2
-        stage.runner._parts.health.any_working = lambda *_args: False
-        answer = asyncio.ensure_future(stage.run(stage.live()))
+        setup = RunnerSetup(engine)
+        setup.crashed_addresses = {"e1:80", "e2:80", "e3:80"}
+        setup.retries.next_delay = lambda *_args: 0.2
+        setup.runner._parts.health.any_working = lambda *_args: False
+        answer = asyncio.ensure_future(setup.run(setup.live()))
         while not answer.done():
-            await stage.clock.advance(0.2)
+            await setup.clock.advance(0.2)
         error = answer.exception()
         assert error.kind is ErrorKind.REQUEST_QUARANTINED
-        # It has run: nothing may say that it hasn't.
+        # The request has run, so the error must not claim that it has not.
         assert error.outcome is Outcome.UNKNOWN
         assert len(engine.resumes) == 3
