--- a/src/ebonydeal/_internal/gateway/reconnect.py
+++ b/src/ebonydeal/_internal/gateway/reconnect.py
@@ -1,6 +1,6 @@
-"""Callers who come back with ``Last-Event-ID``, at any gateway.
+"""Resumes answers of callers that reconnect with ``Last-Event-ID``, at any gateway.
 
-See docs/design/streams.md for the ways that were weighed.
+See docs/design/streams.md for the alternatives considered.
 """
 
 from collections import OrderedDict
@@ -8,26 +8,26 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.events import (
-    EventHint,
+    ResumePoint,
     TextDigest,
     text_digest,
 )
-from ebonydeal._internal.gateway.live import Job, LiveStream, MoveCause, Piece
+from ebonydeal._internal.gateway.live_stream import Job, LiveStream, Piece, ResumeCause
 from ebonydeal._internal.gateway.ports import PeerPort
-from ebonydeal._internal.gateway.streams import Relay
+from ebonydeal._internal.gateway.stream_runner import StreamRunner
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.utils.clock import Clock
 
 RESUME_PATH = "/gateway/v1/resume"
-_LEAVE_POLL_S = 0.02
-_LEAVE_WAIT_S = 2.0
-_ENTRY_TOKENS = 16
+_DISCONNECT_POLL_INTERVAL_S = 0.02
+_DISCONNECT_TIMEOUT_S = 2.0
+_ENTRY_OVERHEAD_TOKENS = 16
 
 
-class Parked(NamedTuple):
-    """What is kept of an answer whose caller may come back.
+class RetainedAnswer(NamedTuple):
+    """Retained state of an answer whose caller may reconnect.
 
-    ``until`` is in clock seconds.
+    ``expires_at`` is in clock seconds.
     """
 
     account: str
@@ -35,10 +35,10 @@
     delivered: tuple[str, ...]
     finish: str
     cached_tokens: int
-    until: float
+    expires_at: float
 
     def to_message(self) -> dict[str, Any]:
-        """Return the wire shape, without what the asker knows."""
+        """Return the message for another gateway, without the fields that it knows."""
         return {
             "body_digest": self.body_digest,
             "delivered": list(self.delivered),
@@ -47,74 +47,74 @@
         }
 
 
-class ParkedStreams:
-    """Answers kept for a while, in bounded memory.
+class RetainedAnswers:
+    """Answers retained for a limited time, in bounded memory.
 
     Parameters
     ----------
     retention_s : float
-        How long, seconds.
-    tokens : int
-        Most tokens held over all answers; the oldest answers are dropped.
+        Retention time, seconds.
+    max_tokens : int
+        Maximum number of tokens over all answers; the oldest are evicted.
     """
 
-    def __init__(self, retention_s: float, tokens: int) -> None:
+    def __init__(self, retention_s: float, max_tokens: int) -> None:
         self._retention = retention_s
-        self._limit = tokens
-        self._held = 0
-        self._parked: OrderedDict[str, Parked] = OrderedDict()
+        self._max_tokens = max_tokens
+        self._total_tokens = 0
+        self._answers: OrderedDict[str, RetainedAnswer] = OrderedDict()
 
-    def park(self, live: LiveStream, now: float) -> None:
-        """Keep an answer as far as it went."""
+    def retain(self, live: LiveStream, now: float) -> None:
+        """Retain the delivered part of an answer."""
         request = live.job.request
-        entry = Parked(
+        entry = RetainedAnswer(
             account=request.account,
             body_digest=request.body_digest,
             delivered=tuple(live.delivered),
             finish=live.finish,
             cached_tokens=live.cached_tokens,
-            until=now + self._retention,
+            expires_at=now + self._retention,
         )
         self._drop(request.request_id)
-        self._parked[request.request_id] = entry
-        self._held += _weight(entry)
+        self._answers[request.request_id] = entry
+        self._total_tokens += _token_cost(entry)
         self._trim(now)
 
-    def get(self, request_id: str, account: str, now: float) -> Parked | None:
-        """Return an answer of ``account``, if it is still kept."""
-        entry = self._parked.get(request_id)
-        if entry is None or entry.account != account or entry.until <= now:
+    def get(self, request_id: str, account: str, now: float) -> RetainedAnswer | None:
+        """Return an answer of ``account``, if it is still retained."""
+        entry = self._answers.get(request_id)
+        if entry is None or entry.account != account or entry.expires_at <= now:
             return None
         return entry
 
     def _drop(self, request_id: str) -> None:
-        entry = self._parked.pop(request_id, None)
+        entry = self._answers.pop(request_id, None)
         if entry is not None:
-            self._held -= _weight(entry)
+            self._total_tokens -= _token_cost(entry)
 
     def _trim(self, now: float) -> None:
-        """Drop what is too old or too much."""
-        while self._parked:
-            oldest, entry = next(iter(self._parked.items()))
-            if self._held <= self._limit and entry.until > now:
+        """Evict expired answers, and the oldest while over the limit."""
+        while self._answers:
+            oldest, entry = next(iter(self._answers.items()))
+            if self._total_tokens <= self._max_tokens and entry.expires_at > now:
                 return
             self._drop(oldest)
 
 
-def _weight(entry: Parked) -> int:
-    """Return the tokens that an entry counts for."""
-    return len(entry.delivered) + _ENTRY_TOKENS
+def _token_cost(entry: RetainedAnswer) -> int:
+    """Return the tokens that an entry counts toward the limit."""
+    return len(entry.delivered) + _ENTRY_OVERHEAD_TOKENS
 
 
 class Reconnector:
-    """Finds how far an answer went and lets it go on.
+    """Finds the delivered part of an answer, so that it can be resumed.
 
     Parameters
     ----------
-    relay : Relay
-        For answers whose old connection is still open here.
-    left, finished : ParkedStreams
-        Answers kept here: cut off, and sent whole.
+    runner : StreamRunner
+        Runs the answers whose old connection is still open here.
+    interrupted, finished : RetainedAnswers
+        Answers retained here: interrupted, and completely sent.
     peers : PeerPort
         Other gateways.
     metrics, clock : Metrics, Clock
@@ -123,80 +123,82 @@
 
     def __init__(
         self,
-        relay: Relay,
-        left: ParkedStreams,
-        finished: ParkedStreams,
+        runner: StreamRunner,
+        interrupted: RetainedAnswers,
+        finished: RetainedAnswers,
         peers: PeerPort,
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        self._relay = relay
-        self._left = left
+        self._runner = runner
+        self._interrupted = interrupted
         self._finished = finished
         self._peers = peers
         self._metrics = metrics
         self._clock = clock
 
-    async def claim(self, request_id: str, account: str) -> Parked | None:
-        """Return a kept answer; an old connection still open is broken first."""
-        until = self._clock.now() + _LEAVE_WAIT_S
+    async def take_over(self, request_id: str, account: str) -> RetainedAnswer | None:
+        """Return a retained answer; aborts its old connection first if still open."""
+        until = self._clock.now() + _DISCONNECT_TIMEOUT_S
         while self._clock.now() < until:
             live = self._find_live(request_id, account)
             if live is None:
                 break
             live.abort()
-            await self._clock.sleep(_LEAVE_POLL_S)
+            await self._clock.sleep(_DISCONNECT_POLL_INTERVAL_S)
         now = self._clock.now()
-        kept = self._left.get(request_id, account, now)
-        return kept or self._finished.get(request_id, account, now)
+        retained = self._interrupted.get(request_id, account, now)
+        return retained or self._finished.get(request_id, account, now)
 
     def _find_live(self, request_id: str, account: str) -> LiveStream | None:
-        """Return an answer that is still under way here."""
-        for live in self._relay.live:
+        """Return an answer that is still in progress here."""
+        for live in self._runner.live_streams:
             request = live.job.request
             if request.request_id == request_id and request.account == account:
                 return live
         return None
 
-    async def resume(self, hint: EventHint, job: Job) -> LiveStream:
-        """Return the answer's state, from which the caller lacks the rest.
+    async def resume(self, resume_point: ResumePoint, job: Job) -> LiveStream:
+        """Return the state from which the answer is resumed.
 
-        Where no gateway has it any more, the state is empty and the answer is
-        generated again: see `SkipDelivered`. Raises BAD_REQUEST where the body
-        is another one.
+        If no gateway retains the answer, the state is empty and the answer is
+        generated again: see `DeliveredTokenFilter`. Raises BAD_REQUEST if the
+        body differs.
         """
-        kept = await self._find(hint, job)
+        retained = await self._find(resume_point, job)
         live = LiveStream(job)
-        live.cause = MoveCause.RECONNECT
-        live.begun = True
-        live.prefer = (hint.endpoint_id, hint.incarnation)
+        live.cause = ResumeCause.RECONNECT
+        live.has_started = True
+        live.prefer = (resume_point.endpoint_id, resume_point.incarnation)
         self._metrics.count(Event.STREAMS_RECONNECTED)
-        if kept is None or not _matches(kept, hint):
+        if retained is None or not _matches(retained, resume_point):
             return live
-        if kept["body_digest"] != job.request.body_digest:
-            detail = "the body is not the one that the answer was for"
+        if retained["body_digest"] != job.request.body_digest:
+            detail = "the body differs from that of the original request"
             raise EbonydealError(ErrorKind.BAD_REQUEST, detail)
-        live.delivered = list(kept["delivered"])
-        live.finish = kept["finish"]
-        live.cached_tokens = kept["cached_tokens"]
+        live.delivered = list(retained["delivered"])
+        live.finish = retained["finish"]
+        live.cached_tokens = retained["cached_tokens"]
         return live
 
-    async def _find(self, hint: EventHint, job: Job) -> dict[str, Any] | None:
-        """Return what the gateway that served the answer kept of it."""
+    async def _find(self, resume_point: ResumePoint, job: Job) -> dict[str, Any] | None:
+        """Return the answer's retained state from the gateway that served it."""
         account = job.request.account
-        if hint.gateway == self._peers.address:
-            entry = await self.claim(hint.request_id, account)
+        if resume_point.gateway == self._peers.address:
+            entry = await self.take_over(resume_point.request_id, account)
             return entry.to_message() if entry else None
-        message = {"request_id": hint.request_id, "account": account}
+        message = {"request_id": resume_point.request_id, "account": account}
         try:
-            kept = await self._peers.ask(hint.gateway, RESUME_PATH, message)
+            retained = await self._peers.call(
+                resume_point.gateway, RESUME_PATH, message
+            )
         except EbonydealError:
             return None
-        return kept if _is_kept(kept) else None
+        return retained if _is_retained_answer(retained) else None
 
 
-def _is_kept(message: dict[str, Any]) -> bool:
-    """Return whether a peer's answer has the wire shape of `Parked`."""
+def _is_retained_answer(message: dict[str, Any]) -> bool:
+    """Return whether a peer's reply is a valid `RetainedAnswer` message."""
     match message:
         case {
             "body_digest": str(),
@@ -208,40 +210,42 @@
     return False
 
 
-def _matches(kept: dict[str, Any], hint: EventHint) -> bool:
-    """Return whether the kept tokens begin with those the caller has."""
-    count = caller_has(hint, kept["delivered"], kept["finish"])
-    tokens = kept["delivered"][:count]
-    return len(tokens) == count and text_digest(tokens) == hint.digest
+def _matches(retained: dict[str, Any], resume_point: ResumePoint) -> bool:
+    """Return whether the retained tokens start with those the caller has."""
+    count = delivered_count(resume_point, retained["delivered"], retained["finish"])
+    tokens = retained["delivered"][:count]
+    return len(tokens) == count and text_digest(tokens) == resume_point.digest
 
 
-def caller_has(hint: EventHint, delivered: list[str], finish: str) -> int:
-    """Return how many tokens a caller with this hint has."""
-    if finish and hint.position == len(delivered):
-        return hint.position
-    return hint.position + 1
+def delivered_count(
+    resume_point: ResumePoint, delivered: list[str], finish: str
+) -> int:
+    """Return how many tokens a caller at this resume point has."""
+    if finish and resume_point.position == len(delivered):
+        return resume_point.position
+    return resume_point.position + 1
 
 
-class SkipDelivered:
-    """Checks that an answer generated again begins as the first one did.
+class DeliveredTokenFilter:
+    """Drops the tokens the caller has from a regenerated answer, after a check.
 
     Parameters
     ----------
-    hint : EventHint
-        How far the caller is.
+    resume_point : ResumePoint
+        Position and digest of the tokens that the caller has.
     """
 
-    def __init__(self, hint: EventHint) -> None:
-        self._hint = hint
+    def __init__(self, resume_point: ResumePoint) -> None:
+        self._resume_point = resume_point
         self._digest = TextDigest()
 
-    def keep(self, piece: Piece) -> bool:
+    def is_missing(self, piece: Piece) -> bool:
         """Return whether the caller lacks this piece.
 
-        Raises EXPIRED where the text differs or ends earlier: the rest would
-        not fit to what the caller was given.
+        Raises EXPIRED if the text differs or ends earlier, because the rest would
+        not match the tokens that the caller has.
         """
-        position = self._hint.position
+        position = self._resume_point.position
         if piece.position > position:
             return True
         if piece.is_token:
@@ -251,8 +255,8 @@
         return not piece.is_token
 
     def _check(self, piece: Piece) -> None:
-        """Raise EXPIRED unless this is the text that the caller has."""
-        same = self._digest.hexdigest() == self._hint.digest
-        if not same or piece.position != self._hint.position:
-            detail = "the answer is no longer kept and came out differently"
+        """Raise EXPIRED unless the text so far equals the caller's."""
+        same = self._digest.hexdigest() == self._resume_point.digest
+        if not same or piece.position != self._resume_point.position:
+            detail = "the answer is no longer retained and the regenerated one differs"
             raise EbonydealError(ErrorKind.EXPIRED, detail)
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -1,4 +1,4 @@
-"""The real parts behind the gateway's ports."""
+"""Builds the components behind the gateway's ports."""
 
 from collections.abc import Iterable
 from random import Random
@@ -10,11 +10,11 @@
 from ebonydeal._internal.config.follower import ConfigFollower
 from ebonydeal._internal.config.peer_routes import join_peers
 from ebonydeal._internal.directory.service import Directory
+from ebonydeal._internal.gateway.admission_queue import AdmissionQueue
 from ebonydeal._internal.gateway.budget import RetryBudget
-from ebonydeal._internal.gateway.desk import AdmissionDesk
+from ebonydeal._internal.gateway.endpoint_subset import EndpointSubset
 from ebonydeal._internal.gateway.parts import GatewayConfig, GatewayPorts
-from ebonydeal._internal.gateway.routes import RouterRoutes
-from ebonydeal._internal.gateway.watchset import WatchSet
+from ebonydeal._internal.gateway.routes import RouterAdapter
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.observe.trail import Trails
@@ -67,11 +67,11 @@
     "journal": JournalSettings,
 }
 _ROLE = "gateway"
-_ASK_SECONDS = 3.0
+_PEER_CALL_TIMEOUT_S = 3.0
 
 
 class _Clients:
-    """The clients of the outside systems."""
+    """Clients of the external systems."""
 
     def __init__(self, cfg: PlatformSettings) -> None:
         self.tables = HttpTables.from_config(cfg)
@@ -101,22 +101,22 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` of this gateway's peer listener; after the start."""
+        """``host:port`` of this gateway's peer listener; set after the start."""
         return self._service.address
 
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
-        """Serve further routes on the peer listener; before the start."""
+        """Add routes to the peer listener; only before the start."""
         self._service.add_routes(routes)
 
-    async def ask(
+    async def call(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         """Call another gateway; raises its `EbonydealError`."""
-        return await self._client.call(address, path, message, _ASK_SECONDS)
+        return await self._client.call(address, path, message, _PEER_CALL_TIMEOUT_S)
 
 
-class _Parts(NamedTuple):
-    """Everything that is built, before it is put behind the ports."""
+class _Components(NamedTuple):
+    """Components that are put behind the ports."""
 
     clients: _Clients
     tls: TlsContexts
@@ -129,8 +129,8 @@
 
 def _build(
     settings: dict[str, Any], metrics: Metrics, clock: Clock, rng: Random
-) -> _Parts:
-    """Build the parts that own sockets."""
+) -> _Components:
+    """Build the components that own sockets."""
     clients = _Clients(settings["platform"])
     tls = TlsContexts.from_config(settings["tls"], clock)
     credential = settings["peers"].credential
@@ -175,20 +175,20 @@
         ssl_context=tls.client,
     )
     client = PeerClient(credential, tls.client)
-    return _Parts(clients, tls, directory, peers, follower, journal, client)
+    return _Components(clients, tls, directory, peers, follower, journal, client)
 
 
 class _Routing(NamedTuple):
-    """The router behind its port, and what keeps it in step."""
+    """The router behind its port, and the subset that it chooses from."""
 
-    routes: RouterRoutes
-    watch: WatchSet
+    routes: RouterAdapter
+    subset: EndpointSubset
 
 
 def _new_routing(
-    settings: dict[str, Any], parts: _Parts, clock: Clock, rng: Random
+    settings: dict[str, Any], parts: _Components, clock: Clock, rng: Random
 ) -> _Routing:
-    """Build the router and let it follow directory and peers."""
+    """Build the router and subscribe it to the directory and the peers."""
     node: NodeSettings = settings["node"]
     place = Place(node.region, node.zone)
     directory = parts.directory
@@ -204,10 +204,10 @@
     def cache_events(endpoint_id: str, events: list[CacheEvent]) -> None:
         router.apply_cache_events(endpoint_id, events, clock.wall())
 
-    def rests(endpoint_id: str, seconds: float) -> None:
+    def back_off(endpoint_id: str, seconds: float) -> None:
         router.back_off(endpoint_id, seconds, clock.wall())
 
-    watch = WatchSet(
+    subset = EndpointSubset(
         PlacedProcess(node.id, place),
         gateways,
         directory,
@@ -215,25 +215,25 @@
         router.retain_only,
         clock,
     )
-    directory.set_watch(watch.watches)
+    directory.set_watch(subset.includes)
     directory.on_cache_events(cache_events)
-    parts.clients.engine.on_backoff = parts.clients.services.on_backoff = rests
-    directory.on_change(lambda _change: watch.refresh())
-    return _Routing(RouterRoutes(router, directory, place, watch.watches), watch)
+    parts.clients.engine.on_backoff = parts.clients.services.on_backoff = back_off
+    directory.on_change(lambda _change: subset.refresh())
+    return _Routing(RouterAdapter(router, directory, place, subset.includes), subset)
 
 
 def new_demand_topic(limits: AccountLimits, clock: Clock) -> DemandTopic:
-    """Return the topic that carries the accounts' demand between gateways."""
+    """Return the gossip topic for the accounts' demand at each gateway."""
     return DemandTopic(
         lambda: limits.report(clock.wall()),
         lambda report: limits.merge_report(report, clock.wall()),
     )
 
 
-class _Closer(Service):
-    """Closes the clients when all that use them have stopped."""
+class _ClientCloser(Service):
+    """Closes the clients after the services that use them have stopped."""
 
-    def __init__(self, parts: _Parts) -> None:
+    def __init__(self, parts: _Components) -> None:
         super().__init__()
         self._parts = parts
 
@@ -244,10 +244,10 @@
         await self._parts.clients.close()
 
 
-def wire(
+def build_ports(
     settings: dict[str, Any], metrics: Metrics, clock: Clock, rng: Random
 ) -> tuple[GatewayConfig, GatewayPorts]:
-    """Build the real parts from settings sections (see `SECTIONS`)."""
+    """Build settings and ports from the settings sections (see `SECTIONS`)."""
     node: NodeSettings = settings["node"]
     gateway: GatewaySettings = settings["gateway"]
     parts = _build(settings, metrics, clock, rng)
@@ -255,8 +255,8 @@
     join_peers(parts.peers, parts.follower, metrics, trails.steps)
     admission = Admission.from_config(settings["admission"], node.id, rng)
     parts.peers.register(new_demand_topic(admission.limits, clock))
-    routes, watch = _new_routing(settings, parts, clock, rng)
-    desk = AdmissionDesk(
+    routes, subset = _new_routing(settings, parts, clock, rng)
+    queue = AdmissionQueue(
         admission, routes.capacity, parts.follower, metrics, trails, clock, rng
     )
     ports = GatewayPorts(
@@ -264,20 +264,20 @@
         services=parts.clients.services,
         routes=routes,
         retries=RetryBudget(RetryPolicy.from_config(settings["retries"], rng)),
-        admission=desk,
+        admission=queue,
         directory=parts.directory,
         config=parts.follower,
         journal=parts.journal,
         peers=_Peers(parts.peers, parts.client),
         trails=trails,
         children=(
-            _Closer(parts),
+            _ClientCloser(parts),
             parts.tls,
             parts.directory,
             parts.peers,
             parts.follower,
-            watch,
-            desk,
+            subset,
+            queue,
         ),
     )
     cfg = GatewayConfig(
--- a/tests/lib/gateway_fakes.py
+++ b/tests/lib/gateway_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes behind the gateway's ports, and a whole gateway on top of them."""
+"""Fakes of the gateway's ports, and a gateway that runs on top of them."""
 
 import asyncio
 import random
@@ -8,7 +8,12 @@
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.gateway.parts import GatewayConfig, GatewayPorts
-from ebonydeal._internal.gateway.ports import RetryPort, Route, RouteAsk, TryFailure
+from ebonydeal._internal.gateway.ports import (
+    EndpointQuery,
+    FailedAttempt,
+    RetryPort,
+    Route,
+)
 from ebonydeal._internal.gateway.program import GatewayProgram
 from ebonydeal._internal.models.document import (
     Account,
@@ -104,12 +109,12 @@
     )
 
 
-def words(count: int) -> list[str]:
+def token_texts(count: int) -> list[str]:
     return [f"w{n} " for n in range(count)]
 
 
 @dataclass
-class Ran:
+class EngineAttempt:
     endpoint: str
     attempt_id: str
     body: dict[str, Any]
@@ -117,15 +122,15 @@
 
 
 class FakeEngine:
-    """Engines whose answer is `words`; `faults[name]` holds what goes wrong.
+    """Engines whose answer is `token_texts`; `faults[endpoint id]` makes one fail.
 
-    A fault is an error to raise after so many chunks, or "stall" or "gap".
+    A fault is (number of chunks before it, an exception to raise, "stall" or "gap").
     """
 
     def __init__(self, count: int = 8) -> None:
-        self.text = words(count)
+        self.text = token_texts(count)
         self.faults: dict[str, tuple[int, Any]] = {}
-        self.ran: list[Ran] = []
+        self.attempts: list[EngineAttempt] = []
         self.cancelled: list[str] = []
         self.exports: list[tuple[str, str]] = []
         self.export_fault: Exception | None = None
@@ -143,7 +148,7 @@
         resume: Resume | None = None,
     ) -> AsyncIterator[Chunk]:
         name = endpoint.endpoint_id
-        self.ran.append(Ran(name, attempt_id, body, resume))
+        self.attempts.append(EngineAttempt(name, attempt_id, body, resume))
         self.open += 1
         try:
             start = len(resume.delivered) if resume else 0
@@ -192,45 +197,45 @@
 
 
 class FakeRoutes:
-    """Takes the first endpoint that is not to be avoided."""
+    """Chooses the first endpoint that is not in ``avoid``."""
 
     def __init__(self, directory: "FakeDirectory") -> None:
         self._directory = directory
-        self.asks: list[RouteAsk] = []
+        self.queries: list[EndpointQuery] = []
         self.reports: list[tuple[str, str]] = []
 
-    def choose(self, ask: RouteAsk, now: float) -> Route | None:
-        self.asks.append(ask)
-        for item in self._directory.views(ask.deployment.name):
-            if (item.endpoint_id, item.incarnation) not in ask.avoid:
+    def choose(self, query: EndpointQuery, now: float) -> Route | None:
+        self.queries.append(query)
+        for item in self._directory.views(query.deployment.name):
+            if (item.endpoint_id, item.incarnation) not in query.avoid:
                 return Route(item, [{"endpoint": item.endpoint_id, "score": 1.0}])
         return None
 
-    def first_token(
+    def record_first_token(
         self, route: Route, seconds: float, cached: int, prefilled: int, now: float
     ) -> None:
         self.reports.append(("first", route.endpoint.endpoint_id))
 
-    def finished(self, route: Route, tokens: int, now: float) -> None:
+    def record_finished(self, route: Route, tokens: int, now: float) -> None:
         self.reports.append(("finished", route.endpoint.endpoint_id))
 
-    def failed(self, route: Route, kind: ErrorKind, now: float) -> None:
+    def record_failure(self, route: Route, kind: ErrorKind, now: float) -> None:
         self.reports.append((str(kind), route.endpoint.endpoint_id))
 
 
 class FakeRetries:
-    """Allows `left` tries beside the free ones."""
+    """Allows `left` attempts in addition to the free ones."""
 
     def __init__(self, left: int = 3) -> None:
         self.left = left
         self.hedges = 1
-        self.failures: list[TryFailure] = []
+        self.failures: list[FailedAttempt] = []
 
-    def first_send(self, deployment: str, now: float) -> None:
+    def record_first_send(self, deployment: str, now: float) -> None:
         pass
 
-    def delay(
-        self, failure: TryFailure, tries: int, now: float
+    def next_delay(
+        self, failure: FailedAttempt, attempts: int, now: float
     ) -> float | EbonydealError:
         self.failures.append(failure)
         if self.left == 0:
@@ -238,7 +243,7 @@
         self.left -= 1
         return 0.0
 
-    def may_hedge(self, deployment: str, deadline: float, now: float) -> bool:
+    def try_hedge(self, deployment: str, deadline: float, now: float) -> bool:
         self.hedges -= 1
         return self.hedges >= 0
 
@@ -263,7 +268,7 @@
         self.admitted.append(request)
         return FakeTicket(self)
 
-    def admit_later(self, request: Request) -> FakeTicket:
+    def admit_deferred(self, request: Request) -> FakeTicket:
         if self.refusal:
             raise self.refusal
         return FakeTicket(self)
@@ -330,7 +335,7 @@
 
 
 class FakeServices:
-    """`answers[name]` is what an endpoint gives: an answer, an error or an event."""
+    """`answers[endpoint id]` is an answer, an error, or an event to wait for."""
 
     def __init__(self) -> None:
         self.answers: dict[str, Any] = {}
@@ -360,7 +365,7 @@
 
 
 class FakePeers:
-    """Gateways that reach each other by address without a socket."""
+    """Connects gateways by address, without sockets."""
 
     def __init__(self, address: str, net: dict[str, GatewayProgram]) -> None:
         self.address = address
@@ -369,17 +374,17 @@
     def add_routes(self, routes: Any) -> None:
         pass
 
-    async def ask(
+    async def call(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         peer = self._net.get(address)
         if peer is None:
             raise EbonydealError(ErrorKind.CONNECT_FAILED, address)
-        return await peer.hand_over(message)
+        return await peer.answer_for_peer(message)
 
 
 class Bench:
-    """One gateway with all its fakes."""
+    """One gateway on top of fakes."""
 
     def __init__(
         self,
