--- a/src/ebonydeal/_internal/benchmarks/journal/rig.py
+++ b/src/ebonydeal/_internal/benchmarks/journal/rig.py
@@ -45,10 +45,10 @@
         """Return False."""
         return False
 
-    def sent(self, request: Request, view: EndpointView) -> None:
+    def record_sent(self, request: Request, view: EndpointView) -> None:
         """Do nothing."""
 
-    def finished(
+    def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
         """Do nothing."""
@@ -162,13 +162,13 @@
 
     async def _offer(self, address: str, shard: int) -> None:
         """Offer a shard as the listener would, without the way over the net."""
-        await self._nodes[address].offered(shard)
+        await self._nodes[address].accept_offer(shard)
 
     async def close(self) -> None:
         """End everything that was started."""
         self.tables.faults.delay = 0.0
         for item in self._started:
             if isinstance(item, ShardOwner):
-                item.lose()
+                item.stop_serving()
         for item in reversed(self._started):
             await item.stop()
--- a/src/ebonydeal/_internal/benchmarks/journal/rounds.py
+++ b/src/ebonydeal/_internal/benchmarks/journal/rounds.py
@@ -196,7 +196,7 @@
     else:
         first._leaving = True
         for owner in list(first.owners.values()):
-            owner.lose()
+            owner.stop_serving()
     await _until(rig, lambda: _serving(second) == cfg.shards)
     took = rig.clock.now() - started
     await rig.close()
--- a/src/ebonydeal/_internal/journal/appender.py
+++ b/src/ebonydeal/_internal/journal/appender.py
@@ -37,7 +37,7 @@
 OnDurable = Callable[[int, Sequence[Record]], None]
 
 
-class Verdict(Enum):
+class WriteOutcome(Enum):
     """What one try to write a row came to."""
 
     DURABLE = "durable"
@@ -105,8 +105,8 @@
         records: Sequence[Record],
         *,
         urgent: bool = False,
-        hold: bool = True,
-        patience: float | None = None,
+        retain: bool = True,
+        max_wait: float | None = None,
     ) -> None:
         """Return once ``records`` are durable in one row.
 
@@ -129,12 +129,12 @@
         """
         if self.fenced.is_set():
             raise fenced_error(self._shard)
-        if not hold:
+        if not retain:
             self._refuse_if_behind(len(records))
-        entry = Entry.of(records, urgent, hold, self._clock.now())
+        entry = Entry.of(records, urgent, retain, self._clock.now())
         self._queue.add(entry)
-        if patience is not None:
-            await self._wait_patiently(entry, patience)
+        if max_wait is not None:
+            await self._wait_patiently(entry, max_wait)
         await asyncio.shield(entry.durable)
 
     async def run(self) -> None:
@@ -143,7 +143,7 @@
             while await self._wait_for_turn():
                 await self._commit(self._queue.take_batch())
         finally:
-            self._pacer.leave(self)
+            self._pacer.remove(self)
             self._queue.fail_all(fenced_error(self._shard))
 
     def close(self) -> None:
@@ -177,8 +177,8 @@
                 ErrorKind.JOURNAL_BEHIND, "Too many records wait to be written."
             )
 
-    async def _wait_patiently(self, entry: Entry, patience: float) -> None:
-        timer = asyncio.ensure_future(self._clock.sleep(patience))
+    async def _wait_patiently(self, entry: Entry, max_wait: float) -> None:
+        timer = asyncio.ensure_future(self._clock.sleep(max_wait))
         try:
             await asyncio.wait(
                 {timer, entry.durable}, return_when=asyncio.FIRST_COMPLETED
@@ -201,7 +201,7 @@
         while not self.fenced.is_set():
             self._queue.changed.clear()
             if not self._queue.entries:
-                self._pacer.leave(self)
+                self._pacer.remove(self)
                 await self._queue.changed.wait()
                 continue
             urgent = self._queue.is_urgent
@@ -233,11 +233,11 @@
         try:
             while True:
                 verdict = await self._try(row)
-                if verdict is Verdict.DURABLE:
+                if verdict is WriteOutcome.DURABLE:
                     return self._acknowledge(batch)
-                if verdict is Verdict.FENCED:
+                if verdict is WriteOutcome.FENCED:
                     return self._fence(batch)
-                if verdict is Verdict.UNAVAILABLE and self._doubt_since is None:
+                if verdict is WriteOutcome.UNAVAILABLE and self._doubt_since is None:
                     return await self._put_back(batch)
                 self._metrics.retried(RetryReason.STORE)
                 await self._clock.sleep(delay)
@@ -247,7 +247,7 @@
                 self._queue.finish(entry, fenced_error(self._shard))
             raise
 
-    async def _try(self, row: dict) -> Verdict:
+    async def _try(self, row: dict) -> WriteOutcome:
         """Try to write ``row`` as the next one, once."""
         key = journal_key(self._shard, self.seq)
         self._metrics.count(Event.TABLE_WRITES)
@@ -261,29 +261,35 @@
             )
         except EbonydealError as exc:
             if exc.kind is ErrorKind.STORE_UNAVAILABLE:
-                return Verdict.UNAVAILABLE
+                return WriteOutcome.UNAVAILABLE
             self._note_doubt()
-            return await self._read_back(key, row["batch"], Verdict.IN_DOUBT)
+            return await self._read_back(key, row["batch"], WriteOutcome.IN_DOUBT)
         if applied:
-            return Verdict.DURABLE
-        return await self._read_back(key, row["batch"], Verdict.FENCED)
+            return WriteOutcome.DURABLE
+        return await self._read_back(key, row["batch"], WriteOutcome.FENCED)
 
     def _note_doubt(self) -> None:
         self._metrics.count(Event.APPENDS_IN_DOUBT)
         if self._doubt_since is None:
             self._doubt_since = self._clock.now()
 
-    async def _read_back(self, key: str, token: str, if_absent: Verdict) -> Verdict:
+    async def _read_back(
+        self, key: str, token: str, if_absent: WriteOutcome
+    ) -> WriteOutcome:
         """Learn from the row itself whose write took effect."""
         self._metrics.count(Event.TABLE_READS)
         try:
             row = await self._tables.get(key)
         except EbonydealError:
             self._note_doubt()
-            return Verdict.IN_DOUBT
+            return WriteOutcome.IN_DOUBT
         if row is None:
             return if_absent
-        return Verdict.DURABLE if row.value.get("batch") == token else Verdict.FENCED
+        return (
+            WriteOutcome.DURABLE
+            if row.value.get("batch") == token
+            else WriteOutcome.FENCED
+        )
 
     def _acknowledge(self, batch: list[Entry]) -> None:
         seq = self.seq
@@ -311,9 +317,9 @@
         refusal = EbonydealError(
             ErrorKind.JOURNAL_UNAVAILABLE, "The table service is unavailable."
         )
-        held = [entry for entry in batch if entry.hold]
+        held = [entry for entry in batch if entry.retain]
         for entry in batch:
-            if not entry.hold:
+            if not entry.retain:
                 self._queue.finish(entry, refusal)
         self._queue.put_back(held)
         self._down_until = self._clock.now() + self._backoff
--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -19,7 +19,7 @@
     STOPPED,
     UNKNOWN,
     Interrupted,
-    cancel_word,
+    cancel_attempt,
     parse_body,
     run_engine,
     run_service,
@@ -42,7 +42,7 @@
 
 logger = get_logger("journal")
 
-PROOFS = (ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED)
+NOT_RUN_ERRORS = (ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED)
 # The endpoint's own refusal of the request: sending it again can't help.
 ANSWER_KINDS = (
     ErrorKind.BAD_REQUEST,
@@ -62,13 +62,13 @@
 
 
 @dataclass(frozen=True)
-class Again:
+class RetryLater:
     """A further attempt is due after ``delay`` seconds."""
 
     delay: float = 0.0
 
 
-Step = Done | Again
+AttemptResult = Done | RetryLater
 
 
 def backoff(failures: int) -> float:
@@ -113,12 +113,12 @@
         self._on_slot_free = on_slot_free
         self._crashes = crashes or CrashGuard(metrics, clock)
 
-    async def run(self, job: Job, view: EndpointView) -> Step:
+    async def run(self, job: Job, view: EndpointView) -> AttemptResult:
         """Make one attempt at ``view``; raises FENCED when the shard is lost."""
         try:
-            body = await job.book.request_body(job.request)
+            body = await job.journal.load_request_body(job.request)
         except EbonydealError:
-            return Again(BODY_RETRY_S)
+            return RetryLater(BODY_RETRY_S)
         if job.request.kind is not RequestKind.SERVICE:
             try:
                 parse_body(body)
@@ -143,32 +143,32 @@
             await self._end(job, ErrorKind.CANCELLED, "it had not been sent")
 
     async def _append(self, job: Job, *records: Record) -> None:
-        await job.book.record(records, urgent=not job.request.idempotent)
+        await job.journal.append(records, urgent=not job.request.idempotent)
 
-    async def _end(self, job: Job, kind: ErrorKind, why: str) -> Step:
+    async def _end(self, job: Job, kind: ErrorKind, why: str) -> AttemptResult:
         wall = self._clock.wall()
         await self._append(job, Ended(job.request_id, str(kind), why, wall))
         return Done()
 
-    async def _unknown(self, job: Job, why: str) -> Step:
-        state = job.book.state(job.request_id)
+    async def _unknown(self, job: Job, why: str) -> AttemptResult:
+        state = job.journal.state(job.request_id)
         attempt = 0 if state is None else state.attempt
         wall = self._clock.wall()
         await self._append(job, Unknown(job.request_id, attempt, why, wall))
         return Done()
 
-    async def _give_up(self, job: Job, error: EbonydealError) -> Step:
+    async def _give_up(self, job: Job, error: EbonydealError) -> AttemptResult:
         """End a request that brings endpoints down: it is delivered no more."""
         if job.may_have_run or job.partial:
             return await self._unknown(job, error.detail.rstrip("."))
         return await self._end(job, error.kind, error.detail.rstrip("."))
 
-    async def _complete(self, job: Job, answer: StoredAnswer) -> Step:
-        state = job.book.state(job.request_id)
+    async def _complete(self, job: Job, answer: StoredAnswer) -> AttemptResult:
+        state = job.journal.state(job.request_id)
         if state is None or state.is_final:
             self._metrics.count(Event.LATE_ANSWER_DROPPED)
             return Done()
-        kept = await job.book.keep_answer(job.request_id, answer)
+        kept = await job.journal.store_answer(job.request_id, answer)
         attempt = state.attempt or job.attempt
         wall = self._clock.wall()
         await self._append(job, Completed(job.request_id, attempt, kept, wall))
@@ -181,7 +181,7 @@
         """Let ``view`` work on the request and return its whole answer."""
         job.sending = True
         job.view = view
-        self._picker.sent(job.request, view)
+        self._picker.record_sent(job.request, view)
         error: ErrorKind | None = ErrorKind.CANCELLED
         try:
             answer = await self._send_by_kind(job, view, body, attempt_id)
@@ -198,7 +198,7 @@
         finally:
             job.sending = False
             job.view = None
-            self._picker.finished(job.request, view, error)
+            self._picker.record_finished(job.request, view, error)
             self._on_slot_free()
 
     async def _send_by_kind(
@@ -231,7 +231,9 @@
             self._metrics.count(Event.TOKENS_RECOMPUTED_RESUME, again)
 
     # --- idempotent ---------------------------------------------------------------
-    async def _run_idempotent(self, job: Job, view: EndpointView, body: str) -> Step:
+    async def _run_idempotent(
+        self, job: Job, view: EndpointView, body: str
+    ) -> AttemptResult:
         if job.cancelled:
             await self.cancel_waiting(job)
             return Done()
@@ -252,18 +254,18 @@
             return self._again(job, view, RetryReason.ENDPOINT_FAILED)
         return await self._complete(job, answer)
 
-    def _again(self, job: Job, view: EndpointView, reason: RetryReason) -> Again:
+    def _again(self, job: Job, view: EndpointView, reason: RetryReason) -> RetryLater:
         """Prepare a further attempt elsewhere."""
         self._metrics.retried(reason)
         job.interrupt.clear()
         job.exclude.add(view.endpoint_id)
         if reason is RetryReason.LEAVING:
-            return Again()
+            return RetryLater()
         job.failures += 1
-        return Again(backoff(job.failures))
+        return RetryLater(backoff(job.failures))
 
     # --- non-idempotent --------------------------------------------------------------
-    async def _run_once(self, job: Job, view: EndpointView, body: str) -> Step:
+    async def _run_once(self, job: Job, view: EndpointView, body: str) -> AttemptResult:
         if not job.partial:
             if self._has_open_grant(job):
                 return await self._unknown(job, "an attempt has no outcome")
@@ -278,20 +280,20 @@
         except EbonydealError as exc:
             if exc.kind in ANSWER_KINDS:
                 return await self._complete(job, error_answer(exc))
-            if exc.kind in PROOFS:
+            if exc.kind in NOT_RUN_ERRORS:
                 return await self._not_run(job, view, retry_reason(exc.kind))
             await self._crashes.failed(job.request, view, exc.kind)
             word = UNKNOWN
             if view.kind is EndpointKind.ENGINE:
-                word = await cancel_word(self._engine, view, attempt_id)
+                word = await cancel_attempt(self._engine, view, attempt_id)
             return await self._after_stop(job, view, word, exc.detail or str(exc.kind))
         return await self._complete(job, answer)
 
     def _has_open_grant(self, job: Job) -> bool:
-        state = job.book.state(job.request_id)
+        state = job.journal.state(job.request_id)
         return state is not None and state.phase is Phase.DISPATCHED
 
-    async def _grant(self, job: Job, view: EndpointView) -> Step | None:
+    async def _grant(self, job: Job, view: EndpointView) -> AttemptResult | None:
         """Make ``dispatched`` durable; return a step if nothing may be sent."""
         deadline = job.request.deadline
         if deadline and self._clock.wall() > deadline:
@@ -300,13 +302,13 @@
         if job.cancelled:
             await self.cancel_waiting(job)
             return Done()
-        state = job.book.state(job.request_id)
+        state = job.journal.state(job.request_id)
         attempt = 1 if state is None else state.attempt + 1
         await self._append(
             job,
             Dispatched(job.request_id, attempt, view.endpoint_id, view.incarnation),
         )
-        state = job.book.state(job.request_id)
+        state = job.journal.state(job.request_id)
         granted = state is not None and state.attempt == attempt and not state.is_final
         if not granted:
             return Done()
@@ -315,13 +317,15 @@
             return await self._not_run(job, view, RetryReason.LEAVING)
         return None
 
-    async def _not_run(self, job: Job, view: EndpointView, reason: RetryReason) -> Step:
+    async def _not_run(
+        self, job: Job, view: EndpointView, reason: RetryReason
+    ) -> AttemptResult:
         """Record the proof that the granted attempt did not run."""
         if job.partial:
             if job.cancelled:
                 return await self._unknown(job, "it was cancelled while it ran")
         else:
-            state = job.book.state(job.request_id)
+            state = job.journal.state(job.request_id)
             attempt = 0 if state is None else state.attempt
             records: list[Record] = [NotRun(job.request_id, attempt, str(reason))]
             if job.cancelled:
@@ -336,7 +340,7 @@
 
     async def _after_stop(
         self, job: Job, view: EndpointView, word: str, why: str
-    ) -> Step:
+    ) -> AttemptResult:
         """Go by the engine's word on an attempt that gave no whole answer."""
         if word == NOT_STARTED:
             return await self._not_run(job, view, RetryReason.LEAVING)
--- a/src/ebonydeal/_internal/journal/backlog.py
+++ b/src/ebonydeal/_internal/journal/backlog.py
@@ -13,8 +13,8 @@
 
 BACKLOG = "backlog/"
 SERVICE_CALL_S = 4.0
-MOST_ENTRIES = 200
-LAPSED_S = 3600.0
+MAX_ENTRIES = 200
+STALE_ROW_AGE_S = 3600.0
 
 SlotsOf = Callable[[str], int]
 Jobs = list[list[float]]
@@ -30,20 +30,20 @@
     return key.removeprefix(BACKLOG).partition(":")[2] == node_id
 
 
-def is_lapsed(value: dict[str, Any], wall: float) -> bool:
+def is_stale(value: dict[str, Any], wall: float) -> bool:
     """Return whether a row of a node that is gone counts no more.
 
-    Its deadlines have passed and it was not renewed for ``LAPSED_S``. A row in
+    Its deadlines have passed and it was not renewed for ``STALE_ROW_AGE_S``. A row in
     another shape is left alone.
     """
     match value:
         case {"jobs": list(jobs), "at": float(at) | int(at)}:
             deadlines = [job[0] for job in jobs if isinstance(job, list) and job]
-            return max([at, *deadlines]) + LAPSED_S < wall
+            return max([at, *deadlines]) + STALE_ROW_AGE_S < wall
     return False
 
 
-def work_seconds(request: Request, deployment: Deployment, slots: int) -> float:
+def replica_seconds(request: Request, deployment: Deployment, slots: int) -> float:
     """Return the replica seconds that a request takes, from above."""
     if request.max_tokens <= 0:
         return SERVICE_CALL_S / max(1, slots)
@@ -51,7 +51,7 @@
     return (deployment.first_token_s + tokens_s) / max(1, slots)
 
 
-def merged(work: dict[float, float], most: int = MOST_ENTRIES) -> Jobs:
+def merge_deadlines(work: dict[float, float], most: int = MAX_ENTRIES) -> Jobs:
     """Return (deadline, replica seconds) in order of deadlines, ``most`` at most.
 
     Neighbours are merged under the earliest of their deadlines, so that no work
@@ -97,10 +97,10 @@
         name = request.deployment
         if name not in self._slots:
             self._slots[name] = self._slots_of(name)
-        seconds = work_seconds(request, deployment, self._slots[name])
+        seconds = replica_seconds(request, deployment, self._slots[name])
         work = self._work.setdefault(name, {})
         work[request.deadline] = work.get(request.deadline, 0.0) + seconds
 
     def jobs(self) -> dict[str, Jobs]:
         """Return the rows' jobs by deployment; none for those without work."""
-        return {name: merged(work) for name, work in self._work.items()}
+        return {name: merge_deadlines(work) for name, work in self._work.items()}
--- a/src/ebonydeal/_internal/journal/backlog_rows.py
+++ b/src/ebonydeal/_internal/journal/backlog_rows.py
@@ -14,10 +14,10 @@
     Jobs,
     SlotsOf,
     backlog_key,
-    is_lapsed,
     is_row_of,
+    is_stale,
 )
-from ebonydeal._internal.journal.leases import renew_every
+from ebonydeal._internal.journal.leases import renewal_interval
 from ebonydeal._internal.models.document import Document
 from ebonydeal._internal.models.requests import Request
 from ebonydeal._internal.observe.counters import Event, Metrics, RetryReason
@@ -34,9 +34,9 @@
 
 logger = get_logger("journal")
 
-EVERY_S = 10.0
+PUBLISH_INTERVAL_S = 10.0
 # The controller counts rows as fresh for 120 s.
-RENEW_S = 60.0
+RENEWAL_INTERVAL_S = 60.0
 WRITES_PER_S = 10.0
 MOST_ROWS = 50
 JITTER = 0.2
@@ -55,9 +55,9 @@
 class BacklogRows(Service):
     """Owns the rows ``backlog/{deployment}:{node}`` of one node.
 
-    All rows that changed go into one write, at most one each ``EVERY_S`` seconds
-    and ``WRITES_PER_S`` over all nodes. Rows are a hint that decides nothing of
-    the requests, so a table outage only makes them late.
+    All changed rows go into one write, at most one per ``PUBLISH_INTERVAL_S`` and
+    ``WRITES_PER_S`` over all nodes. The rows are a hint and affect no request, so
+    a table outage only delays them.
 
     Parameters
     ----------
@@ -105,7 +105,7 @@
     async def _publish(self) -> None:
         """Write what has changed, now and then."""
         while not self.should_stop:
-            every = renew_every(EVERY_S, self._nodes(), WRITES_PER_S)
+            every = renewal_interval(PUBLISH_INTERVAL_S, self._nodes(), WRITES_PER_S)
             jitter = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
             await self._clock.sleep(every * jitter)
             try:
@@ -135,7 +135,7 @@
             for row in page:
                 if is_row_of(row.key, self._node_id):
                     self._rows[row.key] = _Written(None, 0.0)
-                elif is_lapsed(row.value, self._clock.wall()):
+                elif is_stale(row.value, self._clock.wall()):
                     lapsed.append(row)
             if len(page) < _SCAN_ROWS:
                 self._known = True
@@ -166,7 +166,7 @@
         writes: list[Write] = [Delete(key) for key in self._rows if key not in jobs]
         for key, items in jobs.items():
             old = self._rows.get(key)
-            if old is None or old.jobs != items or wall - old.at >= RENEW_S:
+            if old is None or old.jobs != items or wall - old.at >= RENEWAL_INTERVAL_S:
                 writes.append(Put(key, {"jobs": items, "at": wall}))
         return writes
 
--- a/src/ebonydeal/_internal/journal/bodies.py
+++ b/src/ebonydeal/_internal/journal/bodies.py
@@ -46,7 +46,7 @@
             raise
         return name
 
-    async def keep_request(self, request: Request) -> Request:
+    async def store_request(self, request: Request) -> Request:
         """Return ``request`` as it goes into a record.
 
         Raises ``JOURNAL_UNAVAILABLE`` when its body has nowhere to be kept.
@@ -62,18 +62,18 @@
             return request
         return request._replace(body="", body_object=name)
 
-    async def keep_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
+    async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
         """Return ``answer`` as it goes into a record; raises the store's errors."""
         name = await self._keep(request_id, answer.body)
         if not name:
             return answer
         return answer._replace(body="", body_object=name)
 
-    async def request_body(self, request: Request) -> str:
+    async def load_request_body(self, request: Request) -> str:
         """Return a request's body text; raises the store's errors."""
         return await self._load(request.body, request.body_object)
 
-    async def whole_answer(self, answer: StoredAnswer) -> StoredAnswer:
+    async def load_answer(self, answer: StoredAnswer) -> StoredAnswer:
         """Return ``answer`` with its body text; raises the store's errors."""
         body = await self._load(answer.body, answer.body_object)
         return answer._replace(body=body, body_object="")
@@ -86,7 +86,7 @@
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, f"{name} is not there")
         return data.decode()
 
-    async def forget(self, names: list[str]) -> None:
+    async def delete(self, names: list[str]) -> None:
         """Delete objects; what the store refuses is left for the next sweep."""
         for name in names:
             try:
@@ -94,7 +94,7 @@
             except EbonydealError:
                 return
 
-    async def former(self) -> list[str]:
+    async def earlier_objects(self) -> list[str]:
         """Return the shard's objects of earlier epochs.
 
         Those of later ones are there too when this process was paused past a
--- a/src/ebonydeal/_internal/journal/dispatcher.py
+++ b/src/ebonydeal/_internal/journal/dispatcher.py
@@ -1,7 +1,7 @@
 """Runs accepted requests in deadline order on the endpoints there are.
 
 One dispatcher serves all shards of a process. It decides nothing about
-durability: outcomes go through the `Book` of the request's shard.
+durability: outcomes go through the `ShardJournal` of the request's shard.
 """
 
 import asyncio
@@ -9,8 +9,8 @@
 from mode import Service
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.journal.attempts import Again, Attempts, Done
-from ebonydeal._internal.journal.jobs import Book, Job, Picker
+from ebonydeal._internal.journal.attempts import Attempts, Done, RetryLater
+from ebonydeal._internal.journal.jobs import Job, Picker, ShardJournal
 from ebonydeal._internal.journal.workqueue import WorkQueue, order_of
 from ebonydeal._internal.models.endpoints import EndpointKind, EndpointView, LeavingMark
 from ebonydeal._internal.models.requests import Request
@@ -77,19 +77,21 @@
                 job.task.cancel()
 
     # --- the owners' side --------------------------------------------------------
-    def submit(self, book: Book, request_id: str, may_have_run: bool) -> None:
+    def submit(
+        self, journal: ShardJournal, request_id: str, may_have_run: bool
+    ) -> None:
         """Run an accepted request when its turn comes; a known one is ignored."""
-        state = book.state(request_id)
-        key = (book.shard, request_id)
+        state = journal.state(request_id)
+        key = (journal.shard, request_id)
         if state is None or key in self._jobs:
             return
-        job = Job(book, state.request, may_have_run)
+        job = Job(journal, state.request, may_have_run)
         self._jobs[key] = job
         self._push(job, 0.0)
 
-    async def cancel(self, book: Book, request_id: str) -> None:
+    async def cancel(self, journal: ShardJournal, request_id: str) -> None:
         """Stop a request; returns once its end is durable or it can't be stopped."""
-        job = self._jobs.get((book.shard, request_id))
+        job = self._jobs.get((journal.shard, request_id))
         if job is None:
             return
         job.cancelled = True
@@ -107,39 +109,39 @@
         timer.cancel()
         ended.cancel()
 
-    async def drain(self, book: Book, limit: float) -> bool:
+    async def drain(self, journal: ShardJournal, limit: float) -> bool:
         """Start no more of a shard's work; return whether all runs ended in time."""
-        self._draining.add(book.shard)
+        self._draining.add(journal.shard)
         end = self._clock.now() + limit
-        while self._is_busy(book) and self._clock.now() < end:
+        while self._is_busy(journal) and self._clock.now() < end:
             await self._clock.sleep(DRAIN_POLL_S)
-        return not self._is_busy(book)
+        return not self._is_busy(journal)
 
-    def drop(self, book: Book) -> None:
+    def drop(self, journal: ShardJournal) -> None:
         """Forget a shard's work at once; its runs are cancelled."""
-        self._draining.discard(book.shard)
-        for job in [item for item in self._jobs.values() if item.book is book]:
+        self._draining.discard(journal.shard)
+        for job in [item for item in self._jobs.values() if item.journal is journal]:
             self._forget(job)
             if job.task is not None:
                 job.task.cancel()
 
-    def _is_busy(self, book: Book) -> bool:
+    def _is_busy(self, journal: ShardJournal) -> bool:
         """Return whether a shard has runs that a new owner couldn't go on with."""
-        return any(job.book is book for job in self._active)
+        return any(job.journal is journal for job in self._active)
 
     def _forget(self, job: Job) -> None:
-        key = (job.book.shard, job.request_id)
+        key = (job.journal.shard, job.request_id)
         if self._jobs.get(key) is job:
             del self._jobs[key]
         self._active.discard(job)
         job.ended.set()
 
-    def waiting(self) -> list[Request]:
+    def waiting_requests(self) -> list[Request]:
         """Return the requests that no endpoint works on now."""
         return [job.request for job in self._jobs.values() if not job.sending]
 
     # --- leaving endpoints ----------------------------------------------------------
-    def leaving(self, mark: LeavingMark) -> None:
+    def on_endpoint_leaving(self, mark: LeavingMark) -> None:
         """Let runs on a leaving endpoint finish within the notice, else stop them."""
         for job in self._active:
             if job.sending and job.is_covered(mark):
@@ -153,7 +155,7 @@
         if job.sending and job.view is view and job.attempt == attempt:
             job.interrupt.ask("leaving")
 
-    def endpoints_changed(self) -> None:
+    def on_endpoints_changed(self) -> None:
         """Try again what had no endpoint."""
         self._queue.unblock_all()
         self._wake()
@@ -193,9 +195,9 @@
         job = self._queue.take(self._clock.now())
         if job is None:
             return False
-        if self._jobs.get((job.book.shard, job.request_id)) is not job:
+        if self._jobs.get((job.journal.shard, job.request_id)) is not job:
             return True
-        if job.book.shard in self._draining and not job.partial:
+        if job.journal.shard in self._draining and not job.partial:
             return True
         view = self._picker.pick(job.request, frozenset(job.exclude))
         if view is None:
@@ -240,6 +242,6 @@
         match step:
             case Done():
                 self._forget(job)
-            case Again(delay=delay):
+            case RetryLater(delay=delay):
                 self._push(job, delay)
         self._wake()
--- a/src/ebonydeal/_internal/journal/entries.py
+++ b/src/ebonydeal/_internal/journal/entries.py
@@ -37,13 +37,13 @@
     messages: list[dict]
     size: int
     urgent: bool
-    hold: bool
+    retain: bool
     asked_at: float
     durable: asyncio.Future = field(repr=False)
 
     @classmethod
     def of(
-        cls, records: Sequence[Record], urgent: bool, hold: bool, now: float
+        cls, records: Sequence[Record], urgent: bool, retain: bool, now: float
     ) -> "Entry":
         """Build from records, inside the running loop."""
         messages = [record_to_message(record) for record in records]
@@ -52,7 +52,7 @@
             messages=messages,
             size=len(msgspec.json.encode(messages)),
             urgent=urgent,
-            hold=hold,
+            retain=retain,
             asked_at=now,
             durable=asyncio.get_running_loop().create_future(),
         )
--- a/src/ebonydeal/_internal/journal/fold.py
+++ b/src/ebonydeal/_internal/journal/fold.py
@@ -143,7 +143,7 @@
             states[request_id] = state
 
 
-def expired(
+def expiry_records(
     states: dict[str, RequestState], before: float, limit: int
 ) -> list[Expired]:
     """Return records that forget requests which were final ``before`` that time."""
--- a/src/ebonydeal/_internal/journal/jobs.py
+++ b/src/ebonydeal/_internal/journal/jobs.py
@@ -22,16 +22,16 @@
     def is_leaving(self, view: EndpointView) -> bool:
         """Return whether an endpoint is known to be going away."""
 
-    def sent(self, request: Request, view: EndpointView) -> None:
+    def record_sent(self, request: Request, view: EndpointView) -> None:
         """Learn that a run at an endpoint starts."""
 
-    def finished(
+    def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
         """Learn that a run at an endpoint has ended, and with which error."""
 
 
-class Book(Protocol):
+class ShardJournal(Protocol):
     """A shard's durable records, as its owner lends them to the dispatcher."""
 
     shard: int
@@ -40,13 +40,13 @@
     def state(self, request_id: str) -> RequestState | None:
         """Return the durable state of a request."""
 
-    async def record(self, records: Sequence[Record], urgent: bool) -> None:
+    async def append(self, records: Sequence[Record], urgent: bool) -> None:
         """Return once ``records`` are durable; raises FENCED."""
 
-    async def request_body(self, request: Request) -> str:
+    async def load_request_body(self, request: Request) -> str:
         """Return a request's body; raises the object store's errors."""
 
-    async def keep_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
+    async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
         """Return an answer as it goes into a record."""
 
 
@@ -83,7 +83,7 @@
         Set when the request is final or can't be stopped.
     """
 
-    book: Book
+    journal: ShardJournal
     request: Request
     may_have_run: bool
     partial: bool = False
@@ -106,7 +106,7 @@
     def next_attempt_id(self) -> str:
         """Return a fresh attempt id, unique over owners."""
         self.attempt += 1
-        return f"{self.request_id}.{self.book.epoch}.{self.attempt}"
+        return f"{self.request_id}.{self.journal.epoch}.{self.attempt}"
 
     def is_covered(self, mark: LeavingMark) -> bool:
         """Return whether ``mark`` is about the endpoint that works on it."""
--- a/src/ebonydeal/_internal/journal/leases.py
+++ b/src/ebonydeal/_internal/journal/leases.py
@@ -130,7 +130,7 @@
         }
 
 
-def renew_every(base: float, nodes: int, writes_per_s: float) -> float:
+def renewal_interval(base: float, nodes: int, writes_per_s: float) -> float:
     """Return seconds between renewals so that all nodes keep to a write rate."""
     return max(base, nodes / max(writes_per_s, 1e-9))
 
--- a/src/ebonydeal/_internal/journal/upkeep.py
+++ b/src/ebonydeal/_internal/journal/maintenance.py
@@ -4,7 +4,7 @@
 from ebonydeal._internal.journal.appender import Appender
 from ebonydeal._internal.journal.bodies import Bodies
 from ebonydeal._internal.journal.claims import Claim
-from ebonydeal._internal.journal.fold import RequestState, expired
+from ebonydeal._internal.journal.fold import RequestState, expiry_records
 from ebonydeal._internal.journal.snapshots import encode_states, save_snapshot, trim
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.outside.interfaces import Objects, Tables
@@ -16,7 +16,7 @@
 _EXPIRE_SHARE = 0.01
 
 
-class Upkeep:
+class ShardMaintenance:
     """Upkeep of one shard during one epoch; called by its owner only.
 
     Parameters
@@ -53,7 +53,7 @@
         self._forget: list[str] = []
         self._expire_at = 0.0
 
-    def note_objects(self, request_id: str) -> None:
+    def collect_objects(self, request_id: str) -> None:
         """Remember the objects of a request that is being forgotten."""
         state = self._states.get(request_id)
         if state is not None:
@@ -70,11 +70,11 @@
         retention = self._cfg.retention_seconds
         self._expire_at = now + min(EXPIRE_EVERY_S, retention * _EXPIRE_SHARE)
         before = self._clock.wall() - retention
-        records = expired(self._states, before, EXPIRE_AT_ONCE)
+        records = expiry_records(self._states, before, EXPIRE_AT_ONCE)
         if records:
             await appender.append(records)
             names, self._forget = self._forget, []
-            await self._bodies.forget(names)
+            await self._bodies.delete(names)
 
     async def snapshot_if_due(self, seq: int) -> bool:
         """Snapshot and trim when enough rows have been written since the last.
@@ -94,13 +94,13 @@
         self._metrics.count(Event.SNAPSHOTS)
         await trim(self._tables, self._claim, seq)
         if replaced:
-            await self._bodies.forget([replaced])
+            await self._bodies.delete([replaced])
         return True
 
-    async def former_objects(self) -> list[str]:
+    async def earlier_objects(self) -> list[str]:
         """Return objects of former owners; none while the store is down."""
         try:
-            return await self._bodies.former()
+            return await self._bodies.earlier_objects()
         except EbonydealError:
             return []
 
@@ -108,7 +108,7 @@
         """Delete former owners' objects, but for those in use."""
         used = {name for state in self._states.values() for name in _objects_of(state)}
         used.add(snapshot)
-        await self._bodies.forget([name for name in names if name not in used])
+        await self._bodies.delete([name for name in names if name not in used])
 
 
 def _objects_of(state: RequestState) -> list[str]:
--- a/src/ebonydeal/_internal/journal/node.py
+++ b/src/ebonydeal/_internal/journal/node.py
@@ -14,7 +14,7 @@
     LiveNode,
     NodeLease,
     read_leases,
-    renew_every,
+    renewal_interval,
 )
 from ebonydeal._internal.journal.owner import ShardOwner
 from ebonydeal._internal.journal.parts import OwnerParts
@@ -125,7 +125,7 @@
 
     def _renew_every(self) -> float:
         budget = self._cfg.lease_writes_per_s
-        return renew_every(self._cfg.renew_seconds, len(self._view.nodes), budget)
+        return renewal_interval(self._cfg.renew_seconds, len(self._view.nodes), budget)
 
     def _jittered(self, seconds: float) -> float:
         return seconds * self._parts.rng.uniform(1.0 - JITTER, 1.0 + JITTER)
@@ -153,8 +153,8 @@
         """Read nodes and shards, and act on what they say."""
         while not self.should_stop and not self._leaving:
             try:
-                await self.read()
-                await self.act()
+                await self.refresh_view()
+                await self.apply_plan()
             except EbonydealError as exc:
                 self._parts.metrics.retried(RetryReason.STORE)
                 if exc.kind is ErrorKind.INTERNAL:
@@ -166,7 +166,7 @@
         nodes = len(self._view.nodes)
         return self._cfg.renew_seconds * max(1.0, nodes / NODES_PER_READING)
 
-    async def read(self) -> None:
+    async def refresh_view(self) -> None:
         """Read all node and shard rows."""
         nodes = await self._scan(NODES)
         shards = await self._scan(SHARDS)
@@ -189,7 +189,7 @@
                 return rows
             start = page[-1].key + "\0"
 
-    async def act(self) -> None:
+    async def apply_plan(self) -> None:
         """Claim and hand over what the present view asks for."""
         now = self._clock.now()
         held = {shard: HeldShard(shard, at) for shard, at in self._since.items()}
@@ -229,7 +229,7 @@
         for shard, owner in list(self.owners.items()):
             row = rows.get(shard)
             if row is not None and row.epoch > owner.epoch:
-                owner.lose()
+                owner.stop_serving()
 
     async def _claim(self, shard: int, seen: Row | None) -> None:
         """Claim a shard whose row is as ``seen``, and start its owner."""
@@ -280,7 +280,7 @@
         except EbonydealError as exc:
             logger.info("An offer was not heard.", shard=shard, error=str(exc))
 
-    async def offered(self, shard: int) -> bool:
+    async def accept_offer(self, shard: int) -> bool:
         """Claim a shard that its owner has freed; return whether it is here."""
         if shard in self.owners:
             return True
--- a/src/ebonydeal/_internal/journal/owner.py
+++ b/src/ebonydeal/_internal/journal/owner.py
@@ -14,10 +14,10 @@
 from ebonydeal._internal.journal.bodies import Bodies
 from ebonydeal._internal.journal.claims import Claim, release_shard
 from ebonydeal._internal.journal.fold import Phase, RequestState, apply_all
+from ebonydeal._internal.journal.maintenance import ShardMaintenance
 from ebonydeal._internal.journal.parts import OwnerParts
 from ebonydeal._internal.journal.snapshots import Replayed, replay
 from ebonydeal._internal.journal.status import StatusMessage, status_message
-from ebonydeal._internal.journal.upkeep import Upkeep
 from ebonydeal._internal.models.records import (
     Accepted,
     Expired,
@@ -31,7 +31,7 @@
 logger = get_logger("journal")
 
 REPLAY_RETRY_S = 0.5
-UPKEEP_S = 1.0
+MAINTENANCE_INTERVAL_S = 1.0
 STORE_RETRY_S = 1.0
 
 
@@ -67,7 +67,7 @@
         self._bodies = Bodies(parts.objects, claim.shard, claim.epoch, parts.cfg)
         self._accepting: dict[str, asyncio.Task[None]] = {}
         self._changes: dict[str, asyncio.Event] = {}
-        self.upkeep = Upkeep(
+        self.maintenance = ShardMaintenance(
             claim,
             self.states,
             self._bodies,
@@ -99,11 +99,11 @@
     async def _live(self) -> None:
         """Replay, then write until fenced."""
         replayed = await self._replay()
-        former = await self.upkeep.former_objects()
+        former = await self.maintenance.earlier_objects()
         self.open(replayed)
-        self.add_future(self.upkeep.sweep(former, replayed.snapshot))
+        self.add_future(self.maintenance.sweep(former, replayed.snapshot))
         await self._appender.run()
-        self.lose()
+        self.stop_serving()
 
     async def _replay(self) -> Replayed:
         """Read the shard, however long the stores need."""
@@ -117,7 +117,7 @@
     def open(self, replayed: Replayed) -> None:
         """Start serving what a replay found."""
         self.states.update(replayed.states)
-        self.upkeep.snapshot_seq = replayed.snapshot_seq
+        self.maintenance.snapshot_seq = replayed.snapshot_seq
         self._appender = self._new_appender(replayed.seq)
         self.serving = True
         cut_off: list[Record] = []
@@ -146,7 +146,7 @@
         except EbonydealError as exc:
             logger.warning("Records were not kept.", shard=self.shard, error=str(exc))
 
-    def lose(self) -> None:
+    def stop_serving(self) -> None:
         """Stop serving at once: the shard has, or may have, another owner."""
         if self._lost:
             return
@@ -174,7 +174,7 @@
         freed = clean and await release_shard(
             self._parts.tables, self.claim, self._clock
         )
-        self.lose()
+        self.stop_serving()
         return freed
 
     # --- callers -----------------------------------------------------------------
@@ -215,12 +215,12 @@
         return state
 
     async def _append_accepted(self, request: Request, urgent: bool) -> None:
-        kept = await self._bodies.keep_request(request)
+        kept = await self._bodies.store_request(request)
         await self._appender.append(
             [Accepted(kept)],
             urgent=urgent,
-            hold=False,
-            patience=self._cfg.append_patience,
+            retain=False,
+            max_wait=self._cfg.append_patience,
         )
 
     async def call(self, request: Request, wait: float) -> StatusMessage:
@@ -263,7 +263,7 @@
         if state.answer is None:
             return status_message(state, None)
         try:
-            answer = await self._bodies.whole_answer(state.answer)
+            answer = await self._bodies.load_answer(state.answer)
         except EbonydealError as exc:
             # The request has run: nothing that reads as "not run" may be said.
             raise EbonydealError(
@@ -283,19 +283,19 @@
         """Return the durable state of a request."""
         return self.states.get(request_id)
 
-    async def record(self, records: Sequence[Record], urgent: bool) -> None:
+    async def append(self, records: Sequence[Record], urgent: bool) -> None:
         """Append and hold until durable; raises FENCED."""
         await self._appender.append(records, urgent=urgent)
 
-    async def request_body(self, request: Request) -> str:
+    async def load_request_body(self, request: Request) -> str:
         """Return a request's body; raises the store's errors."""
-        return await self._bodies.request_body(request)
+        return await self._bodies.load_request_body(request)
 
-    async def keep_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
+    async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
         """Return an answer as it goes into a record, however long that takes."""
         while True:
             try:
-                return await self._bodies.keep_answer(request_id, answer)
+                return await self._bodies.store_answer(request_id, answer)
             except EbonydealError:
                 await self._clock.sleep(STORE_RETRY_S)
 
@@ -304,7 +304,7 @@
         """Fold a durable row and wake whom it concerns."""
         for record in records:
             if isinstance(record, Expired):
-                self.upkeep.note_objects(record.request_id)
+                self.maintenance.collect_objects(record.request_id)
             apply_all(self.states, [record])
             if isinstance(record, Accepted):
                 request_id = record.request.request_id
@@ -322,11 +322,11 @@
     async def _keep_up(self) -> None:
         """Expire and snapshot now and then."""
         while not self.should_stop and not self._lost:
-            await self._clock.sleep(UPKEEP_S)
+            await self._clock.sleep(MAINTENANCE_INTERVAL_S)
             if not self.serving:
                 continue
             try:
-                await self.upkeep.expire(self._appender)
-                await self.upkeep.snapshot_if_due(self._appender.seq)
+                await self.maintenance.expire(self._appender)
+                await self.maintenance.snapshot_if_due(self._appender.seq)
             except EbonydealError as exc:
                 logger.warning("Upkeep failed.", shard=self.shard, error=str(exc))
--- a/src/ebonydeal/_internal/journal/pacing.py
+++ b/src/ebonydeal/_internal/journal/pacing.py
@@ -94,8 +94,8 @@
             self._urgent.take(now)
         else:
             self._patient.take(now)
-        self.leave(who)
+        self.remove(who)
 
-    def leave(self, who: object) -> None:
+    def remove(self, who: object) -> None:
         """Take ``who`` out of the line: it has nothing to write."""
         self._line.pop(who, None)
--- a/src/ebonydeal/_internal/journal/parts.py
+++ b/src/ebonydeal/_internal/journal/parts.py
@@ -3,7 +3,7 @@
 import random
 from typing import NamedTuple, Protocol
 
-from ebonydeal._internal.journal.jobs import Book
+from ebonydeal._internal.journal.jobs import ShardJournal
 from ebonydeal._internal.journal.pacing import Pacer
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.interfaces import Objects, Tables
@@ -14,16 +14,18 @@
 class Dispatch(Protocol):
     """What an owner asks of the dispatcher."""
 
-    def submit(self, book: Book, request_id: str, may_have_run: bool) -> None:
+    def submit(
+        self, journal: ShardJournal, request_id: str, may_have_run: bool
+    ) -> None:
         """Run an accepted request when its turn comes."""
 
-    async def cancel(self, book: Book, request_id: str) -> None:
+    async def cancel(self, journal: ShardJournal, request_id: str) -> None:
         """Stop a request; returns once its end is durable or it can't be stopped."""
 
-    async def drain(self, book: Book, limit: float) -> bool:
+    async def drain(self, journal: ShardJournal, limit: float) -> bool:
         """Start no more of a shard's work; return whether all runs ended in time."""
 
-    def drop(self, book: Book) -> None:
+    def drop(self, journal: ShardJournal) -> None:
         """Forget a shard's work at once; its runs are cancelled."""
 
 
--- a/src/ebonydeal/_internal/journal/picker.py
+++ b/src/ebonydeal/_internal/journal/picker.py
@@ -49,7 +49,7 @@
     return weights_of
 
 
-def slots_from(views: Views, deployment: str) -> int:
+def min_known_slots(views: Views, deployment: str) -> int:
     """Return how many requests an endpoint serves at once: the least known."""
     loads = [view.load for view in views.views(deployment)]
     known = [load.slots for load in loads if load is not None and load.slots > 0]
@@ -127,18 +127,18 @@
         """Return whether an endpoint is known to be going away."""
         return self._views.is_leaving(view)
 
-    def sent(self, request: Request, view: EndpointView) -> None:
+    def record_sent(self, request: Request, view: EndpointView) -> None:
         """Learn that a run at an endpoint starts."""
         self._sent[view.endpoint_id] += 1
         chosen = self._choices.pop(request.request_id, None)
         if chosen is not None:
             self._router.record_sent(*chosen, self._clock.wall())
 
-    def rests(self, endpoint_id: str, seconds: float) -> None:
+    def back_off(self, endpoint_id: str, seconds: float) -> None:
         """Learn for how long an endpoint wants nothing."""
         self._router.back_off(endpoint_id, seconds, self._clock.wall())
 
-    def finished(
+    def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
         """Learn that a run at an endpoint has ended, and with which error."""
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -16,8 +16,12 @@
 from ebonydeal._internal.journal.node import JournalNode
 from ebonydeal._internal.journal.pacing import Budget, Pacer
 from ebonydeal._internal.journal.parts import OwnerParts
-from ebonydeal._internal.journal.picker import RoutedPicker, slots_from, weights_from
-from ebonydeal._internal.journal.service import journal_app, offer_by
+from ebonydeal._internal.journal.picker import (
+    RoutedPicker,
+    min_known_slots,
+    weights_from,
+)
+from ebonydeal._internal.journal.service import http_offer, journal_app
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.cloud import HttpCloud
@@ -169,7 +173,7 @@
         picker = RoutedPicker(
             directory, router, place, clock, weights_from(lambda: follower.document)
         )
-        platform.engine.on_rest = platform.services.on_rest = picker.rests
+        platform.engine.on_rest = platform.services.on_rest = picker.back_off
         dispatcher = Dispatcher(
             picker,
             platform.engine,
@@ -192,11 +196,11 @@
         me = Identity(own.id, "", int(clock.wall() * _MS))
         credential = settings["peers"].credential
         between = PeerClient(credential, tls.client)
-        node = JournalNode(me, place, parts, own.drain_seconds, offer_by(between))
+        node = JournalNode(me, place, parts, own.drain_seconds, http_offer(between))
         backlog = BacklogRows(
-            dispatcher.waiting,
+            dispatcher.waiting_requests,
             lambda: follower.document,
-            lambda name: slots_from(directory, name),
+            lambda name: min_known_slots(directory, name),
             own.id,
             lambda: node.live_nodes,
             platform.tables,
@@ -224,7 +228,7 @@
 
     async def on_start(self) -> None:
         """Bind the listener, then claim shards under its address."""
-        self.directory.on_mark(self.dispatcher.leaving)
+        self.directory.on_mark(self.dispatcher.on_endpoint_leaving)
         self.directory.on_change(self._endpoints_changed)
         await self.add_runtime_dependency(self._tls)
         await self.add_runtime_dependency(self.directory)
@@ -237,7 +241,7 @@
         await self.add_runtime_dependency(self.backlog)
 
     def _endpoints_changed(self, _change: Change) -> None:
-        self.dispatcher.endpoints_changed()
+        self.dispatcher.on_endpoints_changed()
 
     async def on_stop(self) -> None:
         """Hand over all shards while everything still works."""
--- a/src/ebonydeal/_internal/journal/runs.py
+++ b/src/ebonydeal/_internal/journal/runs.py
@@ -91,7 +91,7 @@
         self._event.clear()
 
 
-async def cancel_word(engine: Engine, view: EndpointView, attempt_id: str) -> str:
+async def cancel_attempt(engine: Engine, view: EndpointView, attempt_id: str) -> str:
     """Return the engine's word on an attempt; UNKNOWN when it gives none."""
     try:
         word: CancelWord = await engine.cancel(view, attempt_id)
@@ -170,7 +170,7 @@
             if clock.now() - progress.at >= stall_seconds:
                 raise EbonydealError(ErrorKind.ENDPOINT_STALLED, "no token came")
             if asked.done() and interrupt.asked:
-                word = await cancel_word(engine, view, attempt_id)
+                word = await cancel_attempt(engine, view, attempt_id)
                 if word != FINISHED:
                     raise Interrupted(word)
                 interrupt.clear()
--- a/src/ebonydeal/_internal/journal/service.py
+++ b/src/ebonydeal/_internal/journal/service.py
@@ -101,7 +101,7 @@
         shard = (await read_json(req)).get("shard")
         if not isinstance(shard, int):
             raise EbonydealError(ErrorKind.BAD_REQUEST, "'shard' must be a number")
-        return web.json_response({"taken": await self._node.offered(shard)})
+        return web.json_response({"taken": await self._node.accept_offer(shard)})
 
     async def cancel(self, req: web.Request) -> web.Response:
         """Stop a request, and answer with its status."""
@@ -111,7 +111,7 @@
         return web.json_response(await owner.cancel(request_id, _text(body, "account")))
 
 
-def offer_by(peers: PeerClient) -> Offer:
+def http_offer(peers: PeerClient) -> Offer:
     """Return the way to offer a freed shard to another node."""
 
     async def offer(address: str, shard: int) -> None:
--- a/src/ebonydeal/_internal/journal/shards.py
+++ b/src/ebonydeal/_internal/journal/shards.py
@@ -38,7 +38,7 @@
     )
 
 
-class Holding(Enum):
+class OwnerStatus(Enum):
     """What the rows say of a shard's owner."""
 
     ALIVE = "alive"
@@ -46,19 +46,19 @@
     SILENT = "silent"
 
 
-def holding(row: ShardRow | None, nodes: Mapping[str, LiveNode]) -> Holding:
+def owner_status(row: ShardRow | None, nodes: Mapping[str, LiveNode]) -> OwnerStatus:
     """Return whether a shard is owned, known to be free, or its owner is silent.
 
     An owner of an earlier incarnation of a live node has died.
     """
     if row is None or not row.owner:
-        return Holding.FREE
+        return OwnerStatus.FREE
     holder = nodes.get(row.owner)
     if holder is None:
-        return Holding.SILENT
+        return OwnerStatus.SILENT
     if holder.incarnation != row.incarnation:
-        return Holding.FREE
-    return Holding.ALIVE
+        return OwnerStatus.FREE
+    return OwnerStatus.ALIVE
 
 
 class FreeSince:
@@ -118,14 +118,16 @@
         should those before it fail to.
     """
     found = {
-        shard: holding(rows.get(shard), nodes)
+        shard: owner_status(rows.get(shard), nodes)
         for shard in range(shards)
         if shard not in held
     }
     if me not in nodes or now - nodes[me].since < lease:
-        wanted = {shard for shard, word in found.items() if word is Holding.FREE}
+        wanted = {shard for shard, word in found.items() if word is OwnerStatus.FREE}
     else:
-        wanted = {shard for shard, word in found.items() if word is not Holding.ALIVE}
+        wanted = {
+            shard for shard, word in found.items() if word is not OwnerStatus.ALIVE
+        }
     free_since.observe(wanted, now)
     if me not in nodes:
         return Plan((), None)
--- a/tests/functional/journal/test_backlog_rows.py
+++ b/tests/functional/journal/test_backlog_rows.py
@@ -4,7 +4,11 @@
 
 from ebonydeal._internal.controller.backlog import read_backlog
 from ebonydeal._internal.controller.deadline import Backlog
-from ebonydeal._internal.journal.backlog_rows import EVERY_S, RENEW_S, BacklogRows
+from ebonydeal._internal.journal.backlog_rows import (
+    PUBLISH_INTERVAL_S,
+    RENEWAL_INTERVAL_S,
+    BacklogRows,
+)
 from ebonydeal._internal.observe.counters import Event
 from ebonydeal._internal.outside.interfaces import Put
 from tests.lib.clock import settle
@@ -15,12 +19,12 @@
     name="pool", deadline_work=True, first_token_s=0.5, between_tokens_s=0.05
 )
 LATE = 2_000_000.0
-ROUND = EVERY_S * 1.2
+ROUND = PUBLISH_INTERVAL_S * 1.2
 
 
 def make_rows(world: World, node, name: str = "n-1") -> BacklogRows:
     return BacklogRows(
-        node.dispatcher.waiting,
+        node.dispatcher.waiting_requests,
         lambda: make_document(POOL),
         lambda _deployment: 1,
         name,
@@ -53,7 +57,7 @@
 
     def run_all(self) -> None:
         self.world.picker.views = self.views
-        self.node.dispatcher.endpoints_changed()
+        self.node.dispatcher.on_endpoints_changed()
 
 
 @pytest.fixture
@@ -104,7 +108,7 @@
         await bench.accept("r-0000-1")
         bench.run_all()
         await bench.world.clock.advance(ROUND)
-        assert bench.node.dispatcher.waiting() == []
+        assert bench.node.dispatcher.waiting_requests() == []
         assert await bench.stored() == []
         hold.set()
         await settle()
@@ -118,7 +122,7 @@
         accepted = bench.node.metrics.value("events", str(Event.TABLE_WRITES))
         await bench.world.clock.advance(ROUND)
         assert len(written) == 1
-        await bench.world.clock.advance(RENEW_S - 2 * ROUND)
+        await bench.world.clock.advance(RENEWAL_INTERVAL_S - 2 * ROUND)
         assert len(written) == 1
         await bench.world.clock.advance(3 * ROUND)
         assert len(written) == 2
--- a/tests/functional/journal/test_dispatch.py
+++ b/tests/functional/journal/test_dispatch.py
@@ -73,7 +73,9 @@
         await node.owner.accept(make_request())
         await settle()
         world.picker.leaving.add("e-1")
-        node.dispatcher.leaving(make_mark("e-1", deadline=world.clock.wall() + 10.0))
+        node.dispatcher.on_endpoint_leaving(
+            make_mark("e-1", deadline=world.clock.wall() + 10.0)
+        )
         await world.clock.advance(7.9)
         assert len(world.engine.log) == 1
         await world.clock.advance(0.2)
@@ -169,7 +171,9 @@
         await node.owner.accept(make_once())
         await settle()
         world.picker.leaving.add("e-1")
-        node.dispatcher.leaving(make_mark("e-1", deadline=world.clock.wall() + 5.0))
+        node.dispatcher.on_endpoint_leaving(
+            make_mark("e-1", deadline=world.clock.wall() + 5.0)
+        )
         await world.clock.advance(4.0)
         assert await text_of(node, "k-0000-1") == "".join(TOKENS)
         assert world.engine.log[1][2].delivered == TOKENS[:2]
@@ -260,7 +264,7 @@
         )
         kept = node.owner.states["k-0000-1"].request
         assert kept.body_digest == "a"
-        assert await node.owner.request_body(kept) == "a" * 100_000
+        assert await node.owner.load_request_body(kept) == "a" * 100_000
 
     async def test_with_the_object_store_down_they_go_into_the_row(self, world, node):
         large = "x" * 100_000
--- a/tests/functional/journal/test_nodes.py
+++ b/tests/functional/journal/test_nodes.py
@@ -129,7 +129,7 @@
         two = await processes("n-2")
         await until(world, lambda: held(one) | held(two) == {0, 1, 2, 3})
         shard = min(held(one))
-        assert not await two.node.offered(shard)
+        assert not await two.node.accept_offer(shard)
         assert shard in held(one)
 
     async def test_a_stop_during_an_outage_ends_and_loses_nothing(
--- a/tests/functional/matrix/test_sight.py
+++ b/tests/functional/matrix/test_sight.py
@@ -4,7 +4,7 @@
 from ebonydeal._internal.config.topic import ConfigTopic
 from ebonydeal._internal.errors import ErrorKind
 from ebonydeal._internal.journal import attempts, owner, snapshots
-from ebonydeal._internal.journal.appender import Appender, Verdict
+from ebonydeal._internal.journal.appender import Appender, WriteOutcome
 from ebonydeal._internal.journal.attempts import Attempts
 from ebonydeal._internal.journal.dispatcher import Dispatcher
 from ebonydeal._internal.journal.rows import snapshot_key
@@ -25,10 +25,10 @@
 
 
 async def own_row(self, key, token, if_absent):
-    return Verdict.DURABLE
+    return WriteOutcome.DURABLE
 
 
-async def no_drain(self, book, limit):
+async def no_drain(self, journal, limit):
     return True
 
 
@@ -48,8 +48,8 @@
         assert "note1 ran 2 times" in found
 
     def test_not_run_without_proof(self, monkeypatch):
-        kinds = (*attempts.PROOFS, ErrorKind.ENDPOINT_FAILED)
-        monkeypatch.setattr(attempts, "PROOFS", kinds)
+        kinds = (*attempts.NOT_RUN_ERRORS, ErrorKind.ENDPOINT_FAILED)
+        monkeypatch.setattr(attempts, "NOT_RUN_ERRORS", kinds)
         found = broken(Row.CRASH, Column.DISPATCH, Channel.HOST, When.AFTER, "note1")
         assert found == ["note1 ran 2 times"]
 
--- a/tests/lib/journal_fakes.py
+++ b/tests/lib/journal_fakes.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.journal.pacing import Budget, Pacer
 from ebonydeal._internal.journal.parts import OwnerParts
 from ebonydeal._internal.journal.rows import shard_key
-from ebonydeal._internal.journal.service import journal_app, offer_by
+from ebonydeal._internal.journal.service import http_offer, journal_app
 from ebonydeal._internal.models.endpoints import EndpointKind, EndpointView
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.models.requests import Priority, Request, RequestKind
@@ -157,10 +157,10 @@
     def is_leaving(self, view: EndpointView) -> bool:
         return view.endpoint_id in self.leaving
 
-    def sent(self, request: Request, view: EndpointView) -> None:
+    def record_sent(self, request: Request, view: EndpointView) -> None:
         pass
 
-    def finished(
+    def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
         pass
@@ -273,7 +273,7 @@
         """End at once, as a crash does: nothing more is written."""
         self.running.set()
         for owner in self.owners:
-            owner.lose()
+            owner.stop_serving()
             await owner.stop()
         await self.dispatcher.stop()
 
@@ -290,7 +290,7 @@
             Place("wales", "wales-1"),
             self.base.parts,
             drain_seconds=10.0,
-            offer=offer_by(self.peers),
+            offer=http_offer(self.peers),
         )
         app = journal_app(self.node, CREDENTIAL, self.base.metrics)
         self.server = HttpServer(app, "127.0.0.1", 0, drain_seconds=1.0)
@@ -305,7 +305,7 @@
         """End without a word to anyone."""
         self.node._leaving = True
         for owner in list(self.node.owners.values()):
-            owner.lose()
+            owner.stop_serving()
         await self.node.stop()
         await self.base.dispatcher.stop()
         await self.server.stop()
--- a/tests/lib/matrix_strikes.py
+++ b/tests/lib/matrix_strikes.py
@@ -153,7 +153,7 @@
         mark = LeavingMark(name, 1, zone, wall + notice, "cloud", wall)
         covered = world.directory.mark(mark)
         for process in world.processes:
-            process.dispatcher.leaving(mark)
+            process.dispatcher.on_endpoint_leaving(mark)
         self._later(notice, lambda: world.directory.gone.update(covered))
         if strike.row is Row.NOTICE:
             self._later(NEW_WORK_S, world.ask_for_more)
--- a/tests/unit/journal/test_backlog.py
+++ b/tests/unit/journal/test_backlog.py
@@ -3,14 +3,14 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.journal.backlog import (
-    LAPSED_S,
-    MOST_ENTRIES,
+    MAX_ENTRIES,
+    STALE_ROW_AGE_S,
     Backlog,
     backlog_key,
-    is_lapsed,
     is_row_of,
-    merged,
-    work_seconds,
+    is_stale,
+    merge_deadlines,
+    replica_seconds,
 )
 from tests.lib.controller_fakes import make_deployment, make_document
 from tests.lib.journal_fakes import make_note, make_request
@@ -23,24 +23,24 @@
 class TestWork:
     def test_a_generation_takes_its_most_tokens_at_the_targets(self):
         request = make_request(max_tokens=100)
-        assert work_seconds(request, POOL, 4) == pytest.approx((0.5 + 5.0) / 4)
+        assert replica_seconds(request, POOL, 4) == pytest.approx((0.5 + 5.0) / 4)
 
     def test_a_service_call_takes_an_assumed_time(self):
-        assert work_seconds(make_note(max_tokens=0), POOL, 4) == 1.0
+        assert replica_seconds(make_note(max_tokens=0), POOL, 4) == 1.0
 
 
 class TestMerged:
     def test_few_stay_as_they_are(self):
-        assert merged({30.0: 2.0, 10.0: 1.0}) == [[10.0, 1.0], [30.0, 2.0]]
+        assert merge_deadlines({30.0: 2.0, 10.0: 1.0}) == [[10.0, 1.0], [30.0, 2.0]]
 
     def test_neighbours_keep_the_earliest_deadline(self):
         work = {1.0: 1.0, 2.0: 2.0, 3.0: 4.0}
-        assert merged(work, 2) == [[1.0, 3.0], [3.0, 4.0]]
+        assert merge_deadlines(work, 2) == [[1.0, 3.0], [3.0, 4.0]]
 
     @given(st.lists(st.integers(1, 10**6), max_size=700, unique=True))
     def test_no_work_is_lost_or_later(self, deadlines):
-        jobs = merged({float(deadline): 1.0 for deadline in deadlines})
-        assert len(jobs) <= MOST_ENTRIES
+        jobs = merge_deadlines({float(deadline): 1.0 for deadline in deadlines})
+        assert len(jobs) <= MAX_ENTRIES
         assert sum(work for _, work in jobs) == len(deadlines)
         for limit, _ in jobs:
             due = sum(deadline <= limit for deadline in deadlines)
@@ -89,4 +89,4 @@
         ],
     )
     def test_once_deadlines_and_renewal_are_long_past(self, value, lapsed):
-        assert is_lapsed(value, 100.0 + LAPSED_S) is lapsed
+        assert is_stale(value, 100.0 + STALE_ROW_AGE_S) is lapsed
--- a/tests/unit/journal/test_fold.py
+++ b/tests/unit/journal/test_fold.py
@@ -8,7 +8,7 @@
     RequestState,
     apply,
     apply_all,
-    expired,
+    expiry_records,
 )
 from ebonydeal._internal.journal.snapshots import decode_states, encode_states
 from ebonydeal._internal.models.records import (
@@ -125,6 +125,6 @@
         states = {}
         done = Completed(ID, 1, ANSWERS[0], 5.0)
         apply_all(states, [Accepted(make_note()), done])
-        assert expired(states, 5.0, 10) == []
-        assert expired(states, 5.1, 10) == [Expired(ID)]
-        assert expired(states, 5.1, 0) == []
+        assert expiry_records(states, 5.0, 10) == []
+        assert expiry_records(states, 5.1, 10) == [Expired(ID)]
+        assert expiry_records(states, 5.1, 0) == []
--- a/tests/unit/journal/test_picker.py
+++ b/tests/unit/journal/test_picker.py
@@ -50,9 +50,9 @@
         picker = make_picker(view)
         request = make_request()
         assert picker.pick(request, NOBODY) is view
-        picker.sent(request, view)
+        picker.record_sent(request, view)
         assert picker.pick(make_request("r-0000-2"), NOBODY) is None
-        picker.finished(request, view, ErrorKind.ENDPOINT_FAILED)
+        picker.record_finished(request, view, ErrorKind.ENDPOINT_FAILED)
         assert picker.pick(make_request("r-0000-2"), NOBODY) is view
 
     def test_an_engine_without_the_model_is_not_asked(self):
--- a/tests/unit/journal/test_protocol.py
+++ b/tests/unit/journal/test_protocol.py
@@ -137,7 +137,7 @@
 
     async def test_a_refused_write_proves_that_nothing_is_kept(self, world, writer):
         world.tables.faults.down = True
-        ask = writer.ask(1, hold=False)
+        ask = writer.ask(1, retain=False)
         held = writer.ask(2)
         await settle()
         assert kind_of(ask) is ErrorKind.JOURNAL_UNAVAILABLE
@@ -149,7 +149,7 @@
 
     async def test_in_doubt_is_never_told_as_not_run(self, world, writer):
         world.tables.faults.writes.extend([Fault.LATE] + [Fault.REFUSED] * 9)
-        ask = writer.ask(1, hold=False, patience=1.0)
+        ask = writer.ask(1, retain=False, max_wait=1.0)
         await world.clock.advance(2.0)
         assert kind_of(ask) is ErrorKind.STORE_IN_DOUBT
         await world.clock.advance(60.0)
@@ -159,7 +159,7 @@
         world.tables.faults.writes.extend([Fault.LATE] + [Fault.REFUSED] * 9)
         writer.ask(1)
         await settle()
-        ask = writer.ask(2, hold=False, patience=0.5)
+        ask = writer.ask(2, retain=False, max_wait=0.5)
         await world.clock.advance(0.6)
         assert kind_of(ask) is ErrorKind.JOURNAL_UNAVAILABLE
         await world.clock.advance(60.0)
@@ -172,7 +172,7 @@
         waiting = writer.ask(1, 2)
         await asyncio.sleep(0)
         with pytest.raises(EbonydealError) as caught:
-            await writer.appender.append([accepted(3)], hold=False)
+            await writer.appender.append([accepted(3)], retain=False)
         assert caught.value.kind is ErrorKind.JOURNAL_BEHIND
         waiting.cancel()
 
--- a/tests/unit/journal/test_shards.py
+++ b/tests/unit/journal/test_shards.py
@@ -3,7 +3,7 @@
     LeaseWatch,
     LiveNode,
     NodeLease,
-    renew_every,
+    renewal_interval,
 )
 from ebonydeal._internal.journal.pacing import Budget, Pacer
 from ebonydeal._internal.journal.shards import (
@@ -68,8 +68,8 @@
         assert watch.live(1.0) == {}
 
     def test_many_nodes_renew_less_often(self):
-        assert renew_every(3.0, 9, 5.0) == 3.0
-        assert renew_every(3.0, 500, 5.0) == 100.0
+        assert renewal_interval(3.0, 9, 5.0) == 3.0
+        assert renewal_interval(3.0, 500, 5.0) == 100.0
 
 
 class TestPlan:
@@ -155,7 +155,7 @@
             pacer.take("a", 0.0, False)
         assert pacer.wait("a", 0.0, False) == 1.0
         assert pacer.wait("b", 0.0, False) == 2.0
-        pacer.leave("a")
+        pacer.remove("a")
         assert pacer.wait("b", 0.0, False) == 1.0
 
 
--- a/tests/unit/journal/test_sweep.py
+++ b/tests/unit/journal/test_sweep.py
@@ -17,4 +17,4 @@
         for name in NAMES:
             await objects.put(name, b"x")
         bodies = Bodies(objects, 0, 2, JournalSettings())
-        assert await bodies.former() == [NAMES[0], NAMES[3]]
+        assert await bodies.earlier_objects() == [NAMES[0], NAMES[3]]
