--- a/src/ebonydeal/_internal/journal/__init__.py
+++ b/src/ebonydeal/_internal/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Request journal: fold, appender, owner, dispatcher, snapshots."""
+"""Request journal: durable storage and execution of accepted requests."""
--- a/src/ebonydeal/_internal/journal/appender.py
+++ b/src/ebonydeal/_internal/journal/appender.py
@@ -1,9 +1,9 @@
-"""Group commit of one shard: many records, one row, one conditional write.
+"""Group commit of one shard: many records in one row, by one conditional write.
 
-The appender never has two rows in flight. After a lost answer it reads the row
-back: its own batch id means that the write took effect, another's that the shard
-has a new owner, and no row that the *same* row must be tried again. A record is
-acknowledged only after its row is known to be durable.
+The appender never has two rows in flight. After a lost reply it reads the row
+back: its own batch id means that the write took effect, another batch id that the
+shard has a new owner, and a missing row that the *same* row must be written again.
+A record is acknowledged only after its row is known to be durable.
 """
 
 import asyncio
@@ -30,15 +30,15 @@
 
 logger = get_logger("journal")
 
-BACKOFF_FIRST_S = 0.05
-BACKOFF_MOST_S = 2.0
-DOUBT_PATIENCE_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
+MAX_IN_DOUBT_S = 1.0
 
 OnDurable = Callable[[int, Sequence[Record]], None]
 
 
 class WriteOutcome(Enum):
-    """What one try to write a row came to."""
+    """Result of one attempt to write a row."""
 
     DURABLE = "durable"
     FENCED = "fenced"
@@ -47,12 +47,12 @@
 
 
 def fenced_error(shard: int) -> EbonydealError:
-    """Return the error of work that a new owner of the shard has taken over."""
+    """Return the error for work on a shard that has a new owner."""
     return EbonydealError(ErrorKind.FENCED, f"shard {shard:04x} has a new owner")
 
 
 class Appender:
-    """Owns the write end of one shard for one epoch.
+    """Writes the journal rows of one shard during one epoch.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         The shard, the owner's epoch, and the next row's number.
     on_durable : callable
         Called with the row's number and records once they are durable, in
-        order, before any waiter learns of it.
+        order, before any waiter is notified.
     """
 
     def __init__(
@@ -90,14 +90,14 @@
         self._rng = rng
         self._metrics = metrics
         self._queue = EntryQueue(cfg.max_batch, cfg.max_row_bytes)
-        self._doubt_since: float | None = None
-        self._down_until = 0.0
-        self._backoff = BACKOFF_FIRST_S
+        self._in_doubt_since: float | None = None
+        self._unavailable_until = 0.0
+        self._backoff = INITIAL_BACKOFF_S
         self.fenced = asyncio.Event()
 
     @property
     def pending(self) -> int:
-        """Records that wait or are being written."""
+        """Number of records that are queued or being written."""
         return self._queue.pending
 
     async def append(
@@ -115,15 +115,15 @@
         records : sequence of Record
             Written together.
         urgent : bool
-            A caller waits: the batch may draw on the urgent write budget.
-        hold : bool
-            Keep the records through an outage. Otherwise they are refused with
-            ``JOURNAL_UNAVAILABLE`` or ``JOURNAL_BEHIND``, which prove that they
-            were not written.
-        patience : float, optional
+            A caller is waiting: the batch may use the urgent write budget.
+        retain : bool
+            Keep the records queued through an outage. Otherwise they are refused
+            with ``JOURNAL_UNAVAILABLE`` or ``JOURNAL_BEHIND``, which prove that
+            they were not written.
+        max_wait : float, optional
             Longest wait in seconds. After it, records that were never sent are
-            withdrawn (``JOURNAL_UNAVAILABLE``); others stay and the caller
-            learns ``STORE_IN_DOUBT``.
+            withdrawn (``JOURNAL_UNAVAILABLE``); others stay queued and the caller
+            gets ``STORE_IN_DOUBT``.
 
         Raises ``FENCED`` when the shard has a new owner.
         """
@@ -134,7 +134,7 @@
         entry = Entry.of(records, urgent, retain, self._clock.now())
         self._queue.add(entry)
         if max_wait is not None:
-            await self._wait_patiently(entry, max_wait)
+            await self._wait_at_most(entry, max_wait)
         await asyncio.shield(entry.durable)
 
     async def run(self) -> None:
@@ -147,12 +147,12 @@
             self._queue.fail_all(fenced_error(self._shard))
 
     def close(self) -> None:
-        """Take and write no more; what waits is answered as fenced."""
+        """Stop accepting and writing; queued records fail as fenced."""
         self.fenced.set()
         self._queue.changed.set()
 
     async def flush(self) -> None:
-        """Return when nothing waits to be written, or the shard is fenced."""
+        """Return when no record is pending, or the shard is fenced."""
         waits = {
             asyncio.create_task(self._queue.idle.wait()),
             asyncio.create_task(self.fenced.wait()),
@@ -161,23 +161,23 @@
         for fut in waits:
             fut.cancel()
 
-    # --- entering ----------------------------------------------------------
+    # --- admission ---------------------------------------------------------
     def _refuse_if_behind(self, count: int) -> None:
-        """Refuse what would wait too long; the refusal proves nothing is kept."""
+        """Refuse records that would wait too long; a refusal means none is written."""
         now = self._clock.now()
-        doubt = self._doubt_since
-        if now < self._down_until or (
-            doubt is not None and now - doubt > DOUBT_PATIENCE_S
+        in_doubt_since = self._in_doubt_since
+        if now < self._unavailable_until or (
+            in_doubt_since is not None and now - in_doubt_since > MAX_IN_DOUBT_S
         ):
             raise EbonydealError(
-                ErrorKind.JOURNAL_UNAVAILABLE, "The table service does not answer."
+                ErrorKind.JOURNAL_UNAVAILABLE, "The table service does not respond."
             )
         if self._queue.pending + count > self._cfg.max_pending:
             raise EbonydealError(
-                ErrorKind.JOURNAL_BEHIND, "Too many records wait to be written."
+                ErrorKind.JOURNAL_BEHIND, "Too many records are waiting to be written."
             )
 
-    async def _wait_patiently(self, entry: Entry, max_wait: float) -> None:
+    async def _wait_at_most(self, entry: Entry, max_wait: float) -> None:
         timer = asyncio.ensure_future(self._clock.sleep(max_wait))
         try:
             await asyncio.wait(
@@ -204,16 +204,16 @@
                 self._pacer.remove(self)
                 await self._queue.changed.wait()
                 continue
-            urgent = self._queue.is_urgent
+            urgent = self._queue.has_urgent
             wait = self._pacer.wait(self, self._clock.now(), urgent)
             if wait <= 0.0:
                 self._pacer.take(self, self._clock.now(), urgent)
                 return True
-            await self._sleep_or_change(wait, urgent)
+            await self._sleep_until_due(wait, urgent)
         return False
 
-    async def _sleep_or_change(self, wait: float, urgent: bool) -> None:
-        """Sleep; a new entry ends it early only if it could be sooner."""
+    async def _sleep_until_due(self, wait: float, urgent: bool) -> None:
+        """Sleep; a new entry ends this early only if it could be written sooner."""
         waits: set[asyncio.Future] = {asyncio.ensure_future(self._clock.sleep(wait))}
         if not urgent:
             waits.add(asyncio.ensure_future(self._queue.changed.wait()))
@@ -225,30 +225,30 @@
 
     # --- writing -----------------------------------------------------------
     async def _commit(self, batch: list[Entry]) -> None:
-        """Write one row, however often it must be tried."""
-        token = new_token("b", self._rng)
+        """Write one row, retrying as often as needed."""
+        batch_id = new_token("b", self._rng)
         messages = [item for entry in batch for item in entry.messages]
-        row = {"batch": token, "epoch": self._epoch, "records": messages}
-        delay = BACKOFF_FIRST_S
+        row = {"batch": batch_id, "epoch": self._epoch, "records": messages}
+        delay = INITIAL_BACKOFF_S
         try:
             while True:
-                verdict = await self._try(row)
+                verdict = await self._try_write(row)
                 if verdict is WriteOutcome.DURABLE:
                     return self._acknowledge(batch)
                 if verdict is WriteOutcome.FENCED:
                     return self._fence(batch)
-                if verdict is WriteOutcome.UNAVAILABLE and self._doubt_since is None:
-                    return await self._put_back(batch)
+                if verdict is WriteOutcome.UNAVAILABLE and self._in_doubt_since is None:
+                    return await self._requeue(batch)
                 self._metrics.retried(RetryReason.STORE)
                 await self._clock.sleep(delay)
-                delay = min(delay * 2, BACKOFF_MOST_S)
+                delay = min(delay * 2, MAX_BACKOFF_S)
         except BaseException:
             for entry in batch:
                 self._queue.finish(entry, fenced_error(self._shard))
             raise
 
-    async def _try(self, row: dict) -> WriteOutcome:
-        """Try to write ``row`` as the next one, once."""
+    async def _try_write(self, row: dict) -> WriteOutcome:
+        """Make one attempt to write ``row`` as the next row."""
         key = journal_key(self._shard, self.seq)
         self._metrics.count(Event.TABLE_WRITES)
         try:
@@ -262,67 +262,69 @@
         except EbonydealError as exc:
             if exc.kind is ErrorKind.STORE_UNAVAILABLE:
                 return WriteOutcome.UNAVAILABLE
-            self._note_doubt()
+            self._record_doubt()
             return await self._read_back(key, row["batch"], WriteOutcome.IN_DOUBT)
         if applied:
             return WriteOutcome.DURABLE
         return await self._read_back(key, row["batch"], WriteOutcome.FENCED)
 
-    def _note_doubt(self) -> None:
+    def _record_doubt(self) -> None:
         self._metrics.count(Event.APPENDS_IN_DOUBT)
-        if self._doubt_since is None:
-            self._doubt_since = self._clock.now()
+        if self._in_doubt_since is None:
+            self._in_doubt_since = self._clock.now()
 
     async def _read_back(
-        self, key: str, token: str, if_absent: WriteOutcome
+        self, key: str, batch_id: str, if_absent: WriteOutcome
     ) -> WriteOutcome:
-        """Learn from the row itself whose write took effect."""
+        """Read the row to find out whose write took effect."""
         self._metrics.count(Event.TABLE_READS)
         try:
             row = await self._tables.get(key)
         except EbonydealError:
-            self._note_doubt()
+            self._record_doubt()
             return WriteOutcome.IN_DOUBT
         if row is None:
             return if_absent
         return (
             WriteOutcome.DURABLE
-            if row.value.get("batch") == token
+            if row.value.get("batch") == batch_id
             else WriteOutcome.FENCED
         )
 
     def _acknowledge(self, batch: list[Entry]) -> None:
         seq = self.seq
         self.seq += 1
-        self._doubt_since = None
-        self._down_until = 0.0
-        self._backoff = BACKOFF_FIRST_S
+        self._in_doubt_since = None
+        self._unavailable_until = 0.0
+        self._backoff = INITIAL_BACKOFF_S
         records = [record for entry in batch for record in entry.records]
         self._metrics.count(Event.RECORDS_APPENDED, len(records))
         self._on_durable(seq, records)
         now = self._clock.now()
         for entry in batch:
-            self._metrics.timed(Timing.APPEND, now - entry.asked_at)
+            self._metrics.timed(Timing.APPEND, now - entry.enqueued_at)
             self._queue.finish(entry, None)
 
     def _fence(self, batch: list[Entry]) -> None:
-        logger.warning("Fenced.", shard=self._shard, epoch=self._epoch)
+        logger.warning(
+            "Shard is fenced by a new owner.", shard=self._shard, epoch=self._epoch
+        )
         self._metrics.count(Event.APPENDS_FENCED)
         self.fenced.set()
         for entry in batch:
             self._queue.finish(entry, fenced_error(self._shard))
 
-    async def _put_back(self, batch: list[Entry]) -> None:
-        """Nothing took effect: keep what must be kept and refuse the rest."""
+    async def _requeue(self, batch: list[Entry]) -> None:
+        """Requeue the retained entries of an unwritten batch and refuse the rest."""
         refusal = EbonydealError(
             ErrorKind.JOURNAL_UNAVAILABLE, "The table service is unavailable."
         )
-        held = [entry for entry in batch if entry.retain]
+        retained = [entry for entry in batch if entry.retain]
         for entry in batch:
             if not entry.retain:
                 self._queue.finish(entry, refusal)
-        self._queue.put_back(held)
-        self._down_until = self._clock.now() + self._backoff
+        self._queue.requeue(retained)
+        self._unavailable_until = self._clock.now() + self._backoff
         self._metrics.retried(RetryReason.STORE)
         await self._clock.sleep(self._backoff)
-        self._backoff = min(self._backoff * 2, BACKOFF_MOST_S)
+        self._backoff = min(self._backoff * 2, MAX_BACKOFF_S)
--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -1,8 +1,8 @@
-"""From a chosen endpoint to a durable outcome, for one attempt.
+"""Runs one attempt at a chosen endpoint and records its durable outcome.
 
-An idempotent request is sent until a whole answer is there. A non-idempotent one
-is sent only after its ``dispatched`` record is durable, and again only after a
-``not_run`` record that rests on proof.
+An idempotent request is resent until its answer is complete. A non-idempotent one
+is sent only after its ``dispatched`` record is durable, and resent only after a
+``not_run`` record, which needs proof that the last attempt did not run.
 """
 
 import json
@@ -43,27 +43,27 @@
 logger = get_logger("journal")
 
 NOT_RUN_ERRORS = (ErrorKind.CONNECT_FAILED, ErrorKind.ENDPOINT_REFUSED)
-# The endpoint's own refusal of the request: sending it again can't help.
-ANSWER_KINDS = (
+# The endpoint rejects the request itself: resending it can't help.
+FINAL_REFUSALS = (
     ErrorKind.BAD_REQUEST,
     ErrorKind.UNKNOWN_MODEL,
     ErrorKind.BODY_TOO_LARGE,
 )
-BACKOFF_FIRST_S = 0.1
-BACKOFF_MOST_S = 15.0
-BODY_RETRY_S = 1.0
-SERVER_ERROR = 500
-SERVER_ERROR_TRIES = 3
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 15.0
+BODY_RETRY_DELAY_S = 1.0
+MIN_SERVER_ERROR_STATUS = 500
+MAX_SERVER_ERROR_RETRIES = 3
 
 
 @dataclass(frozen=True)
 class Done:
-    """The request is final."""
+    """No further attempt is due."""
 
 
 @dataclass(frozen=True)
 class RetryLater:
-    """A further attempt is due after ``delay`` seconds."""
+    """Another attempt is due after ``delay`` seconds."""
 
     delay: float = 0.0
 
@@ -72,18 +72,18 @@
 
 
 def backoff(failures: int) -> float:
-    """Return seconds to wait after so many failures in a row (1 or more)."""
-    return min(BACKOFF_MOST_S, BACKOFF_FIRST_S * 2.0 ** min(failures - 1, 10))
+    """Return seconds to wait after ``failures`` consecutive failures (1 or more)."""
+    return min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(failures - 1, 10))
 
 
 def error_answer(exc: EbonydealError) -> StoredAnswer:
-    """Return an endpoint's refusal as the answer it is."""
+    """Return the stored answer for an endpoint's rejection of a request."""
     body = json.dumps(exc.to_body())
     return StoredAnswer(exc.answer.status, "application/json", body)
 
 
 def retry_reason(kind: ErrorKind) -> RetryReason:
-    """Return the counter of a failure that leads to a further attempt."""
+    """Return the retry counter of a failure."""
     try:
         return RetryReason(str(kind))
     except ValueError:
@@ -91,7 +91,7 @@
 
 
 class Attempts:
-    """Runs attempts; holds no state of its own between them."""
+    """Runs attempts; keeps no state between them."""
 
     def __init__(
         self,
@@ -114,71 +114,73 @@
         self._crashes = crashes or CrashGuard(metrics, clock)
 
     async def run(self, job: Job, view: EndpointView) -> AttemptResult:
-        """Make one attempt at ``view``; raises FENCED when the shard is lost."""
+        """Make one attempt at ``view``; raises FENCED if the shard has a new owner."""
         try:
             body = await job.journal.load_request_body(job.request)
         except EbonydealError:
-            return RetryLater(BODY_RETRY_S)
+            return RetryLater(BODY_RETRY_DELAY_S)
         if job.request.kind is not RequestKind.SERVICE:
             try:
                 parse_body(body)
             except EbonydealError as exc:
-                return await self._end(job, exc.kind, exc.detail)
+                return await self._record_ended(job, exc.kind, exc.detail)
         try:
             self._crashes.check(job.request, ran=job.may_have_run)
         except EbonydealError as exc:
-            return await self._give_up(job, exc)
+            return await self._end_quarantined(job, exc)
         if self._picker.is_leaving(view):
-            return self._again(job, view, RetryReason.LEAVING)
+            return self._retry_elsewhere(job, view, RetryReason.LEAVING)
         if job.request.idempotent:
             return await self._run_idempotent(job, view, body)
-        return await self._run_once(job, view, body)
+        return await self._run_non_idempotent(job, view, body)
 
-    # --- ends ------------------------------------------------------------------
+    # --- outcomes --------------------------------------------------------------
     async def cancel_waiting(self, job: Job) -> None:
-        """Make a cancelled request final that no endpoint is working on."""
+        """Make a cancelled request final while no endpoint runs it."""
         if job.may_have_run or job.partial:
-            await self._unknown(job, "it was cancelled after it may have started")
+            await self._record_unknown(
+                job, "it was cancelled after it may have started"
+            )
         else:
-            await self._end(job, ErrorKind.CANCELLED, "it had not been sent")
+            await self._record_ended(job, ErrorKind.CANCELLED, "it had not been sent")
 
     async def _append(self, job: Job, *records: Record) -> None:
         await job.journal.append(records, urgent=not job.request.idempotent)
 
-    async def _end(self, job: Job, kind: ErrorKind, why: str) -> AttemptResult:
+    async def _record_ended(self, job: Job, kind: ErrorKind, why: str) -> AttemptResult:
         wall = self._clock.wall()
         await self._append(job, Ended(job.request_id, str(kind), why, wall))
         return Done()
 
-    async def _unknown(self, job: Job, why: str) -> AttemptResult:
+    async def _record_unknown(self, job: Job, why: str) -> AttemptResult:
         state = job.journal.state(job.request_id)
         attempt = 0 if state is None else state.attempt
         wall = self._clock.wall()
         await self._append(job, Unknown(job.request_id, attempt, why, wall))
         return Done()
 
-    async def _give_up(self, job: Job, error: EbonydealError) -> AttemptResult:
-        """End a request that brings endpoints down: it is delivered no more."""
+    async def _end_quarantined(self, job: Job, error: EbonydealError) -> AttemptResult:
+        """End a quarantined request, which is not sent to endpoints any more."""
         if job.may_have_run or job.partial:
-            return await self._unknown(job, error.detail.rstrip("."))
-        return await self._end(job, error.kind, error.detail.rstrip("."))
+            return await self._record_unknown(job, error.detail.rstrip("."))
+        return await self._record_ended(job, error.kind, error.detail.rstrip("."))
 
-    async def _complete(self, job: Job, answer: StoredAnswer) -> AttemptResult:
+    async def _record_completed(self, job: Job, answer: StoredAnswer) -> AttemptResult:
         state = job.journal.state(job.request_id)
         if state is None or state.is_final:
             self._metrics.count(Event.LATE_ANSWER_DROPPED)
             return Done()
-        kept = await job.journal.store_answer(job.request_id, answer)
+        stored = await job.journal.store_answer(job.request_id, answer)
         attempt = state.attempt or job.attempt
         wall = self._clock.wall()
-        await self._append(job, Completed(job.request_id, attempt, kept, wall))
+        await self._append(job, Completed(job.request_id, attempt, stored, wall))
         return Done()
 
     # --- sending ---------------------------------------------------------------
     async def _send(
         self, job: Job, view: EndpointView, body: str, attempt_id: str
     ) -> StoredAnswer:
-        """Let ``view`` work on the request and return its whole answer."""
+        """Send the request to ``view`` and return its complete answer."""
         job.sending = True
         job.view = view
         self._picker.record_sent(job.request, view)
@@ -193,7 +195,11 @@
             error = exc.kind
             raise
         except Exception as exc:
-            logger.error("An attempt failed.", attempt=attempt_id, exc_info=exc)
+            logger.error(
+                "Attempt failed with an internal error.",
+                attempt=attempt_id,
+                exc_info=exc,
+            )
             raise EbonydealError(ErrorKind.INTERNAL, repr(exc)) from exc
         finally:
             job.sending = False
@@ -213,7 +219,7 @@
                 attempt_id,
                 self._cfg.attempt_timeout,
             )
-        recomputed = job.progress.recomputed
+        recomputed_before = job.progress.recomputed
         try:
             return await run_engine(
                 self._engine,
@@ -227,8 +233,8 @@
                 self._cfg.stall_seconds,
             )
         finally:
-            again = job.progress.recomputed - recomputed
-            self._metrics.count(Event.TOKENS_RECOMPUTED_RESUME, again)
+            recomputed = job.progress.recomputed - recomputed_before
+            self._metrics.count(Event.TOKENS_RECOMPUTED_RESUME, recomputed)
 
     # --- idempotent ---------------------------------------------------------------
     async def _run_idempotent(
@@ -242,20 +248,25 @@
             answer = await self._send(job, view, body, job.next_attempt_id())
         except Interrupted:
             if job.cancelled:
-                return await self._unknown(job, "it was cancelled while it ran")
-            return self._again(job, view, RetryReason.LEAVING)
+                return await self._record_unknown(job, "it was cancelled while it ran")
+            return self._retry_elsewhere(job, view, RetryReason.LEAVING)
         except EbonydealError as exc:
-            if exc.kind in ANSWER_KINDS:
-                return await self._complete(job, error_answer(exc))
+            if exc.kind in FINAL_REFUSALS:
+                return await self._record_completed(job, error_answer(exc))
             await self._crashes.failed(job.request, view, exc.kind)
-            return self._again(job, view, retry_reason(exc.kind))
+            return self._retry_elsewhere(job, view, retry_reason(exc.kind))
         self._crashes.answered(job.request, answer.status)
-        if answer.status >= SERVER_ERROR and job.failures < SERVER_ERROR_TRIES:
-            return self._again(job, view, RetryReason.ENDPOINT_FAILED)
-        return await self._complete(job, answer)
-
-    def _again(self, job: Job, view: EndpointView, reason: RetryReason) -> RetryLater:
-        """Prepare a further attempt elsewhere."""
+        if (
+            answer.status >= MIN_SERVER_ERROR_STATUS
+            and job.failures < MAX_SERVER_ERROR_RETRIES
+        ):
+            return self._retry_elsewhere(job, view, RetryReason.ENDPOINT_FAILED)
+        return await self._record_completed(job, answer)
+
+    def _retry_elsewhere(
+        self, job: Job, view: EndpointView, reason: RetryReason
+    ) -> RetryLater:
+        """Prepare another attempt at a different endpoint."""
         self._metrics.retried(reason)
         job.interrupt.clear()
         job.exclude.add(view.endpoint_id)
@@ -265,10 +276,12 @@
         return RetryLater(backoff(job.failures))
 
     # --- non-idempotent --------------------------------------------------------------
-    async def _run_once(self, job: Job, view: EndpointView, body: str) -> AttemptResult:
+    async def _run_non_idempotent(
+        self, job: Job, view: EndpointView, body: str
+    ) -> AttemptResult:
         if not job.partial:
             if self._has_open_grant(job):
-                return await self._unknown(job, "an attempt has no outcome")
+                return await self._record_unknown(job, "an attempt has no outcome")
             step = await self._grant(job, view)
             if step is not None:
                 return step
@@ -276,29 +289,33 @@
         try:
             answer = await self._send(job, view, body, attempt_id)
         except Interrupted as exc:
-            return await self._after_stop(job, view, exc.word, "it was stopped")
+            return await self._handle_stop(
+                job, view, exc.attempt_state, "it was stopped"
+            )
         except EbonydealError as exc:
-            if exc.kind in ANSWER_KINDS:
-                return await self._complete(job, error_answer(exc))
+            if exc.kind in FINAL_REFUSALS:
+                return await self._record_completed(job, error_answer(exc))
             if exc.kind in NOT_RUN_ERRORS:
-                return await self._not_run(job, view, retry_reason(exc.kind))
+                return await self._record_not_run(job, view, retry_reason(exc.kind))
             await self._crashes.failed(job.request, view, exc.kind)
-            word = UNKNOWN
+            attempt_state = UNKNOWN
             if view.kind is EndpointKind.ENGINE:
-                word = await cancel_attempt(self._engine, view, attempt_id)
-            return await self._after_stop(job, view, word, exc.detail or str(exc.kind))
-        return await self._complete(job, answer)
+                attempt_state = await cancel_attempt(self._engine, view, attempt_id)
+            return await self._handle_stop(
+                job, view, attempt_state, exc.detail or str(exc.kind)
+            )
+        return await self._record_completed(job, answer)
 
     def _has_open_grant(self, job: Job) -> bool:
         state = job.journal.state(job.request_id)
         return state is not None and state.phase is Phase.DISPATCHED
 
     async def _grant(self, job: Job, view: EndpointView) -> AttemptResult | None:
-        """Make ``dispatched`` durable; return a step if nothing may be sent."""
+        """Make ``dispatched`` durable; return a result if nothing may be sent."""
         deadline = job.request.deadline
         if deadline and self._clock.wall() > deadline:
             why = "its deadline passed before it was sent"
-            return await self._end(job, ErrorKind.NOT_RUN, why)
+            return await self._record_ended(job, ErrorKind.NOT_RUN, why)
         if job.cancelled:
             await self.cancel_waiting(job)
             return Done()
@@ -312,18 +329,18 @@
         granted = state is not None and state.attempt == attempt and not state.is_final
         if not granted:
             return Done()
-        # The record may have waited for long: nothing has been sent so far.
+        # The append may have taken long, and nothing has been sent yet.
         if job.cancelled or self._picker.is_leaving(view):
-            return await self._not_run(job, view, RetryReason.LEAVING)
+            return await self._record_not_run(job, view, RetryReason.LEAVING)
         return None
 
-    async def _not_run(
+    async def _record_not_run(
         self, job: Job, view: EndpointView, reason: RetryReason
     ) -> AttemptResult:
         """Record the proof that the granted attempt did not run."""
         if job.partial:
             if job.cancelled:
-                return await self._unknown(job, "it was cancelled while it ran")
+                return await self._record_unknown(job, "it was cancelled while it ran")
         else:
             state = job.journal.state(job.request_id)
             attempt = 0 if state is None else state.attempt
@@ -336,17 +353,17 @@
             await self._append(job, *records)
         if job.cancelled:
             return Done()
-        return self._again(job, view, reason)
+        return self._retry_elsewhere(job, view, reason)
 
-    async def _after_stop(
-        self, job: Job, view: EndpointView, word: str, why: str
+    async def _handle_stop(
+        self, job: Job, view: EndpointView, attempt_state: str, why: str
     ) -> AttemptResult:
-        """Go by the engine's word on an attempt that gave no whole answer."""
-        if word == NOT_STARTED:
-            return await self._not_run(job, view, RetryReason.LEAVING)
-        if word == STOPPED and not job.cancelled:
+        """Act on the engine's state of an attempt whose answer is incomplete."""
+        if attempt_state == NOT_STARTED:
+            return await self._record_not_run(job, view, RetryReason.LEAVING)
+        if attempt_state == STOPPED and not job.cancelled:
             job.partial = True
-            return self._again(job, view, RetryReason.STREAM_RESUMED)
-        if word == FINISHED:
+            return self._retry_elsewhere(job, view, RetryReason.STREAM_RESUMED)
+        if attempt_state == FINISHED:
             why = "it finished, but its answer was lost"
-        return await self._unknown(job, why)
+        return await self._record_unknown(job, why)
--- a/src/ebonydeal/_internal/journal/backlog.py
+++ b/src/ebonydeal/_internal/journal/backlog.py
@@ -1,7 +1,7 @@
-"""Deadline work that waits, as the controller reads it. Pure.
+"""Waiting work with deadlines, as the controller reads it. Pure.
 
-Work is told in replica seconds, estimated from above: every request takes its
-most output tokens at the deployment's latency targets, while a replica serves
+Work is measured in replica seconds, as an upper estimate: every request produces
+its maximum output tokens at the deployment's latency targets, and a replica serves
 as many requests at once as it has slots.
 """
 
@@ -11,30 +11,30 @@
 from ebonydeal._internal.models.document import Deployment, Document
 from ebonydeal._internal.models.requests import Request
 
-BACKLOG = "backlog/"
-SERVICE_CALL_S = 4.0
+BACKLOG_PREFIX = "backlog/"
+ASSUMED_SERVICE_CALL_S = 4.0
 MAX_ENTRIES = 200
 STALE_ROW_AGE_S = 3600.0
 
 SlotsOf = Callable[[str], int]
-Jobs = list[list[float]]
+DeadlineWork = list[list[float]]
 
 
 def backlog_key(deployment: str, node_id: str) -> str:
-    """Return the row of a deployment's work at a node."""
-    return f"{BACKLOG}{deployment}:{node_id}"
+    """Return the row key of a deployment's work at a node."""
+    return f"{BACKLOG_PREFIX}{deployment}:{node_id}"
 
 
 def is_row_of(key: str, node_id: str) -> bool:
-    """Return whether a backlog row is a node's own."""
-    return key.removeprefix(BACKLOG).partition(":")[2] == node_id
+    """Return whether a backlog row belongs to a node."""
+    return key.removeprefix(BACKLOG_PREFIX).partition(":")[2] == node_id
 
 
 def is_stale(value: dict[str, Any], wall: float) -> bool:
-    """Return whether a row of a node that is gone counts no more.
+    """Return whether a row was left by a node that is gone.
 
-    Its deadlines have passed and it was not renewed for ``STALE_ROW_AGE_S``. A row in
-    another shape is left alone.
+    Its deadlines and its last renewal are more than ``STALE_ROW_AGE_S`` ago. A row
+    in another format is never stale.
     """
     match value:
         case {"jobs": list(jobs), "at": float(at) | int(at)}:
@@ -44,22 +44,24 @@
 
 
 def replica_seconds(request: Request, deployment: Deployment, slots: int) -> float:
-    """Return the replica seconds that a request takes, from above."""
+    """Return an upper estimate of the replica seconds that a request takes."""
     if request.max_tokens <= 0:
-        return SERVICE_CALL_S / max(1, slots)
+        return ASSUMED_SERVICE_CALL_S / max(1, slots)
     tokens_s = request.max_tokens * deployment.between_tokens_s
     return (deployment.first_token_s + tokens_s) / max(1, slots)
 
 
-def merge_deadlines(work: dict[float, float], most: int = MAX_ENTRIES) -> Jobs:
-    """Return (deadline, replica seconds) in order of deadlines, ``most`` at most.
+def merge_deadlines(
+    work: dict[float, float], max_entries: int = MAX_ENTRIES
+) -> DeadlineWork:
+    """Return at most ``max_entries`` (deadline, replica seconds) pairs, sorted.
 
     Neighbours are merged under the earliest of their deadlines, so that no work
-    looks less pressing than it is.
+    appears less urgent than it is.
     """
     deadlines = sorted(work)
-    size = -(-len(deadlines) // most)
-    jobs: Jobs = []
+    size = -(-len(deadlines) // max_entries)
+    jobs: DeadlineWork = []
     for start in range(0, len(deadlines), max(1, size)):
         group = deadlines[start : start + size]
         total = sum(work[deadline] for deadline in group)
@@ -68,12 +70,12 @@
 
 
 class Backlog:
-    """Sums up waiting requests by deployment and deadline.
+    """Sums up the work of waiting requests by deployment and deadline.
 
     Parameters
     ----------
     document : Document
-        Only its deployments with ``deadline_work`` count.
+        Only its deployments with ``deadline_work`` are counted.
     slots_of : callable
         Returns how many requests a replica of a deployment serves at once.
     """
@@ -85,7 +87,7 @@
         self._work: dict[str, dict[float, float]] = {}
 
     def add(self, requests: Iterable[Request]) -> None:
-        """Count requests; those without a deadline are left out."""
+        """Add requests; those without a deadline are ignored."""
         for request in requests:
             deployment = self._deployments.get(request.deployment)
             if not request.deadline or deployment is None:
@@ -101,6 +103,6 @@
         work = self._work.setdefault(name, {})
         work[request.deadline] = work.get(request.deadline, 0.0) + seconds
 
-    def jobs(self) -> dict[str, Jobs]:
-        """Return the rows' jobs by deployment; none for those without work."""
+    def work_by_deployment(self) -> dict[str, DeadlineWork]:
+        """Return the work of each deployment that has any."""
         return {name: merge_deadlines(work) for name, work in self._work.items()}
--- a/src/ebonydeal/_internal/journal/bodies.py
+++ b/src/ebonydeal/_internal/journal/bodies.py
@@ -1,6 +1,6 @@
-"""Large request bodies and answers, kept in the object store.
+"""Stores large request bodies and answers in the object store.
 
-While the object store is down, a body that still fits a journal row is kept
+While the object store is down, a body that still fits a journal row is stored
 there instead.
 """
 
@@ -16,7 +16,7 @@
 from ebonydeal._internal.outside.interfaces import Objects
 from ebonydeal._internal.settings.journal import JournalSettings
 
-_ROW_SHARE = 0.5
+_FALLBACK_ROW_SHARE = 0.5
 
 
 class Bodies:
@@ -28,20 +28,20 @@
         self._objects = objects
         self._shard = shard
         self._epoch = epoch
-        self._inline = cfg.inline_bytes
-        self._most = int(cfg.max_row_bytes * _ROW_SHARE)
+        self._max_inline_bytes = cfg.inline_bytes
+        self._max_fallback_bytes = int(cfg.max_row_bytes * _FALLBACK_ROW_SHARE)
 
-    async def _keep(self, request_id: str, text: str) -> str:
-        """Return the object that holds ``text``, or "" to keep it inline."""
+    async def _store(self, request_id: str, text: str) -> str:
+        """Return the object that holds ``text``, or "" to store it inline."""
         data = text.encode()
-        if len(data) <= self._inline:
+        if len(data) <= self._max_inline_bytes:
             return ""
         digest = xxh3_128_hexdigest(data)
         name = body_object(self._shard, self._epoch, request_id, digest)
         try:
             await self._objects.put(name, data)
         except EbonydealError:
-            if len(data) <= self._most:
+            if len(data) <= self._max_fallback_bytes:
                 return ""
             raise
         return name
@@ -49,14 +49,14 @@
     async def store_request(self, request: Request) -> Request:
         """Return ``request`` as it goes into a record.
 
-        Raises ``JOURNAL_UNAVAILABLE`` when its body has nowhere to be kept.
+        Raises ``JOURNAL_UNAVAILABLE`` when its body can be stored nowhere.
         """
         try:
-            name = await self._keep(request.request_id, request.body)
+            name = await self._store(request.request_id, request.body)
         except EbonydealError as exc:
             raise EbonydealError(
                 ErrorKind.JOURNAL_UNAVAILABLE,
-                "The object store does not take the request's body.",
+                "The object store does not accept the request's body.",
             ) from exc
         if not name:
             return request
@@ -64,7 +64,7 @@
 
     async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
         """Return ``answer`` as it goes into a record; raises the store's errors."""
-        name = await self._keep(request_id, answer.body)
+        name = await self._store(request_id, answer.body)
         if not name:
             return answer
         return answer._replace(body="", body_object=name)
@@ -83,11 +83,13 @@
             return inline
         data = await self._objects.get(name)
         if data is None:
-            raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, f"{name} is not there")
+            raise EbonydealError(
+                ErrorKind.STORE_UNAVAILABLE, f"object {name} is missing"
+            )
         return data.decode()
 
     async def delete(self, names: list[str]) -> None:
-        """Delete objects; what the store refuses is left for the next sweep."""
+        """Delete objects until a store error; the next sweep deletes the others."""
         for name in names:
             try:
                 await self._objects.delete(name)
@@ -97,8 +99,8 @@
     async def earlier_objects(self) -> list[str]:
         """Return the shard's objects of earlier epochs.
 
-        Those of later ones are there too when this process was paused past a
-        takeover: they are the present owner's, and never this one's to judge.
+        Objects of later epochs exist too if this process was paused during a
+        takeover. They belong to the new owner, so this one must not delete them.
         """
         found: list[str] = []
         for prefix in (bodies_prefix(self._shard), snapshots_prefix(self._shard)):
--- a/src/ebonydeal/_internal/journal/claims.py
+++ b/src/ebonydeal/_internal/journal/claims.py
@@ -1,7 +1,7 @@
-"""Claim and release of a shard by compare-and-set on its row.
+"""Claims and releases a shard by compare-and-set on its row.
 
-Safety rests on these transactions alone: each claim raises the epoch, and every
-write of an owner is conditioned on its epoch. Clocks only decide when to try.
+Safety depends on these transactions alone: each claim raises the epoch, and every
+write of an owner is conditional on its epoch. Clocks only decide when to try.
 """
 
 import random
@@ -21,12 +21,12 @@
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.ids import new_token
 
-_TRIES = 5
-_RETRY_S = 0.2
+_MAX_TRIES = 5
+_RETRY_DELAY_S = 0.2
 
 
 class Identity(NamedTuple):
-    """Who claims: one process start.
+    """The claiming node: one start of its process.
 
     Attributes
     ----------
@@ -35,7 +35,7 @@
     address : str
         ``host:port`` of the journal listener.
     incarnation : int
-        Grows with each start of the node.
+        Increases with each start of the node.
     """
 
     node_id: str
@@ -62,7 +62,7 @@
 
     @classmethod
     def from_value(cls, value: dict[str, Any]) -> "ShardRow":
-        """Build from the row's value; raises INTERNAL on garbage."""
+        """Build from the row's value; raises INTERNAL on invalid content."""
         try:
             return cls(
                 owner=str(value["owner"]),
@@ -73,7 +73,7 @@
             )
         except (KeyError, TypeError, ValueError) as exc:
             raise EbonydealError(
-                ErrorKind.INTERNAL, f"a shard row can't be read: {exc!r}"
+                ErrorKind.INTERNAL, f"a shard row is malformed: {exc!r}"
             ) from exc
 
 
@@ -86,11 +86,11 @@
     clock: Clock,
     rng: random.Random,
 ) -> Claim | None:
-    """Claim a shard whose row still is as ``seen``; None if it isn't ours.
+    """Claim a shard whose row is still as ``seen``; return None if that failed.
 
-    After a lost answer the row is read back and compared with this claim's own
-    token. A claim that is given up in doubt may still land: its row then names
-    an owner that doesn't know, and is claimed again with a higher epoch.
+    The row is read back and compared with this claim's token, since a reply may be
+    lost. A claim given up while in doubt may still take effect: its row then names
+    an owner that doesn't know of it, and is claimed again with a higher epoch.
     """
     epoch = 1 if seen is None else ShardRow.from_value(seen.value).epoch + 1
     claim = Claim(shard, epoch, new_token("c", rng))
@@ -99,12 +99,12 @@
     condition: Condition = RowAbsent(key)
     if seen is not None:
         condition = RowVersion(key, seen.version)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_TRIES):
         try:
             await tables.transact([condition], [Put(key, row._asdict())])
             now = await tables.get(key)
         except EbonydealError:
-            await clock.sleep(_RETRY_S)
+            await clock.sleep(_RETRY_DELAY_S)
             continue
         if now is not None and now.value.get("claim") == claim.token:
             return claim
@@ -114,13 +114,13 @@
 
 
 async def release_shard(tables: Tables, claim: Claim, clock: Clock) -> bool:
-    """Free a shard so that the next owner need not wait; return whether it is.
+    """Free a shard so that the next owner need not wait; return whether it is free.
 
-    The epoch is raised as well, so that nothing of the old one can land.
+    The epoch is raised too, so that no late write of the old epoch takes effect.
     """
     key = shard_key(claim.shard)
     free = ShardRow("", "", claim.epoch + 1, 0, claim.token)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_TRIES):
         try:
             if await tables.transact(
                 [FieldEquals(key, "epoch", claim.epoch)], [Put(key, free._asdict())]
@@ -129,5 +129,5 @@
             row = await tables.get(key)
             return row is not None and row.value.get("claim") == claim.token
         except EbonydealError:
-            await clock.sleep(_RETRY_S)
+            await clock.sleep(_RETRY_DELAY_S)
     return False
--- a/src/ebonydeal/_internal/journal/entries.py
+++ b/src/ebonydeal/_internal/journal/entries.py
@@ -1,4 +1,4 @@
-"""Records that wait for their row, in order."""
+"""Queue of records that wait to be written to a row."""
 
 import asyncio
 from collections import deque
@@ -13,24 +13,24 @@
 
 @dataclass(eq=False)
 class Entry:
-    """Records of one append, which stay together in one row.
+    """Records of one append, which are written to the same row.
 
     Attributes
     ----------
     records : tuple of Record
-        In their order.
+        In write order.
     messages : list of dict
-        Their wire shape.
+        Their wire format.
     size : int
-        Bytes of that.
+        Bytes of ``messages``.
     urgent : bool
-        A caller waits.
-    hold : bool
-        Kept through an outage.
-    asked_at : float
+        A caller is waiting.
+    retain : bool
+        Stays queued through an outage.
+    enqueued_at : float
         Monotonic seconds.
     durable : asyncio.Future
-        Done once durable, or failed.
+        Done when the records are durable or have failed.
     """
 
     records: tuple[Record, ...]
@@ -38,14 +38,14 @@
     size: int
     urgent: bool
     retain: bool
-    asked_at: float
+    enqueued_at: float
     durable: asyncio.Future = field(repr=False)
 
     @classmethod
     def of(
         cls, records: Sequence[Record], urgent: bool, retain: bool, now: float
     ) -> "Entry":
-        """Build from records, inside the running loop."""
+        """Build from records; needs a running event loop."""
         messages = [record_to_message(record) for record in records]
         return cls(
             records=tuple(records),
@@ -53,20 +53,20 @@
             size=len(msgspec.json.encode(messages)),
             urgent=urgent,
             retain=retain,
-            asked_at=now,
+            enqueued_at=now,
             durable=asyncio.get_running_loop().create_future(),
         )
 
 
 class EntryQueue:
-    """Entries that wait, and a count that includes those being written.
+    """Queued entries, and a record count that includes those being written.
 
     Attributes
     ----------
     entries : deque of Entry
-        Those that wait.
+        Not yet taken for a batch.
     pending : int
-        Records that wait or are being written.
+        Records that are queued or being written.
     changed : asyncio.Event
         Set when an entry is added.
     idle : asyncio.Event
@@ -83,28 +83,28 @@
         self._max_bytes = max_bytes
 
     @property
-    def is_urgent(self) -> bool:
-        """Whether a caller waits for any of them."""
+    def has_urgent(self) -> bool:
+        """Whether a caller is waiting for any entry."""
         return any(entry.urgent for entry in self.entries)
 
     def add(self, entry: Entry) -> None:
-        """Put an entry at the end."""
+        """Append an entry."""
         self.entries.append(entry)
         self.pending += len(entry.records)
         self.idle.clear()
         self.changed.set()
 
     def withdraw(self, entry: Entry) -> bool:
-        """Remove an entry that still waits; return False if it was taken."""
+        """Remove a queued entry; return False if it was already taken."""
         if entry not in self.entries:
             return False
         self.entries.remove(entry)
         entry.durable.cancel()
-        self._ended(entry)
+        self._subtract_pending(entry)
         return True
 
     def take_batch(self) -> list[Entry]:
-        """Take entries in their order, up to the size of a row."""
+        """Take entries in order, up to the size limits of a row."""
         batch: list[Entry] = []
         count = size = 0
         while self.entries:
@@ -117,27 +117,27 @@
             batch.append(self.entries.popleft())
         return batch
 
-    def put_back(self, batch: list[Entry]) -> None:
-        """Put taken entries back in front."""
+    def requeue(self, batch: list[Entry]) -> None:
+        """Put taken entries back at the front."""
         self.entries.extendleft(reversed(batch))
 
     def finish(self, entry: Entry, error: EbonydealError | None) -> None:
-        """Tell an entry's waiter its outcome."""
+        """Set the outcome of an entry."""
         if not entry.durable.done():
             if error is None:
                 entry.durable.set_result(None)
             else:
                 entry.durable.set_exception(error)
-                # Marks it as seen: a waiter may have gone.
+                # Marks the exception as retrieved: the waiter may have been cancelled.
                 entry.durable.exception()
-        self._ended(entry)
+        self._subtract_pending(entry)
 
     def fail_all(self, error: EbonydealError) -> None:
-        """Fail all entries that wait."""
+        """Fail all queued entries."""
         while self.entries:
             self.finish(self.entries.popleft(), error)
 
-    def _ended(self, entry: Entry) -> None:
+    def _subtract_pending(self, entry: Entry) -> None:
         self.pending -= len(entry.records)
         if self.pending == 0:
             self.idle.set()
--- a/src/ebonydeal/_internal/journal/fold.py
+++ b/src/ebonydeal/_internal/journal/fold.py
@@ -23,7 +23,7 @@
 
 
 class Phase(StrEnum):
-    """How far a request is; the last three are final."""
+    """Progress of a request; the last three phases are final."""
 
     ACCEPTED = "accepted"
     DISPATCHED = "dispatched"
@@ -36,18 +36,18 @@
 
 
 class RequestState(NamedTuple):
-    """What the journal knows of one request.
+    """State of one request in the journal.
 
     Attributes
     ----------
     request : Request
-        As accepted; its body text is dropped once the phase is final.
+        As accepted; body text and headers are dropped once the phase is final.
     phase : Phase
-        How far it is.
+        Its progress.
     attempt : int
-        Last attempt that was dispatched; 0 for none.
+        Number of the last dispatched attempt; 0 for none.
     endpoint_id, incarnation : str, int
-        Where that attempt went.
+        Endpoint of that attempt.
     answer : StoredAnswer or None
         With ``COMPLETED``.
     kind, why : str
@@ -68,18 +68,18 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing but expiry can happen any more."""
+        """Whether only expiry can change this state."""
         return self.phase in FINAL
 
 
 def _close(state: RequestState, phase: Phase, at: float) -> RequestState:
-    """Return ``state`` in a final phase, without the body text."""
+    """Return ``state`` in a final phase, without body text and headers."""
     request = state.request._replace(body="", headers={})
     return state._replace(request=request, phase=phase, done_at=at)
 
 
 def _dispatch(state: RequestState, record: Dispatched) -> RequestState:
-    """Grant an attempt; a non-idempotent request holds one grant at most."""
+    """Grant an attempt; a non-idempotent request has at most one open grant."""
     if state.phase is not Phase.ACCEPTED or record.attempt <= state.attempt:
         return state
     return state._replace(
@@ -91,17 +91,17 @@
 
 
 def _withdraw(state: RequestState, record: NotRun) -> RequestState:
-    """Cancel the grant that the proof is about."""
+    """Withdraw the grant of an attempt that is proven not to have run."""
     if state.phase is not Phase.DISPATCHED or record.attempt != state.attempt:
         return state
     return state._replace(phase=Phase.ACCEPTED)
 
 
 def apply(state: RequestState | None, record: Record) -> RequestState | None:
-    """Return the state after ``record``; None is a request not known (any more).
+    """Return the state after ``record``; None for an unknown or expired request.
 
-    The first completed record wins. ``Ended`` means "known not to have run", so
-    it never follows an open grant.
+    The first final record wins. ``Ended`` means that the request is known not to
+    have run, so it is ignored while a grant is open.
     """
     if isinstance(record, Accepted):
         return RequestState(record.request) if state is None else state
@@ -126,14 +126,14 @@
 
 
 def request_id_of(record: Record) -> str:
-    """Return the request a record is about."""
+    """Return the id of the request that a record belongs to."""
     if isinstance(record, Accepted):
         return record.request.request_id
     return record.request_id
 
 
 def apply_all(states: dict[str, RequestState], records: Iterable[Record]) -> None:
-    """Fold ``records`` into a shard's ``states`` (request id to state)."""
+    """Apply ``records`` to a shard's ``states`` (request id to state)."""
     for record in records:
         request_id = request_id_of(record)
         state = apply(states.get(request_id), record)
@@ -146,7 +146,7 @@
 def expiry_records(
     states: dict[str, RequestState], before: float, limit: int
 ) -> list[Expired]:
-    """Return records that forget requests which were final ``before`` that time."""
+    """Return up to ``limit`` records that expire requests final ``before`` a time."""
     records: list[Expired] = []
     for request_id, state in states.items():
         if len(records) >= limit:
--- a/src/ebonydeal/_internal/journal/jobs.py
+++ b/src/ebonydeal/_internal/journal/jobs.py
@@ -1,4 +1,4 @@
-"""What the dispatcher keeps of one accepted request while it is not final."""
+"""State that the dispatcher keeps for an accepted request until it is final."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,25 +14,25 @@
 
 
 class Picker(Protocol):
-    """Chooses endpoints; the directory and the router stand behind it."""
+    """Chooses endpoints, with the directory and the router."""
 
     def pick(self, request: Request, exclude: frozenset[str]) -> EndpointView | None:
-        """Return where to send ``request`` now, none of ``exclude``, if anywhere."""
+        """Return an endpoint for ``request`` that isn't in ``exclude``, or None."""
 
     def is_leaving(self, view: EndpointView) -> bool:
-        """Return whether an endpoint is known to be going away."""
+        """Return whether an endpoint is known to be leaving."""
 
     def record_sent(self, request: Request, view: EndpointView) -> None:
-        """Learn that a run at an endpoint starts."""
+        """Record that a run starts at an endpoint."""
 
     def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
-        """Learn that a run at an endpoint has ended, and with which error."""
+        """Record that a run at an endpoint has ended; ``error`` is None on success."""
 
 
 class ShardJournal(Protocol):
-    """A shard's durable records, as its owner lends them to the dispatcher."""
+    """A shard's journal, as its owner provides it to the dispatcher."""
 
     shard: int
     epoch: int
@@ -47,38 +47,38 @@
         """Return a request's body; raises the object store's errors."""
 
     async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
-        """Return an answer as it goes into a record."""
+        """Store a large answer body; return the answer as it goes into a record."""
 
 
 @dataclass(eq=False)
 class Job:
-    """One request on its way to its end.
+    """One accepted request that is not final.
 
     Attributes
     ----------
-    book : Book
-        The shard that holds it.
+    journal : ShardJournal
+        The journal of its shard.
     request : Request
         As accepted.
     may_have_run : bool
         An idempotent request of which some owner may have sent an attempt.
     partial : bool
-        A non-idempotent generation that a source confirmed to have stopped: its
-        tokens go on elsewhere as the same run.
+        A non-idempotent generation whose engine confirmed that it stopped:
+        another endpoint continues after its tokens as the same run.
     attempt : int
-        Attempts that were sent in this epoch, for attempt ids.
+        Attempts sent in this epoch, for attempt ids.
     exclude : set of str
-        Endpoints that failed it since the last success or wait.
+        Endpoints that failed it since it was last deferred for lack of others.
     failures : int
-        Failures in a row, for the backoff.
+        Consecutive failures, for the backoff.
     cancelled : bool
-        The caller asked for its end.
+        The caller requested its cancellation.
     sending : bool
-        An endpoint is working on it now.
+        An endpoint is running it now.
     view : EndpointView or None
         That endpoint.
     task : asyncio.Task or None
-        The present attempt, from the grant to the durable outcome.
+        The current attempt, from the grant to the durable outcome.
     ended : asyncio.Event
         Set when the request is final or can't be stopped.
     """
@@ -100,16 +100,16 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id."""
+        """Id of the request."""
         return self.request.request_id
 
     def next_attempt_id(self) -> str:
-        """Return a fresh attempt id, unique over owners."""
+        """Return a new attempt id, unique across owners."""
         self.attempt += 1
         return f"{self.request_id}.{self.journal.epoch}.{self.attempt}"
 
-    def is_covered(self, mark: LeavingMark) -> bool:
-        """Return whether ``mark`` is about the endpoint that works on it."""
+    def is_affected_by(self, mark: LeavingMark) -> bool:
+        """Return whether ``mark`` applies to the endpoint that runs it."""
         if self.view is None:
             return False
         if mark.endpoint_id:
--- a/src/ebonydeal/_internal/journal/leases.py
+++ b/src/ebonydeal/_internal/journal/leases.py
@@ -1,15 +1,15 @@
-"""Node leases, and which of them look alive to this process.
+"""Node leases, and which of them are alive as observed by this process.
 
-No clock of another instance is trusted: a lease is alive while its row keeps
-changing, measured on this process's own clock. Pure: time is an argument.
+Clocks of other instances are not trusted: a lease is alive while its row keeps
+changing, measured on this process's clock. Pure: time is an argument.
 """
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
 JOURNAL_ROLE = "journal"
-SILENT_RENEWALS = 3
-MISSED_READINGS = 2.5
+MAX_MISSED_RENEWALS = 3
+GAP_READ_INTERVALS = 2.5
 
 
 class NodeLease(NamedTuple):
@@ -20,15 +20,15 @@
     address : str
         ``host:port`` of the journal listener.
     region, zone : str
-        Where the node is.
+        Location of the node.
     incarnation : int
-        Grows with each start of the node.
+        Increases with each start of the node.
     roles : tuple of str
-        Programs in this process.
+        Programs in the node's process.
     until : float
-        Wall clock seconds, for people who read the row.
+        End of the lease, wall clock seconds; informational only.
     beat : int
-        Grows with each renewal.
+        Increases with each renewal.
     every : float
         Seconds between renewals.
     """
@@ -58,7 +58,7 @@
 
 
 class LiveNode(NamedTuple):
-    """A node whose lease is alive, and since when without a break."""
+    """A node whose lease has been alive without interruption since ``since``."""
 
     node_id: str
     address: str
@@ -66,8 +66,8 @@
     since: float
 
 
-class _Seen(NamedTuple):
-    """What was last seen of a lease, and when it last changed."""
+class _ObservedLease(NamedTuple):
+    """Last observed content of a lease, and when it last changed."""
 
     lease: NodeLease
     changed_at: float
@@ -75,49 +75,51 @@
 
 
 class LeaseWatch:
-    """Remembers when each lease last changed.
+    """Tracks when each lease last changed.
 
-    A lease that is seen for the first time counts as just changed, so that a
-    process that has just started waits out a whole lease before it takes over.
+    A lease that is observed for the first time counts as just changed, so a process
+    that has just started waits for a whole lease period before it takes over.
     """
 
     def __init__(self, lease_seconds: float) -> None:
         self._lease_seconds = lease_seconds
-        self._seen: dict[str, _Seen] = {}
+        self._observed: dict[str, _ObservedLease] = {}
         self._read_at: float | None = None
 
     def observe(
-        self, leases: dict[str, NodeLease], now: float, every: float = 0.0
+        self, leases: dict[str, NodeLease], now: float, read_interval: float = 0.0
     ) -> None:
-        """Take a reading of all lease rows; those that are gone are released.
+        """Record a read of all lease rows; a deleted row ends its lease.
 
-        Time in which nothing could be read (an outage, a pause of this process)
-        is no silence of the others: they get that time again. ``every`` is the
-        planned time between readings, seconds.
+        Time in which this process read nothing (an outage, or a pause of this
+        process) does not count against the leases. ``read_interval`` is the
+        planned time between reads, seconds.
         """
         gap = 0.0 if self._read_at is None else now - self._read_at
         self._read_at = now
-        if gap > max(self._lease_seconds / 2, MISSED_READINGS * every):
-            self._seen = {
+        if gap > max(self._lease_seconds / 2, GAP_READ_INTERVALS * read_interval):
+            self._observed = {
                 node_id: seen._replace(changed_at=seen.changed_at + gap)
-                for node_id, seen in self._seen.items()
+                for node_id, seen in self._observed.items()
             }
-        self._seen = {
-            node_id: self._next(self._seen.get(node_id), lease, now)
+        self._observed = {
+            node_id: self._observe_one(self._observed.get(node_id), lease, now)
             for node_id, lease in leases.items()
         }
 
-    def _next(self, seen: _Seen | None, lease: NodeLease, now: float) -> _Seen:
+    def _observe_one(
+        self, seen: _ObservedLease | None, lease: NodeLease, now: float
+    ) -> _ObservedLease:
         if seen is None or seen.lease.incarnation != lease.incarnation:
-            return _Seen(lease, now, now)
+            return _ObservedLease(lease, now, now)
         if seen.lease.beat == lease.beat:
             return seen
         since = seen.since if self._is_alive(seen, now) else now
-        return _Seen(lease, now, since)
+        return _ObservedLease(lease, now, since)
 
-    def _is_alive(self, seen: _Seen, now: float) -> bool:
-        silence = max(self._lease_seconds, SILENT_RENEWALS * seen.lease.every)
-        return now - seen.changed_at < silence
+    def _is_alive(self, seen: _ObservedLease, now: float) -> bool:
+        timeout = max(self._lease_seconds, MAX_MISSED_RENEWALS * seen.lease.every)
+        return now - seen.changed_at < timeout
 
     def live(self, now: float, role: str = JOURNAL_ROLE) -> dict[str, LiveNode]:
         """Return the nodes with ``role`` whose lease is alive, by id."""
@@ -125,18 +127,18 @@
             node_id: LiveNode(
                 node_id, seen.lease.address, seen.lease.incarnation, seen.since
             )
-            for node_id, seen in self._seen.items()
+            for node_id, seen in self._observed.items()
             if role in seen.lease.roles and self._is_alive(seen, now)
         }
 
 
 def renewal_interval(base: float, nodes: int, writes_per_s: float) -> float:
-    """Return seconds between renewals so that all nodes keep to a write rate."""
+    """Return seconds between renewals that keep all nodes within a write rate."""
     return max(base, nodes / max(writes_per_s, 1e-9))
 
 
 def read_leases(values: Iterable[tuple[str, dict[str, Any]]]) -> dict[str, NodeLease]:
-    """Return (node id, value) pairs as leases; unreadable ones are left out."""
+    """Parse (node id, value) pairs as leases, skipping malformed ones."""
     leases = {}
     for node_id, value in values:
         try:
--- a/src/ebonydeal/_internal/journal/maintenance.py
+++ b/src/ebonydeal/_internal/journal/maintenance.py
@@ -1,4 +1,4 @@
-"""What keeps a shard small: expiry, snapshots, trim, and sweeping of objects."""
+"""Maintenance of a shard: expiry, snapshots, trimming, deletion of unused objects."""
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.journal.appender import Appender
@@ -11,20 +11,20 @@
 from ebonydeal._internal.settings.journal import JournalSettings
 from ebonydeal._internal.utils.clock import Clock
 
-EXPIRE_AT_ONCE = 500
-EXPIRE_EVERY_S = 30.0
-_EXPIRE_SHARE = 0.01
+MAX_EXPIRED_PER_RUN = 500
+MAX_EXPIRY_INTERVAL_S = 30.0
+_EXPIRY_INTERVAL_FRACTION = 0.01
 
 
 class ShardMaintenance:
-    """Upkeep of one shard during one epoch; called by its owner only.
+    """Maintenance of one shard during one epoch; called by its owner only.
 
     Parameters
     ----------
     claim : Claim
         The owner's claim.
     states : dict of str to RequestState
-        The owner's own states, as they change.
+        The owner's live states.
     bodies : Bodies
         Of the same shard and epoch.
     """
@@ -50,37 +50,39 @@
         self._cfg = cfg
         self._clock = clock
         self._metrics = metrics
-        self._forget: list[str] = []
-        self._expire_at = 0.0
+        self._unreferenced: list[str] = []
+        self._next_expiry_at = 0.0
 
     def collect_objects(self, request_id: str) -> None:
-        """Remember the objects of a request that is being forgotten."""
+        """Note the objects of an expiring request for deletion."""
         state = self._states.get(request_id)
         if state is not None:
-            self._forget += _objects_of(state)
+            self._unreferenced += _objects_of(state)
 
     async def expire(self, appender: Appender) -> None:
-        """Forget requests that were final longer ago than the retention.
+        """Expire requests that have been final for longer than the retention.
 
-        Objects go only after the record is durable.
+        Their objects are deleted only after the record is durable.
         """
         now = self._clock.now()
-        if now < self._expire_at:
+        if now < self._next_expiry_at:
             return
         retention = self._cfg.retention_seconds
-        self._expire_at = now + min(EXPIRE_EVERY_S, retention * _EXPIRE_SHARE)
+        self._next_expiry_at = now + min(
+            MAX_EXPIRY_INTERVAL_S, retention * _EXPIRY_INTERVAL_FRACTION
+        )
         before = self._clock.wall() - retention
-        records = expiry_records(self._states, before, EXPIRE_AT_ONCE)
+        records = expiry_records(self._states, before, MAX_EXPIRED_PER_RUN)
         if records:
             await appender.append(records)
-            names, self._forget = self._forget, []
+            names, self._unreferenced = self._unreferenced, []
             await self._bodies.delete(names)
 
     async def snapshot_if_due(self, seq: int) -> bool:
-        """Snapshot and trim when enough rows have been written since the last.
+        """Snapshot and trim when enough rows were written since the last snapshot.
 
-        ``seq`` is the next row's number; all rows below it are folded into the
-        states. Raises the stores' errors.
+        ``seq`` is the next row's number; the states include all rows below it.
+        Raises the stores' errors.
         """
         if seq - self.snapshot_seq < self._cfg.snapshot_rows:
             return False
@@ -98,14 +100,14 @@
         return True
 
     async def earlier_objects(self) -> list[str]:
-        """Return objects of former owners; none while the store is down."""
+        """Return objects of earlier owners; none while the store is down."""
         try:
             return await self._bodies.earlier_objects()
         except EbonydealError:
             return []
 
     async def sweep(self, names: list[str], snapshot: str) -> None:
-        """Delete former owners' objects, but for those in use."""
+        """Delete those of the objects ``names`` that are not in use."""
         used = {name for state in self._states.values() for name in _objects_of(state)}
         used.add(snapshot)
         await self._bodies.delete([name for name in names if name not in used])
--- a/src/ebonydeal/_internal/journal/node.py
+++ b/src/ebonydeal/_internal/journal/node.py
@@ -1,4 +1,4 @@
-"""One process among the journal's owners: its lease, its shards, its view."""
+"""One journal process: its lease, its shards, and its view of the other nodes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,8 +18,13 @@
 )
 from ebonydeal._internal.journal.owner import ShardOwner
 from ebonydeal._internal.journal.parts import OwnerParts
-from ebonydeal._internal.journal.rows import NODES, SHARDS, node_key, shard_key
-from ebonydeal._internal.journal.shards import FreeSince, HeldShard, plan, ranking
+from ebonydeal._internal.journal.rows import (
+    NODES_PREFIX,
+    SHARDS_PREFIX,
+    node_key,
+    shard_key,
+)
+from ebonydeal._internal.journal.shards import ClaimableSince, HeldShard, plan, ranking
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.observe.counters import Event, RetryReason
 from ebonydeal._internal.observe.logs import get_logger
@@ -28,37 +33,37 @@
 
 logger = get_logger("journal")
 
-SCAN_ROWS = 1000
-NODES_PER_READING = 50
-JITTER = 0.2
-MIN_GRACE_S = 1.0
+SCAN_PAGE_ROWS = 1000
+NODES_PER_READ = 50
+JITTER_FRACTION = 0.2
+MIN_CLAIM_GRACE_S = 1.0
 
 Offer = Callable[[str, int], Awaitable[None]]
 
 
-class View(NamedTuple):
-    """The last reading of the rows that name nodes and owners."""
+class ClusterView(NamedTuple):
+    """Node and shard rows as last read."""
 
     nodes: dict[str, LiveNode]
     rows: dict[int, Row]
 
 
 class JournalNode(Service):
-    """Owns this process's lease and the owners of its shards.
+    """Holds this process's lease and the owners of its shards.
 
     Parameters
     ----------
     me : Identity
-        This process; its address may still change until the start.
+        This process; its address may change until the start.
     place : Place
-        Where it is.
+        Location of this process.
     parts : OwnerParts
         Shared by all owners.
     drain_seconds : float
-        Longest graceful shutdown.
+        Maximum duration of a graceful shutdown.
     offer : coroutine function, optional
-        Tells the node at an address that a shard is free, so that it need not
-        wait for its next reading. A lost offer costs that time only.
+        Notifies the node at an address that a shard is free, so that it need
+        not wait for its next read. A lost offer costs only that time.
     """
 
     def __init__(
@@ -79,18 +84,18 @@
         self._drain_seconds = drain_seconds
         self._offer = offer
         self._watch = LeaseWatch(parts.cfg.lease_seconds)
-        self._free_since = FreeSince()
+        self._claimable_since = ClaimableSince()
         self._since: dict[int, float] = {}
-        self._view = View({}, {})
+        self._view = ClusterView({}, {})
         self._beat = 0
-        self._moving: asyncio.Future | None = None
+        self._handing_over: asyncio.Future | None = None
         self._leaving = False
 
     # --- callers -----------------------------------------------------------------
     def owner_of(self, request_id: str) -> ShardOwner:
         """Return the owner of a request's shard; raises WRONG_OWNER.
 
-        The error names the right owner's address where it is known.
+        The error contains the owner's address if it is known.
         """
         shard = shard_from_id(request_id)
         if shard is None or shard >= self._cfg.shards:
@@ -103,12 +108,14 @@
         if row is not None and row.value.get("owner") != self.me.node_id:
             address = str(row.value.get("address", ""))
         raise EbonydealError(
-            ErrorKind.WRONG_OWNER, f"shard {shard:04x} is not here", owner=address
+            ErrorKind.WRONG_OWNER,
+            f"shard {shard:04x} is not owned by this node",
+            owner=address,
         )
 
     @property
     def live_nodes(self) -> int:
-        """How many journal nodes the last reading showed."""
+        """Number of live journal nodes at the last read."""
         return len(self._view.nodes)
 
     # --- lease -------------------------------------------------------------------
@@ -116,21 +123,23 @@
     async def _renew(self) -> None:
         """Renew this node's lease."""
         while not self.should_stop and not self._leaving:
-            every = self._renew_every()
+            interval = self._renewal_interval()
             try:
-                await self.renew(every)
+                await self.renew(interval)
             except EbonydealError:
                 self._parts.metrics.retried(RetryReason.STORE)
-            await self._clock.sleep(self._jittered(every))
+            await self._clock.sleep(self._jittered(interval))
 
-    def _renew_every(self) -> float:
+    def _renewal_interval(self) -> float:
         budget = self._cfg.lease_writes_per_s
         return renewal_interval(self._cfg.renew_seconds, len(self._view.nodes), budget)
 
     def _jittered(self, seconds: float) -> float:
-        return seconds * self._parts.rng.uniform(1.0 - JITTER, 1.0 + JITTER)
+        return seconds * self._parts.rng.uniform(
+            1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION
+        )
 
-    async def renew(self, every: float) -> None:
+    async def renew(self, interval: float) -> None:
         """Write the lease row once."""
         self._beat += 1
         lease = NodeLease(
@@ -141,7 +150,7 @@
             roles=(JOURNAL_ROLE,),
             until=self._clock.wall() + self._cfg.lease_seconds,
             beat=self._beat,
-            every=every,
+            every=interval,
         )
         key = node_key(self.me.node_id)
         self._parts.metrics.count(Event.TABLE_WRITES)
@@ -150,7 +159,7 @@
     # --- shards --------------------------------------------------------------------
     @Service.task
     async def _watch_rows(self) -> None:
-        """Read nodes and shards, and act on what they say."""
+        """Read node and shard rows at intervals and apply the resulting plan."""
         while not self.should_stop and not self._leaving:
             try:
                 await self.refresh_view()
@@ -158,39 +167,39 @@
             except EbonydealError as exc:
                 self._parts.metrics.retried(RetryReason.STORE)
                 if exc.kind is ErrorKind.INTERNAL:
-                    logger.error("Rows can't be read.", error=str(exc))
-            await self._clock.sleep(self._jittered(self._read_every()))
+                    logger.error("Node or shard rows are malformed.", error=str(exc))
+            await self._clock.sleep(self._jittered(self._read_interval()))
 
-    def _read_every(self) -> float:
-        """Return seconds between readings: more nodes, fewer readings each."""
+    def _read_interval(self) -> float:
+        """Return seconds between reads, which grow with the number of nodes."""
         nodes = len(self._view.nodes)
-        return self._cfg.renew_seconds * max(1.0, nodes / NODES_PER_READING)
+        return self._cfg.renew_seconds * max(1.0, nodes / NODES_PER_READ)
 
     async def refresh_view(self) -> None:
         """Read all node and shard rows."""
-        nodes = await self._scan(NODES)
-        shards = await self._scan(SHARDS)
+        nodes = await self._scan(NODES_PREFIX)
+        shards = await self._scan(SHARDS_PREFIX)
         now = self._clock.now()
-        leases = read_leases((row.key[len(NODES) :], row.value) for row in nodes)
-        self._watch.observe(leases, now, self._read_every())
-        rows = {int(row.key[len(SHARDS) :], 16): row for row in shards}
-        self._view = View(self._watch.live(now), rows)
+        leases = read_leases((row.key[len(NODES_PREFIX) :], row.value) for row in nodes)
+        self._watch.observe(leases, now, self._read_interval())
+        rows = {int(row.key[len(SHARDS_PREFIX) :], 16): row for row in shards}
+        self._view = ClusterView(self._watch.live(now), rows)
         self._parts.pacer.set_owners(len(self._view.nodes))
 
     async def _scan(self, prefix: str) -> list[Row]:
-        """Return all rows of a prefix, a page at a time."""
+        """Return all rows with a prefix, reading page by page."""
         rows: list[Row] = []
         start = ""
         while True:
             self._parts.metrics.count(Event.TABLE_READS)
-            page = await self._parts.tables.scan(prefix, start, SCAN_ROWS)
+            page = await self._parts.tables.scan(prefix, start, SCAN_PAGE_ROWS)
             rows += page
-            if len(page) < SCAN_ROWS:
+            if len(page) < SCAN_PAGE_ROWS:
                 return rows
             start = page[-1].key + "\0"
 
     async def apply_plan(self) -> None:
-        """Claim and hand over what the present view asks for."""
+        """Claim and hand over shards as the current view requires."""
         now = self._clock.now()
         held = {shard: HeldShard(shard, at) for shard, at in self._since.items()}
         rows = {
@@ -204,25 +213,25 @@
             rows,
             self._view.nodes,
             held,
-            self._free_since,
+            self._claimable_since,
             now,
             self._cfg.lease_seconds,
             self._cfg.settle_seconds,
-            max(MIN_GRACE_S, 2 * self._read_every()),
+            max(MIN_CLAIM_GRACE_S, 2 * self._read_interval()),
         )
         seen = self._view.rows
         await asyncio.gather(
             *(self._claim(shard, seen.get(shard)) for shard in decided.claim)
         )
-        if decided.hand_over is not None and self._moving is None:
-            self._moving = self.add_future(self._move(decided.hand_over))
+        if decided.hand_over is not None and self._handing_over is None:
+            self._handing_over = self.add_future(self._hand_over_one(decided.hand_over))
 
-    async def _move(self, shard: int) -> None:
-        """Let a better node have a shard; one at a time."""
+    async def _hand_over_one(self, shard: int) -> None:
+        """Hand over one shard to a preferred node; only one at a time."""
         try:
             await self.hand_over(shard, self._drain_seconds)
         finally:
-            self._moving = None
+            self._handing_over = None
 
     def _drop_outdated(self, rows: dict[int, ShardRow]) -> None:
         """Stop serving shards whose row shows a higher epoch."""
@@ -247,7 +256,7 @@
         parts.metrics.count(Event.TAKEOVERS)
 
     def _on_lost(self, shard: int) -> None:
-        """Forget an owner that has been fenced or has released its shard."""
+        """Remove an owner that has been fenced or has released its shard."""
         owner = self.owners.pop(shard, None)
         self._since.pop(shard, None)
         if owner is not None and not self.should_stop:
@@ -257,16 +266,16 @@
         if owner in self._children:
             await self.remove_dependency(owner)
 
-    async def hand_over(self, shard: int, limit: float) -> bool:
-        """Finish a shard's runs and free it; return whether it is free."""
+    async def hand_over(self, shard: int, timeout: float) -> bool:
+        """Finish a shard's runs and release it; return whether it is free."""
         owner = self.owners.get(shard)
-        if owner is None or not await owner.hand_over(limit):
+        if owner is None or not await owner.hand_over(timeout):
             return False
         await self._offer_to_best(shard)
         return True
 
     async def _offer_to_best(self, shard: int) -> None:
-        """Tell the best other node that a shard is free."""
+        """Offer a free shard to the node that ranks highest for it."""
         others = {
             node_id: node
             for node_id, node in self._view.nodes.items()
@@ -278,10 +287,10 @@
         try:
             await self._offer(best.address, shard)
         except EbonydealError as exc:
-            logger.info("An offer was not heard.", shard=shard, error=str(exc))
+            logger.info("Offer of a free shard failed.", shard=shard, error=str(exc))
 
     async def accept_offer(self, shard: int) -> bool:
-        """Claim a shard that its owner has freed; return whether it is here."""
+        """Claim a shard that its owner released; return whether it is owned here."""
         if shard in self.owners:
             return True
         if self._leaving or not 0 <= shard < self._cfg.shards:
@@ -293,17 +302,17 @@
         return shard in self.owners
 
     async def leave(self) -> None:
-        """Hand over all shards and end the lease: the graceful shutdown."""
+        """Shut down gracefully: hand over all shards and end the lease."""
         self._leaving = True
         owners = list(self.owners)
-        logger.info("Handing over.", shards=len(owners))
+        logger.info("Handing over all shards.", shards=len(owners))
         await asyncio.gather(
             *(self.hand_over(shard, self._drain_seconds) for shard in owners)
         )
         await self._end_lease()
 
     async def _end_lease(self) -> None:
-        """Delete the lease row, unless another process has taken the id."""
+        """Delete the lease row, unless another process uses the node id now."""
         key = node_key(self.me.node_id)
         try:
             row = await self._parts.tables.get(key)
@@ -312,7 +321,7 @@
                     [RowVersion(key, row.version)], [Delete(key)]
                 )
         except EbonydealError:
-            logger.warning("The lease row was left to lapse.")
+            logger.warning("Deleting the lease row failed; the lease will expire.")
 
     async def on_stop(self) -> None:
         """Hand over before the owners stop."""
--- a/src/ebonydeal/_internal/journal/owner.py
+++ b/src/ebonydeal/_internal/journal/owner.py
@@ -1,7 +1,7 @@
-"""One shard in the hands of one owner: replay, serve, snapshot, hand over.
+"""Owner of one shard: replay, serving, snapshots and hand-over.
 
-Everything that callers are told rests on durable records: the state is changed
-only by rows that are known to have taken effect.
+All replies to callers depend on durable records only: the state is changed only by
+rows that are known to have been written.
 """
 
 import asyncio
@@ -30,9 +30,9 @@
 
 logger = get_logger("journal")
 
-REPLAY_RETRY_S = 0.5
+REPLAY_RETRY_DELAY_S = 0.5
 MAINTENANCE_INTERVAL_S = 1.0
-STORE_RETRY_S = 1.0
+STORE_RETRY_DELAY_S = 1.0
 
 
 class ShardOwner(Service):
@@ -45,7 +45,7 @@
     parts : OwnerParts
         Shared clients and settings.
     on_lost : callable
-        Called once when the shard has been fenced.
+        Called once when this owner has stopped serving the shard.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._on_lost = on_lost
         self._bodies = Bodies(parts.objects, claim.shard, claim.epoch, parts.cfg)
         self._accepting: dict[str, asyncio.Task[None]] = {}
-        self._changes: dict[str, asyncio.Event] = {}
+        self._final_events: dict[str, asyncio.Event] = {}
         self.maintenance = ShardMaintenance(
             claim,
             self.states,
@@ -94,57 +94,59 @@
             metrics=parts.metrics,
         )
 
-    # --- life ----------------------------------------------------------------
+    # --- life cycle ----------------------------------------------------------
     @Service.task
-    async def _live(self) -> None:
+    async def _run_shard(self) -> None:
         """Replay, then write until fenced."""
         replayed = await self._replay()
-        former = await self.maintenance.earlier_objects()
+        earlier = await self.maintenance.earlier_objects()
         self.open(replayed)
-        self.add_future(self.maintenance.sweep(former, replayed.snapshot))
+        self.add_future(self.maintenance.sweep(earlier, replayed.snapshot))
         await self._appender.run()
         self.stop_serving()
 
     async def _replay(self) -> Replayed:
-        """Read the shard, however long the stores need."""
+        """Replay the shard, retrying until the stores respond."""
         while True:
             try:
                 return await replay(self._parts.tables, self._parts.objects, self.shard)
             except EbonydealError as exc:
                 logger.warning("Replay failed.", shard=self.shard, error=str(exc))
-                await self._clock.sleep(REPLAY_RETRY_S)
+                await self._clock.sleep(REPLAY_RETRY_DELAY_S)
 
     def open(self, replayed: Replayed) -> None:
-        """Start serving what a replay found."""
+        """Start serving with the replayed state."""
         self.states.update(replayed.states)
         self.maintenance.snapshot_seq = replayed.snapshot_seq
         self._appender = self._new_appender(replayed.seq)
         self.serving = True
-        cut_off: list[Record] = []
+        interrupted: list[Record] = []
         for request_id, state in self.states.items():
             if state.is_final:
                 continue
             if state.phase is Phase.DISPATCHED and not state.request.idempotent:
                 why = "its owner changed while it may have been running"
                 wall = self._clock.wall()
-                cut_off.append(Unknown(request_id, state.attempt, why, wall))
+                interrupted.append(Unknown(request_id, state.attempt, why, wall))
             else:
                 self._parts.metrics.retried(RetryReason.TAKEOVER)
                 self._parts.dispatch.submit(self, request_id, may_have_run=True)
-        if cut_off:
-            self.add_future(self._record_quietly(cut_off))
+        if interrupted:
+            self.add_future(self._append_ignoring_errors(interrupted))
         took = self._clock.now() - self._claimed_at
         self._parts.metrics.timed(Timing.TAKEOVER, took)
         logger.info(
             "Serving a shard.", shard=self.shard, epoch=self.epoch, rows=replayed.rows
         )
 
-    async def _record_quietly(self, records: list[Record]) -> None:
-        """Append; a fenced append needs no answer."""
+    async def _append_ignoring_errors(self, records: list[Record]) -> None:
+        """Append records; errors are only logged."""
         try:
             await self._appender.append(records, urgent=True)
         except EbonydealError as exc:
-            logger.warning("Records were not kept.", shard=self.shard, error=str(exc))
+            logger.warning(
+                "Records were not written.", shard=self.shard, error=str(exc)
+            )
 
     def stop_serving(self) -> None:
         """Stop serving at once: the shard has, or may have, another owner."""
@@ -154,18 +156,18 @@
         self.serving = False
         self._appender.close()
         self._parts.dispatch.drop(self)
-        for event in self._changes.values():
+        for event in self._final_events.values():
             event.set()
         self._on_lost(self.shard)
 
-    async def hand_over(self, limit: float) -> bool:
-        """Finish what runs, then free the shard; return whether it is free."""
+    async def hand_over(self, timeout: float) -> bool:
+        """Finish the runs, then release the shard; return whether it is free."""
         if self._lost or not self.serving:
             return False
         self.draining = True
-        finished = await self._parts.dispatch.drain(self, limit)
+        finished = await self._parts.dispatch.drain(self, timeout)
         self.serving = False
-        timer = asyncio.ensure_future(self._clock.sleep(max(1.0, limit)))
+        timer = asyncio.ensure_future(self._clock.sleep(max(1.0, timeout)))
         flushed = asyncio.ensure_future(self._appender.flush())
         await asyncio.wait({timer, flushed}, return_when=asyncio.FIRST_COMPLETED)
         timer.cancel()
@@ -187,15 +189,16 @@
     async def accept(self, request: Request, urgent: bool = False) -> RequestState:
         """Return the request's state once its accepted record is durable.
 
-        The same id and body again returns the first one's state. Raises
-        ``KEY_REUSED`` for another body, and what `Appender.append` raises.
+        Repeating a request with the same id and body returns the state of the
+        first. Raises ``KEY_REUSED`` for a different body, and what
+        `Appender.append` raises.
         """
         self._check_serving()
         request_id = request.request_id
         if request_id not in self.states:
             if len(self.states) >= self._cfg.max_requests:
                 raise EbonydealError(
-                    ErrorKind.JOURNAL_BEHIND, "The shard keeps too many requests."
+                    ErrorKind.JOURNAL_BEHIND, "The shard holds too many requests."
                 )
             task = self._accepting.get(request_id)
             if task is None:
@@ -210,21 +213,21 @@
             raise EbonydealError(ErrorKind.NOT_FOUND, "no such request")
         if state.request.body_digest != request.body_digest:
             raise EbonydealError(
-                ErrorKind.KEY_REUSED, "The key was used with another body."
+                ErrorKind.KEY_REUSED, "The key was used with a different body."
             )
         return state
 
     async def _append_accepted(self, request: Request, urgent: bool) -> None:
-        kept = await self._bodies.store_request(request)
+        stored = await self._bodies.store_request(request)
         await self._appender.append(
-            [Accepted(kept)],
+            [Accepted(stored)],
             urgent=urgent,
             retain=False,
             max_wait=self._cfg.append_patience,
         )
 
     async def call(self, request: Request, wait: float) -> StatusMessage:
-        """Accept, then wait up to ``wait`` seconds for the end."""
+        """Accept a request, then wait up to ``wait`` seconds until it is final."""
         if self.draining and request.request_id not in self.states:
             raise EbonydealError(ErrorKind.DRAINING, "The shard is being handed over.")
         await self.accept(request, urgent=True)
@@ -235,7 +238,7 @@
         state = self.states.get(request_id)
         if state is None or state.is_final:
             return
-        event = self._changes.setdefault(request_id, asyncio.Event())
+        event = self._final_events.setdefault(request_id, asyncio.Event())
         waits = {
             asyncio.ensure_future(self._clock.sleep(wait)),
             asyncio.ensure_future(event.wait()),
@@ -253,7 +256,7 @@
         return state
 
     async def status(self, request_id: str, account: str) -> StatusMessage:
-        """Return what is durable of a request; NOT_FOUND for another account's."""
+        """Return a request's durable state; NOT_FOUND for another account's request."""
         self._check_serving()
         pending = self._accepting.get(request_id)
         if pending is not None:
@@ -265,26 +268,26 @@
         try:
             answer = await self._bodies.load_answer(state.answer)
         except EbonydealError as exc:
-            # The request has run: nothing that reads as "not run" may be said.
+            # The request has run, so the error must not mean "not run".
             raise EbonydealError(
-                ErrorKind.STORE_IN_DOUBT, "The answer is kept but can't be read now."
+                ErrorKind.STORE_IN_DOUBT, "The answer is stored but can't be read now."
             ) from exc
         return status_message(state, answer)
 
     async def cancel(self, request_id: str, account: str) -> StatusMessage:
-        """Stop a request that is not final, and return its status."""
+        """Cancel a request that is not final, and return its status."""
         self._check_serving()
         if not self._visible(request_id, account).is_final:
             await self._parts.dispatch.cancel(self, request_id)
         return await self.status(request_id, account)
 
-    # --- the dispatcher's side -----------------------------------------------------
+    # --- called by the dispatcher --------------------------------------------------
     def state(self, request_id: str) -> RequestState | None:
         """Return the durable state of a request."""
         return self.states.get(request_id)
 
     async def append(self, records: Sequence[Record], urgent: bool) -> None:
-        """Append and hold until durable; raises FENCED."""
+        """Return once ``records`` are durable; raises FENCED."""
         await self._appender.append(records, urgent=urgent)
 
     async def load_request_body(self, request: Request) -> str:
@@ -292,16 +295,16 @@
         return await self._bodies.load_request_body(request)
 
     async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
-        """Return an answer as it goes into a record, however long that takes."""
+        """Return an answer as it goes into a record, retrying until it is stored."""
         while True:
             try:
                 return await self._bodies.store_answer(request_id, answer)
             except EbonydealError:
-                await self._clock.sleep(STORE_RETRY_S)
+                await self._clock.sleep(STORE_RETRY_DELAY_S)
 
     # --- durable rows ---------------------------------------------------------------
     def _on_durable(self, _seq: int, records: Sequence[Record]) -> None:
-        """Fold a durable row and wake whom it concerns."""
+        """Apply a durable row and wake waiting callers."""
         for record in records:
             if isinstance(record, Expired):
                 self.maintenance.collect_objects(record.request_id)
@@ -313,14 +316,14 @@
                 continue
             state = self.states.get(record.request_id)
             if state is None or state.is_final:
-                event = self._changes.pop(record.request_id, None)
+                event = self._final_events.pop(record.request_id, None)
                 if event is not None:
                     event.set()
 
-    # --- upkeep -----------------------------------------------------------------------
+    # --- maintenance ------------------------------------------------------------------
     @Service.task
-    async def _keep_up(self) -> None:
-        """Expire and snapshot now and then."""
+    async def _maintain(self) -> None:
+        """Expire requests and take snapshots at intervals."""
         while not self.should_stop and not self._lost:
             await self._clock.sleep(MAINTENANCE_INTERVAL_S)
             if not self.serving:
@@ -329,4 +332,6 @@
                 await self.maintenance.expire(self._appender)
                 await self.maintenance.snapshot_if_due(self._appender.seq)
             except EbonydealError as exc:
-                logger.warning("Upkeep failed.", shard=self.shard, error=str(exc))
+                logger.warning(
+                    "Shard maintenance failed.", shard=self.shard, error=str(exc)
+                )
--- a/src/ebonydeal/_internal/journal/parts.py
+++ b/src/ebonydeal/_internal/journal/parts.py
@@ -1,4 +1,4 @@
-"""What the owners of one process share."""
+"""Components that the owners of one process share."""
 
 import random
 from typing import NamedTuple, Protocol
@@ -11,30 +11,30 @@
 from ebonydeal._internal.utils.clock import Clock
 
 
-class Dispatch(Protocol):
-    """What an owner asks of the dispatcher."""
+class RequestDispatcher(Protocol):
+    """The dispatcher's interface for owners."""
 
     def submit(
         self, journal: ShardJournal, request_id: str, may_have_run: bool
     ) -> None:
-        """Run an accepted request when its turn comes."""
+        """Queue an accepted request."""
 
     async def cancel(self, journal: ShardJournal, request_id: str) -> None:
-        """Stop a request; returns once its end is durable or it can't be stopped."""
+        """Cancel a request; returns once its end is durable or it can't be stopped."""
 
-    async def drain(self, journal: ShardJournal, limit: float) -> bool:
-        """Start no more of a shard's work; return whether all runs ended in time."""
+    async def drain(self, journal: ShardJournal, timeout: float) -> bool:
+        """Start no more of a shard's runs; return whether all of them ended in time."""
 
     def drop(self, journal: ShardJournal) -> None:
-        """Forget a shard's work at once; its runs are cancelled."""
+        """Drop a shard's requests at once and cancel its runs."""
 
 
 class OwnerParts(NamedTuple):
-    """What all owners of one process share."""
+    """Components that all owners of one process share."""
 
     tables: Tables
     objects: Objects
-    dispatch: Dispatch
+    dispatch: RequestDispatcher
     pacer: Pacer
     cfg: JournalSettings
     clock: Clock
--- a/src/ebonydeal/_internal/journal/picker.py
+++ b/src/ebonydeal/_internal/journal/picker.py
@@ -1,7 +1,7 @@
-"""Chooses endpoints for accepted work: free ones, by the router's score.
+"""Chooses endpoints with free slots for accepted requests, by the router's score.
 
-Accepted work isn't hurried: it never queues at an endpoint, so that it leaves
-the queues to requests whose callers wait.
+Accepted requests aren't urgent: they never queue at an endpoint, which leaves the
+queues to requests whose callers are waiting.
 """
 
 import json
@@ -27,20 +27,20 @@
 
 
 class Views(Protocol):
-    """What is asked of the directory."""
+    """The directory's interface for pickers."""
 
     def views(self, deployment: str) -> tuple[EndpointView, ...]:
-        """Return a deployment's endpoints, without leaving ones."""
+        """Return a deployment's endpoints except leaving ones."""
 
     def is_leaving(self, view: EndpointView) -> bool:
-        """Return whether an endpoint is known to be going away."""
+        """Return whether an endpoint is known to be leaving."""
 
 
 WeightsOf = Callable[[str], Weights]
 
 
 def weights_from(document: Callable[[], Document]) -> WeightsOf:
-    """Return what counts for a deployment by the document in force."""
+    """Return a function that reads weights from the configuration in force."""
 
     def weights_of(deployment: str) -> Weights:
         found = document().deployments.get(deployment)
@@ -50,7 +50,7 @@
 
 
 def min_known_slots(views: Views, deployment: str) -> int:
-    """Return how many requests an endpoint serves at once: the least known."""
+    """Return the smallest known number of slots of a deployment's endpoints."""
     loads = [view.load for view in views.views(deployment)]
     known = [load.slots for load in loads if load is not None and load.slots > 0]
     return min(known, default=ASSUMED_SLOTS)
@@ -59,7 +59,7 @@
 def route_request(
     request: Request, place: Place, exclude: frozenset[str], weights: Weights
 ) -> RouteRequest:
-    """Return what the router needs to know of an accepted request."""
+    """Return the router's request for an accepted request."""
     model = ""
     blocks: tuple[str, ...] = ()
     if request.kind is not RequestKind.SERVICE and request.body:
@@ -68,7 +68,7 @@
             model = str(body["model"])
             blocks = prefix_blocks(model, prompt_text(body))
         except (KeyError, TypeError, ValueError):
-            # The dispatcher ends a request with such a body; any endpoint will do.
+            # The dispatcher ends a request with such a body, so any endpoint will do.
             blocks = ()
     return RouteRequest(
         request_id=request.request_id,
@@ -84,7 +84,7 @@
 
 
 class RoutedPicker:
-    """`Picker` over the directory's views and the router's choice."""
+    """`Picker` that uses the directory's views and the router's choice."""
 
     def __init__(
         self,
@@ -99,52 +99,52 @@
         self._place = place
         self._clock = clock
         self._weights_of = weights_of
-        self._sent: Counter[str] = Counter()
+        self._in_flight: Counter[str] = Counter()
         self._choices: dict[str, tuple[Choice, RouteRequest]] = {}
 
     def pick(self, request: Request, exclude: frozenset[str]) -> EndpointView | None:
-        """Return where to send ``request`` now, or None when all are full."""
+        """Return an endpoint for ``request``, or None if none has a free slot."""
         listed = self._views.views(request.deployment)
         views = tuple(view for view in listed if self._has_room(view))
         if not views:
             return None
         weights = self._weights_of(request.deployment)
-        ask = route_request(request, self._place, exclude, weights)
-        choice = self._router.choose(ask, views, self._clock.wall())
+        route = route_request(request, self._place, exclude, weights)
+        choice = self._router.choose(route, views, self._clock.wall())
         if choice is None:
             return None
-        self._choices[request.request_id] = (choice, ask)
+        self._choices[request.request_id] = (choice, route)
         return choice.endpoint
 
     def _has_room(self, view: EndpointView) -> bool:
-        sent = self._sent[view.endpoint_id]
+        sent = self._in_flight[view.endpoint_id]
         if view.load is None:
             return sent < ASSUMED_SLOTS
         taken = max(view.load.running + view.load.waiting, sent)
         return taken < view.load.slots
 
     def is_leaving(self, view: EndpointView) -> bool:
-        """Return whether an endpoint is known to be going away."""
+        """Return whether an endpoint is known to be leaving."""
         return self._views.is_leaving(view)
 
     def record_sent(self, request: Request, view: EndpointView) -> None:
-        """Learn that a run at an endpoint starts."""
-        self._sent[view.endpoint_id] += 1
+        """Record that a run starts at an endpoint."""
+        self._in_flight[view.endpoint_id] += 1
         chosen = self._choices.pop(request.request_id, None)
         if chosen is not None:
             self._router.record_sent(*chosen, self._clock.wall())
 
     def back_off(self, endpoint_id: str, seconds: float) -> None:
-        """Learn for how long an endpoint wants nothing."""
+        """Send nothing to an endpoint for ``seconds``."""
         self._router.back_off(endpoint_id, seconds, self._clock.wall())
 
     def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
-        """Learn that a run at an endpoint has ended, and with which error."""
-        self._sent[view.endpoint_id] -= 1
-        if self._sent[view.endpoint_id] <= 0:
-            del self._sent[view.endpoint_id]
+        """Record that a run at an endpoint has ended; ``error`` is None on success."""
+        self._in_flight[view.endpoint_id] -= 1
+        if self._in_flight[view.endpoint_id] <= 0:
+            del self._in_flight[view.endpoint_id]
         now = self._clock.wall()
         if error is None:
             self._router.record_finished(request.request_id, view.endpoint_id, now)
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -63,7 +63,7 @@
 
 
 class Platform(NamedTuple):
-    """The clients of the outside systems, which the program closes."""
+    """Clients of the external systems, which the program closes."""
 
     tables: HttpTables
     objects: HttpObjects
@@ -89,15 +89,15 @@
     """A client that owns connections."""
 
     async def close(self) -> None:
-        """Close them."""
+        """Close the connections."""
 
 
 class JournalProgram(Service):
-    """Everything of one journal process.
+    """All services of one journal process.
 
-    Children, in the order of their start: TLS files, directory, peers,
-    configuration, listener, dispatcher, node, backlog rows. A stop first hands over
-    all shards, while the listener still answers those who wait.
+    Children, in start order: TLS files, directory, peers, configuration, listener,
+    dispatcher, node, backlog rows. A stop first hands over all shards, while the
+    listener still replies to waiting callers.
     """
 
     def __init__(
@@ -133,8 +133,8 @@
     ) -> "JournalProgram":
         """Build the tree from typed settings sections (see `SECTIONS`)."""
         cfg: JournalSettings = settings["journal"]
-        own: NodeSettings = settings["node"]
-        place = Place(own.region, own.zone)
+        node_cfg: NodeSettings = settings["node"]
+        place = Place(node_cfg.region, node_cfg.zone)
         platform = Platform.from_config(settings["platform"])
         tls = TlsContexts.from_config(settings["tls"], clock)
         directory = Directory.from_config(
@@ -149,7 +149,7 @@
         platform.engine.on_load = directory.observe_load
         platform.services.on_load = directory.observe_load
         peers = PeerService.from_config(
-            own,
+            node_cfg,
             settings["peers"],
             metrics,
             clock,
@@ -193,15 +193,17 @@
             rng,
             metrics,
         )
-        me = Identity(own.id, "", int(clock.wall() * _MS))
+        me = Identity(node_cfg.id, "", int(clock.wall() * _MS))
         credential = settings["peers"].credential
-        between = PeerClient(credential, tls.client)
-        node = JournalNode(me, place, parts, own.drain_seconds, http_offer(between))
+        peer_client = PeerClient(credential, tls.client)
+        node = JournalNode(
+            me, place, parts, node_cfg.drain_seconds, http_offer(peer_client)
+        )
         backlog = BacklogRows(
             dispatcher.waiting_requests,
             lambda: follower.document,
             lambda name: min_known_slots(directory, name),
-            own.id,
+            node_cfg.id,
             lambda: node.live_nodes,
             platform.tables,
             clock=clock,
@@ -211,12 +213,12 @@
         app = journal_app(node, credential, metrics)
         server = HttpServer(
             app,
-            own.host,
+            node_cfg.host,
             cfg.port,
             ssl_context=tls.server,
-            drain_seconds=own.drain_seconds,
+            drain_seconds=node_cfg.drain_seconds,
         )
-        clients = (*platform, between)
+        clients = (*platform, peer_client)
         return cls(
             directory, peers, follower, dispatcher, node, backlog, server, tls, clients
         )
@@ -244,7 +246,7 @@
         self.dispatcher.on_endpoints_changed()
 
     async def on_stop(self) -> None:
-        """Hand over all shards while everything still works."""
+        """Hand over all shards while the children are still running."""
         await self.node.leave()
 
     async def on_shutdown(self) -> None:
--- a/src/ebonydeal/_internal/journal/runs.py
+++ b/src/ebonydeal/_internal/journal/runs.py
@@ -1,4 +1,4 @@
-"""One run of a request at one endpoint, collected into a whole answer."""
+"""Runs a request at one endpoint and collects the complete answer."""
 
 import asyncio
 import json
@@ -27,29 +27,29 @@
 
 
 class Interrupted(Exception):
-    """A run was stopped from our side; ``word`` is the engine's word on it."""
+    """Raised for a run that was stopped; ``attempt_state`` is the engine's report."""
 
-    def __init__(self, word: str) -> None:
-        super().__init__(word)
-        self.word = word
+    def __init__(self, attempt_state: str) -> None:
+        super().__init__(attempt_state)
+        self.attempt_state = attempt_state
 
 
 @dataclass
 class Progress:
-    """Tokens of an answer so far, kept over endpoints."""
+    """Tokens of an answer so far, across endpoints."""
 
     texts: list[str] = field(default_factory=list)
-    finish: str = ""
+    finish_reason: str = ""
     prompt_tokens: int = 0
     recomputed: int = 0
-    at: float = 0.0
+    last_chunk_at: float = 0.0
 
     def resume(self) -> Resume | None:
-        """Return how another endpoint goes on, or None to start."""
+        """Return where another endpoint continues, or None to start from scratch."""
         return Resume(tuple(self.texts)) if self.texts else None
 
     def add(self, chunk: Chunk, resumed: bool) -> None:
-        """Take a chunk; each token once. Raises ENDPOINT_GARBAGE on a gap."""
+        """Add a chunk, ignoring repeated tokens; raises ENDPOINT_GARBAGE on a gap."""
         prompt = chunk.cached_tokens + chunk.prefilled_tokens
         if prompt and resumed:
             self.recomputed += chunk.prefilled_tokens
@@ -60,44 +60,44 @@
         if chunk.position == len(self.texts) and chunk.text:
             self.texts.append(chunk.text)
         if chunk.finish:
-            self.finish = chunk.finish
+            self.finish_reason = chunk.finish
 
 
 class Interrupt:
-    """Asks a running request to stop; the first reason counts."""
+    """Requests the stop of a running request; the first reason is kept."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
         self.reason = ""
 
-    def ask(self, reason: str) -> None:
-        """Ask the run to stop."""
+    def request(self, reason: str) -> None:
+        """Request a stop."""
         if not self.reason:
             self.reason = reason
             self._event.set()
 
     @property
-    def asked(self) -> bool:
-        """Whether a stop was asked for."""
+    def requested(self) -> bool:
+        """Whether a stop was requested."""
         return self._event.is_set()
 
     async def wait(self) -> None:
-        """Return when a stop is asked for."""
+        """Return when a stop is requested."""
         await self._event.wait()
 
     def clear(self) -> None:
-        """Forget a stop that has been dealt with."""
+        """Clear a stop that has been handled."""
         self.reason = ""
         self._event.clear()
 
 
 async def cancel_attempt(engine: Engine, view: EndpointView, attempt_id: str) -> str:
-    """Return the engine's word on an attempt; UNKNOWN when it gives none."""
+    """Cancel an attempt; return its state at the engine, or UNKNOWN on an error."""
     try:
-        word: CancelWord = await engine.cancel(view, attempt_id)
+        result: CancelWord = await engine.cancel(view, attempt_id)
     except EbonydealError:
         return UNKNOWN
-    return word.state
+    return result.state
 
 
 def parse_body(text: str) -> dict[str, Any]:
@@ -114,7 +114,7 @@
 def engine_answer(request: Request, body: dict, progress: Progress) -> StoredAnswer:
     """Return the non-streamed OpenAI answer of a finished generation."""
     text = "".join(progress.texts)
-    choice: dict[str, Any] = {"index": 0, "finish_reason": progress.finish}
+    choice: dict[str, Any] = {"index": 0, "finish_reason": progress.finish_reason}
     kind = "text_completion"
     if request.kind is RequestKind.CHAT:
         kind = "chat.completion"
@@ -148,35 +148,37 @@
     clock: Clock,
     stall_seconds: float,
 ) -> StoredAnswer:
-    """Generate, or go on after ``progress``, and return the whole answer.
+    """Generate, or continue after ``progress``, and return the complete answer.
 
-    Raises `Interrupted` after ``interrupt``, unless the engine says that the
-    attempt has finished; ENDPOINT_STALLED after a silence; else what
-    `Engine.stream` raises.
+    Raises `Interrupted` after ``interrupt``, unless the engine reports that the
+    attempt has finished; ENDPOINT_STALLED when no chunk arrives for
+    ``stall_seconds``; else what `Engine.stream` raises.
     """
     consumer = asyncio.ensure_future(
         _consume(engine, view, request, body, attempt_id, progress, clock)
     )
-    asked = asyncio.ensure_future(interrupt.wait())
-    progress.at = clock.now()
+    interrupted = asyncio.ensure_future(interrupt.wait())
+    progress.last_chunk_at = clock.now()
     try:
         while not consumer.done():
             timer = asyncio.ensure_future(clock.sleep(stall_seconds))
-            waits = {consumer, timer} | (set() if asked.done() else {asked})
+            waits = {consumer, timer} | (set() if interrupted.done() else {interrupted})
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             timer.cancel()
             if consumer.done():
                 break
-            if clock.now() - progress.at >= stall_seconds:
-                raise EbonydealError(ErrorKind.ENDPOINT_STALLED, "no token came")
-            if asked.done() and interrupt.asked:
-                word = await cancel_attempt(engine, view, attempt_id)
-                if word != FINISHED:
-                    raise Interrupted(word)
+            if clock.now() - progress.last_chunk_at >= stall_seconds:
+                raise EbonydealError(
+                    ErrorKind.ENDPOINT_STALLED, "no token arrived in time"
+                )
+            if interrupted.done() and interrupt.requested:
+                attempt_state = await cancel_attempt(engine, view, attempt_id)
+                if attempt_state != FINISHED:
+                    raise Interrupted(attempt_state)
                 interrupt.clear()
         await consumer
     finally:
-        asked.cancel()
+        interrupted.cancel()
         consumer.cancel()
         await asyncio.wait({consumer})
     return engine_answer(request, body, progress)
@@ -191,13 +193,13 @@
     progress: Progress,
     clock: Clock,
 ) -> None:
-    """Read a stream to its end into ``progress``."""
+    """Read a stream into ``progress`` until it ends."""
     resume = progress.resume()
     stream = engine.stream(view, request.path, body, attempt_id, resume)
     async for chunk in stream:
-        progress.at = clock.now()
+        progress.last_chunk_at = clock.now()
         progress.add(chunk, resumed=resume is not None)
-    if not progress.finish:
+    if not progress.finish_reason:
         raise EbonydealError(ErrorKind.ENDPOINT_FAILED, "the stream ended early")
 
 
@@ -209,7 +211,7 @@
     attempt_id: str,
     timeout: float,
 ) -> StoredAnswer:
-    """Call a plain service once and return its whole answer."""
+    """Call a plain service once and return its complete answer."""
     headers = dict(request.headers)
     if request.key and not any(name.lower() == KEY_HEADER.lower() for name in headers):
         headers[KEY_HEADER] = request.key
--- a/src/ebonydeal/_internal/journal/service.py
+++ b/src/ebonydeal/_internal/journal/service.py
@@ -1,4 +1,4 @@
-"""The journal's listener: calls of gateways, and offers of other nodes."""
+"""The journal's listener: calls from gateways and offers from other nodes."""
 
 import hmac
 
@@ -11,23 +11,27 @@
 from ebonydeal._internal.utils.peerclient import PEER_HEADER, PeerClient
 from ebonydeal._internal.utils.web import Handler, new_app, read_json
 
-MAX_BODY = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_WAIT_S = 60.0
 OFFER_PATH = "/journal/v1/offer"
 OFFER_TIMEOUT_S = 3.0
 
 
 def check_peer(req: web.Request, credential: str) -> None:
-    """Raise UNAUTHORIZED unless the caller is one of our own processes."""
+    """Raise UNAUTHORIZED unless the caller is a process of this system."""
     given = req.headers.get(PEER_HEADER, "")
     if not hmac.compare_digest(given.encode(), credential.encode()):
-        raise EbonydealError(ErrorKind.UNAUTHORIZED, "not one of our processes")
+        raise EbonydealError(
+            ErrorKind.UNAUTHORIZED, "the caller is not a process of this system"
+        )
 
 
 def _text(body: dict, name: str) -> str:
     value = body.get(name)
     if not isinstance(value, str) or not value:
-        raise EbonydealError(ErrorKind.BAD_REQUEST, f"'{name}' must be a text")
+        raise EbonydealError(
+            ErrorKind.BAD_REQUEST, f"'{name}' must be a non-empty string"
+        )
     return value
 
 
@@ -57,7 +61,7 @@
         self._credential = credential
 
     def add_to(self, app: web.Application) -> None:
-        """Add the routes, each behind the credential check."""
+        """Add the routes, each with the credential check."""
         for name, handler in (
             ("accept", self.accept),
             ("call", self.call),
@@ -65,9 +69,9 @@
             ("cancel", self.cancel),
             ("offer", self.offer),
         ):
-            app.router.add_post(f"/journal/v1/{name}", self._checked(handler))
+            app.router.add_post(f"/journal/v1/{name}", self._with_peer_check(handler))
 
-    def _checked(self, handler: Handler) -> Handler:
+    def _with_peer_check(self, handler: Handler) -> Handler:
         async def checked(req: web.Request) -> web.StreamResponse:
             check_peer(req, self._credential)
             return await handler(req)
@@ -75,7 +79,7 @@
         return checked
 
     async def accept(self, req: web.Request) -> web.Response:
-        """Answer once the request is durable."""
+        """Reply once the request is durable."""
         request = _request(await read_json(req))
         owner = self._node.owner_of(request.request_id)
         await owner.accept(request)
@@ -83,28 +87,28 @@
         return web.json_response(answer)
 
     async def call(self, req: web.Request) -> web.Response:
-        """Answer with the request's end, or its state after ``wait`` seconds."""
+        """Reply when the request is final, or with its state after ``wait`` seconds."""
         body = await read_json(req)
         request = _request(body)
         owner = self._node.owner_of(request.request_id)
         return web.json_response(await owner.call(request, _wait(body)))
 
     async def status(self, req: web.Request) -> web.Response:
-        """Answer with what is durable of a request."""
+        """Reply with the durable state of a request."""
         body = await read_json(req)
         request_id = _text(body, "request_id")
         owner = self._node.owner_of(request_id)
         return web.json_response(await owner.status(request_id, _text(body, "account")))
 
     async def offer(self, req: web.Request) -> web.Response:
-        """Claim a shard that the asking node has just freed."""
+        """Claim a shard that the calling node has just released."""
         shard = (await read_json(req)).get("shard")
         if not isinstance(shard, int):
-            raise EbonydealError(ErrorKind.BAD_REQUEST, "'shard' must be a number")
+            raise EbonydealError(ErrorKind.BAD_REQUEST, "'shard' must be an integer")
         return web.json_response({"taken": await self._node.accept_offer(shard)})
 
     async def cancel(self, req: web.Request) -> web.Response:
-        """Stop a request, and answer with its status."""
+        """Cancel a request and reply with its status."""
         body = await read_json(req)
         request_id = _text(body, "request_id")
         owner = self._node.owner_of(request_id)
@@ -112,7 +116,7 @@
 
 
 def http_offer(peers: PeerClient) -> Offer:
-    """Return the way to offer a freed shard to another node."""
+    """Return a function that offers a released shard to another node over HTTP."""
 
     async def offer(address: str, shard: int) -> None:
         await peers.call(address, OFFER_PATH, {"shard": shard}, OFFER_TIMEOUT_S)
@@ -123,8 +127,8 @@
 def journal_app(
     node: JournalNode, credential: str, metrics: Metrics
 ) -> web.Application:
-    """Return the journal's application."""
-    app = new_app(metrics, MAX_BODY)
+    """Return the journal's web application."""
+    app = new_app(metrics, MAX_BODY_BYTES)
     JournalApi(node, credential).add_to(app)
 
     async def ready(_req: web.Request) -> web.Response:
--- a/src/ebonydeal/_internal/journal/shards.py
+++ b/src/ebonydeal/_internal/journal/shards.py
@@ -1,8 +1,8 @@
-"""Which shards a node should claim and which it should hand over. Pure.
+"""Decides which shards a node should claim and which to hand over. Pure.
 
-Assignment is by rendezvous hashing over live nodes, so that a node that comes or
-goes moves only its own shards. Nothing here is needed for safety: two nodes that
-decide differently meet in the claim's compare-and-set.
+Shards are assigned by rendezvous hashing over live nodes, so that a node that
+joins or leaves moves only its own shards. Safety doesn't depend on this module: if
+two nodes decide differently, the compare-and-set of the claim admits only one.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class HeldShard(NamedTuple):
-    """A shard this node serves, since ``since`` on its own clock."""
+    """A shard that this node has served since ``since`` (own clock, seconds)."""
 
     shard: int
     since: float
@@ -39,7 +39,7 @@
 
 
 class OwnerStatus(Enum):
-    """What the rows say of a shard's owner."""
+    """Status of a shard's owner according to the rows."""
 
     ALIVE = "alive"
     FREE = "free"
@@ -47,9 +47,9 @@
 
 
 def owner_status(row: ShardRow | None, nodes: Mapping[str, LiveNode]) -> OwnerStatus:
-    """Return whether a shard is owned, known to be free, or its owner is silent.
+    """Return whether a shard's owner is alive, gone (free), or has no live lease.
 
-    An owner of an earlier incarnation of a live node has died.
+    An owner with an earlier incarnation of a live node has ended.
     """
     if row is None or not row.owner:
         return OwnerStatus.FREE
@@ -61,18 +61,18 @@
     return OwnerStatus.ALIVE
 
 
-class FreeSince:
-    """Remembers since when each shard has been free, for this observer."""
+class ClaimableSince:
+    """Tracks since when this node has observed each shard as claimable."""
 
     def __init__(self) -> None:
         self._since: dict[int, float] = {}
 
     def observe(self, free: set[int], now: float) -> None:
-        """Take the present free shards."""
+        """Update the set of claimable shards."""
         self._since = {shard: self._since.get(shard, now) for shard in free}
 
     def seconds(self, shard: int, now: float) -> float:
-        """Return how long a shard has been free."""
+        """Return for how many seconds a shard has been claimable."""
         return now - self._since.get(shard, now)
 
 
@@ -82,11 +82,11 @@
     rows: Mapping[int, ShardRow],
     nodes: Mapping[str, LiveNode],
     held: Mapping[int, HeldShard],
-    free_since: FreeSince,
+    claimable_since: ClaimableSince,
     now: float,
-    lease: float,
-    settle: float,
-    grace: float,
+    lease_seconds: float,
+    settle_seconds: float,
+    grace_seconds: float,
 ) -> Plan:
     """Return what this node should do about all shards.
 
@@ -103,40 +103,45 @@
     held : mapping of int to HeldShard
         Shards this node serves.
     free_since : FreeSince
-        Updated with this reading.
+        Updated by this call.
     now : float
         Own clock, seconds.
-    lease : float
+    lease_seconds : float
         A silent owner's shard is claimed only when this node's own lease has
-        been alive for so long: after an outage of the table service all leases
-        look lapsed at first.
-    settle : float
-        A shard moves to a better node only when that node has been up, and the
-        shard has been here, for so many seconds.
-    grace : float
-        The n-th in the ranking claims a free shard after ``n * grace`` seconds,
-        should those before it fail to.
+        been alive for this many seconds: after an outage of the table service
+        all leases appear expired at first.
+    settle_seconds : float
+        A shard moves to a preferred node only when that node has been alive, and
+        this node has served the shard, for this many seconds.
+    grace_seconds : float
+        The n-th node in the ranking (from 0) claims a shard after
+        ``n * grace_seconds``, in case those before it fail to.
     """
-    found = {
+    statuses = {
         shard: owner_status(rows.get(shard), nodes)
         for shard in range(shards)
         if shard not in held
     }
-    if me not in nodes or now - nodes[me].since < lease:
-        wanted = {shard for shard, word in found.items() if word is OwnerStatus.FREE}
+    if me not in nodes or now - nodes[me].since < lease_seconds:
+        claimable = {
+            shard for shard, status in statuses.items() if status is OwnerStatus.FREE
+        }
     else:
-        wanted = {
-            shard for shard, word in found.items() if word is not OwnerStatus.ALIVE
+        claimable = {
+            shard
+            for shard, status in statuses.items()
+            if status is not OwnerStatus.ALIVE
         }
-    free_since.observe(wanted, now)
+    claimable_since.observe(claimable, now)
     if me not in nodes:
         return Plan((), None)
     claim = tuple(
         shard
-        for shard in sorted(wanted)
-        if free_since.seconds(shard, now) >= ranking(shard, nodes).index(me) * grace
+        for shard in sorted(claimable)
+        if claimable_since.seconds(shard, now)
+        >= ranking(shard, nodes).index(me) * grace_seconds
     )
-    return Plan(claim, _to_hand_over(me, nodes, held, now, settle))
+    return Plan(claim, _to_hand_over(me, nodes, held, now, settle_seconds))
 
 
 def _to_hand_over(
@@ -144,16 +149,16 @@
     nodes: Mapping[str, LiveNode],
     held: Mapping[int, HeldShard],
     now: float,
-    settle: float,
+    settle_seconds: float,
 ) -> int | None:
-    """Return the longest held shard that belongs to a settled other node."""
-    moves = []
+    """Return the longest held shard that a settled other node ranks first for."""
+    movable = []
     for item in held.values():
         best = ranking(item.shard, nodes)[0]
-        if best == me or now - nodes[best].since < settle:
+        if best == me or now - nodes[best].since < settle_seconds:
             continue
-        if now - item.since >= settle:
-            moves.append(item)
-    if not moves:
+        if now - item.since >= settle_seconds:
+            movable.append(item)
+    if not movable:
         return None
-    return min(moves, key=lambda item: (item.since, item.shard)).shard
+    return min(movable, key=lambda item: (item.since, item.shard)).shard
--- a/src/ebonydeal/_internal/journal/snapshots.py
+++ b/src/ebonydeal/_internal/journal/snapshots.py
@@ -1,9 +1,9 @@
-"""Snapshots of a shard's state, replay from them, and trim below them.
+"""Snapshots of a shard's state, replay from them, and trimming of older rows.
 
-Order matters: the object is stored, then the snapshot row is moved by a
-transaction conditioned on the epoch, and only then are rows trimmed. The row is
-also conditioned on its own version, so that an older write of the same owner
-that lands late can't move it back behind a trim.
+Order matters: the object is stored, then the snapshot row is updated by a
+transaction conditional on the epoch, and only then are rows trimmed. The update is
+also conditional on the row's version, so that an older write of the same owner
+that takes effect late can't move the snapshot back below trimmed rows.
 """
 
 from collections.abc import Iterable
@@ -38,12 +38,12 @@
 
 logger = get_logger("journal")
 
-PAGE_ROWS = 200
+SCAN_PAGE_ROWS = 200
 _FORMAT = 1
 
 
 class SnapshotRow(NamedTuple):
-    """Content of ``snapshots/{s}``: rows from ``seq`` on are not in it."""
+    """Content of ``snapshots/{s}``; the snapshot has all rows below ``seq``."""
 
     epoch: int
     seq: int
@@ -59,7 +59,7 @@
 
 
 class Replayed(NamedTuple):
-    """What a new owner starts from.
+    """State that a new owner starts from.
 
     Attributes
     ----------
@@ -70,9 +70,9 @@
     snapshot_seq : int
         First row that is not in the snapshot.
     rows : int
-        Rows that were read after the snapshot.
+        Number of rows read after the snapshot.
     snapshot : str
-        Object of the snapshot; empty for none.
+        Object name of the snapshot; empty for none.
     """
 
     states: dict[str, RequestState]
@@ -82,28 +82,28 @@
     snapshot: str = ""
 
 
-class _File(NamedTuple):
+class _SnapshotFile(NamedTuple):
     """Content of a snapshot object; new fields go to the end, with defaults."""
 
     format: int
     requests: list[RequestState]
 
 
-_DECODER = msgspec.json.Decoder(_File)
+_DECODER = msgspec.json.Decoder(_SnapshotFile)
 
 
 def encode_states(states: Iterable[RequestState]) -> bytes:
     """Return a snapshot's bytes."""
-    return msgspec.json.encode(_File(_FORMAT, list(states)))
+    return msgspec.json.encode(_SnapshotFile(_FORMAT, list(states)))
 
 
 def decode_states(data: bytes) -> dict[str, RequestState]:
-    """Return request id to state; raises INTERNAL on garbage."""
+    """Return request id to state; raises INTERNAL on malformed data."""
     try:
         found = _DECODER.decode(data)
     except msgspec.MsgspecError as exc:
         raise EbonydealError(
-            ErrorKind.INTERNAL, f"a snapshot can't be read: {exc}"
+            ErrorKind.INTERNAL, f"a snapshot is malformed: {exc}"
         ) from exc
     if found.format != _FORMAT:
         raise EbonydealError(
@@ -117,7 +117,7 @@
         records = [record_from_message(item) for item in row.value["records"]]
     except (KeyError, TypeError, ValueError) as exc:
         raise EbonydealError(
-            ErrorKind.INTERNAL, f"row {row.key} can't be read: {exc!r}"
+            ErrorKind.INTERNAL, f"row {row.key} is malformed: {exc!r}"
         ) from exc
     apply_all(states, records)
 
@@ -129,19 +129,18 @@
     data = await objects.get(snapshot.object)
     if data is None:
         raise EbonydealError(
-            ErrorKind.STORE_UNAVAILABLE, f"snapshot {snapshot.object} is not there"
+            ErrorKind.STORE_UNAVAILABLE, f"snapshot {snapshot.object} is missing"
         )
     return decode_states(data)
 
 
 async def replay(tables: Tables, objects: Objects, shard: int) -> Replayed:
-    """Read a shard that has just been claimed.
+    """Read the state of a shard that has just been claimed.
 
-    Rows below the snapshot are never read: a write that landed late may have
-    filled a trimmed row again. A snapshot that is the same before and after the
-    rows were read shows that none of them was trimmed meanwhile by a later
-    owner; else the whole reading begins anew. Raises the stores' errors; the
-    caller repeats.
+    Rows below the snapshot are never read: a late write may have recreated a
+    trimmed row. If the snapshot row is the same before and after the rows were
+    read, no later owner has trimmed any of them meanwhile; otherwise the replay
+    starts over. Raises the stores' errors; the caller retries.
     """
     before = await tables.get(snapshot_key(shard))
     while True:
@@ -164,15 +163,15 @@
     count = 0
     while True:
         start = journal_key(shard, seq)
-        rows = await tables.scan(journal_prefix(shard), start, PAGE_ROWS)
+        rows = await tables.scan(journal_prefix(shard), start, SCAN_PAGE_ROWS)
         for row in rows:
             number = seq_of(row.key)
             if number != seq:
-                logger.error("A row is missing.", shard=shard, seq=seq)
+                logger.error("Journal row is missing.", shard=shard, seq=seq)
             _fold_row(states, row)
             seq = number + 1
         count += len(rows)
-        if len(rows) < PAGE_ROWS:
+        if len(rows) < SCAN_PAGE_ROWS:
             return Replayed(states, seq, snapshot.seq, count, snapshot.object)
 
 
@@ -181,9 +180,9 @@
 ) -> str | None:
     """Store a snapshot that holds all rows below ``seq``.
 
-    Returns the name of the object it replaced ("" for none), or None when it was
-    not made because the row has changed. Raises the stores' errors; a repeat
-    with the same or a later ``seq`` is safe.
+    Returns the name of the object it replaced ("" for none), or None if the row
+    or the epoch has changed and no snapshot was made. Raises the stores' errors;
+    repeating with the same or a later ``seq`` is safe.
     """
     name = snapshot_object(claim.shard, claim.epoch, seq)
     await objects.put(name, data)
@@ -206,13 +205,13 @@
 
 
 async def trim(tables: Tables, claim: Claim, seq: int) -> int:
-    """Delete rows below ``seq``, which a durable snapshot holds; return how many.
+    """Delete rows below ``seq`` that a durable snapshot holds; return how many.
 
     Raises the stores' errors; repeating is safe.
     """
     count = 0
     while True:
-        rows = await tables.scan(journal_prefix(claim.shard), "", PAGE_ROWS)
+        rows = await tables.scan(journal_prefix(claim.shard), "", SCAN_PAGE_ROWS)
         old = [row.key for row in rows if seq_of(row.key) < seq]
         if not old:
             return count
--- a/src/ebonydeal/_internal/journal/status.py
+++ b/src/ebonydeal/_internal/journal/status.py
@@ -1,4 +1,4 @@
-"""What a caller is told of a request's state."""
+"""Status message of a request."""
 
 from typing import Any, TypedDict
 
@@ -8,7 +8,7 @@
 
 
 class StatusMessage(TypedDict):
-    """Wire shape of the answer to status, call and cancel."""
+    """Wire format of the reply to status, call and cancel."""
 
     request_id: str
     state: str
@@ -17,7 +17,7 @@
 
 
 def state_error(state: RequestState) -> EbonydealError | None:
-    """Return the error that a final state without an answer stands for."""
+    """Return the error of a final state without an answer."""
     match state.phase:
         case Phase.UNKNOWN:
             return EbonydealError(ErrorKind.OUTCOME_UNKNOWN, f"{state.why}.")
@@ -27,7 +27,7 @@
 
 
 def status_message(state: RequestState, answer: StoredAnswer | None) -> StatusMessage:
-    """Return the wire shape; ``answer`` has its body text."""
+    """Return the status message; ``answer`` has its body text loaded."""
     error = state_error(state)
     return StatusMessage(
         request_id=state.request.request_id,
--- a/src/ebonydeal/_internal/journal/workqueue.py
+++ b/src/ebonydeal/_internal/journal/workqueue.py
@@ -1,4 +1,4 @@
-"""Accepted work in deadline order, by deployment. Pure: time is an argument."""
+"""Accepted requests in deadline order per deployment. Pure: time is an argument."""
 
 import heapq
 from itertools import count
@@ -12,7 +12,7 @@
 
 
 class Order(NamedTuple):
-    """What decides which of two requests of a deployment goes first."""
+    """Sort key of a request among those of its deployment."""
 
     deadline: float
     priority: int
@@ -20,15 +20,15 @@
 
 
 def order_of(request: Request) -> Order:
-    """Return a request's place: earliest deadline, then class, then age."""
+    """Return a request's sort key: deadline, then priority, then acceptance time."""
     deadline = request.deadline or NO_DEADLINE
     return Order(deadline, int(request.priority), request.accepted_at)
 
 
 class WorkQueue(Generic[Item]):
-    """Items that wait for their turn, some of them not before a time.
+    """Queue of items, some of which may not be taken before a time.
 
-    Items are removed lazily: the owner skips those that it no longer knows.
+    Items are removed lazily: the user skips those that it has dropped.
     """
 
     def __init__(self) -> None:
@@ -40,21 +40,21 @@
     def push(
         self, deployment: str, order: Order, item: Item, not_before: float = 0.0
     ) -> None:
-        """Add an item, to be taken no sooner than ``not_before``."""
+        """Add an item that may be taken from ``not_before`` on."""
         entry = (not_before, next(self._numbers), deployment, order, item)
         heapq.heappush(self._delayed, entry)
 
     def block(self, deployment: str, until: float) -> None:
-        """Take nothing of a deployment until then: it has no endpoint."""
+        """Take no item of a deployment until ``until``: it has no endpoint."""
         self._blocked[deployment] = until
 
     def unblock_all(self) -> None:
-        """Try every deployment again: the endpoints have changed."""
+        """Unblock all deployments: the endpoints have changed."""
         self._blocked.clear()
 
     def take(self, now: float) -> Item | None:
-        """Return the first item in deadline order that may go now, if any."""
-        self._wake(now)
+        """Return the first item in deadline order that may be taken now, if any."""
+        self._release_due(now)
         best: str | None = None
         for deployment, heap in self._ready.items():
             if not heap or self._blocked.get(deployment, now) > now:
@@ -65,7 +65,7 @@
             return None
         return heapq.heappop(self._ready[best])[2]
 
-    def _wake(self, now: float) -> None:
+    def _release_due(self, now: float) -> None:
         while self._delayed and self._delayed[0][0] <= now:
             _, number, deployment, order, item = heapq.heappop(self._delayed)
             heap = self._ready.setdefault(deployment, [])
--- a/tests/functional/matrix/test_sight.py
+++ b/tests/functional/matrix/test_sight.py
@@ -28,7 +28,7 @@
     return WriteOutcome.DURABLE
 
 
-async def no_drain(self, journal, limit):
+async def no_drain(self, journal, timeout):
     return True
 
 
--- a/tests/unit/journal/test_backlog.py
+++ b/tests/unit/journal/test_backlog.py
@@ -52,7 +52,7 @@
         backlog = Backlog(make_document(POOL), lambda _name: 1)
         request = make_request(max_tokens=10, deadline=50.0)
         backlog.add([request, request, request._replace(deadline=90.0)])
-        assert backlog.jobs() == {"pool": [[50.0, 2.0], [90.0, 1.0]]}
+        assert backlog.work_by_deployment() == {"pool": [[50.0, 2.0], [90.0, 1.0]]}
 
     def test_leaves_out_what_has_no_deadline_or_no_deadline_work(self):
         hurried = make_deployment(name="hurried", deadline_work=False)
@@ -65,7 +65,7 @@
                 request._replace(deployment="gone"),
             ]
         )
-        assert backlog.jobs() == {}
+        assert backlog.work_by_deployment() == {}
 
 
 class TestKeys:
--- a/tests/unit/journal/test_shards.py
+++ b/tests/unit/journal/test_shards.py
@@ -7,7 +7,7 @@
 )
 from ebonydeal._internal.journal.pacing import Budget, Pacer
 from ebonydeal._internal.journal.shards import (
-    FreeSince,
+    ClaimableSince,
     HeldShard,
     Plan,
     plan,
@@ -33,7 +33,9 @@
 
 def decide(me, nodes, rows, held=(), now=1000.0, free=None):
     held = {shard: HeldShard(shard, since) for shard, since in held}
-    return plan(me, SHARDS, rows, nodes, held, free or FreeSince(), now, 9.0, 20.0, 6.0)
+    return plan(
+        me, SHARDS, rows, nodes, held, free or ClaimableSince(), now, 9.0, 20.0, 6.0
+    )
 
 
 class TestLeaseWatch:
@@ -52,7 +54,7 @@
     def test_rare_readings_are_no_gaps(self):
         watch = LeaseWatch(9.0)
         for now in range(0, 150, 30):
-            watch.observe({"a": lease()}, float(now), every=30.0)
+            watch.observe({"a": lease()}, float(now), read_interval=30.0)
         assert watch.live(120.0) == {}
 
     def test_a_new_incarnation_starts_anew(self):
@@ -102,7 +104,7 @@
 
     def test_the_next_best_waits_its_grace(self):
         nodes = live("a", "b")
-        free = FreeSince()
+        free = ClaimableSince()
         first = decide("a", nodes, {}, now=1000.0, free=free)
         later = decide("a", nodes, {}, now=1006.0, free=free)
         assert len(first.claim) < SHARDS
