--- a/src/ebonydeal/_internal/journal/shards.py
+++ b/src/ebonydeal/_internal/journal/shards.py
@@ -102,7 +102,7 @@
         Live nodes, this one included.
     held : mapping of int to HeldShard
         Shards this node serves.
-    free_since : FreeSince
+    claimable_since : ClaimableSince
         Updated by this call.
     now : float
         Own clock, seconds.
--- a/tests/functional/journal/test_backlog_rows.py
+++ b/tests/functional/journal/test_backlog_rows.py
@@ -18,8 +18,8 @@
 POOL = make_deployment(
     name="pool", deadline_work=True, first_token_s=0.5, between_tokens_s=0.05
 )
-LATE = 2_000_000.0
-ROUND = PUBLISH_INTERVAL_S * 1.2
+DEADLINE = 2_000_000.0
+MAX_PUBLISH_INTERVAL_S = PUBLISH_INTERVAL_S * 1.2
 
 
 def make_rows(world: World, node, name: str = "n-1") -> BacklogRows:
@@ -36,8 +36,8 @@
     )
 
 
-class Bench:
-    """A node whose requests wait, and its backlog rows."""
+class BacklogHarness:
+    """A node without available endpoints, and its backlog rows."""
 
     def __init__(self, world: World, node) -> None:
         self.world = world
@@ -45,7 +45,7 @@
         self.views = world.picker.views
         self.rows = make_rows(world, node)
 
-    async def accept(self, request_id: str, deadline: float = LATE) -> None:
+    async def accept(self, request_id: str, deadline: float = DEADLINE) -> None:
         request = make_request(request_id, deadline=deadline)
         await self.node.owner.accept(request)
 
@@ -55,144 +55,149 @@
     async def stored(self) -> list[str]:
         return [row.key for row in await self.world.tables.scan("backlog/")]
 
-    def run_all(self) -> None:
+    def restore_endpoints(self) -> None:
         self.world.picker.views = self.views
         self.node.dispatcher.on_endpoints_changed()
 
 
 @pytest.fixture
-async def bench():
+async def harness():
     world = World()
-    bench = Bench(world, await world.node())
+    harness = BacklogHarness(world, await world.node())
     world.picker.views = []
-    await bench.rows.start()
-    yield bench
+    await harness.rows.start()
+    yield harness
     world.tables.faults.down = False
-    await bench.rows.stop()
+    await harness.rows.stop()
     await world.close()
 
 
-def count_writes(bench: Bench) -> list[str]:
-    """Record the first key of each write of backlog rows from here on."""
-    written = []
-    transact = bench.world.tables.transact
+def count_writes(harness: BacklogHarness) -> list[str]:
+    """Record the first key of each later write of backlog rows."""
+    written_keys = []
+    transact = harness.world.tables.transact
 
     async def counted(conditions, writes):
         if writes[0].key.startswith("backlog/"):
-            written.append(writes[0].key)
+            written_keys.append(writes[0].key)
         return await transact(conditions, writes)
 
-    bench.world.tables.transact = counted
-    return written
+    harness.world.tables.transact = counted
+    return written_keys
 
 
 class TestRows:
-    async def test_the_controller_reads_what_waits(self, bench):
-        await bench.accept("r-0000-1")
-        await bench.accept("r-0000-2", LATE + 60.0)
-        await bench.accept("r-0000-3", 0.0)
-        await bench.world.clock.advance(ROUND)
-        assert await bench.read() == [Backlog(LATE, 1.0), Backlog(LATE + 60.0, 1.0)]
-        assert await bench.stored() == ["backlog/pool:n-1"]
-
-    async def test_removed_when_nothing_waits(self, bench):
-        await bench.accept("r-0000-1")
-        await bench.world.clock.advance(ROUND)
-        bench.run_all()
-        await bench.world.clock.advance(2 * ROUND)
-        assert bench.node.owner.states["r-0000-1"].is_final
-        assert await bench.stored() == []
-
-    async def test_a_running_request_does_not_wait(self, bench):
-        hold = bench.world.engine.hold("e-1", 1)
-        await bench.accept("r-0000-1")
-        bench.run_all()
-        await bench.world.clock.advance(ROUND)
-        assert bench.node.dispatcher.waiting_requests() == []
-        assert await bench.stored() == []
-        hold.set()
+    async def test_controller_reads_the_waiting_work(self, harness):
+        await harness.accept("r-0000-1")
+        await harness.accept("r-0000-2", DEADLINE + 60.0)
+        await harness.accept("r-0000-3", 0.0)
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        assert await harness.read() == [
+            Backlog(DEADLINE, 1.0),
+            Backlog(DEADLINE + 60.0, 1.0),
+        ]
+        assert await harness.stored() == ["backlog/pool:n-1"]
+
+    async def test_row_is_deleted_when_nothing_waits(self, harness):
+        await harness.accept("r-0000-1")
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        harness.restore_endpoints()
+        await harness.world.clock.advance(2 * MAX_PUBLISH_INTERVAL_S)
+        assert harness.node.owner.states["r-0000-1"].is_final
+        assert await harness.stored() == []
+
+    async def test_running_request_is_not_in_the_backlog(self, harness):
+        resume_stream = harness.world.engine.hold("e-1", 1)
+        await harness.accept("r-0000-1")
+        harness.restore_endpoints()
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        assert harness.node.dispatcher.waiting_requests() == []
+        assert await harness.stored() == []
+        resume_stream.set()
         await settle()
 
-    async def test_written_on_change_and_renewed(self, bench):
-        written = count_writes(bench)
-        await bench.world.clock.advance(5 * ROUND)
-        assert written == []
-        before = bench.node.metrics.value("events", str(Event.TABLE_WRITES))
-        await bench.accept("r-0000-1")
-        accepted = bench.node.metrics.value("events", str(Event.TABLE_WRITES))
-        await bench.world.clock.advance(ROUND)
-        assert len(written) == 1
-        await bench.world.clock.advance(RENEWAL_INTERVAL_S - 2 * ROUND)
-        assert len(written) == 1
-        await bench.world.clock.advance(3 * ROUND)
-        assert len(written) == 2
-        counted = bench.node.metrics.value("events", str(Event.TABLE_WRITES))
+    async def test_row_is_written_only_on_change_and_renewal(self, harness):
+        written_keys = count_writes(harness)
+        await harness.world.clock.advance(5 * MAX_PUBLISH_INTERVAL_S)
+        assert written_keys == []
+        before = harness.node.metrics.value("events", str(Event.TABLE_WRITES))
+        await harness.accept("r-0000-1")
+        accepted = harness.node.metrics.value("events", str(Event.TABLE_WRITES))
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        assert len(written_keys) == 1
+        await harness.world.clock.advance(
+            RENEWAL_INTERVAL_S - 2 * MAX_PUBLISH_INTERVAL_S
+        )
+        assert len(written_keys) == 1
+        await harness.world.clock.advance(3 * MAX_PUBLISH_INTERVAL_S)
+        assert len(written_keys) == 2
+        counted = harness.node.metrics.value("events", str(Event.TABLE_WRITES))
         assert (accepted - before, counted - accepted) == (1, 2)
 
-    async def test_many_changes_are_one_write(self, bench):
-        written = count_writes(bench)
+    async def test_many_changes_share_one_write(self, harness):
+        written_keys = count_writes(harness)
         for number in range(20):
-            await bench.accept(f"r-0000-{number}", LATE + number)
-        await bench.world.clock.advance(ROUND)
-        assert written == ["backlog/pool:n-1"]
-        assert len(await bench.read()) == 20
-
-    async def test_a_stop_removes_them(self, bench):
-        await bench.accept("r-0000-1")
-        await bench.world.clock.advance(ROUND)
-        await bench.rows.stop()
-        assert await bench.stored() == []
-
-    async def test_rows_of_the_last_process_are_removed(self, bench):
-        other = make_rows(bench.world, bench.node, "n-2")
-        await bench.accept("r-0000-1")
-        await bench.rows.publish()
+            await harness.accept(f"r-0000-{number}", DEADLINE + number)
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        assert written_keys == ["backlog/pool:n-1"]
+        assert len(await harness.read()) == 20
+
+    async def test_stop_deletes_the_rows(self, harness):
+        await harness.accept("r-0000-1")
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        await harness.rows.stop()
+        assert await harness.stored() == []
+
+    async def test_rows_of_the_previous_process_are_deleted(self, harness):
+        other = make_rows(harness.world, harness.node, "n-2")
+        await harness.accept("r-0000-1")
+        await harness.rows.publish()
         await other.publish()
-        assert await bench.stored() == ["backlog/pool:n-1", "backlog/pool:n-2"]
-        bench.run_all()
+        assert await harness.stored() == ["backlog/pool:n-1", "backlog/pool:n-2"]
+        harness.restore_endpoints()
         await settle()
-        again = make_rows(bench.world, bench.node, "n-2")
+        again = make_rows(harness.world, harness.node, "n-2")
         await again.publish()
-        assert await bench.stored() == ["backlog/pool:n-1"]
-
-    async def test_lapsed_rows_of_gone_nodes_are_removed(self, bench):
-        wall = bench.world.clock.wall()
-        tables = bench.world.tables
-        gone = {"jobs": [[wall - 9000.0, 1.0]], "at": wall - 9000.0}
-        ahead = {"jobs": [[wall + 9000.0, 1.0]], "at": wall - 9000.0}
-        puts = [Put("backlog/pool:n-8", gone), Put("backlog/pool:n-9", ahead)]
+        assert await harness.stored() == ["backlog/pool:n-1"]
+
+    async def test_stale_rows_of_gone_nodes_are_deleted(self, harness):
+        wall = harness.world.clock.wall()
+        tables = harness.world.tables
+        stale = {"jobs": [[wall - 9000.0, 1.0]], "at": wall - 9000.0}
+        current = {"jobs": [[wall + 9000.0, 1.0]], "at": wall - 9000.0}
+        puts = [Put("backlog/pool:n-8", stale), Put("backlog/pool:n-9", current)]
         await tables.transact([], puts)
-        await bench.rows.publish()
-        assert await bench.stored() == ["backlog/pool:n-9"]
+        await harness.rows.publish()
+        assert await harness.stored() == ["backlog/pool:n-9"]
 
 
 class TestOutage:
-    async def test_rows_come_late_and_the_node_goes_on(self, bench):
-        await bench.accept("r-0000-1")
-        bench.world.tables.faults.down = True
-        await bench.world.clock.advance(10 * ROUND)
-        assert not bench.rows.crashed
-        assert bench.node.owner.serving
-        bench.world.tables.faults.down = False
-        assert await bench.stored() == []
-        await bench.world.clock.advance(ROUND)
-        assert await bench.read() == [Backlog(LATE, 1.0)]
-
-    async def test_a_row_in_doubt_is_removed_all_the_same(self, bench):
-        await bench.accept("r-0000-1")
-        await bench.world.clock.advance(ROUND)
-        bench.run_all()
+    async def test_outage_delays_the_rows_but_not_the_node(self, harness):
+        await harness.accept("r-0000-1")
+        harness.world.tables.faults.down = True
+        await harness.world.clock.advance(10 * MAX_PUBLISH_INTERVAL_S)
+        assert not harness.rows.crashed
+        assert harness.node.owner.serving
+        harness.world.tables.faults.down = False
+        assert await harness.stored() == []
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        assert await harness.read() == [Backlog(DEADLINE, 1.0)]
+
+    async def test_row_of_uncertain_content_is_deleted(self, harness):
+        await harness.accept("r-0000-1")
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        harness.restore_endpoints()
         await settle()
-        bench.world.tables.faults.down = True
-        await bench.world.clock.advance(ROUND)
-        bench.world.tables.faults.down = False
-        await bench.world.clock.advance(2 * ROUND)
-        assert await bench.stored() == []
-
-    async def test_a_stop_in_an_outage_ends(self, bench):
-        await bench.accept("r-0000-1")
-        await bench.world.clock.advance(ROUND)
-        bench.world.tables.faults.down = True
-        await bench.rows.stop()
-        bench.world.tables.faults.down = False
-        assert await bench.stored() == ["backlog/pool:n-1"]
+        harness.world.tables.faults.down = True
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        harness.world.tables.faults.down = False
+        await harness.world.clock.advance(2 * MAX_PUBLISH_INTERVAL_S)
+        assert await harness.stored() == []
+
+    async def test_stop_during_an_outage_completes(self, harness):
+        await harness.accept("r-0000-1")
+        await harness.world.clock.advance(MAX_PUBLISH_INTERVAL_S)
+        harness.world.tables.faults.down = True
+        await harness.rows.stop()
+        harness.world.tables.faults.down = False
+        assert await harness.stored() == ["backlog/pool:n-1"]
--- a/tests/functional/journal/test_crashes.py
+++ b/tests/functional/journal/test_crashes.py
@@ -5,88 +5,90 @@
 from ebonydeal._internal.errors import EbonydealError, Outcome
 from ebonydeal._internal.journal.fold import Phase
 from tests.lib.clock import settle
-from tests.lib.journal_fakes import FAST, World, make_note, make_request
+from tests.lib.journal_fakes import FAST, World, make_keyed_call, make_request
 
-# More operations than the scenario makes, so that each of them is struck.
+# More steps than the scenario has store operations, so each one gets a crash.
 STEPS = range(1, 26)
 CFG = FAST._replace(snapshot_rows=2)
 
 
-class Striker:
-    """Stops a process for good at the n-th operation on a store."""
+class CrashInjector:
+    """Stops a process for good at its n-th store operation."""
 
     def __init__(self, node, step, after):
-        self.left = step
+        self.remaining = step
         self.node = node
-        self.struck = False
+        self.crashed = False
         tables, objects = node.world.tables.faults, node.world.objects.faults
         for faults in (tables, objects):
             if after:
-                faults.after = self.strike
+                faults.after = self.on_operation
             else:
-                faults.before = self.strike
+                faults.before = self.on_operation
         self.faults = (tables, objects)
 
-    async def strike(self, operation):
-        self.left -= 1
-        if self.left == 0:
-            self.struck = True
+    async def on_operation(self, operation):
+        self.remaining -= 1
+        if self.remaining == 0:
+            self.crashed = True
             self.node.running.clear()
             await asyncio.get_running_loop().create_future()
 
-    def heal(self):
+    def remove(self):
         for faults in self.faults:
             faults.before = faults.after = None
 
 
-async def scenario(node, told):
-    """One request of each sort, a snapshot, a repeat, a status."""
+async def scenario(node, replies):
+    """Send requests of each kind and a repeated call, and cause a snapshot."""
 
-    async def ask(name, coro):
+    async def record_reply(name, coro):
         try:
-            told[name] = await coro
+            replies[name] = await coro
         except EbonydealError as exc:
-            told[name] = exc
+            replies[name] = exc
 
     owner = node.owner
-    await ask("accept", owner.accept(make_request("r-0000-1", body="{" + " " * 20000)))
-    await ask("call", owner.call(make_note("k-0000-2"), 5.0))
-    await ask("later", owner.accept(make_request("r-0000-3")))
-    await ask("again", owner.call(make_note("k-0000-2"), 5.0))
-    await ask("note", owner.accept(make_note("k-0000-4")))
+    await record_reply(
+        "accept", owner.accept(make_request("r-0000-1", body="{" + " " * 20000))
+    )
+    await record_reply("call", owner.call(make_keyed_call("k-0000-2"), 5.0))
+    await record_reply("later", owner.accept(make_request("r-0000-3")))
+    await record_reply("again", owner.call(make_keyed_call("k-0000-2"), 5.0))
+    await record_reply("note", owner.accept(make_keyed_call("k-0000-4")))
 
 
 class TestCrash:
     @pytest.mark.parametrize("after", [False, True])
     @pytest.mark.parametrize("step", STEPS)
-    async def test_at_each_operation(self, step, after):
+    async def test_crash_at_each_operation_loses_and_repeats_nothing(self, step, after):
         world = World(CFG)
         node = await world.node()
-        striker = Striker(node, step, after)
-        told = {}
-        run = asyncio.ensure_future(scenario(node, told))
+        injector = CrashInjector(node, step, after)
+        replies = {}
+        run = asyncio.ensure_future(scenario(node, replies))
         for _ in range(10):
             await world.clock.advance(0.5)
-        striker.heal()
+        injector.remove()
         run.cancel()
         other = await world.node("n-2")
         node.running.set()
         await world.clock.advance(10.0)
         await settle(60)
-        self.check(world, other.owner.states, told)
+        self.check(world, other.owner.states, replies)
         await world.close()
 
-    def check(self, world, states, told):
+    def check(self, world, states, replies):
         ran = [attempt.split(".")[0] for _, attempt in world.services.log]
         assert len(ran) == len(set(ran))
         ids = {"accept": "r-0000-1", "later": "r-0000-3", "note": "k-0000-4"}
         for name, request_id in ids.items():
-            if name in told and not isinstance(told[name], EbonydealError):
+            if name in replies and not isinstance(replies[name], EbonydealError):
                 assert states[request_id].is_final
         for name in ("call", "again"):
-            if isinstance(told.get(name), dict) and told[name]["answer"]:
+            if isinstance(replies.get(name), dict) and replies[name]["answer"]:
                 assert states["k-0000-2"].phase is Phase.COMPLETED
-        for name, answer in told.items():
+        for name, answer in replies.items():
             refused = isinstance(answer, EbonydealError)
             if refused and answer.answer.outcome is Outcome.NOT_RUN:
                 assert ids.get(name, "k-0000-2") not in ran
@@ -95,14 +97,20 @@
             if state.phase is Phase.ENDED:
                 assert request_id not in ran
 
-    async def test_every_operation_is_struck(self):
+    async def test_steps_cover_every_operation(self):
         world = World(CFG)
         node = await world.node()
-        striker = Striker(node, max(STEPS), False)
-        told = {}
-        run = asyncio.ensure_future(scenario(node, told))
+        injector = CrashInjector(node, max(STEPS), False)
+        replies = {}
+        run = asyncio.ensure_future(scenario(node, replies))
         for _ in range(10):
             await world.clock.advance(0.5)
-        assert run.done() and not striker.struck
-        assert [name for name in told] == ["accept", "call", "later", "again", "note"]
+        assert run.done() and not injector.crashed
+        assert [name for name in replies] == [
+            "accept",
+            "call",
+            "later",
+            "again",
+            "note",
+        ]
         await world.close()
--- a/tests/functional/journal/test_dispatch.py
+++ b/tests/functional/journal/test_dispatch.py
@@ -11,14 +11,16 @@
 from ebonydeal._internal.standin.faults import Fault
 from tests.lib.clock import settle
 from tests.lib.endpoints import make_mark
-from tests.lib.journal_fakes import FAST, TOKENS, World, make_note, make_request
+from tests.lib.journal_fakes import FAST, TOKENS, World, make_keyed_call, make_request
 
 CHAT = {"kind": RequestKind.CHAT, "deployment": "pool", "idempotent": False}
 
 
-def make_once(request_id="k-0000-1", **changes):
+def make_at_most_once_chat(request_id="k-0000-1", **changes):
     """A keyed non-idempotent generation."""
-    return make_note(request_id, path="/v1/chat/completions", **{**CHAT, **changes})
+    return make_keyed_call(
+        request_id, path="/v1/chat/completions", **{**CHAT, **changes}
+    )
 
 
 @pytest.fixture
@@ -39,7 +41,9 @@
 
 
 class TestIdempotent:
-    async def test_goes_on_from_the_last_token_elsewhere(self, world, node):
+    async def test_failed_stream_resumes_after_its_last_token_elsewhere(
+        self, world, node
+    ):
         world.engine.fail("e-1", 2, ErrorKind.ENDPOINT_FAILED)
         await node.owner.accept(make_request())
         await world.clock.advance(1.0)
@@ -48,27 +52,27 @@
         assert (endpoint, resume.delivered) == ("e-2", TOKENS[:2])
         assert node.metrics.value("events", Event.TOKENS_RECOMPUTED_RESUME) == 7
 
-    async def test_isnt_delivered_again_after_three_endpoints_crashed(
-        self, world, node
-    ):
-        async def gone(_address, _seconds):
+    async def test_request_is_not_sent_again_after_three_crashes(self, world, node):
+        async def refuses_connections(_address, _seconds):
             return True
 
-        node.dispatcher._attempts._crashes._refuses = gone
+        node.dispatcher._attempts._crashes._refuses = refuses_connections
         for _ in range(20):
             world.engine.fail("e-1", 0, ErrorKind.ENDPOINT_FAILED)
             world.engine.fail("e-2", 0, ErrorKind.ENDPOINT_FAILED)
         await node.owner.accept(make_request())
         await world.clock.advance(300.0)
         status = await node.owner.status("r-0000-1", "gwesty")
-        # It has run, so it isn't called not run.
+        # It has run, so it must not be reported as not run.
         assert status["error"]["code"] == "outcome_unknown"
         assert "crashed under this request" in status["error"]["message"]
-        # Crashes of one endpoint within a second are taken for one: each of the two
-        # may be asked twice before that.
+        # Crashes of one endpoint within a second count as one, so each of the two may
+        # get the request twice before that.
         assert len(world.engine.log) <= 6
 
-    async def test_leaves_a_leaving_endpoint_before_it_is_taken(self, world, node):
+    async def test_run_moves_off_a_leaving_endpoint_before_its_deadline(
+        self, world, node
+    ):
         world.engine.hold("e-1", 3)
         await node.owner.accept(make_request())
         await settle()
@@ -83,13 +87,13 @@
         assert world.engine.log[1][2].delivered == TOKENS[:3]
         assert node.metrics.value("retries", RetryReason.LEAVING) == 1
 
-    async def test_a_silent_stream_is_given_up(self, world, node):
+    async def test_stalled_stream_resumes_elsewhere(self, world, node):
         world.engine.hold("e-1", 1)
         await node.owner.accept(make_request())
         await world.clock.advance(world.cfg.stall_seconds + 1.0)
         assert await text_of(node, "r-0000-1") == "".join(TOKENS)
 
-    async def test_runs_and_holds_its_answer_through_an_outage(self, world, node):
+    async def test_answer_is_retained_through_a_table_outage(self, world, node):
         held = world.engine.hold("e-1", 2)
         await node.owner.accept(make_request())
         await settle()
@@ -110,7 +114,7 @@
         await world.clock.advance(1.0)
         assert await text_of(node, "r-0000-1") == "".join(TOKENS)
 
-    async def test_a_body_that_is_no_json_ends_as_not_run(self, world, node):
+    async def test_malformed_body_ends_as_not_run(self, world, node):
         await node.owner.accept(make_request(body="{"))
         await settle()
         status = await node.owner.status("r-0000-1", "gwesty")
@@ -118,14 +122,14 @@
         assert status["error"]["code"] == "bad_request"
         assert world.engine.log == []
 
-    async def test_cancelled_before_it_is_sent(self, world, node):
+    async def test_cancel_before_sending_ends_as_not_run(self, world, node):
         world.picker.leaving.update({"e-1", "e-2"})
         await node.owner.accept(make_request())
         status = await node.owner.cancel("r-0000-1", "gwesty")
         assert (status["state"], status["error"]["code"]) == ("ended", "cancelled")
         assert status["error"]["outcome"] == "not_run"
 
-    async def test_cancelled_while_it_runs_is_not_called_not_run(self, world, node):
+    async def test_cancel_during_a_run_is_reported_as_unknown(self, world, node):
         world.engine.hold("e-1", 2)
         await node.owner.accept(make_request())
         await settle()
@@ -134,7 +138,7 @@
         assert status["error"]["outcome"] == "unknown"
         assert len(world.engine.cancelled) == 1
 
-    async def test_cancelled_after_a_takeover_is_not_called_not_run(self, world, node):
+    async def test_cancel_after_a_takeover_is_reported_as_unknown(self, world, node):
         world.picker.leaving.update({"e-1", "e-2"})
         await node.owner.accept(make_request())
         await node.kill()
@@ -145,7 +149,7 @@
 
 class TestNonIdempotent:
     @pytest.mark.parametrize(
-        ("word", "state", "runs"),
+        ("attempt_state", "state", "runs"),
         [
             ("not_started", "completed", 2),
             ("stopped", "completed", 2),
@@ -153,12 +157,12 @@
             ("unknown", "unknown", 1),
         ],
     )
-    async def test_a_failure_goes_by_the_engines_word(
-        self, world, node, word, state, runs
+    async def test_resend_after_a_failure_depends_on_the_attempt_state(
+        self, world, node, attempt_state, state, runs
     ):
-        world.engine.words["e-1"] = word
+        world.engine.attempt_states["e-1"] = attempt_state
         world.engine.fail("e-1", 2, ErrorKind.ENDPOINT_FAILED)
-        await node.owner.accept(make_once())
+        await node.owner.accept(make_at_most_once_chat())
         await world.clock.advance(2.0)
         status = await node.owner.status("k-0000-1", "gwesty")
         assert status["state"] == state
@@ -166,9 +170,9 @@
         if runs == 2:
             assert await text_of(node, "k-0000-1") == "".join(TOKENS)
 
-    async def test_a_notice_moves_what_the_engine_says_has_stopped(self, world, node):
+    async def test_generation_stopped_on_notice_resumes_elsewhere(self, world, node):
         world.engine.hold("e-1", 2)
-        await node.owner.accept(make_once())
+        await node.owner.accept(make_at_most_once_chat())
         await settle()
         world.picker.leaving.add("e-1")
         node.dispatcher.on_endpoint_leaving(
@@ -179,18 +183,18 @@
         assert world.engine.log[1][2].delivered == TOKENS[:2]
         assert node.owner.states["k-0000-1"].attempt == 1
 
-    async def test_an_endpoint_that_left_meanwhile_gets_nothing(self, world, node):
+    async def test_endpoint_leaving_during_the_grant_gets_no_request(self, world, node):
         world.tables.faults.writes.extend([Fault.NONE, Fault.LATE])
-        await node.owner.accept(make_note())
+        await node.owner.accept(make_keyed_call())
         await settle()
         world.picker.leaving.add("s-1")
         await world.clock.advance(1.0)
         assert [endpoint for endpoint, _ in world.services.log] == ["s-2"]
         assert node.owner.states["k-0000-1"].attempt == 2
 
-    async def test_its_deadline_passed_before_it_was_sent(self, world, node):
+    async def test_request_past_its_deadline_is_not_sent(self, world, node):
         world.picker.leaving.update({"s-1", "s-2"})
-        request = make_note(deadline=world.clock.wall() + 5.0)
+        request = make_keyed_call(deadline=world.clock.wall() + 5.0)
         await node.owner.accept(request)
         await world.clock.advance(6.0)
         world.picker.leaving.clear()
@@ -199,9 +203,9 @@
         assert (status["state"], status["error"]["code"]) == ("ended", "not_run")
         assert world.services.log == []
 
-    async def test_cancelled_while_its_grant_is_written(self, world, node):
+    async def test_cancel_during_the_grant_prevents_the_run(self, world, node):
         world.tables.faults.writes.extend([Fault.NONE, Fault.LATE])
-        await node.owner.accept(make_note())
+        await node.owner.accept(make_keyed_call())
         await settle()
         cancel = asyncio.ensure_future(node.owner.cancel("k-0000-1", "gwesty"))
         await world.clock.advance(2.0)
@@ -209,9 +213,9 @@
         assert (status["state"], status["error"]["outcome"]) == ("ended", "not_run")
         assert world.services.log == []
 
-    async def test_a_running_call_is_not_stopped_by_its_caller(self, world, node):
+    async def test_cancel_does_not_stop_a_running_service_call(self, world, node):
         world.services.held = asyncio.Event()
-        await node.owner.accept(make_note())
+        await node.owner.accept(make_keyed_call())
         await settle()
         status = await node.owner.cancel("k-0000-1", "gwesty")
         assert status["state"] == "dispatched"
@@ -220,9 +224,9 @@
         status = await node.owner.status("k-0000-1", "gwesty")
         assert status["state"] == "completed"
 
-    async def test_a_call_that_is_over_at_a_hand_over_is_whole(self, world, node):
+    async def test_hand_over_waits_for_a_running_call(self, world, node):
         world.services.held = asyncio.Event()
-        call = asyncio.ensure_future(node.owner.call(make_note(), 30.0))
+        call = asyncio.ensure_future(node.owner.call(make_keyed_call(), 30.0))
         await settle()
         moved = asyncio.ensure_future(node.owner.hand_over(30.0))
         await world.clock.advance(5.0)
@@ -236,70 +240,72 @@
         assert status["answer"]["body"] == "ok"
 
 
-class TestKeeping:
-    async def test_large_bodies_and_answers_go_to_the_object_store(self, world, node):
+class TestStorage:
+    async def test_large_bodies_and_answers_are_stored_as_objects(self, world, node):
         body, answer = "x" * 100_000, "y" * 100_000
         world.services.answer = ServiceAnswer(200, "text/plain", answer.encode())
-        await node.owner.accept(make_note(body=body))
+        await node.owner.accept(make_keyed_call(body=body))
         await settle()
-        kept = node.owner.states["k-0000-1"]
-        assert kept.request.body_object and kept.answer.body == ""
+        stored = node.owner.states["k-0000-1"]
+        assert stored.request.body_object and stored.answer.body == ""
         status = await node.owner.status("k-0000-1", "gwesty")
         assert status["answer"]["body"] == answer
         assert len(world.objects.data) == 2
 
-    async def test_another_body_of_the_key_replaces_none_in_doubt(self, world, node):
+    async def test_reused_key_does_not_replace_a_body_in_doubt(self, world, node):
         world.picker.views.clear()
         world.tables.faults.writes.extend([Fault.LATE] + [Fault.REFUSED] * 9)
-        first = make_note(body="a" * 100_000, body_digest="a")
+        first = make_keyed_call(body="a" * 100_000, body_digest="a")
         asked = asyncio.ensure_future(node.owner.accept(first))
         await world.clock.advance(world.cfg.append_patience + 0.1)
         assert asked.exception().kind is ErrorKind.STORE_IN_DOUBT
-        second = make_note(body="b" * 100_000, body_digest="b")
+        second = make_keyed_call(body="b" * 100_000, body_digest="b")
         again = asyncio.ensure_future(node.owner.accept(second))
         await world.clock.advance(60.0)
         assert again.exception().kind in (
             ErrorKind.KEY_REUSED,
             ErrorKind.JOURNAL_UNAVAILABLE,
         )
-        kept = node.owner.states["k-0000-1"].request
-        assert kept.body_digest == "a"
-        assert await node.owner.load_request_body(kept) == "a" * 100_000
+        stored = node.owner.states["k-0000-1"].request
+        assert stored.body_digest == "a"
+        assert await node.owner.load_request_body(stored) == "a" * 100_000
 
-    async def test_with_the_object_store_down_they_go_into_the_row(self, world, node):
+    async def test_bodies_go_into_rows_while_the_object_store_is_down(
+        self, world, node
+    ):
         large = "x" * 100_000
         world.objects.faults.down = True
-        await node.owner.accept(make_note(body=large))
+        await node.owner.accept(make_keyed_call(body=large))
         await settle()
         status = await node.owner.status("k-0000-1", "gwesty")
         assert status["state"] == "completed"
 
-    async def test_what_fits_nowhere_is_refused_as_not_run(self, world, node):
+    async def test_body_that_fits_nowhere_is_refused_as_not_run(self, world, node):
         world.objects.faults.down = True
         with pytest.raises(EbonydealError) as caught:
-            await node.owner.accept(make_note(body="x" * 200_000))
+            await node.owner.accept(make_keyed_call(body="x" * 200_000))
         assert caught.value.kind is ErrorKind.JOURNAL_UNAVAILABLE
 
-    async def test_an_unreadable_answer_is_not_called_not_run(self, world, node):
+    async def test_unreadable_answer_is_not_reported_as_not_run(self, world, node):
         world.services.answer = ServiceAnswer(200, "text/plain", b"x" * 100_000)
-        await node.owner.accept(make_note())
+        await node.owner.accept(make_keyed_call())
         await settle()
         world.objects.faults.down = True
         with pytest.raises(EbonydealError) as caught:
             await node.owner.status("k-0000-1", "gwesty")
         assert caught.value.kind is ErrorKind.STORE_IN_DOUBT
 
-    async def test_bytes_that_are_no_text_come_back_whole(self, world, node):
+    async def test_binary_answer_is_returned_unchanged(self, world, node):
         world.services.answer = ServiceAnswer(200, "application/pdf", b"\xff\x00\xfe")
-        await node.owner.accept(make_note())
+        await node.owner.accept(make_keyed_call())
         await settle()
         assert node.owner.states["k-0000-1"].answer.data() == b"\xff\x00\xfe"
 
-    async def test_retention_forgets_request_and_objects(self):
+    async def test_expiry_deletes_request_and_objects(self):
         world = World(FAST._replace(retention_seconds=60.0))
         node = await world.node()
         world.services.answer = ServiceAnswer(200, "text/plain", b"x" * 100_000)
-        await node.owner.accept(make_note())
+        await node.owner.accept(make_keyed_call())
         await world.clock.advance(world.cfg.retention_seconds - 1.0)
         assert node.owner.states["k-0000-1"].phase is Phase.COMPLETED
         await world.clock.advance(5.0)
@@ -307,7 +313,7 @@
         assert not [name for name in world.objects.data if name.startswith("bodies/")]
         await world.close()
 
-    async def test_without_a_snapshot_nothing_is_trimmed(self, world, node):
+    async def test_rows_are_not_trimmed_without_a_snapshot(self, world, node):
         world.objects.faults.down = True
         for number in range(9):
             await node.owner.accept(make_request(f"r-0000-{number}"))
@@ -316,20 +322,20 @@
         other = await world.node("n-2")
         assert len(other.owner.states) == 9
 
-    async def test_a_row_written_during_a_snapshot_is_kept(self, world, node):
+    async def test_row_written_during_a_snapshot_is_not_trimmed(self, world, node):
         world.picker.views.clear()
-        go_on = asyncio.Event()
+        allow_put = asyncio.Event()
 
         async def wait(operation):
             if operation.name == "put":
-                await go_on.wait()
+                await allow_put.wait()
 
         world.objects.faults.before = wait
         for number in range(4):
             await node.owner.accept(make_request(f"r-0000-{number}"))
         await world.clock.advance(1.5)
         await node.owner.accept(make_request("r-0000-4"))
-        go_on.set()
+        allow_put.set()
         await settle()
         await node.kill()
         other = await world.node("n-2")
@@ -338,12 +344,12 @@
             "journal/0000/000000000004"
         ]
 
-    async def test_objects_left_by_a_former_owner_are_swept(self, world, node):
+    async def test_objects_left_by_an_earlier_owner_are_deleted(self, world, node):
         large = "x" * 100_000
-        await node.owner.accept(make_note(body=large))
-        kept = list(world.objects.data)
+        await node.owner.accept(make_keyed_call(body=large))
+        stored = list(world.objects.data)
         world.objects.data["bodies/0000/00000001-k-0000-9-0"] = b"left"
         world.objects.data["snapshots/0000/00000001-000000000009"] = b"left"
         await node.kill()
         await world.node("n-2")
-        assert list(world.objects.data) == kept
+        assert list(world.objects.data) == stored
--- a/tests/functional/journal/test_entry.py
+++ b/tests/functional/journal/test_entry.py
@@ -10,11 +10,11 @@
 
 class TestEntry:
     def test_version(self):
-        shown = CliRunner().invoke(journal.main, ["--version"])
-        assert shown.exit_code == 0
-        assert __version__ in shown.output
+        result = CliRunner().invoke(journal.main, ["--version"])
+        assert result.exit_code == 0
+        assert __version__ in result.output
 
-    def test_a_file_with_all_sections_serves(self, tmp_path, monkeypatch):
+    def test_settings_file_with_all_sections_is_accepted(self, tmp_path, monkeypatch):
         built = []
 
         def build_only(build, reread):
@@ -24,8 +24,8 @@
         monkeypatch.setattr(running, "run_program", build_only)
         file = tmp_path / "node.ini"
         file.write_text(CliRunner().invoke(settings_command, ["example"]).output)
-        shown = CliRunner().invoke(journal.main, ["--settings", str(file)])
-        assert (shown.exit_code, shown.output) == (0, "")
+        result = CliRunner().invoke(journal.main, ["--settings", str(file)])
+        assert (result.exit_code, result.output) == (0, "")
         assert [type(built_one) for built_one in built] == [JournalProgram]
 
     @pytest.mark.parametrize(
@@ -35,15 +35,15 @@
             ("[journal]\nshardss = 1\n", "did you mean 'shards'?"),
         ],
     )
-    def test_a_mistake_in_the_settings_is_named(self, tmp_path, text, words):
+    def test_invalid_settings_are_reported(self, tmp_path, text, words):
         file = tmp_path / "node.ini"
         file.write_text(text)
-        shown = CliRunner().invoke(journal.main, ["--settings", str(file)])
-        assert shown.exit_code == 2
-        assert words in shown.output
+        result = CliRunner().invoke(journal.main, ["--settings", str(file)])
+        assert result.exit_code == 2
+        assert words in result.output
 
-    def test_a_missing_file_is_named(self, tmp_path):
+    def test_missing_settings_file_is_reported(self, tmp_path):
         file = tmp_path / "none.ini"
-        shown = CliRunner().invoke(journal.main, ["--settings", str(file)])
-        assert shown.exit_code == 2
-        assert f"{file}: can't be read" in shown.output
+        result = CliRunner().invoke(journal.main, ["--settings", str(file)])
+        assert result.exit_code == 2
+        assert f"{file}: can't be read" in result.output
--- a/tests/functional/journal/test_nodes.py
+++ b/tests/functional/journal/test_nodes.py
@@ -12,12 +12,12 @@
     FAST,
     Process,
     World,
-    make_note,
+    make_keyed_call,
     make_request,
 )
 
 CFG = FAST._replace(shards=4, settle_seconds=5.0)
-TRIES = 2000
+MAX_STEPS = 2000
 
 
 @pytest.fixture
@@ -54,20 +54,20 @@
     await client.close()
 
 
-async def until(world, condition, step=0.5):
-    """Let time pass until ``condition`` holds."""
-    for _ in range(TRIES):
+async def advance_until(world, condition, step=0.5):
+    """Advance the clock until ``condition`` holds."""
+    for _ in range(MAX_STEPS):
         if condition():
             return
         await world.clock.advance(step)
         await asyncio.sleep(0)
-    raise AssertionError("it never came to that")
+    raise AssertionError("the condition did not become true in time")
 
 
-async def finish(world, coro):
-    """Let time pass until ``coro`` is done."""
+async def advance_until_done(world, coro):
+    """Advance the clock until ``coro`` is done."""
     task = asyncio.ensure_future(coro)
-    for _ in range(TRIES):
+    for _ in range(MAX_STEPS):
         done, _ = await asyncio.wait({task}, timeout=0.01)
         if done:
             break
@@ -75,90 +75,100 @@
     return await task
 
 
-def held(process):
+def served_shards(process):
     return {shard for shard, owner in process.node.owners.items() if owner.serving}
 
 
 class TestShards:
-    async def test_one_node_serves_all(self, world, processes):
+    async def test_one_node_serves_all_shards(self, world, processes):
         one = await processes("n-1")
-        await until(world, lambda: held(one) == {0, 1, 2, 3})
+        await advance_until(world, lambda: served_shards(one) == {0, 1, 2, 3})
 
     async def test_a_second_node_gets_its_share_by_hand_over(self, world, processes):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         two = await processes("n-2")
-        await until(world, lambda: len(held(two)) > 0)
-        await until(world, lambda: held(one) | held(two) == {0, 1, 2, 3})
-        assert not held(one) & held(two)
+        await advance_until(world, lambda: len(served_shards(two)) > 0)
+        await advance_until(
+            world, lambda: served_shards(one) | served_shards(two) == {0, 1, 2, 3}
+        )
+        assert not served_shards(one) & served_shards(two)
 
-    async def test_a_dead_node_is_taken_over(self, world, processes):
+    async def test_shards_of_a_crashed_node_are_taken_over(self, world, processes):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         two = await processes("n-2")
-        await until(world, lambda: len(held(two)) > 0)
+        await advance_until(world, lambda: len(served_shards(two)) > 0)
         await one.kill()
-        await until(world, lambda: held(two) == {0, 1, 2, 3})
+        await advance_until(world, lambda: served_shards(two) == {0, 1, 2, 3})
 
-    async def test_a_stopped_node_frees_its_shards(self, world, processes):
+    async def test_stopped_node_releases_its_shards_and_lease(self, world, processes):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         stop = asyncio.ensure_future(one.stop())
-        await until(world, stop.done)
+        await advance_until(world, stop.done)
         rows = await world.tables.scan("shards/")
         assert [row.value["owner"] for row in rows] == ["", "", "", ""]
         assert await world.tables.scan("nodes/") == []
 
-    async def test_a_freed_shard_is_offered_to_the_next_node(self, world, processes):
+    async def test_released_shard_is_claimed_before_the_next_read(
+        self, world, processes
+    ):
         one = await processes("n-1")
         two = await processes("n-2")
-        await until(world, lambda: held(one) | held(two) == {0, 1, 2, 3})
+        await advance_until(
+            world, lambda: served_shards(one) | served_shards(two) == {0, 1, 2, 3}
+        )
         await world.clock.advance(30.0)
-        shard = min(held(one))
+        shard = min(served_shards(one))
         before = world.clock.now()
         moved = asyncio.ensure_future(one.node.hand_over(shard, 10.0))
-        for _ in range(TRIES):
-            if shard in held(two):
+        for _ in range(MAX_STEPS):
+            if shard in served_shards(two):
                 break
             await asyncio.sleep(0.001)
-        assert await moved and shard in held(two)
+        assert await moved and shard in served_shards(two)
         assert world.clock.now() == before
 
-    async def test_an_offer_of_an_owned_shard_is_not_taken(self, world, processes):
+    async def test_offer_of_an_owned_shard_is_rejected(self, world, processes):
         one = await processes("n-1")
         two = await processes("n-2")
-        await until(world, lambda: held(one) | held(two) == {0, 1, 2, 3})
-        shard = min(held(one))
+        await advance_until(
+            world, lambda: served_shards(one) | served_shards(two) == {0, 1, 2, 3}
+        )
+        shard = min(served_shards(one))
         assert not await two.node.accept_offer(shard)
-        assert shard in held(one)
+        assert shard in served_shards(one)
 
-    async def test_a_stop_during_an_outage_ends_and_loses_nothing(
+    async def test_stop_during_an_outage_completes_without_loss(
         self, world, processes, client
     ):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         request_id = client.request_id("gwesty", "")
-        await finish(world, client.accept(make_request(request_id)))
+        await advance_until_done(world, client.accept(make_request(request_id)))
         world.tables.faults.down = True
-        await finish(world, one.stop())
+        await advance_until_done(world, one.stop())
         world.tables.faults.down = False
         two = await processes("n-2")
-        await until(world, lambda: len(held(two)) == 4)
-        status = await finish(world, client.status(request_id, "gwesty"))
+        await advance_until(world, lambda: len(served_shards(two)) == 4)
+        status = await advance_until_done(world, client.status(request_id, "gwesty"))
         assert status.state == "completed"
 
-    async def test_an_outage_of_the_table_moves_nothing(self, world, processes):
+    async def test_table_outage_moves_no_shards(self, world, processes):
         one = await processes("n-1")
         two = await processes("n-2")
-        await until(world, lambda: held(one) | held(two) == {0, 1, 2, 3})
+        await advance_until(
+            world, lambda: served_shards(one) | served_shards(two) == {0, 1, 2, 3}
+        )
         await world.clock.advance(60.0)
-        before = held(one), held(two)
+        before = served_shards(one), served_shards(two)
         epochs = [row.value["epoch"] for row in await world.tables.scan("shards/")]
         world.tables.faults.down = True
         await world.clock.advance(300.0)
         world.tables.faults.down = False
         await world.clock.advance(60.0)
-        assert (held(one), held(two)) == before
+        assert (served_shards(one), served_shards(two)) == before
         after = [row.value["epoch"] for row in await world.tables.scan("shards/")]
         assert after == epochs
 
@@ -166,42 +176,54 @@
 class TestClient:
     async def test_accept_and_status(self, world, processes, client):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         request_id = client.request_id("gwesty", "")
-        accepted = await finish(world, client.accept(make_request(request_id)))
+        accepted = await advance_until_done(
+            world, client.accept(make_request(request_id))
+        )
         assert accepted.state == "accepted"
-        status = await finish(world, client.status(request_id, "gwesty"))
+        status = await advance_until_done(world, client.status(request_id, "gwesty"))
         assert status.state == "completed"
         assert status.answer is not None and status.answer.status == 200
 
-    async def test_a_call_is_answered(self, world, processes, client):
+    async def test_call_returns_the_answer(self, world, processes, client):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         request_id = client.request_id("gwesty", "note-1")
-        status = await finish(world, client.call(make_note(request_id), 5.0))
+        status = await advance_until_done(
+            world, client.call(make_keyed_call(request_id), 5.0)
+        )
         assert status.answer is not None and status.answer.body == "ok"
 
-    async def test_follows_a_hand_over(self, world, processes, client):
+    async def test_call_follows_a_hand_over(self, world, processes, client):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         request_id = client.request_id("gwesty", "note-1")
-        first = await finish(world, client.call(make_note(request_id), 5.0))
+        first = await advance_until_done(
+            world, client.call(make_keyed_call(request_id), 5.0)
+        )
         two = await processes("n-2")
         stop = asyncio.ensure_future(one.stop())
-        await until(world, lambda: stop.done() and len(held(two)) == 4)
-        again = await finish(world, client.call(make_note(request_id), 5.0))
+        await advance_until(world, lambda: stop.done() and len(served_shards(two)) == 4)
+        again = await advance_until_done(
+            world, client.call(make_keyed_call(request_id), 5.0)
+        )
         assert again.answer == first.answer
         assert len(world.services.log) == 1
 
-    async def test_without_owners_it_certainly_did_not_run(self, world, client):
+    async def test_call_without_owners_is_reported_as_not_run(self, world, client):
         request_id = client.request_id("gwesty", "note-1")
         with pytest.raises(EbonydealError) as caught:
-            await finish(world, client.call(make_note(request_id), 1.0))
+            await advance_until_done(
+                world, client.call(make_keyed_call(request_id), 1.0)
+            )
         assert caught.value.kind is ErrorKind.JOURNAL_UNAVAILABLE
 
-    async def test_a_lost_answer_is_asked_again(self, world, processes, client):
+    async def test_lost_reply_is_retried_without_a_second_run(
+        self, world, processes, client
+    ):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         lost = []
         call = client._peers.call
 
@@ -214,15 +236,17 @@
 
         client._peers.call = lose_first
         request_id = client.request_id("gwesty", "note-1")
-        status = await finish(world, client.call(make_note(request_id), 5.0))
+        status = await advance_until_done(
+            world, client.call(make_keyed_call(request_id), 5.0)
+        )
         assert status.state == "completed"
         assert len(world.services.log) == 1
 
-    async def test_an_owner_that_never_answers_is_not_called_not_run(
+    async def test_unresponsive_owner_is_not_reported_as_not_run(
         self, world, processes, client
     ):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
 
         async def lose(address, path, message, timeout):
             raise EbonydealError(ErrorKind.STORE_IN_DOUBT)
@@ -230,25 +254,31 @@
         client._peers.call = lose
         request_id = client.request_id("gwesty", "note-1")
         with pytest.raises(EbonydealError) as caught:
-            await finish(world, client.call(make_note(request_id), 1.0))
+            await advance_until_done(
+                world, client.call(make_keyed_call(request_id), 1.0)
+            )
         assert caught.value.kind is ErrorKind.STORE_IN_DOUBT
 
-    async def test_a_wrong_owner_names_the_right_one(self, world, processes, client):
+    async def test_client_learns_the_owner_from_a_wrong_owner_error(
+        self, world, processes, client
+    ):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         two = await processes("n-2")
-        await until(world, lambda: held(one) and held(two))
+        await advance_until(world, lambda: served_shards(one) and served_shards(two))
         await world.clock.advance(10.0)
-        shard = min(held(two))
+        shard = min(served_shards(two))
         client._owners[shard] = one.server.address
         request_id = f"r-{shard:04x}-1"
-        status = await finish(world, client.accept(make_request(request_id)))
+        status = await advance_until_done(
+            world, client.accept(make_request(request_id))
+        )
         assert status.state == "accepted"
         assert client._owners[shard] == two.server.address
 
 
 class TestListener:
-    async def test_wants_the_peers_credential(self, world, processes):
+    async def test_call_without_credential_is_unauthorized(self, world, processes):
         one = await processes("n-1")
         url = f"http://{one.server.address}/journal/v1/status"
         body = {"request_id": "r-0000-1", "account": "gwesty"}
@@ -257,13 +287,13 @@
                 assert resp.status == 401
                 assert (await resp.json())["error"]["code"] == "unauthorized"
 
-    async def test_names_the_right_owner(self, world, processes):
+    async def test_wrong_owner_error_has_the_owners_address(self, world, processes):
         one = await processes("n-1")
-        await until(world, lambda: len(held(one)) == 4)
+        await advance_until(world, lambda: len(served_shards(one)) == 4)
         two = await processes("n-2")
-        await until(world, lambda: len(held(two)) > 0)
+        await advance_until(world, lambda: len(served_shards(two)) > 0)
         await world.clock.advance(10.0)
-        shard = min(held(two))
+        shard = min(served_shards(two))
         with pytest.raises(EbonydealError) as caught:
             one.node.owner_of(f"r-{shard:04x}-1")
         assert caught.value.kind is ErrorKind.WRONG_OWNER
--- a/tests/functional/journal/test_program.py
+++ b/tests/functional/journal/test_program.py
@@ -43,20 +43,26 @@
 
 
 class TestPeers:
-    async def test_peers_are_told_of_configuration_and_counters(self):
+    async def test_peer_status_has_configuration_and_counters(self):
         async with running(new_world()) as world:
             sections = settings(world)
             client = PeerClient(sections["peers"].credential)
             async with running(program(sections)) as journal:
                 address = journal.peers.address
-                told = await client.call(address, STATUS_PATH, {}, 5.0)
+                reply = await client.call(address, STATUS_PATH, {}, 5.0)
             await client.close()
-            assert told["version"] == 0
-            assert set(told) == {"version", "spread_s", "refusals", "retries", "events"}
+            assert reply["version"] == 0
+            assert set(reply) == {
+                "version",
+                "spread_s",
+                "refusals",
+                "retries",
+                "events",
+            }
 
 
 class TestBacklog:
-    async def test_the_controller_reads_what_the_program_keeps(self):
+    async def test_controller_reads_the_programs_backlog(self):
         document = example_document("cadwaladr")
         deployment = next(
             item["name"]
@@ -91,16 +97,16 @@
                 await journal.backlog.publish()
                 wall = SystemClock().wall()
                 backlog = await read_backlog(tables, deployment, wall)
-            left = await read_backlog(tables, deployment, wall)
+            remaining = await read_backlog(tables, deployment, wall)
             await client.close()
             await tables.close()
         assert [item.deadline for item in backlog] == [deadline]
         assert backlog[0].work_s > 0.0
-        assert left == []
+        assert remaining == []
 
 
 class TestTls:
-    async def test_a_client_with_the_context_is_answered(self, tmp_path):
+    async def test_client_with_the_tls_context_is_accepted(self, tmp_path):
         cfg, issue = tls_settings(tmp_path)
         context = TlsContexts.from_config(cfg, SystemClock()).client
         async with running(new_world()) as world:
@@ -140,5 +146,5 @@
                         await plain.call(address, "/journal/v1/status", {}, 5.0)
                     kinds.append(caught.value.kind)
             await plain.close()
-        # No answer at all: an HTTP error would carry a kind of its own.
+        # There is no reply: an HTTP error would have an error kind of its own.
         assert kinds == [ErrorKind.STORE_IN_DOUBT] * 2
--- a/tests/lib/journal_fakes.py
+++ b/tests/lib/journal_fakes.py
@@ -1,4 +1,4 @@
-"""Endpoints, picker and a shard harness for tests of the journal."""
+"""Fake endpoints, a picker and a shard harness for tests of the journal."""
 
 import asyncio
 import json
@@ -61,8 +61,8 @@
     return request._replace(**changes)
 
 
-def make_note(request_id: str = "k-0000-1", **changes: Any) -> Request:
-    """A keyed non-idempotent call of a plain service."""
+def make_keyed_call(request_id: str = "k-0000-1", **changes: Any) -> Request:
+    """A non-idempotent call of a plain service with an idempotency key."""
     fields = {
         "kind": RequestKind.SERVICE,
         "path": "/pickups",
@@ -75,21 +75,21 @@
 
 
 class FakeEngine:
-    """Streams TOKENS; `hold` makes it wait, `fail` makes it fail."""
+    """Streams TOKENS; `hold` blocks streams, `fail` makes them fail."""
 
     def __init__(self) -> None:
         self.log: list[tuple[str, str, Resume | None]] = []
         self.failures: dict[str, deque[tuple[int, ErrorKind]]] = {}
-        self.words: dict[str, str] = {}
+        self.attempt_states: dict[str, str] = {}
         self.cancelled: list[str] = []
         self.held: dict[str, tuple[int, asyncio.Event]] = {}
 
     def fail(self, endpoint_id: str, after: int, kind: ErrorKind) -> None:
-        """Make the next stream at an endpoint fail after so many tokens."""
+        """Make the next stream at an endpoint fail after ``after`` tokens."""
         self.failures.setdefault(endpoint_id, deque()).append((after, kind))
 
     def hold(self, endpoint_id: str, after: int) -> asyncio.Event:
-        """Make streams at an endpoint wait for the event after some tokens."""
+        """Block streams at an endpoint after ``after`` tokens until the event."""
         event = asyncio.Event()
         self.held[endpoint_id] = (after, event)
         return event
@@ -114,11 +114,11 @@
 
     async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelWord:
         self.cancelled.append(attempt_id)
-        return CancelWord(self.words.get(endpoint.endpoint_id, "stopped"), 0)
+        return CancelWord(self.attempt_states.get(endpoint.endpoint_id, "stopped"), 0)
 
 
 class FakeServices:
-    """Answers ``ok``; `fail` lists failures, `hold` makes it wait."""
+    """Answers ``ok``; fails with queued ``failures``, and waits for ``held``."""
 
     def __init__(self) -> None:
         self.log: list[tuple[str, str]] = []
@@ -141,7 +141,7 @@
 
 
 class FakePicker:
-    """The first endpoint that isn't excluded or leaving."""
+    """Picks the first endpoint that isn't excluded or leaving."""
 
     def __init__(self, *views: EndpointView) -> None:
         self.views = list(views)
@@ -174,7 +174,7 @@
 
 
 class Pausable:
-    """Passes calls on to ``inner``, each held up while paused, both ways."""
+    """Forwards calls to ``inner``; while paused, calls and results are delayed."""
 
     def __init__(self, inner: Any, running: asyncio.Event) -> None:
         self._inner = inner
@@ -212,7 +212,7 @@
         self.nodes.append(node)
         await node.dispatcher.start()
         if serve:
-            await node.take(0)
+            await node.claim(0)
         return node
 
     async def close(self) -> None:
@@ -255,7 +255,7 @@
     def owner(self) -> ShardOwner:
         return self.owners[-1]
 
-    async def take(self, shard: int) -> ShardOwner:
+    async def claim(self, shard: int) -> ShardOwner:
         """Claim a shard and start its owner."""
         tables, clock = self.world.tables, self.world.clock
         seen = await tables.get(shard_key(shard))
@@ -270,7 +270,7 @@
         return owner
 
     async def kill(self) -> None:
-        """End at once, as a crash does: nothing more is written."""
+        """Stop at once, as in a crash: nothing more is written."""
         self.running.set()
         for owner in self.owners:
             owner.stop_serving()
@@ -279,7 +279,7 @@
 
 
 class Process:
-    """A journal node with its listener, as one process has them."""
+    """The journal node and the listener of one process."""
 
     def __init__(self, world: World, name: str) -> None:
         self.base = Node(world, name)
@@ -302,7 +302,7 @@
         await self.node.start()
 
     async def kill(self) -> None:
-        """End without a word to anyone."""
+        """Stop as in a crash, without handing over shards."""
         self.node._leaving = True
         for owner in list(self.node.owners.values()):
             owner.stop_serving()
@@ -312,7 +312,7 @@
         await self.peers.close()
 
     async def stop(self) -> None:
-        """End gracefully."""
+        """Stop gracefully."""
         await self.node.stop()
         await self.base.dispatcher.stop()
         await self.server.stop()
--- a/tests/unit/journal/test_picker.py
+++ b/tests/unit/journal/test_picker.py
@@ -13,11 +13,11 @@
 from tests.lib.endpoints import make_view
 from tests.lib.journal_fakes import make_request
 
-HERE = Place("wales", "wales-1")
-NOBODY = frozenset()
+PLACE = Place("wales", "wales-1")
+NO_EXCLUSIONS = frozenset()
 
 
-class Listed:
+class FakeViews:
     def __init__(self, *views):
         self.listed = views
 
@@ -30,7 +30,7 @@
 
 def make_picker(*views):
     router = Router(RoutingSettings(), random.Random(1))
-    return RoutedPicker(Listed(*views), router, HERE, ManualClock())
+    return RoutedPicker(FakeViews(*views), router, PLACE, ManualClock())
 
 
 def load(running, waiting=0, slots=2):
@@ -38,39 +38,43 @@
 
 
 class TestRoutedPicker:
-    def test_takes_none_that_has_no_free_slot(self):
+    def test_skips_endpoints_without_a_free_slot(self):
         picker = make_picker(
             make_view("full", load=load(2)), make_view("free", load=load(1))
         )
-        assert picker.pick(make_request(), NOBODY).endpoint_id == "free"
+        assert picker.pick(make_request(), NO_EXCLUSIONS).endpoint_id == "free"
         assert picker.pick(make_request(), frozenset({"free"})) is None
 
-    def test_own_sends_count_until_they_end(self):
+    def test_own_runs_occupy_slots_until_they_end(self):
         view = make_view("e-1", load=load(0, slots=1))
         picker = make_picker(view)
         request = make_request()
-        assert picker.pick(request, NOBODY) is view
+        assert picker.pick(request, NO_EXCLUSIONS) is view
         picker.record_sent(request, view)
-        assert picker.pick(make_request("r-0000-2"), NOBODY) is None
+        assert picker.pick(make_request("r-0000-2"), NO_EXCLUSIONS) is None
         picker.record_finished(request, view, ErrorKind.ENDPOINT_FAILED)
-        assert picker.pick(make_request("r-0000-2"), NOBODY) is view
+        assert picker.pick(make_request("r-0000-2"), NO_EXCLUSIONS) is view
 
-    def test_an_engine_without_the_model_is_not_asked(self):
+    def test_skips_engines_without_the_model(self):
         picker = make_picker(make_view("e-1", models=("other",)))
-        assert picker.pick(make_request(), NOBODY) is None
+        assert picker.pick(make_request(), NO_EXCLUSIONS) is None
 
 
 class TestRouteRequest:
-    def test_the_prompt_makes_the_prefix(self):
+    def test_prompt_determines_the_prefix_blocks(self):
         text = " ".join(str(number) for number in range(40))
         body = json.dumps({"model": "m", "prompt": text})
-        ask = route_request(make_request(body=body), HERE, NOBODY, Weights(2.0, 1.0))
-        assert (ask.model, len(ask.blocks)) == ("m", 2)
-        assert ask.weights == Weights(2.0, 1.0)
+        route = route_request(
+            make_request(body=body), PLACE, NO_EXCLUSIONS, Weights(2.0, 1.0)
+        )
+        assert (route.model, len(route.blocks)) == ("m", 2)
+        assert route.weights == Weights(2.0, 1.0)
 
-    def test_a_body_that_is_no_json_has_none(self):
-        ask = route_request(make_request(body="{"), HERE, NOBODY, NEUTRAL_WEIGHTS)
-        assert (ask.model, ask.blocks) == ("", ())
+    def test_malformed_body_has_no_model_or_blocks(self):
+        route = route_request(
+            make_request(body="{"), PLACE, NO_EXCLUSIONS, NEUTRAL_WEIGHTS
+        )
+        assert (route.model, route.blocks) == ("", ())
 
-    def test_a_deployment_that_is_not_known_is_neutral(self):
+    def test_unknown_deployment_has_neutral_weights(self):
         assert weights_from(lambda: EMPTY_DOCUMENT)("pool") == NEUTRAL_WEIGHTS
--- a/tests/unit/journal/test_protocol.py
+++ b/tests/unit/journal/test_protocol.py
@@ -38,7 +38,7 @@
 
 
 class Writer:
-    """An appender with its task, and what it acknowledged."""
+    """A running appender and the rows it acknowledged."""
 
     def __init__(self, world, claimed, seq=0, cfg=FAST):
         self.rows = []
@@ -56,7 +56,7 @@
         )
         self.task = asyncio.ensure_future(self.appender.run())
 
-    def ask(self, *numbers, **options):
+    def append(self, *numbers, **options):
         records = [accepted(number) for number in numbers]
         return asyncio.ensure_future(self.appender.append(records, **options))
 
@@ -78,108 +78,110 @@
     return [row.key for row in await world.tables.scan("journal/")]
 
 
-def kind_of(task):
+def error_kind(task):
     return task.exception().kind
 
 
 class TestAppend:
-    async def test_what_waits_goes_into_one_row(self, world, writer):
-        asks = [writer.ask(number) for number in range(5)]
+    async def test_waiting_records_share_one_row(self, world, writer):
+        appends = [writer.append(number) for number in range(5)]
         await settle()
-        assert all(ask.done() for ask in asks)
+        assert all(append.done() for append in appends)
         assert writer.rows == [(0, 5)]
 
-    async def test_an_old_owner_writes_nothing(self, world, writer):
+    async def test_fenced_owner_writes_nothing(self, world, writer):
         await claim(world, "n-2")
-        ask = writer.ask(1)
+        append = writer.append(1)
         await settle()
-        assert kind_of(ask) is ErrorKind.FENCED
+        assert error_kind(append) is ErrorKind.FENCED
         assert await keys(world) == []
 
-    async def test_anothers_row_is_not_overwritten(self, world, writer):
+    async def test_row_of_another_owner_is_not_overwritten(self, world, writer):
         row = {"batch": "b-other", "epoch": 1, "records": []}
         world.tables.rows._put(journal_key(0, 0), row)
         world.tables.rows._values[journal_key(0, 0)] = b'{"batch":"b-other"}'
-        ask = writer.ask(1)
+        append = writer.append(1)
         await settle()
-        assert kind_of(ask) is ErrorKind.FENCED
+        assert error_kind(append) is ErrorKind.FENCED
         found = await world.tables.get(journal_key(0, 0))
         assert found.value["batch"] == "b-other"
 
-    async def test_a_lost_answer_is_found_by_its_batch(self, world, writer):
+    async def test_write_with_lost_reply_is_recognized_by_its_batch_id(
+        self, world, writer
+    ):
         world.tables.faults.writes.append(Fault.LOST_ANSWER)
-        ask = writer.ask(1)
+        append = writer.append(1)
         await settle()
-        assert ask.done() and ask.exception() is None
+        assert append.done() and append.exception() is None
         assert writer.rows == [(0, 1)]
 
     @pytest.mark.parametrize("fault", [Fault.LOST_REQUEST, Fault.LATE])
-    async def test_in_doubt_the_same_row_is_tried_again(self, world, writer, fault):
+    async def test_write_in_doubt_retries_the_same_row(self, world, writer, fault):
         world.tables.faults.writes.append(fault)
-        first = writer.ask(1)
+        first = writer.append(1)
         await settle()
         assert not first.done()
-        second = writer.ask(2)
+        second = writer.append(2)
         await world.clock.advance(1.0)
         assert first.done() and second.done()
         world.tables.land_late()
         assert writer.rows == [(0, 1), (1, 1)]
         assert await keys(world) == [journal_key(0, 0), journal_key(0, 1)]
 
-    async def test_a_late_landing_is_taken_for_what_it_is(self, world, writer):
+    async def test_write_applied_late_is_acknowledged_once(self, world, writer):
         world.tables.faults.writes.append(Fault.LATE)
-        ask = writer.ask(1)
+        append = writer.append(1)
         await settle()
         world.tables.land_late()
         await world.clock.advance(1.0)
-        assert ask.done() and ask.exception() is None
+        assert append.done() and append.exception() is None
         assert writer.rows == [(0, 1)]
 
-    async def test_a_refused_write_proves_that_nothing_is_kept(self, world, writer):
+    async def test_refused_append_stores_nothing(self, world, writer):
         world.tables.faults.down = True
-        ask = writer.ask(1, retain=False)
-        held = writer.ask(2)
+        append = writer.append(1, retain=False)
+        held = writer.append(2)
         await settle()
-        assert kind_of(ask) is ErrorKind.JOURNAL_UNAVAILABLE
+        assert error_kind(append) is ErrorKind.JOURNAL_UNAVAILABLE
         world.tables.faults.down = False
         await world.clock.advance(5.0)
         assert held.done()
         states = (await replay(world.tables, world.objects, 0)).states
         assert set(states) == {"r-0000-2"}
 
-    async def test_in_doubt_is_never_told_as_not_run(self, world, writer):
+    async def test_append_in_doubt_is_never_reported_as_not_run(self, world, writer):
         world.tables.faults.writes.extend([Fault.LATE] + [Fault.REFUSED] * 9)
-        ask = writer.ask(1, retain=False, max_wait=1.0)
+        append = writer.append(1, retain=False, max_wait=1.0)
         await world.clock.advance(2.0)
-        assert kind_of(ask) is ErrorKind.STORE_IN_DOUBT
+        assert error_kind(append) is ErrorKind.STORE_IN_DOUBT
         await world.clock.advance(60.0)
         assert writer.rows == [(0, 1)]
 
-    async def test_what_was_never_sent_is_withdrawn(self, world, writer):
+    async def test_unsent_records_are_withdrawn_after_max_wait(self, world, writer):
         world.tables.faults.writes.extend([Fault.LATE] + [Fault.REFUSED] * 9)
-        writer.ask(1)
+        writer.append(1)
         await settle()
-        ask = writer.ask(2, retain=False, max_wait=0.5)
+        append = writer.append(2, retain=False, max_wait=0.5)
         await world.clock.advance(0.6)
-        assert kind_of(ask) is ErrorKind.JOURNAL_UNAVAILABLE
+        assert error_kind(append) is ErrorKind.JOURNAL_UNAVAILABLE
         await world.clock.advance(60.0)
         states = (await replay(world.tables, world.objects, 0)).states
         assert set(states) == {"r-0000-1"}
 
-    async def test_too_many_waiting_are_refused(self, world):
+    async def test_append_beyond_max_pending_is_refused(self, world):
         writer = Writer(world, await claim(world), cfg=FAST._replace(max_pending=2))
         writer.task.cancel()
-        waiting = writer.ask(1, 2)
+        waiting = writer.append(1, 2)
         await asyncio.sleep(0)
         with pytest.raises(EbonydealError) as caught:
             await writer.appender.append([accepted(3)], retain=False)
         assert caught.value.kind is ErrorKind.JOURNAL_BEHIND
         waiting.cancel()
 
-    async def test_a_row_holds_no_more_than_its_size(self, world):
+    async def test_row_holds_at_most_max_batch_records(self, world):
         writer = Writer(world, await claim(world), cfg=FAST._replace(max_batch=2))
         for number in range(5):
-            writer.ask(number)
+            writer.append(number)
         await settle()
         assert writer.rows == [(0, 2), (1, 2), (2, 1)]
         writer.task.cancel()
@@ -191,11 +193,11 @@
         claimed = await claim(world)
         writer = Writer(world, claimed)
         for number in range(3):
-            await writer.ask(number)
+            await writer.append(number)
         yield claimed, writer
         writer.task.cancel()
 
-    async def snap(self, world, claimed):
+    async def save(self, world, claimed):
         found = await replay(world.tables, world.objects, 0)
         data = encode_states(found.states.values())
         done = await save_snapshot(
@@ -203,59 +205,61 @@
         )
         return found.seq, done
 
-    async def test_replay_is_the_same_with_and_without(self, world, filled):
+    async def test_replay_from_a_snapshot_equals_replay_from_rows(self, world, filled):
         before = await replay(world.tables, world.objects, 0)
-        seq, _ = await self.snap(world, filled[0])
+        seq, _ = await self.save(world, filled[0])
         assert await trim(world.tables, filled[0], seq) == 3
         after = await replay(world.tables, world.objects, 0)
         assert (after.states, after.seq, after.rows) == (before.states, 3, 0)
 
-    async def test_a_late_duplicate_below_it_is_ignored(self, world, filled):
+    async def test_late_duplicate_of_a_trimmed_row_is_ignored(self, world, filled):
         claimed, writer = filled
         world.tables.faults.writes.append(Fault.DUPLICATE)
-        await writer.ask(3)
-        seq, _ = await self.snap(world, claimed)
+        await writer.append(3)
+        seq, _ = await self.save(world, claimed)
         await trim(world.tables, claimed, seq)
-        await writer.ask(4)
+        await writer.append(4)
         before = await replay(world.tables, world.objects, 0)
         assert world.tables.land_late() == [True]
         after = await replay(world.tables, world.objects, 0)
         assert (after.states, after.seq) == (before.states, before.seq)
         assert after.rows == 1
 
-    async def test_a_late_write_cannot_move_it_back(self, world, filled):
+    async def test_late_write_cannot_move_the_snapshot_back(self, world, filled):
         claimed, writer = filled
-        await self.snap(world, claimed)
-        await writer.ask(3)
+        await self.save(world, claimed)
+        await writer.append(3)
         world.tables.faults.writes.append(Fault.LATE)
         with pytest.raises(EbonydealError):
-            await self.snap(world, claimed)
-        await writer.ask(4)
-        seq, done = await self.snap(world, claimed)
+            await self.save(world, claimed)
+        await writer.append(4)
+        seq, done = await self.save(world, claimed)
         assert done
         await trim(world.tables, claimed, seq)
         assert world.tables.land_late() == [False]
         found = await replay(world.tables, world.objects, 0)
         assert len(found.states) == 5
 
-    async def test_an_old_owner_makes_none(self, world, filled):
+    async def test_fenced_owner_saves_no_snapshot_and_trims_nothing(
+        self, world, filled
+    ):
         claimed, _ = filled
         await claim(world, "n-2")
-        assert (await self.snap(world, claimed))[1] is None
+        assert (await self.save(world, claimed))[1] is None
         assert await world.tables.get(snapshot_key(0)) is None
         assert await trim(world.tables, claimed, 3) == 0
         assert len(await keys(world)) == 3
 
-    async def test_no_row_moves_while_the_object_is_not_stored(self, world, filled):
+    async def test_snapshot_row_is_not_written_before_its_object(self, world, filled):
         world.objects.faults.down = True
         with pytest.raises(EbonydealError):
-            await self.snap(world, filled[0])
+            await self.save(world, filled[0])
         assert await world.tables.get(snapshot_key(0)) is None
 
 
 class TestClaim:
     @pytest.mark.parametrize("claimed_before", [False, True])
-    async def test_of_two_one_wins(self, world, claimed_before):
+    async def test_one_of_two_concurrent_claims_wins(self, world, claimed_before):
         if claimed_before:
             await claim(world)
         seen = await world.tables.get(shard_key(0))
@@ -273,7 +277,7 @@
         won = [item for item in await asyncio.gather(*claims) if item is not None]
         assert [item.epoch for item in won] == [2 if claimed_before else 1]
 
-    async def test_a_lost_answer_is_found_by_its_token(self, world):
+    async def test_claim_with_lost_reply_is_recognized_by_its_token(self, world):
         world.tables.faults.writes.append(Fault.LOST_ANSWER)
         task = asyncio.ensure_future(claim(world))
         await world.clock.advance(1.0)
@@ -281,7 +285,7 @@
         row = await world.tables.get(shard_key(0))
         assert (claimed.epoch, claimed.token) == (1, row.value["claim"])
 
-    async def test_a_late_one_loses_against_the_next(self, world):
+    async def test_late_claim_loses_against_the_next(self, world):
         first = await claim(world)
         world.tables.faults.writes.extend([Fault.LATE] + [Fault.REFUSED] * 4)
         task = asyncio.ensure_future(claim(world, "n-2"))
@@ -299,7 +303,7 @@
         second = await claim(world, "n-2")
         assert second.epoch == 3
 
-    async def test_an_old_owner_releases_nothing(self, world):
+    async def test_fenced_owner_releases_nothing(self, world):
         first = await claim(world)
         second = await claim(world, "n-2")
         assert not await release_shard(world.tables, first, world.clock)
--- a/tests/unit/journal/test_replay.py
+++ b/tests/unit/journal/test_replay.py
@@ -12,11 +12,11 @@
 from ebonydeal._internal.standin.memory import MemoryObjects, MemoryTables
 from tests.lib.journal_fakes import make_request
 
-LATER = Claim(0, 2, "c-2")
+LATER_CLAIM = Claim(0, 2, "c-2")
 
 
 class TestReplay:
-    async def test_starts_anew_when_a_later_owner_trims_meanwhile(self):
+    async def test_restarts_when_a_later_owner_trims_during_the_scan(self):
         tables, objects = MemoryTables(), MemoryObjects()
         request = make_request()
         row = {"batch": "b", "records": [record_to_message(Accepted(request))]}
@@ -27,8 +27,8 @@
             if operation.name == "scan":
                 tables.faults.before = None
                 data = encode_states([RequestState(request)])
-                await save_snapshot(tables, objects, LATER, 1, data)
-                await trim(tables, LATER, 1)
+                await save_snapshot(tables, objects, LATER_CLAIM, 1, data)
+                await trim(tables, LATER_CLAIM, 1)
 
         tables.faults.before = trim_before_the_scan
         replayed = await replay(tables, objects, 0)
--- a/tests/unit/journal/test_shard_machine.py
+++ b/tests/unit/journal/test_shard_machine.py
@@ -10,7 +10,7 @@
 from ebonydeal._internal.journal.snapshots import replay
 from ebonydeal._internal.standin.faults import Fault
 from tests.lib.clock import settle
-from tests.lib.journal_fakes import FAST, World, make_note, make_request
+from tests.lib.journal_fakes import FAST, World, make_keyed_call, make_request
 
 FAULTS = st.sampled_from([fault for fault in Fault if fault is not Fault.NONE])
 FAILURES = st.sampled_from(
@@ -20,7 +20,7 @@
 
 
 class ShardMachine(RuleBasedStateMachine):
-    """One shard, many owners, and every fault of the stores between them."""
+    """One shard with successive owners, under all faults of the stores."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,7 +50,7 @@
         self.collect()
 
     def collect(self) -> None:
-        """Note what callers have been told."""
+        """Record the outcomes that callers have received."""
         for request_id, task in list(self.tasks.items()):
             if not task.done():
                 continue
@@ -75,7 +75,7 @@
         fault=st.sampled_from([Fault.NONE, *Fault]),
     )
     def accept(self, once: bool, oldest: bool, count: int, fault: Fault) -> None:
-        """Callers ask an owner, which may have lost its shard unknowingly."""
+        """Send requests to an owner, which may have lost its shard without noticing."""
         nodes = self.serving()
         if not nodes:
             return
@@ -85,7 +85,7 @@
         for _ in range(count):
             self.count += 1
             request_id = f"{'k' if once else 'r'}-0000-{self.count}"
-            request = make_note(request_id) if once else make_request(request_id)
+            request = make_keyed_call(request_id) if once else make_request(request_id)
             self.tasks[request_id] = self.do(self.start(owner, request))
         self.run_tasks()
 
@@ -127,7 +127,7 @@
 
     @rule(pause=st.booleans())
     def takeover(self, pause: bool) -> None:
-        """A new owner claims; the old one doesn't know, and may be paused."""
+        """A new owner claims; the old one isn't notified and may be paused."""
         if pause:
             self.world.nodes[-1].running.clear()
         self.world.tables.faults.writes.clear()
@@ -154,7 +154,7 @@
 
     # --- invariants ----------------------------------------------------------------
     def durable(self) -> dict:
-        """What an owner that claimed now would see."""
+        """Return the states that a new owner would replay."""
         clean = World(CFG)
         clean.tables.rows = self.world.tables.rows
         clean.objects.data = self.world.objects.data
@@ -199,7 +199,7 @@
                 assert request_id not in ran
 
     def teardown(self) -> None:
-        """Once all is well again, every accepted request comes to its end."""
+        """Check that every accepted request becomes final once all faults are over."""
         world = self.world
         world.tables.faults.down = world.objects.faults.down = False
         world.tables.faults.writes.clear()
--- a/tests/unit/journal/test_sweep.py
+++ b/tests/unit/journal/test_sweep.py
@@ -11,8 +11,8 @@
 )
 
 
-class TestFormerObjects:
-    async def test_a_paused_owner_leaves_later_epochs_alone(self):
+class TestEarlierObjects:
+    async def test_paused_owner_lists_no_objects_of_later_epochs(self):
         objects = MemoryObjects()
         for name in NAMES:
             await objects.put(name, b"x")
--- a/tests/unit/peers/test_journal_client.py
+++ b/tests/unit/peers/test_journal_client.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.peers.journal_client import JournalClient
 from ebonydeal._internal.standin.memory import MemoryTables
 from tests.lib.config_fakes import QuickClock
-from tests.lib.journal_fakes import make_note, make_request
+from tests.lib.journal_fakes import make_keyed_call, make_request
 
 
 class NoPeers:
@@ -29,7 +29,7 @@
 class TestRefusals:
     async def test_a_key_may_have_run_before(self):
         with pytest.raises(EbonydealError) as caught:
-            await client().call(make_note(), 1.0)
+            await client().call(make_keyed_call(), 1.0)
         assert caught.value.kind is ErrorKind.JOURNAL_UNAVAILABLE
         assert caught.value.outcome is Outcome.UNKNOWN
         assert caught.value.to_body()["error"]["outcome"] == "unknown"
