--- a/src/ebonydeal/_internal/journal/upkeep.py
+++ b/src/ebonydeal/_internal/journal/maintenance.py
@@ -1,30 +1,30 @@
-"""What keeps a shard small: expiry, snapshots, trim, and sweeping of objects."""
+"""Maintenance of a shard: expiry, snapshots, trimming, deletion of unused objects."""
 
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.journal.appender import Appender
 from ebonydeal._internal.journal.bodies import Bodies
 from ebonydeal._internal.journal.claims import Claim
-from ebonydeal._internal.journal.fold import RequestState, expired
+from ebonydeal._internal.journal.fold import RequestState, expiry_records
 from ebonydeal._internal.journal.snapshots import encode_states, save_snapshot, trim
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.outside.interfaces import Objects, Tables
 from ebonydeal._internal.settings.journal import JournalSettings
 from ebonydeal._internal.utils.clock import Clock
 
-EXPIRE_AT_ONCE = 500
-EXPIRE_EVERY_S = 30.0
-_EXPIRE_SHARE = 0.01
+MAX_EXPIRED_PER_RUN = 500
+MAX_EXPIRY_INTERVAL_S = 30.0
+_EXPIRY_INTERVAL_FRACTION = 0.01
 
 
-class Upkeep:
-    """Upkeep of one shard during one epoch; called by its owner only.
+class ShardMaintenance:
+    """Maintenance of one shard during one epoch; called by its owner only.
 
     Parameters
     ----------
     claim : Claim
         The owner's claim.
     states : dict of str to RequestState
-        The owner's own states, as they change.
+        The owner's live states.
     bodies : Bodies
         Of the same shard and epoch.
     """
@@ -50,37 +50,39 @@
         self._cfg = cfg
         self._clock = clock
         self._metrics = metrics
-        self._forget: list[str] = []
-        self._expire_at = 0.0
+        self._unreferenced: list[str] = []
+        self._next_expiry_at = 0.0
 
-    def note_objects(self, request_id: str) -> None:
-        """Remember the objects of a request that is being forgotten."""
+    def collect_objects(self, request_id: str) -> None:
+        """Note the objects of an expiring request for deletion."""
         state = self._states.get(request_id)
         if state is not None:
-            self._forget += _objects_of(state)
+            self._unreferenced += _objects_of(state)
 
     async def expire(self, appender: Appender) -> None:
-        """Forget requests that were final longer ago than the retention.
+        """Expire requests that have been final for longer than the retention.
 
-        Objects go only after the record is durable.
+        Their objects are deleted only after the record is durable.
         """
         now = self._clock.now()
-        if now < self._expire_at:
+        if now < self._next_expiry_at:
             return
         retention = self._cfg.retention_seconds
-        self._expire_at = now + min(EXPIRE_EVERY_S, retention * _EXPIRE_SHARE)
+        self._next_expiry_at = now + min(
+            MAX_EXPIRY_INTERVAL_S, retention * _EXPIRY_INTERVAL_FRACTION
+        )
         before = self._clock.wall() - retention
-        records = expired(self._states, before, EXPIRE_AT_ONCE)
+        records = expiry_records(self._states, before, MAX_EXPIRED_PER_RUN)
         if records:
             await appender.append(records)
-            names, self._forget = self._forget, []
-            await self._bodies.forget(names)
+            names, self._unreferenced = self._unreferenced, []
+            await self._bodies.delete(names)
 
     async def snapshot_if_due(self, seq: int) -> bool:
-        """Snapshot and trim when enough rows have been written since the last.
+        """Snapshot and trim when enough rows were written since the last snapshot.
 
-        ``seq`` is the next row's number; all rows below it are folded into the
-        states. Raises the stores' errors.
+        ``seq`` is the next row's number; the states include all rows below it.
+        Raises the stores' errors.
         """
         if seq - self.snapshot_seq < self._cfg.snapshot_rows:
             return False
@@ -94,21 +96,21 @@
         self._metrics.count(Event.SNAPSHOTS)
         await trim(self._tables, self._claim, seq)
         if replaced:
-            await self._bodies.forget([replaced])
+            await self._bodies.delete([replaced])
         return True
 
-    async def former_objects(self) -> list[str]:
-        """Return objects of former owners; none while the store is down."""
+    async def earlier_objects(self) -> list[str]:
+        """Return objects of earlier owners; none while the store is down."""
         try:
-            return await self._bodies.former()
+            return await self._bodies.earlier_objects()
         except EbonydealError:
             return []
 
     async def sweep(self, names: list[str], snapshot: str) -> None:
-        """Delete former owners' objects, but for those in use."""
+        """Delete those of the objects ``names`` that are not in use."""
         used = {name for state in self._states.values() for name in _objects_of(state)}
         used.add(snapshot)
-        await self._bodies.forget([name for name in names if name not in used])
+        await self._bodies.delete([name for name in names if name not in used])
 
 
 def _objects_of(state: RequestState) -> list[str]:
--- a/src/ebonydeal/_internal/journal/owner.py
+++ b/src/ebonydeal/_internal/journal/owner.py
@@ -1,7 +1,7 @@
-"""One shard in the hands of one owner: replay, serve, snapshot, hand over.
+"""Owner of one shard: replay, serving, snapshots and hand-over.
 
-Everything that callers are told rests on durable records: the state is changed
-only by rows that are known to have taken effect.
+All replies to callers depend on durable records only: the state is changed only by
+rows that are known to have been written.
 """
 
 import asyncio
@@ -14,10 +14,10 @@
 from ebonydeal._internal.journal.bodies import Bodies
 from ebonydeal._internal.journal.claims import Claim, release_shard
 from ebonydeal._internal.journal.fold import Phase, RequestState, apply_all
+from ebonydeal._internal.journal.maintenance import ShardMaintenance
 from ebonydeal._internal.journal.parts import OwnerParts
 from ebonydeal._internal.journal.snapshots import Replayed, replay
 from ebonydeal._internal.journal.status import StatusMessage, status_message
-from ebonydeal._internal.journal.upkeep import Upkeep
 from ebonydeal._internal.models.records import (
     Accepted,
     Expired,
@@ -30,9 +30,9 @@
 
 logger = get_logger("journal")
 
-REPLAY_RETRY_S = 0.5
-UPKEEP_S = 1.0
-STORE_RETRY_S = 1.0
+REPLAY_RETRY_DELAY_S = 0.5
+MAINTENANCE_INTERVAL_S = 1.0
+STORE_RETRY_DELAY_S = 1.0
 
 
 class ShardOwner(Service):
@@ -45,7 +45,7 @@
     parts : OwnerParts
         Shared clients and settings.
     on_lost : callable
-        Called once when the shard has been fenced.
+        Called once when this owner has stopped serving the shard.
     """
 
     def __init__(
@@ -66,8 +66,8 @@
         self._on_lost = on_lost
         self._bodies = Bodies(parts.objects, claim.shard, claim.epoch, parts.cfg)
         self._accepting: dict[str, asyncio.Task[None]] = {}
-        self._changes: dict[str, asyncio.Event] = {}
-        self.upkeep = Upkeep(
+        self._final_events: dict[str, asyncio.Event] = {}
+        self.maintenance = ShardMaintenance(
             claim,
             self.states,
             self._bodies,
@@ -94,59 +94,61 @@
             metrics=parts.metrics,
         )
 
-    # --- life ----------------------------------------------------------------
+    # --- life cycle ----------------------------------------------------------
     @Service.task
-    async def _live(self) -> None:
+    async def _run_shard(self) -> None:
         """Replay, then write until fenced."""
         replayed = await self._replay()
-        former = await self.upkeep.former_objects()
+        earlier = await self.maintenance.earlier_objects()
         self.open(replayed)
-        self.add_future(self.upkeep.sweep(former, replayed.snapshot))
+        self.add_future(self.maintenance.sweep(earlier, replayed.snapshot))
         await self._appender.run()
-        self.lose()
+        self.stop_serving()
 
     async def _replay(self) -> Replayed:
-        """Read the shard, however long the stores need."""
+        """Replay the shard, retrying until the stores respond."""
         while True:
             try:
                 return await replay(self._parts.tables, self._parts.objects, self.shard)
             except EbonydealError as exc:
                 logger.warning("Replay failed.", shard=self.shard, error=str(exc))
-                await self._clock.sleep(REPLAY_RETRY_S)
+                await self._clock.sleep(REPLAY_RETRY_DELAY_S)
 
     def open(self, replayed: Replayed) -> None:
-        """Start serving what a replay found."""
+        """Start serving with the replayed state."""
         self.states.update(replayed.states)
-        self.upkeep.snapshot_seq = replayed.snapshot_seq
+        self.maintenance.snapshot_seq = replayed.snapshot_seq
         self._appender = self._new_appender(replayed.seq)
         self.serving = True
-        cut_off: list[Record] = []
+        interrupted: list[Record] = []
         for request_id, state in self.states.items():
             if state.is_final:
                 continue
             if state.phase is Phase.DISPATCHED and not state.request.idempotent:
                 why = "its owner changed while it may have been running"
                 wall = self._clock.wall()
-                cut_off.append(Unknown(request_id, state.attempt, why, wall))
+                interrupted.append(Unknown(request_id, state.attempt, why, wall))
             else:
                 self._parts.metrics.count_retry(RetryReason.TAKEOVER)
                 self._parts.dispatch.submit(self, request_id, may_have_run=True)
-        if cut_off:
-            self.add_future(self._record_quietly(cut_off))
+        if interrupted:
+            self.add_future(self._append_ignoring_errors(interrupted))
         took = self._clock.now() - self._claimed_at
         self._parts.metrics.record_duration(Timing.TAKEOVER, took)
         logger.info(
             "Serving a shard.", shard=self.shard, epoch=self.epoch, rows=replayed.rows
         )
 
-    async def _record_quietly(self, records: list[Record]) -> None:
-        """Append; a fenced append needs no answer."""
+    async def _append_ignoring_errors(self, records: list[Record]) -> None:
+        """Append records; errors are only logged."""
         try:
             await self._appender.append(records, urgent=True)
         except EbonydealError as exc:
-            logger.warning("Records were not kept.", shard=self.shard, error=str(exc))
+            logger.warning(
+                "Records were not written.", shard=self.shard, error=str(exc)
+            )
 
-    def lose(self) -> None:
+    def stop_serving(self) -> None:
         """Stop serving at once: the shard has, or may have, another owner."""
         if self._lost:
             return
@@ -154,18 +156,18 @@
         self.serving = False
         self._appender.close()
         self._parts.dispatch.drop(self)
-        for event in self._changes.values():
+        for event in self._final_events.values():
             event.set()
         self._on_lost(self.shard)
 
-    async def hand_over(self, limit: float) -> bool:
-        """Finish what runs, then free the shard; return whether it is free."""
+    async def hand_over(self, timeout: float) -> bool:
+        """Finish the runs, then release the shard; return whether it is free."""
         if self._lost or not self.serving:
             return False
         self.draining = True
-        finished = await self._parts.dispatch.drain(self, limit)
+        finished = await self._parts.dispatch.drain(self, timeout)
         self.serving = False
-        timer = asyncio.ensure_future(self._clock.sleep(max(1.0, limit)))
+        timer = asyncio.ensure_future(self._clock.sleep(max(1.0, timeout)))
         flushed = asyncio.ensure_future(self._appender.flush())
         await asyncio.wait({timer, flushed}, return_when=asyncio.FIRST_COMPLETED)
         timer.cancel()
@@ -174,7 +176,7 @@
         freed = clean and await release_shard(
             self._parts.tables, self.claim, self._clock
         )
-        self.lose()
+        self.stop_serving()
         return freed
 
     # --- callers -----------------------------------------------------------------
@@ -187,15 +189,16 @@
     async def accept(self, request: Request, urgent: bool = False) -> RequestState:
         """Return the request's state once its accepted record is durable.
 
-        The same id and body again returns the first one's state. Raises
-        ``KEY_REUSED`` for another body, and what `Appender.append` raises.
+        Repeating a request with the same id and body returns the state of the
+        first. Raises ``KEY_REUSED`` for a different body, and what
+        `Appender.append` raises.
         """
         self._check_serving()
         request_id = request.request_id
         if request_id not in self.states:
             if len(self.states) >= self._cfg.max_requests:
                 raise EbonydealError(
-                    ErrorKind.JOURNAL_BEHIND, "The shard keeps too many requests."
+                    ErrorKind.JOURNAL_BEHIND, "The shard holds too many requests."
                 )
             task = self._accepting.get(request_id)
             if task is None:
@@ -210,21 +213,21 @@
             raise EbonydealError(ErrorKind.NOT_FOUND, "no such request")
         if state.request.body_digest != request.body_digest:
             raise EbonydealError(
-                ErrorKind.KEY_REUSED, "The key was used with another body."
+                ErrorKind.KEY_REUSED, "The key was used with a different body."
             )
         return state
 
     async def _append_accepted(self, request: Request, urgent: bool) -> None:
-        kept = await self._bodies.keep_request(request)
+        stored = await self._bodies.store_request(request)
         await self._appender.append(
-            [Accepted(kept)],
+            [Accepted(stored)],
             urgent=urgent,
-            hold=False,
-            patience=self._cfg.append_patience,
+            retain=False,
+            max_wait=self._cfg.append_patience,
         )
 
     async def call(self, request: Request, wait: float) -> StatusMessage:
-        """Accept, then wait up to ``wait`` seconds for the end."""
+        """Accept a request, then wait up to ``wait`` seconds until it is final."""
         if self.draining and request.request_id not in self.states:
             raise EbonydealError(ErrorKind.DRAINING, "The shard is being handed over.")
         await self.accept(request, urgent=True)
@@ -235,7 +238,7 @@
         state = self.states.get(request_id)
         if state is None or state.is_final:
             return
-        event = self._changes.setdefault(request_id, asyncio.Event())
+        event = self._final_events.setdefault(request_id, asyncio.Event())
         waits = {
             asyncio.ensure_future(self._clock.sleep(wait)),
             asyncio.ensure_future(event.wait()),
@@ -253,7 +256,7 @@
         return state
 
     async def status(self, request_id: str, account: str) -> StatusMessage:
-        """Return what is durable of a request; NOT_FOUND for another account's."""
+        """Return a request's durable state; NOT_FOUND for another account's request."""
         self._check_serving()
         pending = self._accepting.get(request_id)
         if pending is not None:
@@ -263,48 +266,48 @@
         if state.answer is None:
             return status_message(state, None)
         try:
-            answer = await self._bodies.whole_answer(state.answer)
+            answer = await self._bodies.load_answer(state.answer)
         except EbonydealError as exc:
-            # The request has run: nothing that reads as "not run" may be said.
+            # The request has run, so the error must not mean "not run".
             raise EbonydealError(
-                ErrorKind.STORE_IN_DOUBT, "The answer is kept but can't be read now."
+                ErrorKind.STORE_IN_DOUBT, "The answer is stored but can't be read now."
             ) from exc
         return status_message(state, answer)
 
     async def cancel(self, request_id: str, account: str) -> StatusMessage:
-        """Stop a request that is not final, and return its status."""
+        """Cancel a request that is not final, and return its status."""
         self._check_serving()
         if not self._visible(request_id, account).is_final:
             await self._parts.dispatch.cancel(self, request_id)
         return await self.status(request_id, account)
 
-    # --- the dispatcher's side -----------------------------------------------------
+    # --- called by the dispatcher --------------------------------------------------
     def state(self, request_id: str) -> RequestState | None:
         """Return the durable state of a request."""
         return self.states.get(request_id)
 
-    async def record(self, records: Sequence[Record], urgent: bool) -> None:
-        """Append and hold until durable; raises FENCED."""
+    async def append(self, records: Sequence[Record], urgent: bool) -> None:
+        """Return once ``records`` are durable; raises FENCED."""
         await self._appender.append(records, urgent=urgent)
 
-    async def request_body(self, request: Request) -> str:
+    async def load_request_body(self, request: Request) -> str:
         """Return a request's body; raises the store's errors."""
-        return await self._bodies.request_body(request)
+        return await self._bodies.load_request_body(request)
 
-    async def keep_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
-        """Return an answer as it goes into a record, however long that takes."""
+    async def store_answer(self, request_id: str, answer: StoredAnswer) -> StoredAnswer:
+        """Return an answer as it goes into a record, retrying until it is stored."""
         while True:
             try:
-                return await self._bodies.keep_answer(request_id, answer)
+                return await self._bodies.store_answer(request_id, answer)
             except EbonydealError:
-                await self._clock.sleep(STORE_RETRY_S)
+                await self._clock.sleep(STORE_RETRY_DELAY_S)
 
     # --- durable rows ---------------------------------------------------------------
     def _on_durable(self, _seq: int, records: Sequence[Record]) -> None:
-        """Fold a durable row and wake whom it concerns."""
+        """Apply a durable row and wake waiting callers."""
         for record in records:
             if isinstance(record, Expired):
-                self.upkeep.note_objects(record.request_id)
+                self.maintenance.collect_objects(record.request_id)
             apply_all(self.states, [record])
             if isinstance(record, Accepted):
                 request_id = record.request.request_id
@@ -313,20 +316,22 @@
                 continue
             state = self.states.get(record.request_id)
             if state is None or state.is_final:
-                event = self._changes.pop(record.request_id, None)
+                event = self._final_events.pop(record.request_id, None)
                 if event is not None:
                     event.set()
 
-    # --- upkeep -----------------------------------------------------------------------
+    # --- maintenance ------------------------------------------------------------------
     @Service.task
-    async def _keep_up(self) -> None:
-        """Expire and snapshot now and then."""
+    async def _maintain(self) -> None:
+        """Expire requests and take snapshots at intervals."""
         while not self.should_stop and not self._lost:
-            await self._clock.sleep(UPKEEP_S)
+            await self._clock.sleep(MAINTENANCE_INTERVAL_S)
             if not self.serving:
                 continue
             try:
-                await self.upkeep.expire(self._appender)
-                await self.upkeep.snapshot_if_due(self._appender.seq)
+                await self.maintenance.expire(self._appender)
+                await self.maintenance.snapshot_if_due(self._appender.seq)
             except EbonydealError as exc:
-                logger.warning("Upkeep failed.", shard=self.shard, error=str(exc))
+                logger.warning(
+                    "Shard maintenance failed.", shard=self.shard, error=str(exc)
+                )
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -16,8 +16,12 @@
 from ebonydeal._internal.journal.node import JournalNode
 from ebonydeal._internal.journal.pacing import Budget, Pacer
 from ebonydeal._internal.journal.parts import OwnerParts
-from ebonydeal._internal.journal.picker import RoutedPicker, slots_from, weights_from
-from ebonydeal._internal.journal.service import journal_app, offer_by
+from ebonydeal._internal.journal.picker import (
+    RoutedPicker,
+    min_known_slots,
+    weights_from,
+)
+from ebonydeal._internal.journal.service import http_offer, journal_app
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.cloud import HttpCloud
@@ -59,7 +63,7 @@
 
 
 class Platform(NamedTuple):
-    """The clients of the outside systems, which the program closes."""
+    """Clients of the external systems, which the program closes."""
 
     tables: HttpTables
     objects: HttpObjects
@@ -85,15 +89,15 @@
     """A client that owns connections."""
 
     async def close(self) -> None:
-        """Close them."""
+        """Close the connections."""
 
 
 class JournalProgram(Service):
-    """Everything of one journal process.
+    """All services of one journal process.
 
-    Children, in the order of their start: TLS files, directory, peers,
-    configuration, listener, dispatcher, node, backlog rows. A stop first hands over
-    all shards, while the listener still answers those who wait.
+    Children, in start order: TLS files, directory, peers, configuration, listener,
+    dispatcher, node, backlog rows. A stop first hands over all shards, while the
+    listener still replies to waiting callers.
     """
 
     def __init__(
@@ -129,8 +133,8 @@
     ) -> "JournalProgram":
         """Build the tree from typed settings sections (see `SECTIONS`)."""
         cfg: JournalSettings = settings["journal"]
-        own: NodeSettings = settings["node"]
-        place = Place(own.region, own.zone)
+        node_cfg: NodeSettings = settings["node"]
+        place = Place(node_cfg.region, node_cfg.zone)
         platform = Platform.from_config(settings["platform"])
         tls = TlsContexts.from_config(settings["tls"], clock)
         directory = Directory.from_config(
@@ -145,7 +149,7 @@
         platform.engine.on_load = directory.observe_load
         platform.services.on_load = directory.observe_load
         peers = PeerService.from_config(
-            own,
+            node_cfg,
             settings["peers"],
             metrics,
             clock,
@@ -169,7 +173,7 @@
         picker = RoutedPicker(
             directory, router, place, clock, weights_from(lambda: follower.document)
         )
-        platform.engine.on_backoff = platform.services.on_backoff = picker.rests
+        platform.engine.on_backoff = platform.services.on_backoff = picker.back_off
         dispatcher = Dispatcher(
             picker,
             platform.engine,
@@ -189,15 +193,17 @@
             rng,
             metrics,
         )
-        me = Identity(own.id, "", int(clock.wall() * _MS))
+        me = Identity(node_cfg.id, "", int(clock.wall() * _MS))
         credential = settings["peers"].credential
-        between = PeerClient(credential, tls.client)
-        node = JournalNode(me, place, parts, own.drain_seconds, offer_by(between))
+        peer_client = PeerClient(credential, tls.client)
+        node = JournalNode(
+            me, place, parts, node_cfg.drain_seconds, http_offer(peer_client)
+        )
         backlog = BacklogRows(
-            dispatcher.waiting,
+            dispatcher.waiting_requests,
             lambda: follower.document,
-            lambda name: slots_from(directory, name),
-            own.id,
+            lambda name: min_known_slots(directory, name),
+            node_cfg.id,
             lambda: node.live_nodes,
             platform.tables,
             clock=clock,
@@ -207,12 +213,12 @@
         app = journal_app(node, credential, metrics)
         server = HttpServer(
             app,
-            own.host,
+            node_cfg.host,
             cfg.port,
             ssl_context=tls.server,
-            drain_seconds=own.drain_seconds,
+            drain_seconds=node_cfg.drain_seconds,
         )
-        clients = (*platform, between)
+        clients = (*platform, peer_client)
         return cls(
             directory, peers, follower, dispatcher, node, backlog, server, tls, clients
         )
@@ -224,7 +230,7 @@
 
     async def on_start(self) -> None:
         """Bind the listener, then claim shards under its address."""
-        self.directory.on_mark(self.dispatcher.leaving)
+        self.directory.on_mark(self.dispatcher.on_endpoint_leaving)
         self.directory.on_change(self._endpoints_changed)
         await self.add_runtime_dependency(self._tls)
         await self.add_runtime_dependency(self.directory)
@@ -237,10 +243,10 @@
         await self.add_runtime_dependency(self.backlog)
 
     def _endpoints_changed(self, _change: Change) -> None:
-        self.dispatcher.endpoints_changed()
+        self.dispatcher.on_endpoints_changed()
 
     async def on_stop(self) -> None:
-        """Hand over all shards while everything still works."""
+        """Hand over all shards while the children are still running."""
         await self.node.leave()
 
     async def on_shutdown(self) -> None:
--- a/tests/lib/journal_fakes.py
+++ b/tests/lib/journal_fakes.py
@@ -1,4 +1,4 @@
-"""Endpoints, picker and a shard harness for tests of the journal."""
+"""Fake endpoints, a picker and a shard harness for tests of the journal."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from ebonydeal._internal.journal.pacing import Budget, Pacer
 from ebonydeal._internal.journal.parts import OwnerParts
 from ebonydeal._internal.journal.rows import shard_key
-from ebonydeal._internal.journal.service import journal_app, offer_by
+from ebonydeal._internal.journal.service import http_offer, journal_app
 from ebonydeal._internal.models.endpoints import EndpointKind, EndpointView
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.models.requests import Priority, Request, RequestKind
@@ -61,8 +61,8 @@
     return request._replace(**changes)
 
 
-def make_note(request_id: str = "k-0000-1", **changes: Any) -> Request:
-    """A keyed non-idempotent call of a plain service."""
+def make_keyed_call(request_id: str = "k-0000-1", **changes: Any) -> Request:
+    """A non-idempotent call of a plain service with an idempotency key."""
     fields = {
         "kind": RequestKind.SERVICE,
         "path": "/pickups",
@@ -75,21 +75,21 @@
 
 
 class FakeEngine:
-    """Streams TOKENS; `hold` makes it wait, `fail` makes it fail."""
+    """Streams TOKENS; `hold` blocks streams, `fail` makes them fail."""
 
     def __init__(self) -> None:
         self.log: list[tuple[str, str, Resume | None]] = []
         self.failures: dict[str, deque[tuple[int, ErrorKind]]] = {}
-        self.words: dict[str, str] = {}
+        self.attempt_states: dict[str, str] = {}
         self.cancelled: list[str] = []
         self.held: dict[str, tuple[int, asyncio.Event]] = {}
 
     def fail(self, endpoint_id: str, after: int, kind: ErrorKind) -> None:
-        """Make the next stream at an endpoint fail after so many tokens."""
+        """Make the next stream at an endpoint fail after ``after`` tokens."""
         self.failures.setdefault(endpoint_id, deque()).append((after, kind))
 
     def hold(self, endpoint_id: str, after: int) -> asyncio.Event:
-        """Make streams at an endpoint wait for the event after some tokens."""
+        """Block streams at an endpoint after ``after`` tokens until the event."""
         event = asyncio.Event()
         self.held[endpoint_id] = (after, event)
         return event
@@ -114,11 +114,11 @@
 
     async def cancel(self, endpoint: EndpointView, attempt_id: str) -> CancelResult:
         self.cancelled.append(attempt_id)
-        return CancelResult(self.words.get(endpoint.endpoint_id, "stopped"), 0)
+        return CancelResult(self.attempt_states.get(endpoint.endpoint_id, "stopped"), 0)
 
 
 class FakeServices:
-    """Answers ``ok``; `fail` lists failures, `hold` makes it wait."""
+    """Answers ``ok``; fails with queued ``failures``, and waits for ``held``."""
 
     def __init__(self) -> None:
         self.log: list[tuple[str, str]] = []
@@ -141,7 +141,7 @@
 
 
 class FakePicker:
-    """The first endpoint that isn't excluded or leaving."""
+    """Picks the first endpoint that isn't excluded or leaving."""
 
     def __init__(self, *views: EndpointView) -> None:
         self.views = list(views)
@@ -157,10 +157,10 @@
     def is_leaving(self, view: EndpointView) -> bool:
         return view.endpoint_id in self.leaving
 
-    def sent(self, request: Request, view: EndpointView) -> None:
+    def record_sent(self, request: Request, view: EndpointView) -> None:
         pass
 
-    def finished(
+    def record_finished(
         self, request: Request, view: EndpointView, error: ErrorKind | None
     ) -> None:
         pass
@@ -174,7 +174,7 @@
 
 
 class Pausable:
-    """Passes calls on to ``inner``, each held up while paused, both ways."""
+    """Forwards calls to ``inner``; while paused, calls and results are delayed."""
 
     def __init__(self, inner: Any, running: asyncio.Event) -> None:
         self._inner = inner
@@ -212,7 +212,7 @@
         self.nodes.append(node)
         await node.dispatcher.start()
         if serve:
-            await node.take(0)
+            await node.claim(0)
         return node
 
     async def close(self) -> None:
@@ -255,7 +255,7 @@
     def owner(self) -> ShardOwner:
         return self.owners[-1]
 
-    async def take(self, shard: int) -> ShardOwner:
+    async def claim(self, shard: int) -> ShardOwner:
         """Claim a shard and start its owner."""
         tables, clock = self.world.tables, self.world.clock
         seen = await tables.get(shard_key(shard))
@@ -270,16 +270,16 @@
         return owner
 
     async def kill(self) -> None:
-        """End at once, as a crash does: nothing more is written."""
+        """Stop at once, as in a crash: nothing more is written."""
         self.running.set()
         for owner in self.owners:
-            owner.lose()
+            owner.stop_serving()
             await owner.stop()
         await self.dispatcher.stop()
 
 
 class Process:
-    """A journal node with its listener, as one process has them."""
+    """The journal node and the listener of one process."""
 
     def __init__(self, world: World, name: str) -> None:
         self.base = Node(world, name)
@@ -290,7 +290,7 @@
             Place("wales", "wales-1"),
             self.base.parts,
             drain_seconds=10.0,
-            offer=offer_by(self.peers),
+            offer=http_offer(self.peers),
         )
         app = journal_app(self.node, CREDENTIAL, self.base.metrics)
         self.server = HttpServer(app, "127.0.0.1", 0, drain_seconds=1.0)
@@ -302,17 +302,17 @@
         await self.node.start()
 
     async def kill(self) -> None:
-        """End without a word to anyone."""
+        """Stop as in a crash, without handing over shards."""
         self.node._leaving = True
         for owner in list(self.node.owners.values()):
-            owner.lose()
+            owner.stop_serving()
         await self.node.stop()
         await self.base.dispatcher.stop()
         await self.server.stop()
         await self.peers.close()
 
     async def stop(self) -> None:
-        """End gracefully."""
+        """Stop gracefully."""
         await self.node.stop()
         await self.base.dispatcher.stop()
         await self.server.stop()
--- a/tests/unit/journal/test_sweep.py
+++ b/tests/unit/journal/test_sweep.py
@@ -11,10 +11,10 @@
 )
 
 
-class TestFormerObjects:
-    async def test_a_paused_owner_leaves_later_epochs_alone(self):
+class TestEarlierObjects:
+    async def test_paused_owner_lists_no_objects_of_later_epochs(self):
         objects = MemoryObjects()
         for name in NAMES:
             await objects.put(name, b"x")
         bodies = Bodies(objects, 0, 2, JournalSettings())
-        assert await bodies.former() == [NAMES[0], NAMES[3]]
+        assert await bodies.earlier_objects() == [NAMES[0], NAMES[3]]
