--- a/src/ebonydeal/_internal/benchmarks/capacity/measures.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/measures.py
@@ -168,7 +168,7 @@
     def round_us(size: int) -> float:
         ours = MembersTopic(groups[size], SystemClock())
         theirs = json.loads(json.dumps(ours.digest()))
-        return cpu_us(lambda: (ours.digest(), ours.answer(theirs)), 200)
+        return cpu_us(lambda: (ours.digest(), ours.payload_for(theirs)), 200)
 
     return [
         _line(
--- a/src/ebonydeal/_internal/benchmarks/peers/net.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/net.py
@@ -10,22 +10,22 @@
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.peers.demand import DemandTopic
 from ebonydeal._internal.peers.endpoints_topic import EndpointsTopic
-from ebonydeal._internal.peers.exchange import Exchange
+from ebonydeal._internal.peers.exchange import GossipExchange
 from ebonydeal._internal.peers.membership import (
     Member,
     Membership,
-    MembershipTimes,
+    MembershipTimeouts,
     MemberStatus,
 )
+from ebonydeal._internal.peers.peer_selector import PeerSelector
 from ebonydeal._internal.peers.service import (
-    ANSWER_HEADER_BYTES,
     CALL_TIMEOUT_S,
-    PUSH_GATHER_S,
-    PUSH_TRIES,
+    MAX_PUSH_ATTEMPTS,
+    PUSH_BATCH_INTERVAL_S,
     REQUEST_HEADER_BYTES,
-    push_width,
+    RESPONSE_HEADER_BYTES,
+    push_target_count,
 )
-from ebonydeal._internal.peers.targets import PeerTargets
 from ebonydeal._internal.peers.topics import MarksTopic, MembersTopic, mark_to_wire
 from ebonydeal._internal.routing.limits.demand import Demand, DemandReport
 
@@ -74,12 +74,12 @@
         self.bytes_out = 0
         own = net.members[number]
         others = (member for member in net.members if member is not own)
-        times = MembershipTimes(period=PERIOD_S)
+        times = MembershipTimeouts(period=PERIOD_S)
         self.membership = Membership(own, times, known=others)
-        self.targets = PeerTargets("10.0.0.0:9200", 9200)
+        self.targets = PeerSelector("10.0.0.0:9200", 9200)
         self.marks = MarkSet()
         self.marked_at: dict[str, float] = {}
-        self.exchange = Exchange(self.membership)
+        self.exchange = GossipExchange(self.membership)
         self.exchange.register(MembersTopic(self.membership, _ModelClock(net.work)))
         self.exchange.register(MarksTopic(self.marks, self.mark))
         self.exchange.register(EndpointsTopic(SharedList(), lambda _: None))
@@ -91,7 +91,9 @@
         news = self.marks.merge(mark, self.net.work.now)
         if news:
             self.marked_at[mark.endpoint_id or mark.zone] = self.net.work.now
-            self.net.work.at(self.net.work.now + PUSH_GATHER_S, self._push, mark)
+            self.net.work.at(
+                self.net.work.now + PUSH_BATCH_INTERVAL_S, self._push, mark
+            )
         return news
 
     def round(self) -> None:
@@ -99,17 +101,17 @@
         net = self.net
         net.work.at(net.work.now + PERIOD_S * self.rng.uniform(*_JITTER), self.round)
         self.membership.tick(net.work.now)
-        target = self.targets.next(self.membership, self.rng)
+        target = self.targets.choose(self.membership, self.rng)
         if target is None:
             return
         peer = net.by_address[target.address]
-        answer = self._call(peer, self.exchange.ask(), opening=True)
+        answer = self._call(peer, self.exchange.build_request(), opening=True)
         if answer is None:
-            self.membership.failed(target.member_id, net.work.now)
+            self.membership.record_unreachable(target.member_id, net.work.now)
             return
-        closing = self.exchange.closing(answer, target.member_id, net.work.now)
+        closing = self.exchange.handle_response(answer, target.member_id, net.work.now)
         if closing is not None:
-            self.exchange.receive(self._call(peer, closing, opening=False) or {})
+            self.exchange.apply_payloads(self._call(peer, closing, opening=False) or {})
 
     def _call(
         self, peer: "Node", message: dict[str, Any], *, opening: bool
@@ -119,23 +121,23 @@
         if self.net.is_lost():
             return None
         now = self.net.work.now
-        take = peer.exchange.answer if opening else peer.exchange.take_push
+        take = peer.exchange.handle_request if opening else peer.exchange.handle_push
         reply = take(json.loads(json.dumps(message)), now)
-        peer.bytes_out += len(json.dumps(reply)) + ANSWER_HEADER_BYTES
+        peer.bytes_out += len(json.dumps(reply)) + RESPONSE_HEADER_BYTES
         return None if self.net.is_lost() else reply
 
     def _push(self, mark: LeavingMark) -> None:
         live = self.membership.live()
         self.rng.shuffle(live)
-        width = push_width(len(live))
+        width = push_target_count(len(live))
         for member in live[:width]:
-            self._push_to(member, live[width:], mark, PUSH_TRIES)
+            self._push_to(member, live[width:], mark, MAX_PUSH_ATTEMPTS)
 
     def _push_to(
         self, member: Member, spare: list[Member], mark: LeavingMark, tries: int
     ) -> None:
         """Push to one peer; after a timeout, to another in its place."""
-        message = self.exchange.news({"marks": [mark_to_wire(mark)]})
+        message = self.exchange.build_push({"marks": [mark_to_wire(mark)]})
         peer = self.net.by_address[member.address]
         if self._call(peer, message, opening=False) is None and spare and tries > 1:
             other = self.rng.choice(spare)
--- a/src/ebonydeal/_internal/config/peer_routes.py
+++ b/src/ebonydeal/_internal/config/peer_routes.py
@@ -33,7 +33,7 @@
     def register(self, topic: ConfigTopic) -> None:
         """Carry a further topic."""
 
-    def push_if_few(self, topic: str, items: list[Any]) -> None:
+    def push_if_small_group(self, topic: str, items: list[Any]) -> None:
         """Send payload items of a topic at once, unless the peers are many."""
 
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
@@ -86,7 +86,7 @@
         return web.json_response({"steps": steps})
 
     def push(info: VersionInfo) -> None:
-        peers.push_if_few(follower.topic.name, [info.to_row()])
+        peers.push_if_small_group(follower.topic.name, [info.to_row()])
 
     peers.register(follower.topic)
     follower.on_version(push)
--- a/src/ebonydeal/_internal/config/topic.py
+++ b/src/ebonydeal/_internal/config/topic.py
@@ -92,11 +92,11 @@
         version, items = self._partial
         return {"version": self.content.version, "partial": [version, len(items)]}
 
-    def answer(self, theirs: Any) -> dict[str, Any] | None:
+    def payload_for(self, peer_digest: Any) -> dict[str, Any] | None:
         """Return what a peer with this digest lacks; None if nothing."""
         try:
-            version = int(theirs["version"])
-            partial, count = (int(number) for number in theirs["partial"])
+            version = int(peer_digest["version"])
+            partial, count = (int(number) for number in peer_digest["partial"])
         except GARBAGE:
             return None
         if version >= self.content.version:
--- a/src/ebonydeal/_internal/peers/demand.py
+++ b/src/ebonydeal/_internal/peers/demand.py
@@ -50,9 +50,9 @@
             self._told[gateway] += 1
         return reports
 
-    def answer(self, theirs: Any) -> Any | None:
+    def payload_for(self, peer_digest: Any) -> Any | None:
         """Take in a peer's reports; there is nothing more to send."""
-        self.receive(theirs)
+        self.receive(peer_digest)
         return None
 
     def receive(self, payload: Any) -> None:
--- a/src/ebonydeal/_internal/peers/endpoints_topic.py
+++ b/src/ebonydeal/_internal/peers/endpoints_topic.py
@@ -29,11 +29,11 @@
 
     def digest(self) -> Any:
         """Return the hash over all facts, with bucket hashes when they help."""
-        return self._digest.make()
+        return self._digest.build()
 
-    def answer(self, theirs: Any) -> Any | None:
+    def payload_for(self, peer_digest: Any) -> Any | None:
         """Return facts of the buckets that differ."""
-        found = self._shared.in_buckets(self._digest.differing(theirs))
+        found = self._shared.in_buckets(self._digest.differing_buckets(peer_digest))
         found.sort(key=lambda fact: -fact.at)
         return [fact.to_wire() for fact in found[:MAX_ITEMS]] or None
 
--- a/src/ebonydeal/_internal/peers/exchange.py
+++ b/src/ebonydeal/_internal/peers/exchange.py
@@ -12,7 +12,7 @@
 from ebonydeal._internal.peers.topics import Topic
 
 
-class Exchange:
+class GossipExchange:
     """Composes and takes in the messages of rounds and pushes.
 
     Parameters
@@ -29,16 +29,16 @@
         """Carry a further topic."""
         self._topics[topic.name] = topic
 
-    def ask(self) -> dict[str, Any]:
+    def build_request(self) -> dict[str, Any]:
         """Return the message that opens a round."""
         return self._message({})
 
-    def answer(self, message: dict[str, Any], now: float) -> dict[str, Any]:
+    def handle_request(self, message: dict[str, Any], now: float) -> dict[str, Any]:
         """Take in a round's opening; return the answer to it."""
-        self.meet(message, now)
-        return self._message(self._answers(message.get("digests")))
+        self.merge_sender(message, now)
+        return self._message(self._missing_payloads(message.get("digests")))
 
-    def closing(
+    def handle_response(
         self, answer: dict[str, Any], member_id: str, now: float
     ) -> dict[str, Any] | None:
         """Take in the answer; return what the peer lacks, or None.
@@ -50,22 +50,22 @@
         if node is None or (member_id and node.id != member_id):
             raise EbonydealError(ErrorKind.INTERNAL, f"{member_id} is another node")
         self._membership.merge(node, now)
-        self.receive(answer)
-        payloads = self._answers(answer.get("digests"))
+        self.apply_payloads(answer)
+        payloads = self._missing_payloads(answer.get("digests"))
         return self._message(payloads) if payloads else None
 
-    def news(self, payloads: dict[str, Any]) -> dict[str, Any]:
+    def build_push(self, payloads: dict[str, Any]) -> dict[str, Any]:
         """Return the message of a push."""
         return {"node": self._membership.own.to_wire(), "payloads": payloads}
 
-    def take_push(self, message: dict[str, Any], now: float) -> dict[str, Any]:
+    def handle_push(self, message: dict[str, Any], now: float) -> dict[str, Any]:
         """Take in a push or a closing; return what its digests lack."""
-        self.meet(message, now)
-        self.receive(message)
-        payloads = self._answers(message.get("digests"))
+        self.merge_sender(message, now)
+        self.apply_payloads(message)
+        payloads = self._missing_payloads(message.get("digests"))
         return {"payloads": payloads} if payloads else {}
 
-    def receive(self, message: dict[str, Any]) -> None:
+    def apply_payloads(self, message: dict[str, Any]) -> None:
         """Take in the payloads of a message, by topic."""
         payloads = message.get("payloads")
         for name, payload in payloads.items() if isinstance(payloads, dict) else ():
@@ -73,7 +73,7 @@
             if topic is not None:
                 topic.receive(payload)
 
-    def meet(self, message: dict[str, Any], now: float) -> None:
+    def merge_sender(self, message: dict[str, Any], now: float) -> None:
         """Take in the sender's identity; raises BAD_REQUEST without one."""
         node = Member.from_wire(message.get("node"))
         if node is None:
@@ -90,12 +90,12 @@
             message["payloads"] = payloads
         return message
 
-    def _answers(self, digests: Any) -> dict[str, Any]:
+    def _missing_payloads(self, digests: Any) -> dict[str, Any]:
         """Return what a peer with these digests lacks, by topic."""
         payloads = {}
         for name, digest in digests.items() if isinstance(digests, dict) else ():
             topic = self._topics.get(name)
-            payload = None if topic is None else topic.answer(digest)
+            payload = None if topic is None else topic.payload_for(digest)
             if payload is not None:
                 payloads[name] = payload
         return payloads
--- a/src/ebonydeal/_internal/peers/journal_client.py
+++ b/src/ebonydeal/_internal/peers/journal_client.py
@@ -21,7 +21,7 @@
 )
 from ebonydeal._internal.utils.peerclient import PeerClient
 
-PATH = "/journal/v1/"
+PATH_PREFIX = "/journal/v1/"
 MOST_HOPS = 4
 RETRY_FIRST_S = 0.1
 RETRY_MOST_S = 1.0
@@ -128,7 +128,7 @@
         tables: Tables,
         peers: PeerClient,
         shards: int,
-        patience: float,
+        retry_timeout: float,
         *,
         clock: Clock,
         rng: random.Random,
@@ -137,7 +137,7 @@
         self._tables = tables
         self._peers = peers
         self._shards = shards
-        self._patience = patience
+        self._retry_timeout = retry_timeout
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
@@ -181,7 +181,9 @@
         ``KEY_REUSED``. Repeating with the same id is safe.
         """
         message = {"request": request.to_message()}
-        body = await self._ask("accept", request.request_id, message, self._patience)
+        body = await self._ask(
+            "accept", request.request_id, message, self._retry_timeout
+        )
         return JournalStatus.from_message(body)
 
     async def call(self, request: Request, wait: float) -> JournalStatus:
@@ -195,7 +197,7 @@
         while True:
             part = min(MOST_WAIT_S, max(0.0, end - self._clock.now()))
             message["wait"] = part
-            total = part + self._patience
+            total = part + self._retry_timeout
             body = await self._ask("call", request.request_id, message, total, part)
             status = JournalStatus.from_message(body)
             if status.is_final or self._clock.now() >= end:
@@ -204,13 +206,13 @@
     async def status(self, request_id: str, account: str) -> JournalStatus:
         """Return what is known; raises NOT_FOUND and ``JOURNAL_UNAVAILABLE``."""
         message = {"request_id": request_id, "account": account}
-        body = await self._ask("status", request_id, message, self._patience)
+        body = await self._ask("status", request_id, message, self._retry_timeout)
         return JournalStatus.from_message(body)
 
     async def cancel(self, request_id: str, account: str) -> JournalStatus:
         """Stop a request; returns its status, which may be final already."""
         message = {"request_id": request_id, "account": account}
-        total = self._patience + CALL_MARGIN_S
+        total = self._retry_timeout + CALL_MARGIN_S
         body = await self._ask("cancel", request_id, message, total, CALL_MARGIN_S)
         return JournalStatus.from_message(body)
 
@@ -286,7 +288,9 @@
         address = self._owners.get(shard) or await self._look_up(shard)
         for _ in range(MOST_HOPS):
             try:
-                body = await self._peers.call(address, PATH + name, message, timeout)
+                body = await self._peers.call(
+                    address, PATH_PREFIX + name, message, timeout
+                )
             except EbonydealError as exc:
                 if exc.kind is not ErrorKind.WRONG_OWNER or not exc.owner:
                     raise
--- a/src/ebonydeal/_internal/peers/membership.py
+++ b/src/ebonydeal/_internal/peers/membership.py
@@ -84,7 +84,7 @@
     return all(isinstance(item, str) for item in items)
 
 
-class MembershipTimes(NamedTuple):
+class MembershipTimeouts(NamedTuple):
     """How long states are held, in seconds.
 
     Attributes
@@ -101,8 +101,8 @@
     """
 
     period: float = 1.0
-    suspect: float = 5.0
-    keep_dead: float = 600.0
+    min_suspicion: float = 5.0
+    dead_retention: float = 600.0
 
 
 class Membership:
@@ -121,11 +121,11 @@
     def __init__(
         self,
         own: Member,
-        times: MembershipTimes | None = None,
+        times: MembershipTimeouts | None = None,
         known: Iterable[Member] = (),
     ) -> None:
         self.own = own
-        self._times = times or MembershipTimes()
+        self._times = times or MembershipTimeouts()
         self._members: dict[str, Member] = {}
         self._since: dict[str, float] = {}
         self._updates: dict[str, int] = {}
@@ -144,7 +144,7 @@
             if member.status <= MemberStatus.SUSPECT and member.id != self.own.id
         ]
 
-    def gone(self) -> list[Member]:
+    def dead_members(self) -> list[Member]:
         """Return members that are believed dead; they may be beyond a partition."""
         return [m for m in self._members.values() if m.status is MemberStatus.DEAD]
 
@@ -152,15 +152,15 @@
         """Return what is known of a member."""
         return self._members.get(member_id)
 
-    def choose(self, rng: random.Random) -> Member | None:
+    def random_live(self, rng: random.Random) -> Member | None:
         """Return a random live member."""
         live = self.live()
         return rng.choice(live) if live else None
 
-    def suspect_time(self) -> float:
+    def suspicion_timeout(self) -> float:
         """Return the seconds between suspicion and removal at the present size."""
         spread = math.log2(len(self.hashes) + 1)
-        return max(self._times.suspect, 2.0 * self._times.period * spread)
+        return max(self._times.min_suspicion, 2.0 * self._times.period * spread)
 
     # --- changes -----------------------------------------------------------------
     def merge(self, member: Member, now: float) -> bool:
@@ -175,7 +175,7 @@
         self._put(member, now)
         return True
 
-    def failed(self, member_id: str, now: float) -> bool:
+    def record_unreachable(self, member_id: str, now: float) -> bool:
         """Note that a live member can't be reached; return whether it's news."""
         member = self._members.get(member_id)
         if member is None or member.status is not MemberStatus.ALIVE:
@@ -197,7 +197,10 @@
         dead = []
         for member in list(self._members.values()):
             age = now - self._since[member.id]
-            if member.status is MemberStatus.SUSPECT and age >= self.suspect_time():
+            if (
+                member.status is MemberStatus.SUSPECT
+                and age >= self.suspicion_timeout()
+            ):
                 lost = member._replace(status=MemberStatus.DEAD)
                 self._put(lost, now)
                 dead.append(lost)
@@ -225,7 +228,7 @@
         return [it for it in self._members.values() if bucket_of(it.id) in wanted]
 
     def _is_forgotten(self, member: Member, age: float) -> bool:
-        return member.id != self.own.id and age >= self._times.keep_dead
+        return member.id != self.own.id and age >= self._times.dead_retention
 
     def _refuses_unknown(self, member: Member) -> bool:
         """Return whether a fact about an unknown member is of no use."""
--- a/src/ebonydeal/_internal/peers/targets.py
+++ b/src/ebonydeal/_internal/peers/peer_selector.py
@@ -21,7 +21,7 @@
     return address if ":" in address else f"{address}:{port}"
 
 
-class PeerTargets:
+class PeerSelector:
     """Chooses peers.
 
     Most rounds go to a random live member. Some go to an address where no live
@@ -43,14 +43,14 @@
         self._listed: list[str] = []
         self._round = 0
 
-    def listed(self, nodes: Iterable[tuple[str, str]]) -> None:
+    def set_listed(self, nodes: Iterable[tuple[str, str]]) -> None:
         """Take in (node id, address) of the own instances that are listed."""
         self._listed = [with_port(address, self._port) for _, address in nodes]
 
-    def next(self, membership: Membership, rng: random.Random) -> Target | None:
+    def choose(self, membership: Membership, rng: random.Random) -> Target | None:
         """Return the next peer, or None if no other is known."""
         self._round += 1
-        member = membership.choose(rng)
+        member = membership.random_live(rng)
         if member is None or self._round % _JOIN_EVERY == 0:
             strangers = self._strangers(membership)
             if strangers:
@@ -63,5 +63,5 @@
         """Return the addresses at which no live member is known, sorted."""
         known = {member.address for member in membership.live()}
         known.add(membership.own.address)
-        gone = [member.address for member in membership.gone()]
+        gone = [member.address for member in membership.dead_members()]
         return sorted({*self._seeds, *self._listed, *gone} - known)
--- a/src/ebonydeal/_internal/peers/service.py
+++ b/src/ebonydeal/_internal/peers/service.py
@@ -24,14 +24,14 @@
 from ebonydeal._internal.outside.interfaces import InstanceList
 from ebonydeal._internal.peers.access import credential_middleware
 from ebonydeal._internal.peers.endpoints_topic import EndpointsTopic
-from ebonydeal._internal.peers.exchange import Exchange
+from ebonydeal._internal.peers.exchange import GossipExchange
 from ebonydeal._internal.peers.membership import (
     Member,
     Membership,
-    MembershipTimes,
+    MembershipTimeouts,
     MemberStatus,
 )
-from ebonydeal._internal.peers.targets import PeerTargets
+from ebonydeal._internal.peers.peer_selector import PeerSelector
 from ebonydeal._internal.peers.topics import (
     MarksTopic,
     MembersTopic,
@@ -48,18 +48,18 @@
 ROUND_PATH = "/peers/v1/round"
 PUSH_PATH = "/peers/v1/push"
 REQUEST_HEADER_BYTES = 250
-ANSWER_HEADER_BYTES = 160
+RESPONSE_HEADER_BYTES = 160
 PUSH_FANOUT = 8
-PUSH_TRIES = 3
-PUSH_GATHER_S = 0.02
-LIST_PERIOD_S = 5.0
-LIST_READERS = frozenset({"gateway", "journal"})
+MAX_PUSH_ATTEMPTS = 3
+PUSH_BATCH_INTERVAL_S = 0.02
+LIST_READ_INTERVAL_S = 5.0
+LIST_READING_ROLES = frozenset({"gateway", "journal"})
 CALL_TIMEOUT_S = 1.0
 _LOWEST_JITTER = 0.7
 _HIGHEST_JITTER = 1.3
 
 
-def push_width(live: int) -> int:
+def push_target_count(live: int) -> int:
     """Return to how many of ``live`` peers a push goes first."""
     return PUSH_FANOUT if live > 2 * PUSH_FANOUT else live
 
@@ -106,7 +106,7 @@
         self._clock = clock
         self._rng = rng
         self._instances = instances
-        self._targets = PeerTargets(cfg.seeds, cfg.port)
+        self._targets = PeerSelector(cfg.seeds, cfg.port)
         self._client = PeerClient(cfg.credential, ssl_client)
         self._pushes: dict[str, list[Any]] = {}
         self._push_wanted = asyncio.Event()
@@ -122,7 +122,7 @@
             drain_seconds=node.drain_seconds,
         )
         self.membership = self._new_membership(tuple(roles))
-        self._exchange = Exchange(self.membership)
+        self._exchange = GossipExchange(self.membership)
         self.register(MembersTopic(self.membership, clock))
         if directory is not None:
             self._carry(directory)
@@ -167,7 +167,9 @@
     def _readers(self) -> int:
         """Return the processes that share the platform's list with this one."""
         live = self.membership.live()
-        return 1 + sum(not LIST_READERS.isdisjoint(member.roles) for member in live)
+        return 1 + sum(
+            not LIST_READING_ROLES.isdisjoint(member.roles) for member in live
+        )
 
     # --- for other parts ---------------------------------------------------------
     def register(self, topic: Topic) -> None:
@@ -197,7 +199,7 @@
         self._pushes.setdefault(topic, []).extend(items)
         self._push_wanted.set()
 
-    def push_if_few(self, topic: str, items: list[Any]) -> None:
+    def push_if_small_group(self, topic: str, items: list[Any]) -> None:
         """Push news that can wait for the rounds in a large group.
 
         Each process passes a push on, so its bytes grow with the width; rounds
@@ -232,7 +234,7 @@
     async def _send_pushes(self) -> None:
         while not self.should_stop:
             await self._push_wanted.wait()
-            await self._clock.sleep(PUSH_GATHER_S)
+            await self._clock.sleep(PUSH_BATCH_INTERVAL_S)
             self._push_wanted.clear()
             payloads, self._pushes = self._pushes, {}
             await self._push_to_some(payloads)
@@ -243,12 +245,12 @@
             if is_turn(self._readers(), self._rng.random()):
                 await self._read_nodes(self._instances)
             jitter = self._rng.uniform(_LOWEST_JITTER, _HIGHEST_JITTER)
-            await self._clock.sleep(LIST_PERIOD_S * jitter)
+            await self._clock.sleep(LIST_READ_INTERVAL_S * jitter)
 
     async def _read_nodes(self, instances: InstanceList) -> None:
         """Look for peers that nobody told of yet."""
         try:
-            self._targets.listed(await instances.own_nodes())
+            self._targets.set_listed(await instances.own_nodes())
         except EbonydealError as exc:
             logger.debug("Can't read the instance list.", reason=str(exc))
 
@@ -257,7 +259,7 @@
         """Hold one round with one peer, if there is any."""
         for member in self.membership.tick(self._clock.now()):
             logger.warning("A peer is gone.", peer=member.id)
-        target = self._targets.next(self.membership, self._rng)
+        target = self._targets.choose(self.membership, self._rng)
         if target is None:
             return
         self._metrics.count(Event.PEER_ROUNDS)
@@ -267,39 +269,41 @@
             self._metrics.count(Event.PEER_UNREACHABLE)
             if exc.kind is ErrorKind.UNAUTHORIZED:
                 logger.error("A peer refuses the credential.", address=target.address)
-            self.membership.failed(target.member_id, self._clock.now())
+            self.membership.record_unreachable(target.member_id, self._clock.now())
 
     async def _round_with(self, address: str, member_id: str) -> None:
         """Exchange digests, take what is missing here, send what is there."""
-        answer = await self._call(address, ROUND_PATH, self._exchange.ask())
-        closing = self._exchange.closing(answer, member_id, self._clock.now())
+        answer = await self._call(address, ROUND_PATH, self._exchange.build_request())
+        closing = self._exchange.handle_response(answer, member_id, self._clock.now())
         if closing is not None:
-            self._exchange.receive(await self._call(address, PUSH_PATH, closing))
+            self._exchange.apply_payloads(await self._call(address, PUSH_PATH, closing))
 
     async def _handle_round(self, req: web.Request) -> web.Response:
         """Answer a peer's digests with what it lacks and the own digests."""
         message = await read_json(req)
-        return self._respond(self._exchange.answer(message, self._clock.now()))
+        return self._respond(self._exchange.handle_request(message, self._clock.now()))
 
     async def _handle_push(self, req: web.Request) -> web.Response:
         """Take what a peer sends; answer with what it lacks, if it asks."""
         message = await read_json(req)
-        return self._respond(self._exchange.take_push(message, self._clock.now()))
+        return self._respond(self._exchange.handle_push(message, self._clock.now()))
 
     # --- pushes --------------------------------------------------------------------
     def _push_mark(self, mark: LeavingMark) -> None:
         self.push(MarksTopic.name, [mark_to_wire(mark)])
 
     def _push_facts(self, facts: list[Fact]) -> None:
-        self.push_if_few(EndpointsTopic.name, [fact.to_wire() for fact in facts])
+        self.push_if_small_group(
+            EndpointsTopic.name, [fact.to_wire() for fact in facts]
+        )
 
     async def _push_to_some(self, payloads: dict[str, Any]) -> None:
         """Push to random peers; where one can't be reached, try others."""
         live = self.membership.live()
         self._rng.shuffle(live)
-        message = self._exchange.news(payloads)
-        wanted = push_width(len(live))
-        for _ in range(PUSH_TRIES):
+        message = self._exchange.build_push(payloads)
+        wanted = push_target_count(len(live))
+        for _ in range(MAX_PUSH_ATTEMPTS):
             chosen, live = live[:wanted], live[wanted:]
             results = await asyncio.gather(
                 *(self._push_to(member, message) for member in chosen)
@@ -314,7 +318,7 @@
         except EbonydealError:
             self._metrics.count(Event.PEER_UNREACHABLE)
             return False
-        self._exchange.receive(reply)
+        self._exchange.apply_payloads(reply)
         return True
 
     # --- transport -------------------------------------------------------------------
@@ -326,7 +330,7 @@
         return reply
 
     def _respond(self, message: Any) -> web.Response:
-        self._count_bytes(message, ANSWER_HEADER_BYTES)
+        self._count_bytes(message, RESPONSE_HEADER_BYTES)
         return web.json_response(message)
 
     def _count_bytes(self, message: Any, headers: int) -> None:
@@ -345,4 +349,4 @@
             zone=self._node.zone,
             roles=roles,
         )
-        return Membership(own, MembershipTimes(period=self._cfg.period))
+        return Membership(own, MembershipTimeouts(period=self._cfg.period))
--- a/src/ebonydeal/_internal/peers/topics.py
+++ b/src/ebonydeal/_internal/peers/topics.py
@@ -17,7 +17,7 @@
     """One kind of knowledge that spreads by anti-entropy.
 
     Values are JSON. Calls don't block and don't raise on a peer's garbage:
-    `answer` gives None and `receive` ignores it.
+    `payload_for` gives None and `receive` ignores it.
     """
 
     name: str
@@ -25,11 +25,11 @@
     def digest(self) -> Any:
         """Return a short summary of what is held."""
 
-    def answer(self, theirs: Any) -> Any | None:
-        """Return what the holder of digest ``theirs`` lacks; None if nothing."""
+    def payload_for(self, peer_digest: Any) -> Any | None:
+        """Return what the holder of digest ``peer_digest`` lacks; None if nothing."""
 
     def receive(self, payload: Any) -> None:
-        """Take in what a peer's `answer` (or a push) gave."""
+        """Take in what a peer's `payload_for` (or a push) gave."""
 
 
 class HashedDigest:
@@ -43,20 +43,20 @@
         self._hashes = hashes
         self._detail_rounds = 0
 
-    def make(self) -> dict[str, Any]:
+    def build(self) -> dict[str, Any]:
         """Return the digest."""
         digest: dict[str, Any] = {"h": self._hashes.top()}
         if self._detail_rounds:
             digest["b"] = self._hashes.buckets()
         return digest
 
-    def differing(self, theirs: Any) -> set[int]:
-        """Return the buckets in which a peer with digest ``theirs`` differs.
+    def differing_buckets(self, peer_digest: Any) -> set[int]:
+        """Return the buckets in which a peer with digest ``peer_digest`` differs.
 
         Empty when nothing differs, and also when the peer shows no details
         yet: it does after it has seen ours.
         """
-        match theirs:
+        match peer_digest:
             case {"h": str(top)} if top == self._hashes.top():
                 self._detail_rounds = max(0, self._detail_rounds - 1)
                 return set()
@@ -107,11 +107,11 @@
 
     def digest(self) -> Any:
         """Return the hash over all marks, with bucket hashes when they help."""
-        return self._digest.make()
+        return self._digest.build()
 
-    def answer(self, theirs: Any) -> Any | None:
+    def payload_for(self, peer_digest: Any) -> Any | None:
         """Return the marks of the buckets that differ."""
-        found = self._marks.in_buckets(self._digest.differing(theirs))
+        found = self._marks.in_buckets(self._digest.differing_buckets(peer_digest))
         return [mark_to_wire(mark) for mark in found[:MAX_ITEMS]] or None
 
     def receive(self, payload: Any) -> None:
@@ -142,17 +142,17 @@
 
     def digest(self) -> Any:
         """Return the hash over the live members and the recent changes."""
-        digest = self._digest.make()
+        digest = self._digest.build()
         updates = self._membership.updates()
         if updates:
             digest["u"] = [member.to_wire() for member in updates]
         return digest
 
-    def answer(self, theirs: Any) -> Any | None:
+    def payload_for(self, peer_digest: Any) -> Any | None:
         """Return the members of the buckets that differ."""
-        if isinstance(theirs, dict):
-            self.receive(theirs.get("u"))
-        found = self._membership.in_buckets(self._digest.differing(theirs))
+        if isinstance(peer_digest, dict):
+            self.receive(peer_digest.get("u"))
+        found = self._membership.in_buckets(self._digest.differing_buckets(peer_digest))
         return [member.to_wire() for member in found[:MAX_ITEMS]] or None
 
     def receive(self, payload: Any) -> None:
--- a/tests/functional/peers/test_service.py
+++ b/tests/functional/peers/test_service.py
@@ -215,11 +215,11 @@
 class TestPushIfFew:
     async def test_large_group_waits_for_rounds(self):
         async with Node(1) as a:
-            a.peers.push_if_few("config", [1])
+            a.peers.push_if_small_group("config", [1])
             assert a.peers._pushes == {"config": [1]}
             a.peers._pushes.clear()
             for number in range(2, 20):
                 member = [f"x-{number}", 1, 0, 0, "127.0.0.1:1", "r", "z", []]
                 a.peers.membership.merge(Member.from_wire(member), a.clock.now())
-            a.peers.push_if_few("config", [1])
+            a.peers.push_if_small_group("config", [1])
             assert a.peers._pushes == {}
--- a/tests/lib/matrix_config.py
+++ b/tests/lib/matrix_config.py
@@ -126,7 +126,7 @@
             if not other.instance.gate.running.is_set():
                 continue
             digest = _copy(place.instance.follower.topic.digest())
-            payload = other.instance.follower.topic.answer(digest)
+            payload = other.instance.follower.topic.payload_for(digest)
             if payload is not None:
                 await self._deliver(place, _copy(payload))
 
--- a/tests/lib/matrix_processes.py
+++ b/tests/lib/matrix_processes.py
@@ -15,7 +15,7 @@
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.models.requests import Request
 from ebonydeal._internal.observe.counters import Metrics
-from ebonydeal._internal.peers.journal_client import PATH
+from ebonydeal._internal.peers.journal_client import PATH_PREFIX
 from ebonydeal._internal.routing.placement.router import Router
 from ebonydeal._internal.settings.journal import JournalSettings
 from ebonydeal._internal.settings.routing import RoutingSettings
@@ -90,7 +90,7 @@
     async def answer(self, path: str, message: dict[str, Any]) -> dict[str, Any]:
         """Handle a call as the journal's listener does."""
         await self.gate.passed()
-        name = path.removeprefix(PATH)
+        name = path.removeprefix(PATH_PREFIX)
         if name in ("accept", "call"):
             request = Request.from_message(message["request"])
             owner = self.node.owner_of(request.request_id)
--- a/tests/unit/config/test_follower.py
+++ b/tests/unit/config/test_follower.py
@@ -96,7 +96,7 @@
         await accept(tables, 2, 81)
         await other.refresh()
         tables.down = True
-        follower.topic.receive(other.topic.answer(follower.topic.digest()))
+        follower.topic.receive(other.topic.payload_for(follower.topic.digest()))
         assert follower.document == other.document
         assert follower.document.version == 2
 
--- a/tests/unit/config/test_machine.py
+++ b/tests/unit/config/test_machine.py
@@ -156,7 +156,7 @@
         times=st.integers(0, 2),
     )
     def peers(self, a, b, times):
-        payload = self.nodes[a].topic.answer(self.nodes[b].topic.digest())
+        payload = self.nodes[a].topic.payload_for(self.nodes[b].topic.digest())
         for _ in range(times if payload else 0):
             self.nodes[b].topic.receive(payload)
 
--- a/tests/unit/config/test_topic.py
+++ b/tests/unit/config/test_topic.py
@@ -43,7 +43,7 @@
 
 def exchange(source, target):
     """One round; return whether anything was sent."""
-    payload = source.answer(target.digest())
+    payload = source.payload_for(target.digest())
     if payload is not None:
         target.receive(payload)
     return payload is not None
@@ -52,7 +52,7 @@
 class TestSpread:
     def test_versions_are_carried(self):
         source, target = topic(5), topic(3)
-        assert set(source.answer(target.digest())) == {"versions"}
+        assert set(source.payload_for(target.digest())) == {"versions"}
         assert exchange(source, target)
         assert (target.document.version, most(target)) == (5, 105)
         assert not exchange(source, target)
@@ -63,8 +63,8 @@
         assert (target.document.version, most(target)) == (5, 105)
 
     def test_nothing_goes_to_the_newer(self):
-        assert topic(3).answer(topic(5).digest()) is None
-        assert topic(3).answer(topic(3).digest()) is None
+        assert topic(3).payload_for(topic(5).digest()) is None
+        assert topic(3).payload_for(topic(3).digest()) is None
 
     def test_versions_come_in_pieces_of_the_limit(self):
         source, target = topic(6, limit=1500), topic(1)
@@ -93,7 +93,7 @@
 
     def test_a_part_that_comes_twice_is_no_harm(self):
         source, target = topic(RECENT_VERSIONS + 5, limit=600), topic()
-        first = source.answer(target.digest())
+        first = source.payload_for(target.digest())
         target.receive(first)
         target.receive(first)
         while exchange(source, target):
@@ -137,7 +137,7 @@
         st.dictionaries(st.sampled_from(["version", "partial"]), anything) | anything
     )
     def test_garbage_digest_gets_no_more_than_an_answer(self, theirs):
-        answered = topic(2).answer(theirs)
+        answered = topic(2).payload_for(theirs)
         assert answered is None or set(answered) in ({"versions"}, PART)
 
     @given(st.dictionaries(st.sampled_from([*PART, "versions"]), anything) | anything)
--- a/tests/unit/directory/test_sharing.py
+++ b/tests/unit/directory/test_sharing.py
@@ -132,9 +132,9 @@
         mine = EndpointsTopic(ours, lambda facts: None)
         got: list[Fact] = []
         other = EndpointsTopic(theirs, got.extend)
-        assert mine.answer(other.digest()) is None
-        assert other.answer(mine.digest()) is None
-        other.receive(mine.answer(other.digest()))
+        assert mine.payload_for(other.digest()) is None
+        assert other.payload_for(mine.digest()) is None
+        other.receive(mine.payload_for(other.digest()))
         assert "i-2" in {fact.view.endpoint_id for fact in got}
 
 
--- a/tests/unit/peers/test_demand.py
+++ b/tests/unit/peers/test_demand.py
@@ -17,8 +17,8 @@
         a, _ = self.make("a")
         b, _ = self.make("b")
         c, heard = self.make("c")
-        b.answer(a.digest())
-        assert c.answer(b.digest()) is None
+        b.payload_for(a.digest())
+        assert c.payload_for(b.digest()) is None
         assert sorted(heard) == [report("a"), report("b")]
 
     def test_older_and_own_reports_are_ignored(self):
--- a/tests/unit/peers/test_journal_client.py
+++ b/tests/unit/peers/test_journal_client.py
@@ -19,7 +19,7 @@
         MemoryTables(),
         NoPeers(),  # type: ignore[arg-type]
         shards=1,
-        patience=2.0,
+        retry_timeout=2.0,
         clock=QuickClock(),
         rng=random.Random(1),
         metrics=Metrics(),
--- a/tests/unit/peers/test_membership.py
+++ b/tests/unit/peers/test_membership.py
@@ -4,19 +4,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ebonydeal._internal.peers.exchange import Exchange
+from ebonydeal._internal.peers.exchange import GossipExchange
 from ebonydeal._internal.peers.membership import (
     Member,
     Membership,
-    MembershipTimes,
+    MembershipTimeouts,
     MemberStatus,
 )
-from ebonydeal._internal.peers.targets import PeerTargets
+from ebonydeal._internal.peers.peer_selector import PeerSelector
 from ebonydeal._internal.peers.topics import MembersTopic
 
 ALIVE, SUSPECT = MemberStatus.ALIVE, MemberStatus.SUSPECT
 LEFT, DEAD = MemberStatus.LEFT, MemberStatus.DEAD
-TIMES = MembershipTimes(period=1.0, suspect=5.0, keep_dead=100.0)
+TIMES = MembershipTimeouts(period=1.0, min_suspicion=5.0, dead_retention=100.0)
 
 
 def member(name: str, incarnation=1, heartbeat=0, status=ALIVE) -> Member:
@@ -93,11 +93,11 @@
     def test_suspect_is_removed_only_after_its_time(self):
         membership = Membership(member("me"), TIMES)
         membership.merge(member("a"), 0.0)
-        assert membership.failed("a", 1.0) is True
-        assert membership.failed("a", 2.0) is False
-        assert membership.tick(1.0 + membership.suspect_time() - 0.01) == []
+        assert membership.record_unreachable("a", 1.0) is True
+        assert membership.record_unreachable("a", 2.0) is False
+        assert membership.tick(1.0 + membership.suspicion_timeout() - 0.01) == []
         assert membership.live() == [member("a", 1, 0, SUSPECT)]
-        dead = membership.tick(1.0 + membership.suspect_time())
+        dead = membership.tick(1.0 + membership.suspicion_timeout())
         assert dead == [member("a", 1, 0, DEAD)]
         assert membership.live() == []
 
@@ -105,7 +105,7 @@
         me = Membership(member("me"), TIMES)
         other = Membership(member("a"), TIMES)
         other.merge(me.own, 0.0)
-        other.failed("me", 0.0)
+        other.record_unreachable("me", 0.0)
         assert me.merge(other.get("me"), 0.0) is True
         assert me.own == member("me", 1, 1)
         other.merge(me.own, 0.0)
@@ -128,16 +128,16 @@
         membership.merge(member("a"), 0.0)
         membership.merge(member("a", 1, 0, DEAD), 0.0)
         membership.tick(99.9)
-        assert membership.gone() == [member("a", 1, 0, DEAD)]
+        assert membership.dead_members() == [member("a", 1, 0, DEAD)]
         membership.tick(100.0)
         assert membership.get("a") is None
 
     def test_time_of_suspicion_grows_with_the_size(self):
         membership = Membership(member("me"), TIMES)
-        assert membership.suspect_time() == 5.0
+        assert membership.suspicion_timeout() == 5.0
         for number in range(350):
             membership.merge(member(f"n{number}"), 0.0)
-        assert 16.0 < membership.suspect_time() < 18.0
+        assert 16.0 < membership.suspicion_timeout() < 18.0
 
 
 class TestUpdates:
@@ -157,14 +157,14 @@
 class TestTargets:
     def test_seeds_come_first_and_dead_ones_are_tried_again(self):
         membership = Membership(member("me"), TIMES)
-        targets = PeerTargets("10.0.0.1, 10.0.0.2:7", 9200)
+        targets = PeerSelector("10.0.0.1, 10.0.0.2:7", 9200)
         rng = random.Random(1)
-        found = {targets.next(membership, rng).address for _ in range(20)}
+        found = {targets.choose(membership, rng).address for _ in range(20)}
         assert found == {"10.0.0.1:9200", "10.0.0.2:7"}
         membership.merge(member("a"), 0.0)
         membership.merge(member("b"), 0.0)
         membership.merge(member("b", 1, 0, DEAD), 0.0)
-        found = [targets.next(membership, rng) for _ in range(400)]
+        found = [targets.choose(membership, rng) for _ in range(400)]
         assert found.count(("a:9200", "a")) == 350
         assert {item.address for item in found if not item.member_id} == {
             "10.0.0.1:9200",
@@ -174,9 +174,9 @@
 
     def test_own_address_is_never_a_target(self):
         membership = Membership(member("me"), TIMES)
-        targets = PeerTargets("me:9200", 9200)
-        targets.listed([("me", "me")])
-        assert targets.next(membership, random.Random(1)) is None
+        targets = PeerSelector("me:9200", 9200)
+        targets.set_listed([("me", "me")])
+        assert targets.choose(membership, random.Random(1)) is None
 
 
 class RoundClock:
@@ -203,13 +203,13 @@
         self.clock = RoundClock()
         self.nodes = [Membership(member(f"n{n}"), TIMES) for n in range(count)]
         self.exchanges = [self.exchange(node) for node in self.nodes]
-        self.targets = [PeerTargets("n0:9200", 9200) for _ in self.nodes]
+        self.targets = [PeerSelector("n0:9200", 9200) for _ in self.nodes]
         self.by_address = {node.own.address: i for i, node in enumerate(self.nodes)}
         self.side = [0] * count
         self.loss = 0.0
 
-    def exchange(self, node: Membership) -> Exchange:
-        exchange = Exchange(node)
+    def exchange(self, node: Membership) -> GossipExchange:
+        exchange = GossipExchange(node)
         exchange.register(MembersTopic(node, self.clock))
         return exchange
 
@@ -219,18 +219,18 @@
     def round(self, a: int) -> None:
         now = self.clock.now()
         self.nodes[a].tick(now)
-        target = self.targets[a].next(self.nodes[a], self.rng)
+        target = self.targets[a].choose(self.nodes[a], self.rng)
         if target is None:
             return
         b = self.by_address[target.address]
         if not self.reachable(a, b):
-            self.nodes[a].failed(target.member_id, now)
+            self.nodes[a].record_unreachable(target.member_id, now)
             return
         ours, theirs = self.exchanges[a], self.exchanges[b]
-        answer = theirs.answer(ours.ask(), now)
-        closing = ours.closing(answer, target.member_id, now)
+        answer = theirs.handle_request(ours.build_request(), now)
+        closing = ours.handle_response(answer, target.member_id, now)
         if closing is not None:
-            ours.receive(theirs.take_push(closing, now))
+            ours.apply_payloads(theirs.handle_push(closing, now))
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
