--- a/src/ebonydeal/_internal/benchmarks/capacity/measures.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/measures.py
@@ -120,7 +120,7 @@
 
 def _table_of(size: int) -> EndpointTable:
     table = EndpointTable()
-    table.replace([endpoint_view(n) for n in range(size)], _AT)
+    table.apply_list([endpoint_view(n) for n in range(size)], _AT)
     return table
 
 
--- a/src/ebonydeal/_internal/benchmarks/peers/net.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/net.py
@@ -6,7 +6,7 @@
 
 from ebonydeal._internal.benchmarks.clockwork import Clockwork
 from ebonydeal._internal.directory.marks import MarkSet
-from ebonydeal._internal.directory.sharing import SharedList
+from ebonydeal._internal.directory.sharing import SharedInstanceList
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.peers.demand import DemandTopic
 from ebonydeal._internal.peers.endpoints_topic import EndpointsTopic
@@ -82,7 +82,7 @@
         self.exchange = GossipExchange(self.membership)
         self.exchange.register(MembersTopic(self.membership, _ModelClock(net.work)))
         self.exchange.register(MarksTopic(self.marks, self.mark))
-        self.exchange.register(EndpointsTopic(SharedList(), lambda _: None))
+        self.exchange.register(EndpointsTopic(SharedInstanceList(), lambda _: None))
         if net.with_demand:
             self.exchange.register(DemandTopic(self._report, lambda _: None))
 
--- a/src/ebonydeal/_internal/directory/crash_guard.py
+++ b/src/ebonydeal/_internal/directory/crash_guard.py
@@ -21,11 +21,11 @@
 
 logger = get_logger("crash")
 
-Refuses = Callable[[str, float], Awaitable[bool]]
+RefusalProbe = Callable[[str, float], Awaitable[bool]]
 # A process that is gone refuses within milliseconds; what takes longer is unreachable.
-_CONNECT_S = 0.3
+_PROBE_TIMEOUT_S = 0.3
 _OK = 200
-_FIRST_FAILURE = 300
+_MIN_FAILURE_STATUS = 300
 
 
 class CrashGuard:
@@ -40,15 +40,18 @@
     """
 
     def __init__(
-        self, metrics: Metrics, clock: Clock, refuses: Refuses = refuses_connections
+        self, metrics: Metrics, clock: Clock, probe: RefusalProbe = refuses_connections
     ) -> None:
         self._metrics = metrics
         self._clock = clock
-        self._refuses = refuses
+        self._probe = probe
         self._evidence = CrashEvidence()
 
-    def check(self, request: Request, ran: bool) -> None:
-        """Raise REQUEST_QUARANTINED; ``ran`` says that this very one may have run."""
+    def check(self, request: Request, may_have_run: bool) -> None:
+        """Raise REQUEST_QUARANTINED if the request is quarantined.
+
+        ``may_have_run`` says whether this very request may have run already.
+        """
         self._evidence.expire(self._clock.now())
         digest = _digest(request)
         if self._evidence.status(digest) is not QuarantineStatus.QUARANTINED:
@@ -57,16 +60,16 @@
         raise EbonydealError(
             ErrorKind.REQUEST_QUARANTINED,
             f"{count} endpoints crashed under this request (digest {digest}).",
-            outcome=Outcome.UNKNOWN if ran else None,
+            outcome=Outcome.UNKNOWN if may_have_run else None,
         )
 
-    async def failed(
+    async def record_failure(
         self, request: Request, view: EndpointView, kind: ErrorKind
     ) -> None:
         """Note a try that ended in a failure of its endpoint."""
         if kind is not ErrorKind.ENDPOINT_FAILED:
             return
-        if not await self._refuses(view.address, _CONNECT_S):
+        if not await self._probe(view.address, _PROBE_TIMEOUT_S):
             return
         now, digest = self._clock.now(), _digest(request)
         seen = ObservedCrash(view.endpoint_id, view.incarnation, view.place.zone, now)
@@ -90,13 +93,13 @@
                 told_by="itself",
             )
 
-    def answered(self, request: Request, status: int = _OK) -> None:
+    def record_answer(self, request: Request, status: int = _OK) -> None:
         """Note a whole answer.
 
         Only a success speaks for a request: an endpoint that fails part of what it
         gets may do so before it runs it.
         """
-        if status < _FIRST_FAILURE:
+        if status < _MIN_FAILURE_STATUS:
             self._evidence.record_success(_digest(request), self._clock.now())
 
 
--- a/src/ebonydeal/_internal/directory/asking.py
+++ b/src/ebonydeal/_internal/directory/endpoint_poller.py
@@ -7,7 +7,7 @@
 
 from mode import Service
 
-from ebonydeal._internal.directory.polling import PollPlan
+from ebonydeal._internal.directory.poll_schedule import PollSchedule
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import (
     EndpointKind,
@@ -23,10 +23,10 @@
 _HIGHEST_JITTER = 1.5
 
 
-class AskedPort(Protocol):
+class PollerPort(Protocol):
     """Who names the endpoints to ask, and hears what they say."""
 
-    def watched(self) -> Iterable[EndpointView]:
+    def polled_endpoints(self) -> Iterable[EndpointView]:
         """Return the endpoints that matter to this process."""
 
     def observe_load(self, endpoint_id: str, load: LoadReport) -> None:
@@ -35,7 +35,7 @@
     def connect_failed(self, endpoint_id: str) -> None:
         """Note a refused connection."""
 
-    def take_cache_events(self, endpoint_id: str, events: list[CacheEvent]) -> None:
+    def receive_cache_events(self, endpoint_id: str, events: list[CacheEvent]) -> None:
         """Take in cache events."""
 
     @property
@@ -43,7 +43,7 @@
         """Whether anybody listens to cache events."""
 
 
-class EndpointAsker(Service):
+class EndpointPoller(Service):
     """Polls endpoints, the longest unheard first, within a bound a second.
 
     Parameters
@@ -62,7 +62,7 @@
         self,
         cfg: DirectorySettings,
         engine: Engine,
-        port: AskedPort,
+        port: PollerPort,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -72,13 +72,13 @@
         self._clock = clock
         self._rng = rng
         self._limit = max(1, int(cfg.polls_per_s * POLL_TICK_S))
-        self._loads = PollPlan(cfg.load_period)
-        self._events = PollPlan(cfg.events_period)
+        self._loads = PollSchedule(cfg.load_period)
+        self._events = PollSchedule(cfg.events_period)
         self._event_seq: dict[str, int] = {}
 
-    def heard(self, endpoint_id: str) -> None:
+    def record_contact(self, endpoint_id: str) -> None:
         """Note that an endpoint told its load by itself."""
-        self._loads.heard(endpoint_id, self._clock.now())
+        self._loads.record_contact(endpoint_id, self._clock.now())
 
     def forget(self, endpoint_id: str) -> None:
         """Drop what is known of an incarnation that is gone."""
@@ -89,7 +89,7 @@
     @Service.task
     async def _follow_loads(self) -> None:
         while not self.should_stop:
-            await self._poll(self._loads, self._port.watched(), self._ask_load)
+            await self._poll(self._loads, self._port.polled_endpoints(), self._ask_load)
             await self._pause()
 
     @Service.task
@@ -98,7 +98,7 @@
             if self._port.wants_cache_events:
                 engines = [
                     view
-                    for view in self._port.watched()
+                    for view in self._port.polled_endpoints()
                     if view.kind is EndpointKind.ENGINE
                 ]
                 await self._poll(self._events, engines, self._ask_events)
@@ -110,7 +110,7 @@
 
     async def _poll(
         self,
-        plan: PollPlan,
+        plan: PollSchedule,
         views: Iterable[EndpointView],
         ask: Callable[[EndpointView], Awaitable[None]],
     ) -> None:
@@ -119,7 +119,7 @@
         now = self._clock.now()
         due = plan.due(by_id, now, self._limit)
         for endpoint_id in due:
-            plan.heard(endpoint_id, now)
+            plan.record_contact(endpoint_id, now)
         await asyncio.gather(*(self._try(by_id[item], ask) for item in due))
 
     async def _try(
@@ -139,4 +139,4 @@
         events = await self._engine.cache_events(view, after)
         if events:
             self._event_seq[view.endpoint_id] = max(event.seq for event in events)
-            self._port.take_cache_events(view.endpoint_id, events)
+            self._port.receive_cache_events(view.endpoint_id, events)
--- a/src/ebonydeal/_internal/directory/marks.py
+++ b/src/ebonydeal/_internal/directory/marks.py
@@ -13,8 +13,8 @@
 from ebonydeal._internal.models.endpoints import EndpointView, LeavingMark
 from ebonydeal._internal.utils.buckets import BucketHashes, bucket_of
 
-LIST_LAG_S = 10.0
-RETENTION_S = 3600.0
+MAX_LIST_LAG_S = 10.0
+MARK_RETENTION_S = 3600.0
 MAX_MARKS = 20_000
 MAX_ZONE_MARKS = 8
 
@@ -35,13 +35,13 @@
         Most marks of one availability zone; the oldest are dropped first.
     """
 
-    list_lag: float = LIST_LAG_S
-    retention: float = RETENTION_S
+    list_lag: float = MAX_LIST_LAG_S
+    retention: float = MARK_RETENTION_S
     max_marks: int = MAX_MARKS
     max_zone_marks: int = MAX_ZONE_MARKS
 
 
-def mark_of(view: EndpointView, source: str, now: float) -> LeavingMark:
+def mark_for_view(view: EndpointView, source: str, now: float) -> LeavingMark:
     """Return a mark of one view's incarnation, without a deadline."""
     return LeavingMark(view.endpoint_id, view.incarnation, "", 0.0, source, now)
 
@@ -57,7 +57,7 @@
     return f"z/{mark.zone}/{mark.deadline!r}"
 
 
-def join(a: LeavingMark, b: LeavingMark) -> LeavingMark:
+def join_marks(a: LeavingMark, b: LeavingMark) -> LeavingMark:
     """Return the one mark that says what both say; they have the same key.
 
     The higher incarnation wins whole. For the same one, the earliest known
@@ -112,7 +112,7 @@
             return False
         key = mark_key(mark)
         old = self._marks.get(key)
-        new = mark if old is None else join(old, mark)
+        new = mark if old is None else join_marks(old, mark)
         if new == old:
             return False
         self._put(key, new, now)
@@ -151,7 +151,7 @@
                 found.append(zone_mark.deadline)
         return min((item for item in found if item > 0.0), default=0.0)
 
-    def forget(self, now: float) -> int:
+    def expire(self, now: float) -> int:
         """Drop marks that are past their retention; return how many."""
         old = [key for key, mark in self._marks.items() if self._is_old(mark, now)]
         for key in old:
--- a/src/ebonydeal/_internal/directory/notices.py
+++ b/src/ebonydeal/_internal/directory/notices.py
@@ -6,8 +6,8 @@
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.outside.interfaces import ReclaimNotice
 
-SOURCE = "cloud"
-MAX_PENDING = 10_000
+MARK_SOURCE = "cloud"
+MAX_PENDING_NOTICES = 10_000
 
 
 class NoticeResolver:
@@ -30,7 +30,7 @@
         """Return the number of notices held."""
         return len(self._pending)
 
-    def take(
+    def receive(
         self, notices: Iterable[ReclaimNotice], table: EndpointTable, now: float
     ) -> list[LeavingMark]:
         """Return the marks that follow from ``notices``."""
@@ -41,9 +41,9 @@
                 continue
             if not notice.instance_id:
                 at = min(now, notice.deadline or now)
-                mark = LeavingMark("", 0, notice.zone, notice.deadline, SOURCE, at)
+                mark = LeavingMark("", 0, notice.zone, notice.deadline, MARK_SOURCE, at)
                 marks.append(mark)
-            elif len(self._pending) < MAX_PENDING:
+            elif len(self._pending) < MAX_PENDING_NOTICES:
                 self._pending[notice.instance_id] = (notice, now)
         return marks + self.resolve(table, now)
 
@@ -55,7 +55,12 @@
             if view is not None:
                 marks.append(
                     LeavingMark(
-                        instance_id, view.incarnation, "", notice.deadline, SOURCE, at
+                        instance_id,
+                        view.incarnation,
+                        "",
+                        notice.deadline,
+                        MARK_SOURCE,
+                        at,
                     )
                 )
             if view is not None or now > max(at, notice.deadline) + self._lag:
--- a/src/ebonydeal/_internal/directory/polling.py
+++ b/src/ebonydeal/_internal/directory/poll_schedule.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 
-class PollPlan:
+class PollSchedule:
     """Spreads polls over endpoints, the longest unheard first.
 
     Parameters
@@ -14,21 +14,21 @@
 
     def __init__(self, period: float) -> None:
         self._period = period
-        self._heard: dict[str, float] = {}
+        self._last_contact: dict[str, float] = {}
 
-    def heard(self, endpoint_id: str, now: float) -> None:
+    def record_contact(self, endpoint_id: str, now: float) -> None:
         """Note that an endpoint was asked, or spoke by itself."""
-        self._heard[endpoint_id] = now
+        self._last_contact[endpoint_id] = now
 
     def forget(self, endpoint_id: str) -> None:
         """Drop what is known of an endpoint."""
-        self._heard.pop(endpoint_id, None)
+        self._last_contact.pop(endpoint_id, None)
 
     def due(self, endpoint_ids: Iterable[str], now: float, limit: int) -> list[str]:
         """Return at most ``limit`` endpoints to ask now."""
         never = now - self._period
         late = [
-            (self._heard.get(endpoint_id, never), endpoint_id)
+            (self._last_contact.get(endpoint_id, never), endpoint_id)
             for endpoint_id in endpoint_ids
         ]
         late = [item for item in late if item[0] <= now - self._period]
--- a/src/ebonydeal/_internal/directory/suspects.py
+++ b/src/ebonydeal/_internal/directory/refusal_tracker.py
@@ -1,7 +1,7 @@
 """Endpoints that refuse connections again and again."""
 
 
-class Suspects:
+class RefusalTracker:
     """Counts refused connections in a row; leaves suspects out for a while.
 
     Parameters
@@ -22,7 +22,7 @@
         """Return whether there may be any suspect."""
         return bool(self._until)
 
-    def refused(self, endpoint_id: str, now: float) -> bool:
+    def record_refusal(self, endpoint_id: str, now: float) -> bool:
         """Count a refused connection; return whether it is suspected now."""
         count = self._refusals.get(endpoint_id, 0) + 1
         self._refusals[endpoint_id] = count
@@ -31,11 +31,11 @@
         self._until[endpoint_id] = now + self._hold
         return True
 
-    def answered(self, endpoint_id: str) -> None:
+    def clear(self, endpoint_id: str) -> None:
         """Clear an endpoint that answered, or that is gone."""
         self._refusals.pop(endpoint_id, None)
         self._until.pop(endpoint_id, None)
 
-    def suspected(self, endpoint_id: str, now: float) -> bool:
+    def is_suspected(self, endpoint_id: str, now: float) -> bool:
         """Return whether an endpoint should be left out."""
         return now < self._until.get(endpoint_id, now)
--- a/src/ebonydeal/_internal/directory/service.py
+++ b/src/ebonydeal/_internal/directory/service.py
@@ -10,13 +10,17 @@
 
 from mode import Service
 
-from ebonydeal._internal.directory.asking import EndpointAsker
 from ebonydeal._internal.directory.callbacks import call_all
-from ebonydeal._internal.directory.marks import MarkLimits, MarkSet, mark_of
+from ebonydeal._internal.directory.endpoint_poller import EndpointPoller
+from ebonydeal._internal.directory.marks import MarkLimits, MarkSet, mark_for_view
 from ebonydeal._internal.directory.notices import NoticeResolver
-from ebonydeal._internal.directory.sharing import Fact, SharedList, is_turn
-from ebonydeal._internal.directory.suspects import Suspects
-from ebonydeal._internal.directory.table import Change, EndpointTable
+from ebonydeal._internal.directory.refusal_tracker import RefusalTracker
+from ebonydeal._internal.directory.sharing import (
+    EndpointRecord,
+    SharedInstanceList,
+    should_read,
+)
+from ebonydeal._internal.directory.table import EndpointTable, TableChange
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.endpoints import (
     EndpointState,
@@ -37,13 +41,13 @@
 
 logger = get_logger("directory")
 
-NOTICE_LOOKS = 6
+NOTICE_READS_PER_PERIOD = 6
 _LOWEST_JITTER = 0.5
 _HIGHEST_JITTER = 1.5
 MarkCallback = Callable[[LeavingMark], None]
-ChangeCallback = Callable[[Change], None]
+ChangeCallback = Callable[[TableChange], None]
 EventsCallback = Callable[[str, list[CacheEvent]], None]
-FactsCallback = Callable[[list[Fact]], None]
+RecordsCallback = Callable[[list[EndpointRecord]], None]
 
 
 class Directory(Service):
@@ -82,17 +86,17 @@
         self._clock = clock
         self._rng = rng
         self.marks = MarkSet(MarkLimits(cfg.list_lag, cfg.mark_retention))
-        self.shared = SharedList()
+        self.shared = SharedInstanceList()
         self._readers: Callable[[], int] = _one_reader
-        self._facts_callbacks: list[FactsCallback] = []
+        self._record_callbacks: list[RecordsCallback] = []
         self._table = EndpointTable()
         self._leaving: set[str] = set()
-        self._suspects = Suspects(cfg.refusals_suspect, cfg.suspect_seconds)
+        self._refusals = RefusalTracker(cfg.refusals_suspect, cfg.suspect_seconds)
         self._notices = NoticeResolver(cfg.list_lag)
-        self._asker: EndpointAsker | None = None
+        self._poller: EndpointPoller | None = None
         if engine is not None:
-            self._asker = EndpointAsker(cfg, engine, self, clock, rng)
-        self._watch: Callable[[EndpointView], bool] | None = None
+            self._poller = EndpointPoller(cfg, engine, self, clock, rng)
+        self._poll_filter: Callable[[EndpointView], bool] | None = None
         self._mark_callbacks: list[MarkCallback] = []
         self._change_callbacks: list[ChangeCallback] = []
         self._event_callbacks: list[EventsCallback] = []
@@ -127,16 +131,16 @@
         """
         views = [
             view
-            for view in self._table.of(deployment)
+            for view in self._table.in_deployment(deployment)
             if view.endpoint_id not in self._leaving
         ]
-        if not self._suspects:
+        if not self._refusals:
             return tuple(views)
         now = self._clock.now()
         trusted = [
             view
             for view in views
-            if not self._suspects.suspected(view.endpoint_id, now)
+            if not self._refusals.is_suspected(view.endpoint_id, now)
         ]
         return tuple(trusted or views)
 
@@ -178,40 +182,40 @@
 
     def observe_load(self, endpoint_id: str, load: LoadReport) -> None:
         """Take in a load report, for example one that rode on an answer."""
-        self._suspects.answered(endpoint_id)
-        if self._asker is not None:
-            self._asker.heard(endpoint_id)
+        self._refusals.clear(endpoint_id)
+        if self._poller is not None:
+            self._poller.record_contact(endpoint_id)
         self._table.observe_load(endpoint_id, load)
 
     def connect_failed(self, endpoint_id: str) -> None:
         """Note a refused connection; several in a row make a suspect."""
-        if self._suspects.refused(endpoint_id, self._clock.now()):
+        if self._refusals.record_refusal(endpoint_id, self._clock.now()):
             logger.warning("Connections are refused.", endpoint=endpoint_id)
 
-    def set_watch(self, watch: Callable[[EndpointView], bool]) -> None:
+    def set_poll_filter(self, watch: Callable[[EndpointView], bool]) -> None:
         """Poll only the endpoints for which ``watch`` is true."""
-        self._watch = watch
+        self._poll_filter = watch
 
-    def set_readers(self, readers: Callable[[], int]) -> None:
+    def set_reader_count(self, readers: Callable[[], int]) -> None:
         """Share the platform's list and notices with others.
 
         ``readers`` gives the number of processes that share, this one included;
-        `on_facts` and `receive_facts` must then be connected to them.
+        `on_records` and `receive_records` must then be connected to them.
         """
         self._readers = readers
 
-    def on_facts(self, callback: FactsCallback) -> None:
+    def on_records(self, callback: RecordsCallback) -> None:
         """Call ``callback`` with what is news of the instance list."""
-        self._facts_callbacks.append(callback)
+        self._record_callbacks.append(callback)
 
-    def receive_facts(self, facts: list[Fact]) -> None:
+    def receive_records(self, facts: list[EndpointRecord]) -> None:
         """Take in what another process read of the instance list."""
         now = self._clock.wall()
         news = [fact for fact in facts if self.shared.merge(fact, now)]
         # A few facts are no list: until one was read whole, they only wait.
         if news and self.ready:
             self.apply_list(self.shared.views())
-        self._tell_facts(news)
+        self._publish_records(news)
 
     def on_mark(self, callback: MarkCallback) -> None:
         """Call ``callback`` with each mark that is news."""
@@ -228,8 +232,8 @@
     # --- following ---------------------------------------------------------------
     async def on_start(self) -> None:
         """Start to ask endpoints, where they can be asked."""
-        if self._asker is not None:
-            await self.add_runtime_dependency(self._asker)
+        if self._poller is not None:
+            await self.add_runtime_dependency(self._poller)
 
     @Service.task
     async def _follow_list(self) -> None:
@@ -257,25 +261,25 @@
             await self._clock.sleep(period * jitter)
 
     async def _read_list(self) -> None:
-        if self.ready and not is_turn(self._readers(), self._rng.random()):
+        if self.ready and not should_read(self._readers(), self._rng.random()):
             return
         asked_at = self._clock.wall()
         listed = await self._instances.endpoints()
-        news = self.shared.read(listed, asked_at)
-        self.shared.forget(asked_at)
+        news = self.shared.apply_list(listed, asked_at)
+        self.shared.expire(asked_at)
         self.apply_list(self.shared.views())
-        self._tell_facts(news)
+        self._publish_records(news)
 
-    def _tell_facts(self, news: list[Fact]) -> None:
+    def _publish_records(self, news: list[EndpointRecord]) -> None:
         """Pass on what is news of the list."""
         if not news:
             return
-        call_all(self._facts_callbacks, news)
+        call_all(self._record_callbacks, news)
 
     def apply_list(self, listed: list[EndpointView]) -> None:
         """Take in a whole instance list."""
         now = self._clock.wall()
-        change = self._table.replace(listed, now)
+        change = self._table.apply_list(listed, now)
         for view in change.removed:
             self._forget(view.endpoint_id)
         for view in change.added:
@@ -283,27 +287,29 @@
                 self._leaving.add(view.endpoint_id)
         for view in self._table.all():
             if view.state is EndpointState.LEAVING and not self.is_leaving(view):
-                self.mark(mark_of(view, "list", now))
+                self.mark(mark_for_view(view, "list", now))
         for mark in self._notices.resolve(self._table, now):
             self.mark(mark)
-        self.marks.forget(now)
+        self.marks.expire(now)
         self._listed = True
         if change:
             call_all(self._change_callbacks, change)
 
     async def _read_notices(self) -> None:
         assert self._cloud is not None
-        if not is_turn(self._readers(), self._rng.random(), NOTICE_LOOKS):
+        if not should_read(
+            self._readers(), self._rng.random(), NOTICE_READS_PER_PERIOD
+        ):
             return
         notices = await self._cloud.notices(self._notices.last_seq)
         now = self._clock.wall()
-        for mark in self._notices.take(notices, self._table, now):
+        for mark in self._notices.receive(notices, self._table, now):
             self.mark(mark)
 
     # --- asking endpoints -----------------------------------------------------------
-    def watched(self) -> list[EndpointView]:
+    def polled_endpoints(self) -> list[EndpointView]:
         """Return the endpoints that are asked for load and cache events."""
-        watch = self._watch
+        watch = self._poll_filter
         views = [v for v in self._table.all() if v.endpoint_id not in self._leaving]
         return views if watch is None else [view for view in views if watch(view)]
 
@@ -312,7 +318,7 @@
         """Whether anybody listens to cache events."""
         return bool(self._event_callbacks)
 
-    def take_cache_events(self, endpoint_id: str, events: list[CacheEvent]) -> None:
+    def receive_cache_events(self, endpoint_id: str, events: list[CacheEvent]) -> None:
         """Pass on cache events of one engine."""
         call_all(self._event_callbacks, endpoint_id, events)
 
@@ -330,9 +336,9 @@
 
     def _forget(self, endpoint_id: str) -> None:
         self._leaving.discard(endpoint_id)
-        self._suspects.answered(endpoint_id)
-        if self._asker is not None:
-            self._asker.forget(endpoint_id)
+        self._refusals.clear(endpoint_id)
+        if self._poller is not None:
+            self._poller.forget(endpoint_id)
 
 
 def _one_reader() -> int:
--- a/src/ebonydeal/_internal/directory/sharing.py
+++ b/src/ebonydeal/_internal/directory/sharing.py
@@ -19,11 +19,11 @@
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.utils.buckets import BucketHashes, bucket_of
 
-KEEP_GONE_S = 900.0
-MOST_AHEAD_S = 60.0
+GONE_TTL_S = 900.0
+MAX_CLOCK_AHEAD_S = 60.0
 
 
-class Fact(NamedTuple):
+class EndpointRecord(NamedTuple):
     """What the list said of one endpoint.
 
     Attributes
@@ -66,7 +66,7 @@
         ]
 
     @classmethod
-    def from_wire(cls, item: Any) -> "Fact | None":
+    def from_wire(cls, item: Any) -> "EndpointRecord | None":
         """Return the fact of a wire shape, or None for garbage."""
         try:
             return cls._build(*item)
@@ -90,7 +90,7 @@
         price_per_hour: float,
         gone: bool,
         at: float,
-    ) -> "Fact":
+    ) -> "EndpointRecord":
         texts = (endpoint_id, address, region, zone, deployment, *models)
         if not endpoint_id or not all(isinstance(text, str) for text in texts):
             raise TypeError("text expected")
@@ -110,36 +110,38 @@
         return cls(view, bool(gone), float(at))
 
 
-class SharedList:
+class SharedInstanceList:
     """All facts that a process holds, and their hashes for anti-entropy."""
 
     def __init__(self) -> None:
-        self._facts: dict[str, Fact] = {}
+        self._facts: dict[str, EndpointRecord] = {}
         self.hashes = BucketHashes()
 
     def views(self) -> list[EndpointView]:
         """Return the endpoints that are listed."""
         return [fact.view for fact in self._facts.values() if not fact.gone]
 
-    def read(self, listed: Iterable[EndpointView], now: float) -> list[Fact]:
+    def apply_list(
+        self, listed: Iterable[EndpointView], now: float
+    ) -> list[EndpointRecord]:
         """Take in a whole list that was asked for at ``now``; return what is news.
 
         Facts that were read by others after ``now`` stand.
         """
         fresh = {view.endpoint_id: view._replace(load=None) for view in listed}
-        facts = [Fact(view, False, now) for view in fresh.values()]
+        facts = [EndpointRecord(view, False, now) for view in fresh.values()]
         facts += [
-            Fact(fact.view, True, now)
+            EndpointRecord(fact.view, True, now)
             for endpoint_id, fact in self._facts.items()
             if endpoint_id not in fresh and not fact.gone
         ]
         return [fact for fact in facts if self.merge(fact, now)]
 
-    def merge(self, fact: Fact, now: float) -> bool:
+    def merge(self, fact: EndpointRecord, now: float) -> bool:
         """Take in one fact; return whether it changes what is held."""
         endpoint_id = fact.view.endpoint_id
         held = self._facts.get(endpoint_id)
-        if fact.at > now + MOST_AHEAD_S:
+        if fact.at > now + MAX_CLOCK_AHEAD_S:
             # A reader's fast clock must not freeze an endpoint's entry.
             fact = fact._replace(at=now)
         if held is None and fact.gone:
@@ -154,7 +156,7 @@
         self.hashes.put(endpoint_id, repr(_content(fact)))
         return True
 
-    def in_buckets(self, buckets: Iterable[int]) -> list[Fact]:
+    def in_buckets(self, buckets: Iterable[int]) -> list[EndpointRecord]:
         """Return the facts in some hash buckets."""
         wanted = set(buckets)
         return [
@@ -163,19 +165,19 @@
             if bucket_of(endpoint_id) in wanted
         ]
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop endpoints that are gone for long."""
         old = [
             endpoint_id
             for endpoint_id, fact in self._facts.items()
-            if fact.gone and now - fact.at > KEEP_GONE_S
+            if fact.gone and now - fact.at > GONE_TTL_S
         ]
         for endpoint_id in old:
             del self._facts[endpoint_id]
             self.hashes.drop(endpoint_id)
 
 
-def _content(fact: Fact) -> tuple[EndpointView, bool]:
+def _content(fact: EndpointRecord) -> tuple[EndpointView, bool]:
     """Return what makes a fact news.
 
     The price of one offer stands on hundreds of entries: each process takes it
@@ -184,7 +186,7 @@
     return fact.view._replace(evict_per_hour=0.0, price_per_hour=0.0), fact.gone
 
 
-def is_turn(readers: int, draw: float, looks: int = 1) -> bool:
+def should_read(readers: int, draw: float, reads: int = 1) -> bool:
     """Return whether this process makes the present look at a shared source.
 
     Parameters
@@ -193,10 +195,10 @@
         Processes that share the source, this one included.
     draw : float
         A random number from 0 to 1. With each reader drawing once a period,
-        ``looks`` looks a period are made on average, whoever comes and goes.
+        ``reads`` looks a period are made on average, whoever comes and goes.
     looks : int
         Looks a period by all readers together. They fall at random, so what
         mustn't wait needs several: with one, 7 of 100 notices wait longer than
         2.5 periods; with six, none of those that were tried.
     """
-    return draw * max(1, readers) < looks
+    return draw * max(1, readers) < reads
--- a/src/ebonydeal/_internal/directory/table.py
+++ b/src/ebonydeal/_internal/directory/table.py
@@ -5,10 +5,10 @@
 
 from ebonydeal._internal.models.endpoints import EndpointView, LoadReport
 
-KEEP_GONE_S = 900.0
+GONE_TTL_S = 900.0
 
 
-class Change(NamedTuple):
+class TableChange(NamedTuple):
     """What a new instance list changed.
 
     Attributes
@@ -54,11 +54,11 @@
         """Return all views."""
         return tuple(self._views.values())
 
-    def of(self, deployment: str) -> Iterable[EndpointView]:
+    def in_deployment(self, deployment: str) -> Iterable[EndpointView]:
         """Return the views of a deployment."""
         return self._by_deployment.get(deployment, {}).values()
 
-    def replace(self, listed: Iterable[EndpointView], now: float) -> Change:
+    def apply_list(self, listed: Iterable[EndpointView], now: float) -> TableChange:
         """Take in a whole instance list, keeping the loads known so far.
 
         A lower incarnation than the known one is a relic of the list's lag and
@@ -83,7 +83,7 @@
         for view in fresh.values():
             self._put(self._with_load(view))
         self._drop_gone(now)
-        return Change(tuple(added), tuple(removed))
+        return TableChange(tuple(added), tuple(removed))
 
     def observe_load(self, endpoint_id: str, load: LoadReport) -> bool:
         """Keep a load report unless a later one is known; return whether kept."""
@@ -118,7 +118,7 @@
         self._drop_from_deployment(view)
 
     def _drop_gone(self, now: float) -> None:
-        old = [key for key, item in self._gone.items() if item[1] < now - KEEP_GONE_S]
+        old = [key for key, item in self._gone.items() if item[1] < now - GONE_TTL_S]
         for key in old:
             del self._gone[key]
 
--- a/src/ebonydeal/_internal/gateway/direct.py
+++ b/src/ebonydeal/_internal/gateway/direct.py
@@ -77,7 +77,7 @@
         avoid: set[Incarnation] = set()
         tries = 0
         while True:
-            parts.crashes.check(call.request, ran=tries > 0)
+            parts.crashes.check(call.request, may_have_run=tries > 0)
             tries += 1
             try:
                 answer = await self._hedged(call, avoid)
@@ -220,7 +220,7 @@
             now = parts.clock.wall()
             parts.health.failed(route.endpoint, now)
             parts.routes.failed(route, exc.kind, now)
-            await parts.crashes.failed(request, route.endpoint, exc.kind)
+            await parts.crashes.record_failure(request, route.endpoint, exc.kind)
             parts.trails.note(
                 request.request_id,
                 now,
@@ -235,7 +235,7 @@
         now = parts.clock.wall()
         parts.health.worked(route.endpoint, now)
         parts.routes.finished(route, 0, now)
-        parts.crashes.answered(request, answer.status)
+        parts.crashes.record_answer(request, answer.status)
         return answer
 
 
--- a/src/ebonydeal/_internal/gateway/streams.py
+++ b/src/ebonydeal/_internal/gateway/streams.py
@@ -105,7 +105,7 @@
                 async with aclosing(self._try_once(live)) as batches:
                     async for batch in batches:
                         yield batch
-            self._parts.crashes.answered(live.job.request)
+            self._parts.crashes.record_answer(live.job.request)
         finally:
             self.live.discard(live)
 
@@ -113,7 +113,7 @@
         """Run one try; on return the answer is whole or the next try is due."""
         parts = self._parts
         live.check_deadline(parts.clock.wall())
-        parts.crashes.check(live.job.request, ran=live.tries > 0)
+        parts.crashes.check(live.job.request, may_have_run=live.tries > 0)
         route = self._route(live)
         if route is None:
             detail = "no endpoint can take the request"
@@ -312,7 +312,9 @@
         if error.kind in FINAL_KINDS:
             raise error
         if route is not None:
-            await parts.crashes.failed(live.job.request, route.endpoint, error.kind)
+            await parts.crashes.record_failure(
+                live.job.request, route.endpoint, error.kind
+            )
             live.avoid.add(incarnation_of(route.endpoint))
             live.cause = self._cause(route, error)
         wait = await self._resumption.wait(live, error)
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -215,7 +215,7 @@
         router.retain_only,
         clock,
     )
-    directory.set_watch(watch.watches)
+    directory.set_poll_filter(watch.watches)
     directory.on_cache_events(cache_events)
     parts.clients.engine.on_rest = parts.clients.services.on_rest = rests
     directory.on_change(lambda _change: watch.refresh())
--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -125,7 +125,7 @@
             except EbonydealError as exc:
                 return await self._end(job, exc.kind, exc.detail)
         try:
-            self._crashes.check(job.request, ran=job.may_have_run)
+            self._crashes.check(job.request, may_have_run=job.may_have_run)
         except EbonydealError as exc:
             return await self._give_up(job, exc)
         if self._picker.is_leaving(view):
@@ -245,9 +245,9 @@
         except EbonydealError as exc:
             if exc.kind in ANSWER_KINDS:
                 return await self._complete(job, error_answer(exc))
-            await self._crashes.failed(job.request, view, exc.kind)
+            await self._crashes.record_failure(job.request, view, exc.kind)
             return self._again(job, view, retry_reason(exc.kind))
-        self._crashes.answered(job.request, answer.status)
+        self._crashes.record_answer(job.request, answer.status)
         if answer.status >= SERVER_ERROR and job.failures < SERVER_ERROR_TRIES:
             return self._again(job, view, RetryReason.ENDPOINT_FAILED)
         return await self._complete(job, answer)
@@ -280,7 +280,7 @@
                 return await self._complete(job, error_answer(exc))
             if exc.kind in PROOFS:
                 return await self._not_run(job, view, retry_reason(exc.kind))
-            await self._crashes.failed(job.request, view, exc.kind)
+            await self._crashes.record_failure(job.request, view, exc.kind)
             word = UNKNOWN
             if view.kind is EndpointKind.ENGINE:
                 word = await cancel_word(self._engine, view, attempt_id)
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -9,7 +9,7 @@
 from ebonydeal._internal.config.follower import ConfigFollower
 from ebonydeal._internal.config.peer_routes import join_peers
 from ebonydeal._internal.directory.service import Directory
-from ebonydeal._internal.directory.table import Change
+from ebonydeal._internal.directory.table import TableChange
 from ebonydeal._internal.journal.backlog_rows import BacklogRows
 from ebonydeal._internal.journal.claims import Identity
 from ebonydeal._internal.journal.dispatcher import Dispatcher
@@ -236,7 +236,7 @@
         await self.add_runtime_dependency(self.node)
         await self.add_runtime_dependency(self.backlog)
 
-    def _endpoints_changed(self, _change: Change) -> None:
+    def _endpoints_changed(self, _change: TableChange) -> None:
         self.dispatcher.endpoints_changed()
 
     async def on_stop(self) -> None:
--- a/src/ebonydeal/_internal/peers/endpoints_topic.py
+++ b/src/ebonydeal/_internal/peers/endpoints_topic.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ebonydeal._internal.directory.sharing import Fact, SharedList
+from ebonydeal._internal.directory.sharing import EndpointRecord, SharedInstanceList
 from ebonydeal._internal.peers.topics import MAX_ITEMS, HashedDigest
 
 
@@ -21,7 +21,9 @@
     name = "endpoints"
 
     def __init__(
-        self, shared: SharedList, receive: Callable[[list[Fact]], None]
+        self,
+        shared: SharedInstanceList,
+        receive: Callable[[list[EndpointRecord]], None],
     ) -> None:
         self._shared = shared
         self._receive = receive
@@ -40,5 +42,5 @@
     def receive(self, payload: Any) -> None:
         """Merge a list of facts; garbage is left out."""
         items = payload if isinstance(payload, list) else []
-        facts = [Fact.from_wire(item) for item in items]
+        facts = [EndpointRecord.from_wire(item) for item in items]
         self._receive([fact for fact in facts if fact is not None])
--- a/src/ebonydeal/_internal/peers/service.py
+++ b/src/ebonydeal/_internal/peers/service.py
@@ -16,7 +16,7 @@
 from mode import Service
 
 from ebonydeal._internal.directory.service import Directory
-from ebonydeal._internal.directory.sharing import Fact, is_turn
+from ebonydeal._internal.directory.sharing import EndpointRecord, should_read
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.observe.counters import Event, Metrics
@@ -160,9 +160,9 @@
         """Carry a directory's leaving marks and its share of the instance list."""
         self.register(MarksTopic(directory.marks, directory.mark))
         directory.on_mark(self._push_mark)
-        self.register(EndpointsTopic(directory.shared, directory.receive_facts))
-        directory.on_facts(self._push_facts)
-        directory.set_readers(self._readers)
+        self.register(EndpointsTopic(directory.shared, directory.receive_records))
+        directory.on_records(self._push_records)
+        directory.set_reader_count(self._readers)
 
     def _readers(self) -> int:
         """Return the processes that share the platform's list with this one."""
@@ -242,7 +242,7 @@
     @Service.task
     async def _follow_list(self) -> None:
         while not self.should_stop and self._instances is not None:
-            if is_turn(self._readers(), self._rng.random()):
+            if should_read(self._readers(), self._rng.random()):
                 await self._read_nodes(self._instances)
             jitter = self._rng.uniform(_LOWEST_JITTER, _HIGHEST_JITTER)
             await self._clock.sleep(LIST_READ_INTERVAL_S * jitter)
@@ -292,7 +292,7 @@
     def _push_mark(self, mark: LeavingMark) -> None:
         self.push(MarksTopic.name, [mark_to_wire(mark)])
 
-    def _push_facts(self, facts: list[Fact]) -> None:
+    def _push_records(self, facts: list[EndpointRecord]) -> None:
         self.push_if_small_group(
             EndpointsTopic.name, [fact.to_wire() for fact in facts]
         )
--- a/tests/functional/directory/test_service.py
+++ b/tests/functional/directory/test_service.py
@@ -196,7 +196,9 @@
     async def test_idle_endpoints_are_asked_and_busy_ones_are_not(self):
         views = [make_view("idle"), make_view("busy"), make_view("unwatched")]
         async with World(*views, load_period=5.0) as world:
-            world.directory.set_watch(lambda view: view.endpoint_id != "unwatched")
+            world.directory.set_poll_filter(
+                lambda view: view.endpoint_id != "unwatched"
+            )
             await world.clock.advance(1.0)
             world.engine.asked.clear()
             for _ in range(20):
--- a/tests/functional/peers/test_service.py
+++ b/tests/functional/peers/test_service.py
@@ -97,7 +97,7 @@
                 for node in (a, b, c):
                     await node.directory._read_list()
                 a.instances.views.append(make_view("i-9"))
-                a.directory.set_readers(lambda: 1)
+                a.directory.set_reader_count(lambda: 1)
                 await a.directory._read_list()
                 await until(lambda: b.directory.get("i-9") is not None)
                 await until(lambda: c.directory.get("i-9") is not None)
--- a/tests/unit/directory/test_crash_guard.py
+++ b/tests/unit/directory/test_crash_guard.py
@@ -28,7 +28,7 @@
     async def fail(self, request, times, kind=ErrorKind.ENDPOINT_FAILED):
         for number in range(times):
             self.clock._now += 1.0
-            await self.guard.failed(request, view(f"e{number}"), kind)
+            await self.guard.record_failure(request, view(f"e{number}"), kind)
 
     def refused(self, request, ran=False):
         try:
@@ -77,13 +77,13 @@
     async def test_a_success_clears(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 2)
-        guarded.guard.answered(FATAL)
+        guarded.guard.record_answer(FATAL)
         await guarded.fail(FATAL, 3)
         assert guarded.refused(FATAL) is None
 
     async def test_a_whole_answer_that_is_a_failure_doesnt(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 2)
-        guarded.guard.answered(FATAL, 500)
+        guarded.guard.record_answer(FATAL, 500)
         await guarded.fail(FATAL, 3)
         assert guarded.refused(FATAL).kind is ErrorKind.REQUEST_QUARANTINED
--- a/tests/unit/directory/test_marks.py
+++ b/tests/unit/directory/test_marks.py
@@ -4,7 +4,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.directory.marks import MarkLimits, MarkSet, join, mark_key
+from ebonydeal._internal.directory.marks import (
+    MarkLimits,
+    MarkSet,
+    join_marks,
+    mark_key,
+)
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.models.places import Place
 from tests.lib.endpoints import make_mark, make_view
@@ -84,9 +89,9 @@
             b._replace(endpoint_id=a.endpoint_id),
             c._replace(endpoint_id=a.endpoint_id),
         )
-        assert join(a, join(b, c)) == join(join(a, b), c)
-        assert join(a, b) == join(b, a)
-        assert join(a, a) == a
+        assert join_marks(a, join_marks(b, c)) == join_marks(join_marks(a, b), c)
+        assert join_marks(a, b) == join_marks(b, a)
+        assert join_marks(a, a) == a
 
     def test_second_time_is_no_news(self):
         held = MarkSet()
@@ -145,8 +150,8 @@
     def test_old_marks_are_forgotten_and_not_taken_again(self):
         held = merged([make_mark(deadline=NOW + 10.0)])
         later = NOW + 10.0 + 3600.0
-        assert held.forget(later) == 0
-        assert held.forget(later + 0.1) == 1
+        assert held.expire(later) == 0
+        assert held.expire(later + 0.1) == 1
         assert held.merge(make_mark(deadline=NOW + 10.0), later + 0.1) is False
         assert list(held) == []
         assert len(held.hashes) == 0
--- a/tests/unit/directory/test_sharing.py
+++ b/tests/unit/directory/test_sharing.py
@@ -5,12 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.directory.service import NOTICE_LOOKS, Directory
+from ebonydeal._internal.directory.service import NOTICE_READS_PER_PERIOD, Directory
 from ebonydeal._internal.directory.sharing import (
-    KEEP_GONE_S,
-    Fact,
-    SharedList,
-    is_turn,
+    GONE_TTL_S,
+    EndpointRecord,
+    SharedInstanceList,
+    should_read,
 )
 from ebonydeal._internal.models.endpoints import EndpointState
 from ebonydeal._internal.observe.counters import Metrics
@@ -20,7 +20,7 @@
 from tests.lib.endpoints import ListedInstances, make_view
 
 FACTS = st.builds(
-    Fact,
+    EndpointRecord,
     view=st.builds(
         make_view,
         endpoint_id=st.sampled_from(["i-1", "i-2"]),
@@ -32,7 +32,7 @@
 )
 
 
-def unique(facts: list[Fact]) -> list[Fact]:
+def unique(facts: list[EndpointRecord]) -> list[EndpointRecord]:
     """Leave one fact for each endpoint and order, as one reading gives."""
     return list({(f.view.endpoint_id, f.order): f for f in facts}.values())
 
@@ -41,10 +41,10 @@
     @given(st.lists(FACTS, max_size=8), st.randoms(use_true_random=False))
     def test_any_order_and_repeats_end_alike(self, facts, rng):
         facts = unique(facts)
-        first = SharedList()
-        second = SharedList()
-        first.read([make_view("i-1"), make_view("i-2")], 0.0)
-        second.read([make_view("i-1"), make_view("i-2")], 0.0)
+        first = SharedInstanceList()
+        second = SharedInstanceList()
+        first.apply_list([make_view("i-1"), make_view("i-2")], 0.0)
+        second.apply_list([make_view("i-1"), make_view("i-2")], 0.0)
         shuffled = facts * 2
         rng.shuffle(shuffled)
         for fact in sorted(facts, key=lambda item: item.order):
@@ -56,57 +56,57 @@
         assert second.hashes.top() == first.hashes.top()
 
     def test_reading_tells_only_what_changed(self):
-        shared = SharedList()
+        shared = SharedInstanceList()
         views = [make_view("i-1"), make_view("i-2")]
-        assert len(shared.read(views, 1.0)) == 2
-        assert shared.read(views, 2.0) == []
-        news = shared.read([views[0]], 3.0)
+        assert len(shared.apply_list(views, 1.0)) == 2
+        assert shared.apply_list(views, 2.0) == []
+        news = shared.apply_list([views[0]], 3.0)
         assert [(fact.view.endpoint_id, fact.gone) for fact in news] == [("i-2", True)]
         assert shared.views() == [views[0]]
 
     def test_price_is_taken_but_is_no_news(self):
-        shared = SharedList()
-        shared.read([make_view(price_per_hour=1.0)], 1.0)
-        assert shared.read([make_view(price_per_hour=2.0)], 2.0) == []
+        shared = SharedInstanceList()
+        shared.apply_list([make_view(price_per_hour=1.0)], 1.0)
+        assert shared.apply_list([make_view(price_per_hour=2.0)], 2.0) == []
         assert shared.views()[0].price_per_hour == 2.0
 
     def test_fact_read_later_by_another_stands(self):
-        shared = SharedList()
-        shared.read([make_view()], 1.0)
-        shared.merge(Fact(make_view(), True, 9.0), 9.0)
-        assert shared.read([make_view()], 5.0) == []
+        shared = SharedInstanceList()
+        shared.apply_list([make_view()], 1.0)
+        shared.merge(EndpointRecord(make_view(), True, 9.0), 9.0)
+        assert shared.apply_list([make_view()], 5.0) == []
         assert shared.views() == []
 
     def test_fast_clock_does_not_freeze_an_entry(self):
-        shared = SharedList()
-        shared.read([make_view()], 1.0)
-        shared.merge(Fact(make_view(), True, 1e12), 2.0)
-        shared.read([make_view()], 3.0)
+        shared = SharedInstanceList()
+        shared.apply_list([make_view()], 1.0)
+        shared.merge(EndpointRecord(make_view(), True, 1e12), 2.0)
+        shared.apply_list([make_view()], 3.0)
         assert shared.views() == [make_view()]
 
     def test_gone_endpoints_are_forgotten(self):
-        shared = SharedList()
-        shared.read([make_view()], 1.0)
-        shared.read([], 2.0)
-        shared.forget(3.0 + KEEP_GONE_S)
+        shared = SharedInstanceList()
+        shared.apply_list([make_view()], 1.0)
+        shared.apply_list([], 2.0)
+        shared.expire(3.0 + GONE_TTL_S)
         assert len(shared.hashes) == 0
 
     @pytest.mark.parametrize("item", [None, 1, [], ["x"] * 14, [""] * 14, {"a": 1}])
     def test_garbage_is_no_fact(self, item):
-        assert Fact.from_wire(item) is None
+        assert EndpointRecord.from_wire(item) is None
 
     @given(FACTS)
     def test_fact_survives_the_wire(self, fact):
-        assert Fact.from_wire(fact.to_wire()) == fact
+        assert EndpointRecord.from_wire(fact.to_wire()) == fact
 
 
 class TestTurn:
     def test_one_look_a_period_whatever_the_number_of_readers(self):
         rng = random.Random(5)
         for readers in (1, 9, 350):
-            looks = sum(is_turn(readers, rng.random()) for _ in range(20_000))
+            looks = sum(should_read(readers, rng.random()) for _ in range(20_000))
             assert looks == pytest.approx(20_000 / readers, rel=0.35)
-        assert is_turn(0, 0.999)
+        assert should_read(0, 0.999)
 
     @pytest.mark.parametrize("readers", [2, 9, 45, 200])
     def test_no_notice_waits_longer_than_new_work_may_go_on(self, readers):
@@ -115,22 +115,22 @@
         for _ in range(readers):
             now = rng.uniform(0.0, 1.0)
             while now < 1000.0:
-                if is_turn(readers, rng.random(), NOTICE_LOOKS):
+                if should_read(readers, rng.random(), NOTICE_READS_PER_PERIOD):
                     times.append(now)
                 now += rng.uniform(0.5, 1.5)
         times.sort()
         gaps = [after - before for before, after in pairwise(times)]
         assert max(gaps) < 2.5
-        assert len(times) < 1000 * NOTICE_LOOKS * 1.1
+        assert len(times) < 1000 * NOTICE_READS_PER_PERIOD * 1.1
 
 
 class TestEndpointsTopic:
     def test_missed_fact_is_found_by_hashes(self):
-        ours, theirs = SharedList(), SharedList()
-        ours.read([make_view("i-1"), make_view("i-2")], 1.0)
-        theirs.read([make_view("i-1")], 1.0)
+        ours, theirs = SharedInstanceList(), SharedInstanceList()
+        ours.apply_list([make_view("i-1"), make_view("i-2")], 1.0)
+        theirs.apply_list([make_view("i-1")], 1.0)
         mine = EndpointsTopic(ours, lambda facts: None)
-        got: list[Fact] = []
+        got: list[EndpointRecord] = []
         other = EndpointsTopic(theirs, got.extend)
         assert mine.payload_for(other.digest()) is None
         assert other.payload_for(mine.digest()) is None
@@ -150,17 +150,17 @@
 
     async def test_facts_alone_are_not_taken_for_the_list(self):
         directory = self.build()
-        directory.receive_facts([Fact(make_view(), False, 1.0)])
+        directory.receive_records([EndpointRecord(make_view(), False, 1.0)])
         assert not directory.ready
         assert directory.all_views() == ()
 
     async def test_fact_of_a_peer_is_applied_and_passed_on(self):
         directory = self.build(make_view("i-1"))
         await directory._read_list()
-        told: list[Fact] = []
-        directory.on_facts(told.extend)
-        fact = Fact(make_view("i-2"), False, 1_000_001.0)
-        directory.receive_facts([fact])
-        directory.receive_facts([fact])
+        told: list[EndpointRecord] = []
+        directory.on_records(told.extend)
+        fact = EndpointRecord(make_view("i-2"), False, 1_000_001.0)
+        directory.receive_records([fact])
+        directory.receive_records([fact])
         assert {view.endpoint_id for view in directory.all_views()} == {"i-1", "i-2"}
         assert told == [fact]
