--- a/src/ebonydeal/_internal/benchmarks/capacity/measures.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/measures.py
@@ -22,7 +22,7 @@
     request,
 )
 from ebonydeal._internal.benchmarks.capacity.timing import cpu_us, memory_bytes
-from ebonydeal._internal.config.delta import between, split
+from ebonydeal._internal.config.delta import compute_delta, split
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.config.rows import VersionInfo
 from ebonydeal._internal.controller.reconcile import (
@@ -87,7 +87,7 @@
     new = copy.deepcopy(old)
     for item in new["deployments"]:
         item["price_ceiling_per_hour"] += 1.0
-    delta = between(split(old), split(new))
+    delta = compute_delta(split(old), split(new))
     info = VersionInfo(12_345, "operator", _AT, "raise the ceiling", "p" * 18, delta)
     return float(len(json.dumps(info.to_row())))
 
--- a/src/ebonydeal/_internal/config/delta.py
+++ b/src/ebonydeal/_internal/config/delta.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple, TypedDict
 
-LISTED = ("regions", "accounts", "deployments")
+SECTIONS = ("regions", "accounts", "deployments")
 _CURRENCY = ("document", "currency")
 
 
@@ -95,14 +95,14 @@
         if not self.field:
             return f"{'+' if self.before is None else '-'} {self.item}"
         return (
-            f"~ {self.item} {self.field}: {_word(self.before)} -> {_word(self.after)}"
+            f"~ {self.item} {self.field}: {_text(self.before)} -> {_text(self.after)}"
         )
 
 
 def split(document: Mapping[str, Any]) -> dict[ItemKey, dict[str, Any]]:
     """Return a validated document by item."""
     items = {ItemKey(*_CURRENCY): {"currency": document["currency"]}}
-    for section in LISTED:
+    for section in SECTIONS:
         for value in document[section]:
             items[ItemKey(section, value["name"])] = value
     return items
@@ -112,13 +112,13 @@
     """Return the document of these items, each section by name."""
     currency = items.get(ItemKey(*_CURRENCY), {}).get("currency", "")
     document: dict[str, Any] = {"currency": currency}
-    for section in LISTED:
+    for section in SECTIONS:
         keys = sorted(key for key in items if key.section == section)
         document[section] = [items[key] for key in keys]
     return document
 
 
-def between(old: Items, new: Items) -> Delta:
+def compute_delta(old: Items, new: Items) -> Delta:
     """Return what turns ``old`` into ``new``."""
     changed = {
         key: value for key, value in sorted(new.items()) if old.get(key) != value
@@ -157,7 +157,7 @@
         yield Difference(item, field, old, new)
 
 
-def _word(value: Any) -> str:
+def _text(value: Any) -> str:
     """Return a value for people."""
     match value:
         case None:
@@ -165,7 +165,7 @@
         case bool():
             return "yes" if value else "no"
         case list():
-            return "[" + ", ".join(_word(item) for item in value) + "]"
+            return "[" + ", ".join(_text(item) for item in value) + "]"
         case dict():
-            return "{" + ", ".join(f"{k}: {_word(v)}" for k, v in value.items()) + "}"
+            return "{" + ", ".join(f"{k}: {_text(v)}" for k, v in value.items()) + "}"
     return str(value)
--- a/src/ebonydeal/_internal/config/follower.py
+++ b/src/ebonydeal/_internal/config/follower.py
@@ -7,7 +7,7 @@
 from mode import Service
 
 from ebonydeal._internal.config.rows import (
-    GARBAGE,
+    PARSE_ERRORS,
     VersionInfo,
     read_content,
     read_head,
@@ -32,12 +32,12 @@
 _DEFAULTS = ConfigSettings()
 _JITTER = 0.25
 # More versions behind than this: reading the whole content is cheaper.
-_MOST_DELTAS = 32
+_MAX_DELTAS = 32
 
 
-def poll_interval(cfg: ConfigSettings, nodes: int) -> float:
-    """Return seconds between two polls of one of ``nodes`` processes."""
-    return max(cfg.shortest_poll, nodes / cfg.polls_per_s)
+def poll_interval(cfg: ConfigSettings, process_count: int) -> float:
+    """Return seconds between two polls of one of ``process_count`` processes."""
+    return max(cfg.shortest_poll, process_count / cfg.polls_per_s)
 
 
 class ConfigFollower(Service):
@@ -65,7 +65,7 @@
         metrics: Metrics,
         clock: Clock,
         rng: random.Random,
-        nodes: Callable[[], int] = lambda: 1,
+        process_count: Callable[[], int] = lambda: 1,
         cfg: ConfigSettings = _DEFAULTS,
     ) -> None:
         super().__init__()
@@ -73,11 +73,11 @@
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
-        self._nodes = nodes
+        self._process_count = process_count
         self._cfg = cfg
         self._callbacks: list[Callback] = []
         self._version_callbacks: list[VersionCallback] = []
-        self.topic = ConfigTopic(metrics, self._adopted)
+        self.topic = ConfigTopic(metrics, self._on_adopted)
 
     @classmethod
     def from_config(
@@ -87,10 +87,10 @@
         metrics: Metrics,
         clock: Clock,
         rng: random.Random,
-        nodes: Callable[[], int] = lambda: 1,
+        process_count: Callable[[], int] = lambda: 1,
     ) -> "ConfigFollower":
         """Build from ``[config]``."""
-        return cls(tables, metrics, clock, rng, nodes, cfg)
+        return cls(tables, metrics, clock, rng, process_count, cfg)
 
     @property
     def document(self) -> Document:
@@ -105,14 +105,14 @@
         """Call ``callback`` with each version whose row was adopted."""
         self._version_callbacks.append(callback)
 
-    def _adopted(self, document: Document, info: VersionInfo | None) -> None:
+    def _on_adopted(self, document: Document, info: VersionInfo | None) -> None:
         """Time the spread and tell the callbacks."""
         if info is not None:
             spread = max(0.0, self._clock.wall() - info.at)
             self._metrics.timed(Timing.CONFIG_SPREAD, spread)
-            _tell(self._version_callbacks, info)
+            _notify(self._version_callbacks, info)
         logger.info("Adopted a document.", version=document.version)
-        _tell(self._callbacks, document)
+        _notify(self._callbacks, document)
 
     async def refresh(self) -> None:
         """Read the head once, and what is newer; raises if the table is out."""
@@ -123,7 +123,7 @@
         if head < mine:
             self._metrics.count(Event.CONFIG_OLDER_IGNORED)
             return
-        if mine and head - mine <= _MOST_DELTAS:
+        if mine and head - mine <= _MAX_DELTAS:
             self.topic.adopt_versions(await read_versions(self._tables, mine, head))
         if self.topic.content.version < head:
             self.topic.adopt_content(await read_content(self._tables))
@@ -136,7 +136,7 @@
             self._metrics.retried(RetryReason.STORE)
             logger.debug("The table gives no configuration.", kind=str(exc.kind))
             return False
-        except GARBAGE as exc:
+        except PARSE_ERRORS as exc:
             logger.error("The table's configuration is unusable.", exc=str(exc))
             return False
         return True
@@ -147,10 +147,12 @@
         while not self.should_stop:
             await self.try_refresh()
             spread = self._rng.uniform(1 - _JITTER, 1 + _JITTER)
-            await self._clock.sleep(poll_interval(self._cfg, self._nodes()) * spread)
+            await self._clock.sleep(
+                poll_interval(self._cfg, self._process_count()) * spread
+            )
 
 
-def _tell(callbacks: list[Callable[[T], None]], news: T) -> None:
+def _notify(callbacks: list[Callable[[T], None]], news: T) -> None:
     """Call all; one that fails neither stops the others nor the following."""
     for callback in callbacks:
         try:
--- a/src/ebonydeal/_internal/config/peer_routes.py
+++ b/src/ebonydeal/_internal/config/peer_routes.py
@@ -40,7 +40,7 @@
         """Serve further routes on the peer listener."""
 
 
-def process_message(follower: ConfigFollower, metrics: Metrics) -> ProcessMessage:
+def own_status_message(follower: ConfigFollower, metrics: Metrics) -> ProcessMessage:
     """Return this process's own status."""
     return ProcessMessage(
         version=follower.document.version,
@@ -51,7 +51,7 @@
     )
 
 
-def join_peers(
+def register_with_peers(
     peers: Peers,
     follower: ConfigFollower,
     metrics: Metrics,
@@ -76,7 +76,7 @@
     """
 
     async def status(_req: web.Request) -> web.Response:
-        return web.json_response(process_message(follower, metrics))
+        return web.json_response(own_status_message(follower, metrics))
 
     async def explained(req: web.Request) -> web.Response:
         body = await read_json(req)
--- a/src/ebonydeal/_internal/config/references.py
+++ b/src/ebonydeal/_internal/config/references.py
@@ -9,13 +9,13 @@
 Item = dict[str, Any]
 
 # Fields that can't be judged without another.
-_NEEDING = {"models": ("adapters", "kind")}
+_DEPENDENT_FIELDS = {"models": ("adapters", "kind")}
 
 
 def reference_problems(
     document: dict[str, Any],
     offers: Sequence[Offer] | None,
-    refused: Collection[Path] = (),
+    rejected: Collection[Path] = (),
 ) -> list[Problem]:
     """Return every problem between and inside the items.
 
@@ -29,10 +29,10 @@
         What the schema refused. These fields are left out here, and the rest
         of their items is still checked.
     """
-    problems = list(_unique_names(document, refused))
+    problems = list(_unique_names(document, rejected))
     zones = {zone for _, zone in _zones(document)}
     accounts = {name for _, name in _names(document, "accounts")}
-    deployments = _sound_parts(document, "deployments", refused)
+    deployments = _sound_parts(document, "deployments", rejected)
     for index, item in deployments:
         path: Path = ("deployments", index)
         names = item.get("zones", [])
@@ -45,30 +45,32 @@
         problems.extend(_call_problems(item, path))
     problems.extend(_shared_models(deployments))
     if offers is not None:
-        problems.extend(price_problems(document, offers, refused))
+        problems.extend(price_problems(document, offers, rejected))
     return problems
 
 
 def price_problems(
-    document: dict[str, Any], offers: Sequence[Offer], refused: Collection[Path] = ()
+    document: dict[str, Any], offers: Sequence[Offer], rejected: Collection[Path] = ()
 ) -> list[Problem]:
     """Return the deployments that present offers can't satisfy."""
     return [
         problem
-        for index, item in _sound_parts(document, "deployments", refused)
+        for index, item in _sound_parts(document, "deployments", rejected)
         for problem in _price_problems(item, ("deployments", index), offers)
     ]
 
 
 def _sound_parts(
-    document: dict[str, Any], section: str, refused: Collection[Path]
+    document: dict[str, Any], section: str, rejected: Collection[Path]
 ) -> list[tuple[int, Item]]:
     """Return a section's items without the fields that the schema refused."""
     bad: dict[int, set[str]] = {}
-    for path in refused:
+    for path in rejected:
         match path:
             case (str(name), int(index), str(field), *_) if name == section:
-                bad.setdefault(index, set()).update((field, *_NEEDING.get(field, ())))
+                bad.setdefault(index, set()).update(
+                    (field, *_DEPENDENT_FIELDS.get(field, ()))
+                )
     return [
         (index, {k: v for k, v in item.items() if k not in bad.get(index, ())})
         for index, item in enumerate(document[section])
@@ -97,12 +99,12 @@
 
 
 def _unique_names(
-    document: dict[str, Any], refused: Collection[Path]
+    document: dict[str, Any], rejected: Collection[Path]
 ) -> Iterator[Problem]:
     """Yield names that stand twice; case is not enough to tell two apart."""
     for section in ("regions", "accounts", "deployments"):
         yield from _repeated(_names(document, section))
-    if not any(path[:1] == ("regions",) for path in refused):
+    if not any(path[:1] == ("regions",) for path in rejected):
         yield from _repeated(_zones(document))
 
 
@@ -216,11 +218,13 @@
         ]
         for name in dict.fromkeys(names):
             for other in earlier.setdefault(name, []):
-                yield from _clash(other, item, name, index)
+                yield from _shared_model_problem(other, item, name, index)
             earlier[name].append(item)
 
 
-def _clash(first: Item, second: Item, model: str, index: int) -> Iterator[Problem]:
+def _shared_model_problem(
+    first: Item, second: Item, model: str, index: int
+) -> Iterator[Problem]:
     """Yield the problem of two deployments that serve ``model`` to one account."""
     accounts = set(first.get("accounts", ())) & set(second.get("accounts", ()))
     if accounts:
--- a/src/ebonydeal/_internal/config/rows.py
+++ b/src/ebonydeal/_internal/config/rows.py
@@ -11,13 +11,13 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import Row, Tables
 
-HEAD = "config/head"
-ITEMS = "config/items/"
-VERSIONS = "config/versions/"
+HEAD_KEY = "config/head"
+ITEMS_PREFIX = "config/items/"
+VERSIONS_PREFIX = "config/versions/"
 # What parsing a row or a peer's message may raise.
-GARBAGE = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
-_PAGE = 1000
-_TORN_READS = 8
+PARSE_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
+_PAGE_ROWS = 1000
+_MAX_READ_ATTEMPTS = 8
 
 
 class VersionInfo(NamedTuple):
@@ -75,22 +75,22 @@
     items: dict[ItemKey, dict[str, Any]]
 
 
-EMPTY = Content(0, {})
+EMPTY_CONTENT = Content(0, {})
 
 
 def version_key(version: int) -> str:
     """Return the key of a version's row."""
-    return f"{VERSIONS}{version:012d}"
+    return f"{VERSIONS_PREFIX}{version:012d}"
 
 
 def item_key(key: ItemKey) -> str:
     """Return the key of an item's row."""
-    return f"{ITEMS}{key.section}/{key.name}"
+    return f"{ITEMS_PREFIX}{key.section}/{key.name}"
 
 
 async def read_head(tables: Tables) -> int:
     """Return the version in force; 0 before the first."""
-    row = await tables.get(HEAD)
+    row = await tables.get(HEAD_KEY)
     return 0 if row is None else int(row.value["version"])
 
 
@@ -101,13 +101,13 @@
 
 
 async def read_versions(
-    tables: Tables, after: int, until: int, limit: int = _PAGE
+    tables: Tables, after: int, until: int, limit: int = _PAGE_ROWS
 ) -> list[VersionInfo]:
     """Return versions above ``after`` and up to ``until``, at most ``limit``."""
     found: list[VersionInfo] = []
     while after < until and len(found) < limit:
-        want = min(limit - len(found), until - after, _PAGE)
-        rows = await tables.scan(VERSIONS, version_key(after + 1), want)
+        want = min(limit - len(found), until - after, _PAGE_ROWS)
+        rows = await tables.scan(VERSIONS_PREFIX, version_key(after + 1), want)
         if not rows:
             break
         found.extend(VersionInfo.from_row(row.value) for row in rows)
@@ -121,11 +121,11 @@
     Items change only together with the head, so an unchanged head on both sides
     of the reads shows that they belong together.
     """
-    for _ in range(_TORN_READS):
+    for _ in range(_MAX_READ_ATTEMPTS):
         before = await read_head(tables)
         if before == 0:
-            return EMPTY
-        rows = await _scan_all(tables, ITEMS)
+            return EMPTY_CONTENT
+        rows = await _scan_all(tables, ITEMS_PREFIX)
         if await read_head(tables) == before:
             return Content(before, dict(_item(row) for row in rows))
     raise EbonydealError(
@@ -138,14 +138,14 @@
     found: list[Row] = []
     start = ""
     while True:
-        rows = await tables.scan(prefix, start, _PAGE)
+        rows = await tables.scan(prefix, start, _PAGE_ROWS)
         found.extend(rows)
-        if len(rows) < _PAGE:
+        if len(rows) < _PAGE_ROWS:
             return found
         start = rows[-1].key + "\0"
 
 
 def _item(row: Row) -> tuple[ItemKey, dict[str, Any]]:
     """Return an item from its row."""
-    section, _, name = row.key.removeprefix(ITEMS).partition("/")
+    section, _, name = row.key.removeprefix(ITEMS_PREFIX).partition("/")
     return ItemKey(section, name), row.value["value"]
--- a/src/ebonydeal/_internal/config/store.py
+++ b/src/ebonydeal/_internal/config/store.py
@@ -10,7 +10,7 @@
 from ebonydeal._internal.config.delta import (
     Difference,
     apply,
-    between,
+    compute_delta,
     differences,
     join,
     split,
@@ -18,8 +18,8 @@
 from ebonydeal._internal.config.problems import Problem
 from ebonydeal._internal.config.references import price_problems
 from ebonydeal._internal.config.rows import (
-    EMPTY,
-    HEAD,
+    EMPTY_CONTENT,
+    HEAD_KEY,
     Content,
     VersionInfo,
     item_key,
@@ -47,9 +47,9 @@
 
 logger = get_logger("config")
 
-_TRIES = 6
-_RETRY_S = 0.25
-_HISTORY = 10_000
+_MAX_COMMIT_ATTEMPTS = 6
+_RETRY_DELAY_S = 0.25
+_MAX_HISTORY = 10_000
 
 
 class Conflict(NamedTuple):
@@ -135,16 +135,16 @@
         """
         if isinstance(validate(document), Failure):
             return Failure(validate(document, offers).failure())
-        bound = _bound(proposal or self.new_proposal(), document)
+        bound = _bind_to_content(proposal or self.new_proposal(), document)
         if proposal and await self._is_own(base_version + 1, bound):
             return Success(base_version + 1)
-        dear = price_problems(document, offers) if offers is not None else []
-        if dear:
-            return Failure(dear)
+        price_failures = price_problems(document, offers) if offers is not None else []
+        if price_failures:
+            return Failure(price_failures)
         content = await read_content(self._tables)
         if content.version != base_version:
             return Failure(await self._conflict(base_version))
-        delta = between(content.items, split(document))
+        delta = compute_delta(content.items, split(document))
         if not delta:
             return Success(base_version)
         now = self._clock.wall()
@@ -160,13 +160,15 @@
         conditions, writes = _transaction(info)
         in_doubt = False
         failure = EbonydealError(ErrorKind.STORE_UNAVAILABLE, "no try was made")
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_COMMIT_ATTEMPTS):
             if attempt:
-                await self._clock.sleep(_RETRY_S * attempt * self._rng.uniform(0.5, 1))
+                await self._clock.sleep(
+                    _RETRY_DELAY_S * attempt * self._rng.uniform(0.5, 1)
+                )
             try:
                 if await self._tables.transact(conditions, writes):
                     return self._accepted(info)
-                return await self._beaten(info)
+                return await self._resolve_failed_conditions(info)
             except EbonydealError as exc:
                 failure = exc
                 in_doubt = in_doubt or exc.kind == ErrorKind.STORE_IN_DOUBT
@@ -179,7 +181,9 @@
             "look at the history, or repeat with the same proposal id",
         )
 
-    async def _beaten(self, info: VersionInfo) -> Result[int, Refusal]:
+    async def _resolve_failed_conditions(
+        self, info: VersionInfo
+    ) -> Result[int, Refusal]:
         """Tell own late success from another's; the conditions did not hold."""
         if await self._is_own(info.version, info.proposal):
             return self._accepted(info)
@@ -210,11 +214,11 @@
         if version is None:
             return await read_content(self._tables)
         if version == 0:
-            return EMPTY
+            return EMPTY_CONTENT
         infos = await read_versions(self._tables, 0, version, version)
         if version < 0 or not infos or infos[-1].version != version:
             raise EbonydealError(ErrorKind.NOT_FOUND, f"no version {version}")
-        items = EMPTY.items
+        items = EMPTY_CONTENT.items
         for info in infos:
             items = apply(items, info.delta)
         return Content(version, items)
@@ -226,7 +230,7 @@
             raise EbonydealError(ErrorKind.NOT_FOUND, f"no version {version}")
         return info
 
-    async def history(self, limit: int = _HISTORY) -> list[VersionInfo]:
+    async def history(self, limit: int = _MAX_HISTORY) -> list[VersionInfo]:
         """Return the last ``limit`` versions, newest first."""
         head = await read_head(self._tables)
         infos = await read_versions(self._tables, max(0, head - limit), head, limit)
@@ -256,7 +260,7 @@
         )
 
 
-def _bound(proposal: str, document: dict[str, Any]) -> str:
+def _bind_to_content(proposal: str, document: dict[str, Any]) -> str:
     """Return the id bound to its content: a repeat with other content is another."""
     text = json.dumps(document, sort_keys=True, ensure_ascii=False)
     return f"{proposal}.{xxh3_64_hexdigest(text.encode())}"
@@ -265,14 +269,14 @@
 def _transaction(info: VersionInfo) -> tuple[list[Condition], list[Write]]:
     """Return the conditions and writes that put a version in force."""
     base = info.version - 1
-    at_base: Condition = FieldEquals(HEAD, "version", base)
+    at_base: Condition = FieldEquals(HEAD_KEY, "version", base)
     if base == 0:
-        at_base = RowAbsent(HEAD)
+        at_base = RowAbsent(HEAD_KEY)
     writes: list[Write] = [
         Put(item_key(key), {"version": info.version, "value": value})
         for key, value in info.delta.changed.items()
     ]
     writes += [Delete(item_key(key)) for key in info.delta.removed]
     writes.append(Put(version_key(info.version), info.to_row()))
-    writes.append(Put(HEAD, {"version": info.version}))
+    writes.append(Put(HEAD_KEY, {"version": info.version}))
     return [at_base, RowAbsent(version_key(info.version))], writes
--- a/src/ebonydeal/_internal/config/topic.py
+++ b/src/ebonydeal/_internal/config/topic.py
@@ -11,15 +11,20 @@
 from typing import Any
 
 from ebonydeal._internal.config.delta import ItemKey, Items, apply, join
-from ebonydeal._internal.config.rows import EMPTY, GARBAGE, Content, VersionInfo
+from ebonydeal._internal.config.rows import (
+    EMPTY_CONTENT,
+    PARSE_ERRORS,
+    Content,
+    VersionInfo,
+)
 from ebonydeal._internal.models.document import EMPTY_DOCUMENT, Document
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.observe.logs import get_logger
 
 logger = get_logger("config")
 
-RECENT_VERSIONS = 64
-PAYLOAD_BYTES = 64 * 1024
+MAX_RECENT_VERSIONS = 64
+MAX_PAYLOAD_BYTES = 64 * 1024
 
 OnAdopted = Callable[[Document, VersionInfo | None], None]
 
@@ -41,14 +46,14 @@
     name = "config"
 
     def __init__(
-        self, metrics: Metrics, on_adopted: OnAdopted, limit: int = PAYLOAD_BYTES
+        self, metrics: Metrics, on_adopted: OnAdopted, limit: int = MAX_PAYLOAD_BYTES
     ) -> None:
         self._metrics = metrics
         self._on_adopted = on_adopted
         self._limit = limit
-        self._recent: deque[VersionInfo] = deque(maxlen=RECENT_VERSIONS)
+        self._recent: deque[VersionInfo] = deque(maxlen=MAX_RECENT_VERSIONS)
         self._partial: tuple[int, list[list[Any]]] = (0, [])
-        self.content: Content = EMPTY
+        self.content: Content = EMPTY_CONTENT
         self.document: Document = EMPTY_DOCUMENT
 
     # --- adopting ----------------------------------------------------------
@@ -77,7 +82,7 @@
         """Put a content in force, unless no document can be built from it."""
         try:
             document = Document.from_config(join(content.items), content.version)
-        except GARBAGE as exc:
+        except PARSE_ERRORS as exc:
             logger.error("A version is unusable.", version=content.version, exc=exc)
             return False
         self.content = content
@@ -97,11 +102,11 @@
         try:
             version = int(peer_digest["version"])
             partial, count = (int(number) for number in peer_digest["partial"])
-        except GARBAGE:
+        except PARSE_ERRORS:
             return None
         if version >= self.content.version:
             return None
-        return self.delta_since(version, self._limit) or self._whole(
+        return self.delta_since(version, self._limit) or self._content_part(
             count if partial == self.content.version else 0
         )
 
@@ -113,22 +118,22 @@
         rows = [info.to_row() for info in self._recent if info.version > version]
         if not rows or rows[0]["version"] != version + 1:
             return None
-        fitting = _fitting(rows, limit)
+        fitting = _fitting_prefix(rows, limit)
         return {"versions": fitting} if fitting else None
 
-    def _whole(self, start: int) -> dict[str, Any]:
+    def _content_part(self, start: int) -> dict[str, Any]:
         """Return a part of the whole content, from item ``start``."""
-        items = self._listed(self.content.items)
+        items = self._sorted_items(self.content.items)
         left = items[start:]
         return {
             "whole": self.content.version,
             "start": start,
             "total": len(items),
-            "items": _fitting(left, self._limit) or left[:1],
+            "items": _fitting_prefix(left, self._limit) or left[:1],
         }
 
     @staticmethod
-    def _listed(items: Items) -> list[list[Any]]:
+    def _sorted_items(items: Items) -> list[list[Any]]:
         """Return items in an order that every process agrees on."""
         return [[key.section, key.name, items[key]] for key in sorted(items)]
 
@@ -143,7 +148,7 @@
                     self._receive_part(version, start, total, items)
                 case _:
                     raise ValueError("neither versions nor a whole")
-        except GARBAGE as exc:
+        except PARSE_ERRORS as exc:
             logger.warning("A peer's configuration is unusable.", exc=str(exc))
 
     def _receive_part(
@@ -167,7 +172,7 @@
         self.adopt_content(Content(version, whole))
 
 
-def _fitting(messages: list[Any], limit: int) -> list[Any]:
+def _fitting_prefix(messages: list[Any], limit: int) -> list[Any]:
     """Return the first messages that fit into ``limit`` bytes of JSON together."""
     size = 0
     for index, message in enumerate(messages):
--- a/src/ebonydeal/_internal/config/validate.py
+++ b/src/ebonydeal/_internal/config/validate.py
@@ -17,12 +17,12 @@
 from jsonschema.exceptions import ValidationError
 from returns.result import Failure, Result, Success
 
-from ebonydeal._internal.config.delta import LISTED
+from ebonydeal._internal.config.delta import SECTIONS
 from ebonydeal._internal.config.problems import Path, Problem
 from ebonydeal._internal.config.references import reference_problems
 from ebonydeal._internal.outside.interfaces import Offer
 
-_SHOWN = 60
+_MAX_SHOWN_CHARS = 60
 _MAX_DEPTH = 50
 _MAX_PROBLEMS = 200
 
@@ -63,21 +63,21 @@
         errors = _validator().iter_errors(document)
         problems = [item for error in errors for item in _from_error(error)]
         if _comparable(document):
-            refused = {problem.path for problem in problems}
-            problems += reference_problems(document, offers, refused)
+            rejected = {problem.path for problem in problems}
+            problems += reference_problems(document, offers, rejected)
     if problems:
-        return Failure(sorted(problems, key=_order)[:_MAX_PROBLEMS])
+        return Failure(sorted(problems, key=_sort_key)[:_MAX_PROBLEMS])
     return Success(document)
 
 
 def _comparable(document: Any) -> bool:
     """Return whether the sections are there, so that items can be compared."""
     return isinstance(document, dict) and all(
-        isinstance(document.get(section), list) for section in LISTED
+        isinstance(document.get(section), list) for section in SECTIONS
     )
 
 
-def _order(problem: Problem) -> tuple[tuple[int, str], ...]:
+def _sort_key(problem: Problem) -> tuple[tuple[int, str], ...]:
     """Return a sort key: list indexes by number, keys by name."""
     return tuple(
         (part, "") if isinstance(part, int) else (-1, part) for part in problem.path
@@ -124,7 +124,7 @@
 def _shown(value: Any) -> str:
     """Return a value for a message, cut to a readable length."""
     text = json.dumps(value, ensure_ascii=False, default=str)
-    return text if len(text) <= _SHOWN else text[:_SHOWN] + "..."
+    return text if len(text) <= _MAX_SHOWN_CHARS else text[:_MAX_SHOWN_CHARS] + "..."
 
 
 def _from_error(error: ValidationError) -> list[Problem]:
@@ -172,4 +172,4 @@
             return f"must have at most {rule} characters"
         case "uniqueItems":
             return "must not name one thing twice"
-    return error.message[:_SHOWN]
+    return error.message[:_MAX_SHOWN_CHARS]
--- a/src/ebonydeal/_internal/console/program.py
+++ b/src/ebonydeal/_internal/console/program.py
@@ -8,7 +8,7 @@
 from mode import Service
 
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import join_peers
+from ebonydeal._internal.config.peer_routes import register_with_peers
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.console.api import Api
 from ebonydeal._internal.console.edit_pages import EditPages
@@ -128,7 +128,7 @@
             rng,
             lambda: 1 + len(peers.members()),
         )
-        join_peers(peers, follower, metrics)
+        register_with_peers(peers, follower, metrics)
         operators = Operators.from_config(cfg.operators)
         parts = ConsoleParts(
             store=ConfigStore(tables, clock, rng),
--- a/src/ebonydeal/_internal/console/render.py
+++ b/src/ebonydeal/_internal/console/render.py
@@ -8,7 +8,7 @@
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
 from ebonydeal import __version__
-from ebonydeal._internal.config.rows import GARBAGE
+from ebonydeal._internal.config.rows import PARSE_ERRORS
 from ebonydeal._internal.console.sessions import SESSION
 
 
@@ -16,7 +16,7 @@
     """Return wall clock seconds as a UTC time for people; "?" for what is none."""
     try:
         at = datetime.fromtimestamp(float(seconds), UTC)
-    except GARBAGE + (OSError,):
+    except PARSE_ERRORS + (OSError,):
         return "?"
     return at.strftime("%Y-%m-%d %H:%M:%S UTC")
 
--- a/src/ebonydeal/_internal/console/status.py
+++ b/src/ebonydeal/_internal/console/status.py
@@ -9,9 +9,9 @@
 from ebonydeal._internal.config.peer_routes import (
     EXPLAIN_PATH,
     STATUS_PATH,
-    process_message,
+    own_status_message,
 )
-from ebonydeal._internal.config.rows import GARBAGE
+from ebonydeal._internal.config.rows import PARSE_ERRORS
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.document import Deployment, Document
 from ebonydeal._internal.models.endpoints import EndpointState, EndpointView
@@ -138,7 +138,7 @@
         )
         document = self._follower.document
         by_name = {str(row.get("deployment")): row for row in spend}
-        own = process_message(self._follower, self._metrics)
+        own = own_status_message(self._follower, self._metrics)
         told = [own, *(answer for _, answer in answers if answer is not None)]
         return Status(
             version=document.version,
@@ -300,7 +300,7 @@
     def at(row: dict[str, Any]) -> float:
         try:
             return float(row["at"])
-        except GARBAGE:
+        except PARSE_ERRORS:
             return 0.0
 
     return sorted(rows, key=at, reverse=True)[:limit]
--- a/src/ebonydeal/_internal/controller/program.py
+++ b/src/ebonydeal/_internal/controller/program.py
@@ -6,7 +6,7 @@
 from mode import Service
 
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import join_peers
+from ebonydeal._internal.config.peer_routes import register_with_peers
 from ebonydeal._internal.controller.lease import new_holder
 from ebonydeal._internal.controller.notices import MarkCallback
 from ebonydeal._internal.controller.routes import controller_routes
@@ -130,7 +130,7 @@
             rng,
             lambda: 1 + len(peers.members()),
         )
-        join_peers(peers, follower, metrics)
+        register_with_peers(peers, follower, metrics)
         peers.add_routes(controller_routes(platform.tables))
         controller = Controller(
             settings["controller"],
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -8,7 +8,7 @@
 from mode import Service
 
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import join_peers
+from ebonydeal._internal.config.peer_routes import register_with_peers
 from ebonydeal._internal.directory.service import Directory
 from ebonydeal._internal.gateway.budget import RetryBudget
 from ebonydeal._internal.gateway.desk import AdmissionDesk
@@ -252,7 +252,7 @@
     gateway: GatewaySettings = settings["gateway"]
     parts = _build(settings, metrics, clock, rng)
     trails = Trails(gateway.explain_requests)
-    join_peers(parts.peers, parts.follower, metrics, trails.steps)
+    register_with_peers(parts.peers, parts.follower, metrics, trails.steps)
     admission = Admission.from_config(settings["admission"], node.id, rng)
     parts.peers.register(new_demand_topic(admission.limits, clock))
     routes, watch = _new_routing(settings, parts, clock, rng)
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -7,7 +7,7 @@
 from mode import Service
 
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import join_peers
+from ebonydeal._internal.config.peer_routes import register_with_peers
 from ebonydeal._internal.directory.service import Directory
 from ebonydeal._internal.directory.table import TableChange
 from ebonydeal._internal.journal.backlog_rows import BacklogRows
@@ -162,9 +162,9 @@
             metrics,
             clock,
             rng,
-            nodes=lambda: 1 + len(peers.members()),
+            process_count=lambda: 1 + len(peers.members()),
         )
-        join_peers(peers, follower, metrics)
+        register_with_peers(peers, follower, metrics)
         router = Router.from_config(settings["routing"], rng)
         picker = RoutedPicker(
             directory, router, place, clock, weights_from(lambda: follower.document)
--- a/tests/functional/config/test_spread.py
+++ b/tests/functional/config/test_spread.py
@@ -8,7 +8,7 @@
 
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import STATUS_PATH, join_peers
+from ebonydeal._internal.config.peer_routes import STATUS_PATH, register_with_peers
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.counters import Metrics
@@ -70,7 +70,7 @@
         node = NodeSettings(id=f"n{number}", drain_seconds=0.1)
         peers = PeerService.from_config(node, cfg, metrics, clock, rng)
         follower = ConfigFollower.from_config(QUICK, tables, metrics, clock, rng)
-        join_peers(peers, follower, metrics, {"r-1": [{"step": "x"}]}.get)
+        register_with_peers(peers, follower, metrics, {"r-1": [{"step": "x"}]}.get)
         await self.stack.enter_async_context(running(peers))
         await self.stack.enter_async_context(running(follower))
         self.peers.append(peers)
--- a/tests/functional/config/test_store_faults.py
+++ b/tests/functional/config/test_store_faults.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.standin.faults import Fault
 from ebonydeal._internal.standin.memory import MemoryTables
-from tests.lib.config_fakes import QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock
 
 
 def document(most):
@@ -19,12 +19,12 @@
 
 @pytest.fixture
 def tables():
-    return MemoryTables(QuickClock())
+    return MemoryTables(AutoAdvancingClock())
 
 
 @pytest.fixture
 def store(tables):
-    return ConfigStore(tables, QuickClock(), random.Random(1))
+    return ConfigStore(tables, AutoAdvancingClock(), random.Random(1))
 
 
 class TestCommitFaults:
--- a/tests/lib/config_fakes.py
+++ b/tests/lib/config_fakes.py
@@ -16,7 +16,7 @@
 LOST = EbonydealError(ErrorKind.STORE_IN_DOUBT, "lost")
 
 
-class Step:
+class SuspendOnce:
     """Awaiting it lets whoever drives the coroutine do something else first."""
 
     def __await__(self):
@@ -29,7 +29,7 @@
     ``write_faults`` are used up by the coming transactions alone.
 
     Faults: ``ok``, ``down`` (before any effect), ``lost`` (after the effect) and
-    ``late`` (answer lost, the effect comes when `land` is called).
+    ``late`` (answer lost, the effect comes when `apply_late_writes` is called).
     """
 
     def __init__(self) -> None:
@@ -74,14 +74,14 @@
                     self.rows.pop(key, None)
         return True
 
-    def land(self) -> None:
+    def apply_late_writes(self) -> None:
         """Let every late write take its chance."""
         late, self.late = self.late, []
         for effect in late:
             effect()
 
     async def transact(self, conditions, writes) -> bool:
-        await Step()
+        await SuspendOnce()
         fault = self._fault("transact")
         if fault == "late":
             self.late.append(lambda: self._do(conditions, writes))
@@ -92,20 +92,20 @@
         return applied
 
     async def get(self, key):
-        await Step()
+        await SuspendOnce()
         if self._fault("get") != "ok":
             raise DOWN
         return self.rows.get(key)
 
     async def scan(self, prefix, start="", limit=1000):
-        await Step()
+        await SuspendOnce()
         if self._fault("scan") != "ok":
             raise DOWN
         keys = sorted(k for k in self.rows if k.startswith(prefix) and k >= start)
         return [self.rows[key] for key in keys[:limit]]
 
 
-class QuickClock:
+class AutoAdvancingClock:
     """A clock whose sleeps end at once and move it on."""
 
     def __init__(self) -> None:
--- a/tests/lib/console.py
+++ b/tests/lib/console.py
@@ -17,7 +17,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.interfaces import Offer
 from ebonydeal._internal.utils.keys import hash_key
-from tests.lib.config_fakes import FakeTables, QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 from tests.lib.html_forms import FormReader, changed
 
 TOKENS = {"nia": "nia-token", "rhys": "rhys-token"}
@@ -61,7 +61,7 @@
 
     def __init__(self) -> None:
         self.tables = FakeTables()
-        self.clock = QuickClock()
+        self.clock = AutoAdvancingClock()
         self.metrics = Metrics()
         self.peers = FakePeers()
         self.instances = FakeInstances()
--- a/tests/lib/matrix_config.py
+++ b/tests/lib/matrix_config.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.config.delta import split
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.rows import HEAD
+from ebonydeal._internal.config.rows import HEAD_KEY
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.observe.counters import Metrics
@@ -246,7 +246,7 @@
             await actor.gate.passed()
 
     def _head(self) -> int:
-        row = self.tables.rows.get(HEAD)
+        row = self.tables.rows.get(HEAD_KEY)
         return 0 if row is None else int(row.value["version"])
 
     # --- the run and the promises ----------------------------------------------------
--- a/tests/unit/config/test_commit_faults.py
+++ b/tests/unit/config/test_commit_faults.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from tests.lib.config_fakes import FakeTables, QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 
 FAULTS = ["down", "lost", "late"]
 # Table calls of a proposal with an id: own version, head, commit; from the second
@@ -30,7 +30,7 @@
 
 async def prepared(base):
     tables = FakeTables()
-    store = ConfigStore(tables, QuickClock(), random.Random(1))
+    store = ConfigStore(tables, AutoAdvancingClock(), random.Random(1))
     for version in range(base):
         await store.propose(edited(90 + version), version, "nia", "")
     tables.calls.clear()
@@ -66,7 +66,7 @@
         else:
             assert outcome == ErrorKind.STORE_UNAVAILABLE
             assert tables.written == []
-        tables.land()
+        tables.apply_late_writes()
         assert await attempt(store, base) == base + 1
         assert tables.written.count("config/head") == 1
 
@@ -81,7 +81,7 @@
             ErrorKind.STORE_UNAVAILABLE if known else ErrorKind.STORE_IN_DOUBT
         )
         tables.write_faults = []
-        tables.land()
+        tables.apply_late_writes()
         assert await attempt(store, base) == base + 1
         assert tables.written.count("config/head") == 1
 
@@ -94,7 +94,7 @@
         tables, store = await prepared(1)
         tables.faults = ["ok"] * 4 + [first, second, reading]
         assert await attempt(store, 1) == 2
-        tables.land()
+        tables.apply_late_writes()
         assert await store.load() == await store.load(2)
         assert tables.written.count("config/head") == 1
 
@@ -106,10 +106,10 @@
             task.send(None)
         tables.faults = [fault]
         task.send(None)  # the fault; then about to try again
-        other = ConfigStore(tables, QuickClock(), random.Random(2))
+        other = ConfigStore(tables, AutoAdvancingClock(), random.Random(2))
         other_won = await other.propose(edited(70), 1, "nia", "") == Success(2)
         assert other_won == (fault != "lost")
-        tables.land()
+        tables.apply_late_writes()
         with pytest.raises(StopIteration) as stop:
             while True:
                 task.send(None)
--- a/tests/unit/config/test_delta.py
+++ b/tests/unit/config/test_delta.py
@@ -7,7 +7,7 @@
     Delta,
     ItemKey,
     apply,
-    between,
+    compute_delta,
     differences,
     join,
     split,
@@ -23,16 +23,16 @@
 class TestDelta:
     @given(contents, contents)
     def test_between_then_apply_gives_the_new(self, old, new):
-        assert apply(old, between(old, new)) == new
+        assert apply(old, compute_delta(old, new)) == new
 
     @given(contents, contents)
     def test_wire_shape_goes_round(self, old, new):
-        delta = between(old, new)
+        delta = compute_delta(old, new)
         assert Delta.from_message(delta.to_message()) == delta
 
     @given(contents)
     def test_nothing_differs_from_itself(self, items):
-        assert not between(items, items)
+        assert not compute_delta(items, items)
         assert differences(items, items) == []
 
 
@@ -45,7 +45,7 @@
     def test_one_changed_field_is_one_item(self):
         document = example_document("palermo")
         document["deployments"][0]["replicas"]["max"] = 80
-        delta = between(split(example_document("palermo")), split(document))
+        delta = compute_delta(split(example_document("palermo")), split(document))
         assert list(delta.changed) == [ItemKey("deployments", "luggage")]
         assert delta.removed == ()
 
--- a/tests/unit/config/test_follower.py
+++ b/tests/unit/config/test_follower.py
@@ -11,7 +11,7 @@
 from ebonydeal._internal.observe.counters import Event, Metrics, RetryReason, Timing
 from ebonydeal._internal.settings.config import ConfigSettings
 from tests.lib.clock import ManualClock
-from tests.lib.config_fakes import FakeTables, QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 
 
 @pytest.fixture
@@ -26,13 +26,13 @@
 
 @pytest.fixture
 def follower(tables, metrics):
-    return ConfigFollower(tables, metrics, QuickClock(), random.Random(1))
+    return ConfigFollower(tables, metrics, AutoAdvancingClock(), random.Random(1))
 
 
 async def accept(tables, version, most):
     document = example_document("palermo")
     document["deployments"][0]["replicas"]["max"] = most
-    store = ConfigStore(tables, QuickClock(), random.Random(version))
+    store = ConfigStore(tables, AutoAdvancingClock(), random.Random(version))
     return (await store.propose(document, version - 1, "nia", "")).unwrap()
 
 
@@ -92,7 +92,9 @@
     async def test_peers_carry_it_through_an_outage(self, follower, tables):
         await accept(tables, 1, 80)
         await follower.refresh()
-        other = ConfigFollower(tables, Metrics(), QuickClock(), random.Random(2))
+        other = ConfigFollower(
+            tables, Metrics(), AutoAdvancingClock(), random.Random(2)
+        )
         await accept(tables, 2, 81)
         await other.refresh()
         tables.down = True
@@ -111,7 +113,7 @@
         assert metrics.value("events", Event.CONFIG_OLDER_IGNORED) == 1
 
     async def test_spread_is_timed_from_acceptance(self, tables, metrics):
-        clock = QuickClock()
+        clock = AutoAdvancingClock()
         follower = ConfigFollower(tables, metrics, clock, random.Random(1))
         await accept(tables, 1, 80)
         await follower.refresh()
--- a/tests/unit/config/test_machine.py
+++ b/tests/unit/config/test_machine.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.counters import Metrics
-from tests.lib.config_fakes import FakeTables, QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 
 NODES = 3
 WRITE_FAULTS = st.sampled_from(["ok", "ok", "down", "lost", "late"])
@@ -29,7 +29,7 @@
         self.base = base
         self.document = example_document("palermo")
         self.document["deployments"][0]["replicas"]["max"] = 100 + number
-        self.store = ConfigStore(tables, QuickClock(), random.Random(number))
+        self.store = ConfigStore(tables, AutoAdvancingClock(), random.Random(number))
         self.outcome = None
         self.tried_before = False
         self.begin()
@@ -61,7 +61,9 @@
         self.polling = {}
 
     def new_node(self):
-        return ConfigFollower(self.tables, Metrics(), QuickClock(), random.Random(1))
+        return ConfigFollower(
+            self.tables, Metrics(), AutoAdvancingClock(), random.Random(1)
+        )
 
     def head(self):
         row = self.tables.rows.get("config/head")
@@ -125,8 +127,8 @@
         self.ended.append(proposal)
 
     @rule()
-    def land(self):
-        self.tables.land()
+    def apply_late_writes(self):
+        self.tables.apply_late_writes()
 
     @rule(
         node=st.integers(0, NODES - 1),
@@ -204,7 +206,7 @@
         self.highest = now
 
     def teardown(self):
-        self.tables.land()
+        self.tables.apply_late_writes()
         for proposal in self.running:
             self.finish(proposal)
         self.one_winner_a_version()
--- a/tests/unit/config/test_store.py
+++ b/tests/unit/config/test_store.py
@@ -10,7 +10,7 @@
 from ebonydeal._internal.config.store import ConfigStore, Conflict
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import Offer
-from tests.lib.config_fakes import FakeTables, QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def store(tables):
-    return ConfigStore(tables, QuickClock(), random.Random(1))
+    return ConfigStore(tables, AutoAdvancingClock(), random.Random(1))
 
 
 def edited(most, name="cadwaladr"):
@@ -129,7 +129,7 @@
     async def test_late_effect_counts_once(self, store, tables):
         tables.faults = [*READS, "late"]
         assert await store.propose(edited(90), 0, "nia", "") == Success(1)
-        tables.land()
+        tables.apply_late_writes()
         assert tables.written.count("config/head") == 1
         assert tables.rows["config/head"].value == {"version": 1}
 
@@ -152,7 +152,7 @@
             await store.propose(edited(90), 0, "nia", "", proposal="p-1")
         assert caught.value.kind == ErrorKind.STORE_IN_DOUBT
         tables.faults = []
-        tables.land()
+        tables.apply_late_writes()
         again = await store.propose(edited(90), 0, "nia", "", proposal="p-1")
         assert again == Success(1)
         assert tables.written.count("config/head") == 1
@@ -174,10 +174,10 @@
         task = store.propose(edited(90), 0, "nia", "")
         for _ in range(2):
             task.send(None)
-        other = ConfigStore(tables, QuickClock(), random.Random(2))
+        other = ConfigStore(tables, AutoAdvancingClock(), random.Random(2))
         task.send(None)
         assert await other.propose(edited(70), 0, "rhys", "") == Success(1)
-        tables.land()
+        tables.apply_late_writes()
         with pytest.raises(StopIteration) as stop:
             while True:
                 task.send(None)
--- a/tests/unit/config/test_topic.py
+++ b/tests/unit/config/test_topic.py
@@ -4,10 +4,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.config.delta import between, split
+from ebonydeal._internal.config.delta import compute_delta, split
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.config.rows import Content, VersionInfo
-from ebonydeal._internal.config.topic import RECENT_VERSIONS, ConfigTopic
+from ebonydeal._internal.config.topic import MAX_RECENT_VERSIONS, ConfigTopic
 from ebonydeal._internal.observe.counters import Event, Metrics
 
 PART = {"whole", "start", "total", "items"}
@@ -25,7 +25,7 @@
         document = example_document("palermo")
         document["deployments"][0]["replicas"]["max"] = 100 + version
         new = split(document)
-        delta = between(old, new)
+        delta = compute_delta(old, new)
         infos.append(VersionInfo(version, "nia", 1.0, "", f"p{version}", delta))
         old = new
     return infos
@@ -75,7 +75,7 @@
         assert target.content == source.content
 
     def test_new_node_gets_the_whole_in_parts(self):
-        source, target = topic(RECENT_VERSIONS + 5, limit=600), topic()
+        source, target = topic(MAX_RECENT_VERSIONS + 5, limit=600), topic()
         parts = 0
         while exchange(source, target):
             parts += 1
@@ -83,8 +83,8 @@
         assert target.content == source.content
 
     def test_parts_of_a_newer_version_start_again(self):
-        old = topic(RECENT_VERSIONS + 5, limit=600)
-        new = topic(RECENT_VERSIONS + 6, limit=600)
+        old = topic(MAX_RECENT_VERSIONS + 5, limit=600)
+        new = topic(MAX_RECENT_VERSIONS + 6, limit=600)
         target = topic()
         exchange(old, target)
         while exchange(new, target):
@@ -92,7 +92,7 @@
         assert target.content == new.content
 
     def test_a_part_that_comes_twice_is_no_harm(self):
-        source, target = topic(RECENT_VERSIONS + 5, limit=600), topic()
+        source, target = topic(MAX_RECENT_VERSIONS + 5, limit=600), topic()
         first = source.payload_for(target.digest())
         target.receive(first)
         target.receive(first)
--- a/tests/unit/peers/test_journal_client.py
+++ b/tests/unit/peers/test_journal_client.py
@@ -6,7 +6,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.peers.journal_client import JournalClient
 from ebonydeal._internal.standin.memory import MemoryTables
-from tests.lib.config_fakes import QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock
 from tests.lib.journal_fakes import make_note, make_request
 
 
@@ -20,7 +20,7 @@
         NoPeers(),  # type: ignore[arg-type]
         shards=1,
         retry_timeout=2.0,
-        clock=QuickClock(),
+        clock=AutoAdvancingClock(),
         rng=random.Random(1),
         metrics=Metrics(),
     )
