--- a/src/ebonydeal/_internal/directory/__init__.py
+++ b/src/ebonydeal/_internal/directory/__init__.py
@@ -1,1 +1,1 @@
-"""The view of endpoints that a process routes by."""
+"""Discovery of the endpoints that a process routes to."""
--- a/src/ebonydeal/_internal/directory/callbacks.py
+++ b/src/ebonydeal/_internal/directory/callbacks.py
@@ -1,4 +1,4 @@
-"""Callbacks of other parts, kept from doing harm here."""
+"""Isolation from faults in the callbacks of other components."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,9 +8,9 @@
 
 
 def call_all(callbacks: Iterable[Callable[..., None]], *args: object) -> None:
-    """Call back; a fault of another part must not stop the following."""
+    """Run all callbacks; a fault in one must not stop the others or the caller."""
     for callback in callbacks:
         try:
             callback(*args)
         except Exception as exc:
-            logger.error("A callback failed.", exc_info=exc)
+            logger.error("A callback raised an exception.", exc_info=exc)
--- a/src/ebonydeal/_internal/directory/crash_guard.py
+++ b/src/ebonydeal/_internal/directory/crash_guard.py
@@ -1,6 +1,6 @@
-"""Requests that one process sends no more, since endpoints crashed under them.
+"""Quarantine of requests while whose execution endpoints crashed.
 
-Gateways and journals each bound what they send by what they saw themselves.
+Each gateway and journal decides by the crashes that it observed itself.
 """
 
 from collections.abc import Awaitable, Callable
@@ -22,20 +22,21 @@
 logger = get_logger("crash")
 
 RefusalProbe = Callable[[str, float], Awaitable[bool]]
-# A process that is gone refuses within milliseconds; what takes longer is unreachable.
+# The host of a crashed process refuses a connection within milliseconds; an endpoint
+# that takes longer is unreachable.
 _PROBE_TIMEOUT_S = 0.3
 _OK = 200
 _MIN_FAILURE_STATUS = 300
 
 
 class CrashGuard:
-    """Remembers crashes, and refuses what three endpoints crashed under.
+    """Records crashes, and quarantines requests under which three endpoints crashed.
 
     Parameters
     ----------
     metrics, clock : Metrics, Clock
         Counters and time.
-    refuses : callable, optional
+    probe : callable, optional
         Returns whether an address refuses connections.
     """
 
@@ -66,25 +67,25 @@
     async def record_failure(
         self, request: Request, view: EndpointView, kind: ErrorKind
     ) -> None:
-        """Note a try that ended in a failure of its endpoint."""
+        """Record an attempt that failed, and check whether its endpoint crashed."""
         if kind is not ErrorKind.ENDPOINT_FAILED:
             return
         if not await self._probe(view.address, _PROBE_TIMEOUT_S):
             return
         now, digest = self._clock.now(), _digest(request)
-        seen = ObservedCrash(view.endpoint_id, view.incarnation, view.place.zone, now)
-        held_before = self._evidence.status(digest) is QuarantineStatus.QUARANTINED
-        if self._evidence.record_crash(seen, [digest]) is None:
+        crash = ObservedCrash(view.endpoint_id, view.incarnation, view.place.zone, now)
+        was_quarantined = self._evidence.status(digest) is QuarantineStatus.QUARANTINED
+        if self._evidence.record_crash(crash, [digest]) is None:
             return
         self._metrics.count(Event.ENDPOINTS_CRASHED)
         logger.info(
-            "Endpoint crashed amid a request.",
+            "Endpoint crashed during a request.",
             request=request.request_id,
             digest=digest,
             endpoint=view.endpoint_id,
         )
-        held = self._evidence.status(digest) is QuarantineStatus.QUARANTINED
-        if held and not held_before:
+        is_quarantined = self._evidence.status(digest) is QuarantineStatus.QUARANTINED
+        if is_quarantined and not was_quarantined:
             self._metrics.count(Event.REQUESTS_QUARANTINED)
             logger.warning(
                 "Request quarantined.",
@@ -94,10 +95,10 @@
             )
 
     def record_answer(self, request: Request, status: int = _OK) -> None:
-        """Note a whole answer.
+        """Record a complete answer.
 
-        Only a success speaks for a request: an endpoint that fails part of what it
-        gets may do so before it runs it.
+        Only a success clears a request: an endpoint may reject requests before
+        it runs them.
         """
         if status < _MIN_FAILURE_STATUS:
             self._evidence.record_success(_digest(request), self._clock.now())
--- a/src/ebonydeal/_internal/directory/endpoint_poller.py
+++ b/src/ebonydeal/_internal/directory/endpoint_poller.py
@@ -1,4 +1,4 @@
-"""Asks idle endpoints for their load, and engines for their cache events."""
+"""Polls idle endpoints for their load, and engines for their cache events."""
 
 import asyncio
 import random
@@ -18,42 +18,42 @@
 from ebonydeal._internal.settings.directory import DirectorySettings
 from ebonydeal._internal.utils.clock import Clock
 
-POLL_TICK_S = 0.25
-_LOWEST_JITTER = 0.5
-_HIGHEST_JITTER = 1.5
+POLL_INTERVAL_S = 0.25
+_MIN_JITTER = 0.5
+_MAX_JITTER = 1.5
 
 
 class PollerPort(Protocol):
-    """Who names the endpoints to ask, and hears what they say."""
+    """Names the endpoints to poll, and receives the results."""
 
     def polled_endpoints(self) -> Iterable[EndpointView]:
-        """Return the endpoints that matter to this process."""
+        """Return the endpoints to poll."""
 
     def observe_load(self, endpoint_id: str, load: LoadReport) -> None:
-        """Take in a load report."""
+        """Record a load report."""
 
     def connect_failed(self, endpoint_id: str) -> None:
-        """Note a refused connection."""
+        """Record a refused connection."""
 
     def receive_cache_events(self, endpoint_id: str, events: list[CacheEvent]) -> None:
-        """Take in cache events."""
+        """Handle cache events of one engine."""
 
     @property
     def wants_cache_events(self) -> bool:
-        """Whether anybody listens to cache events."""
+        """Whether anything subscribes to cache events."""
 
 
 class EndpointPoller(Service):
-    """Polls endpoints, the longest unheard first, within a bound a second.
+    """Polls endpoints, longest without contact first, at a limited rate.
 
     Parameters
     ----------
     cfg : DirectorySettings
-        Periods and the bound.
+        Periods and the limit of polls per second.
     engine : Engine
-        By which endpoints are asked.
-    port : AskedPort
-        Whom the answers are told.
+        Client of the endpoints.
+    port : PollerPort
+        Names the endpoints and receives the results.
     clock, rng
         Time, and the source of jitter.
     """
@@ -71,25 +71,27 @@
         self._port = port
         self._clock = clock
         self._rng = rng
-        self._limit = max(1, int(cfg.polls_per_s * POLL_TICK_S))
-        self._loads = PollSchedule(cfg.load_period)
-        self._events = PollSchedule(cfg.events_period)
+        self._max_polls = max(1, int(cfg.polls_per_s * POLL_INTERVAL_S))
+        self._load_schedule = PollSchedule(cfg.load_period)
+        self._event_schedule = PollSchedule(cfg.events_period)
         self._event_seq: dict[str, int] = {}
 
     def record_contact(self, endpoint_id: str) -> None:
-        """Note that an endpoint told its load by itself."""
-        self._loads.record_contact(endpoint_id, self._clock.now())
+        """Record that an endpoint reported its load."""
+        self._load_schedule.record_contact(endpoint_id, self._clock.now())
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known of an incarnation that is gone."""
-        self._loads.forget(endpoint_id)
-        self._events.forget(endpoint_id)
+        """Drop the state of an incarnation that is gone."""
+        self._load_schedule.forget(endpoint_id)
+        self._event_schedule.forget(endpoint_id)
         self._event_seq.pop(endpoint_id, None)
 
     @Service.task
     async def _follow_loads(self) -> None:
         while not self.should_stop:
-            await self._poll(self._loads, self._port.polled_endpoints(), self._ask_load)
+            await self._poll(
+                self._load_schedule, self._port.polled_endpoints(), self._poll_load
+            )
             await self._pause()
 
     @Service.task
@@ -101,40 +103,40 @@
                     for view in self._port.polled_endpoints()
                     if view.kind is EndpointKind.ENGINE
                 ]
-                await self._poll(self._events, engines, self._ask_events)
+                await self._poll(self._event_schedule, engines, self._poll_events)
             await self._pause()
 
     async def _pause(self) -> None:
-        jitter = self._rng.uniform(_LOWEST_JITTER, _HIGHEST_JITTER)
-        await self._clock.sleep(POLL_TICK_S * jitter)
+        jitter = self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
+        await self._clock.sleep(POLL_INTERVAL_S * jitter)
 
     async def _poll(
         self,
-        plan: PollSchedule,
+        schedule: PollSchedule,
         views: Iterable[EndpointView],
-        ask: Callable[[EndpointView], Awaitable[None]],
+        poll_one: Callable[[EndpointView], Awaitable[None]],
     ) -> None:
-        """Ask the endpoints that are due."""
+        """Poll the endpoints that are due."""
         by_id = {view.endpoint_id: view for view in views}
         now = self._clock.now()
-        due = plan.due(by_id, now, self._limit)
+        due = schedule.due(by_id, now, self._max_polls)
         for endpoint_id in due:
-            plan.record_contact(endpoint_id, now)
-        await asyncio.gather(*(self._try(by_id[item], ask) for item in due))
+            schedule.record_contact(endpoint_id, now)
+        await asyncio.gather(*(self._try_poll(by_id[item], poll_one) for item in due))
 
-    async def _try(
-        self, view: EndpointView, ask: Callable[[EndpointView], Awaitable[None]]
+    async def _try_poll(
+        self, view: EndpointView, poll_one: Callable[[EndpointView], Awaitable[None]]
     ) -> None:
         try:
-            await ask(view)
+            await poll_one(view)
         except EbonydealError as exc:
             if exc.kind is ErrorKind.CONNECT_FAILED:
                 self._port.connect_failed(view.endpoint_id)
 
-    async def _ask_load(self, view: EndpointView) -> None:
+    async def _poll_load(self, view: EndpointView) -> None:
         self._port.observe_load(view.endpoint_id, await self._engine.load(view))
 
-    async def _ask_events(self, view: EndpointView) -> None:
+    async def _poll_events(self, view: EndpointView) -> None:
         after = self._event_seq.get(view.endpoint_id, 0)
         events = await self._engine.cache_events(view, after)
         if events:
--- a/src/ebonydeal/_internal/directory/marks.py
+++ b/src/ebonydeal/_internal/directory/marks.py
@@ -1,9 +1,9 @@
 """Leaving marks as a set that can be merged in any order.
 
-A mark of an endpoint holds for its incarnation and every lower one. A mark of an
-availability zone holds for the incarnations that a process had seen up to
-``at`` plus the lag of the instance list. Merging is commutative, associative
-and idempotent, so marks may come late, twice, in any order and by any way.
+A mark of an endpoint covers its incarnation and every lower one. A mark of an
+availability zone covers the incarnations that a process had first seen by ``at``
+plus the lag of the instance list. Merging is commutative, associative and
+idempotent, so marks may arrive late, twice, in any order and from any source.
 """
 
 import math
@@ -20,7 +20,7 @@
 
 
 class MarkLimits(NamedTuple):
-    """Bounds on what is remembered.
+    """Limits of a set of marks.
 
     Attributes
     ----------
@@ -28,11 +28,11 @@
         Seconds by which the instance list may lag: a zone mark covers
         incarnations that were first seen up to this long after it.
     retention : float
-        Seconds that a mark is kept and passed on after its notice or deadline.
+        Seconds for which a mark is kept and spread after its notice or deadline.
     max_marks : int
-        Most marks of single endpoints; the oldest are dropped first.
+        Maximum number of marks; the oldest are dropped first.
     max_zone_marks : int
-        Most marks of one availability zone; the oldest are dropped first.
+        Maximum number of marks of one availability zone; the oldest are dropped first.
     """
 
     list_lag: float = MAX_LIST_LAG_S
@@ -42,15 +42,14 @@
 
 
 def mark_for_view(view: EndpointView, source: str, now: float) -> LeavingMark:
-    """Return a mark of one view's incarnation, without a deadline."""
+    """Return a mark of a view's incarnation, without a deadline."""
     return LeavingMark(view.endpoint_id, view.incarnation, "", 0.0, source, now)
 
 
 def mark_key(mark: LeavingMark) -> str:
     """Return the key under which marks of the same subject are joined.
 
-    A zone can be taken back again and again, so its marks are told apart by
-    their deadline.
+    A zone can be reclaimed repeatedly, so its marks are distinguished by deadline.
     """
     if mark.endpoint_id:
         return f"e/{mark.endpoint_id}"
@@ -58,11 +57,11 @@
 
 
 def join_marks(a: LeavingMark, b: LeavingMark) -> LeavingMark:
-    """Return the one mark that says what both say; they have the same key.
+    """Return the mark that combines two marks of the same key.
 
-    The higher incarnation wins whole. For the same one, the earliest known
-    deadline and the first notice hold. For a zone, the last notice holds, so
-    that a merge never uncovers an incarnation.
+    The mark of the higher incarnation wins entirely. For the same incarnation, the
+    earliest known deadline and the first notice win. For a zone, the last notice
+    wins, so that a merge never uncovers an incarnation.
     """
     if a.incarnation != b.incarnation:
         return max(a, b, key=lambda mark: mark.incarnation)
@@ -74,14 +73,14 @@
     return LeavingMark(a.endpoint_id, a.incarnation, zone, deadline, source, at)
 
 
-def _valid(mark: LeavingMark) -> bool:
-    """Return whether a mark names a subject and has usable times."""
+def _is_valid(mark: LeavingMark) -> bool:
+    """Return whether a mark names a subject and has finite times."""
     named = bool(mark.endpoint_id) or bool(mark.zone)
     return named and math.isfinite(mark.at) and math.isfinite(mark.deadline)
 
 
 class MarkSet:
-    """All leaving marks that one process knows; no clock, no sockets."""
+    """All leaving marks that one process knows; uses neither clock nor sockets."""
 
     def __init__(self, limits: MarkLimits | None = None) -> None:
         self._limits = limits or MarkLimits()
@@ -91,7 +90,7 @@
         self.hashes = BucketHashes()
 
     def __len__(self) -> int:
-        """Return the number of marks held."""
+        """Return the number of marks."""
         return len(self._marks)
 
     def __iter__(self) -> Iterator[LeavingMark]:
@@ -99,7 +98,7 @@
         return iter(self._marks.values())
 
     def merge(self, mark: LeavingMark, now: float) -> bool:
-        """Take in a mark; return whether it is news that others need at once.
+        """Merge a mark; return whether it changed enough to be pushed to peers.
 
         Parameters
         ----------
@@ -108,7 +107,7 @@
         now : float
             Wall clock seconds; marks past their retention are ignored.
         """
-        if not _valid(mark) or self._is_old(mark, now):
+        if not _is_valid(mark) or self._is_expired(mark, now):
             return False
         key = mark_key(mark)
         old = self._marks.get(key)
@@ -117,7 +116,7 @@
             return False
         self._put(key, new, now)
         self._trim(new)
-        return key in self._marks and self._is_news(old, new)
+        return key in self._marks and self._needs_push(old, new)
 
     def covers(self, view: EndpointView, first_seen: float) -> bool:
         """Return whether an endpoint's incarnation is leaving.
@@ -139,8 +138,8 @@
     def deadline(self, view: EndpointView, now: float) -> float:
         """Return the earliest known deadline of an endpoint; 0.0 if none.
 
-        Deadlines of a zone that have passed by more than the list's lag belong
-        to an earlier wave.
+        Deadlines of a zone that passed longer ago than the list's lag belong to an
+        earlier reclaim.
         """
         found = []
         mark = self._marks.get(f"e/{view.endpoint_id}")
@@ -153,29 +152,29 @@
 
     def expire(self, now: float) -> int:
         """Drop marks that are past their retention; return how many."""
-        old = [key for key, mark in self._marks.items() if self._is_old(mark, now)]
+        old = [key for key, mark in self._marks.items() if self._is_expired(mark, now)]
         for key in old:
             self._drop(key)
         return len(old)
 
     def in_buckets(self, buckets: Iterable[int]) -> list[LeavingMark]:
-        """Return the marks in some of the hash buckets."""
+        """Return the marks in these hash buckets."""
         wanted = set(buckets)
         return [mark for key, mark in self._marks.items() if bucket_of(key) in wanted]
 
     def _covered_until(self, key: str) -> float:
-        """Return up to when a zone's mark covers what is first seen.
+        """Return until when a zone's mark covers newly seen incarnations.
 
-        The time of receipt bounds it, should the notifier's clock run ahead.
+        It is bounded by the time of receipt, since the notifier's clock may be ahead.
         """
         at = min(self._marks[key].at, self._received[key])
         return at + self._limits.list_lag
 
-    def _is_old(self, mark: LeavingMark, now: float) -> bool:
+    def _is_expired(self, mark: LeavingMark, now: float) -> bool:
         return max(mark.at, mark.deadline) + self._limits.retention < now
 
-    def _is_news(self, old: LeavingMark | None, new: LeavingMark) -> bool:
-        """Return whether a change covers more, or leaves less time."""
+    def _needs_push(self, old: LeavingMark | None, new: LeavingMark) -> bool:
+        """Return whether a change covers more incarnations or changes the deadline."""
         if old is None or new.incarnation > old.incarnation:
             return True
         if not new.endpoint_id:
@@ -207,5 +206,5 @@
 
 
 def _age_order(mark: LeavingMark) -> tuple[float, LeavingMark]:
-    """Order marks from the oldest, the same in every process."""
+    """Return a sort key, oldest marks first, that is the same in every process."""
     return max(mark.at, mark.deadline), mark
--- a/src/ebonydeal/_internal/directory/notices.py
+++ b/src/ebonydeal/_internal/directory/notices.py
@@ -1,4 +1,4 @@
-"""From the cloud's notices, which name no incarnation, to leaving marks."""
+"""Conversion of the cloud's notices, which name no incarnation, to leaving marks."""
 
 from collections.abc import Iterable
 
@@ -11,14 +11,14 @@
 
 
 class NoticeResolver:
-    """Turns notices into marks; holds those whose endpoint isn't listed yet.
+    """Converts notices to marks; holds those whose endpoint isn't listed yet.
 
     Parameters
     ----------
     list_lag : float
-        Seconds by which the instance list may lag. A notice whose deadline has
-        passed by more speaks of an instance that is gone, so it can't mark what
-        the list shows now.
+        Seconds by which the instance list may lag. A notice whose deadline passed
+        longer ago concerns an instance that is gone, so it doesn't mark what the
+        list shows now.
     """
 
     def __init__(self, list_lag: float) -> None:
@@ -27,17 +27,17 @@
         self.last_seq = 0
 
     def __len__(self) -> int:
-        """Return the number of notices held."""
+        """Return the number of pending notices."""
         return len(self._pending)
 
     def receive(
         self, notices: Iterable[ReclaimNotice], table: EndpointTable, now: float
     ) -> list[LeavingMark]:
-        """Return the marks that follow from ``notices``."""
+        """Return the marks for new notices, and for pending ones now listed."""
         marks = []
         for notice in notices:
             self.last_seq = max(self.last_seq, notice.seq)
-            if self._is_over(notice, now):
+            if self._is_past(notice, now):
                 continue
             if not notice.instance_id:
                 at = min(now, notice.deadline or now)
@@ -48,7 +48,7 @@
         return marks + self.resolve(table, now)
 
     def resolve(self, table: EndpointTable, now: float) -> list[LeavingMark]:
-        """Return marks of held notices whose endpoint is listed by now."""
+        """Return marks for pending notices whose endpoint is listed now."""
         marks = []
         for instance_id, (notice, at) in list(self._pending.items()):
             view = table.get(instance_id)
@@ -67,5 +67,5 @@
                 del self._pending[instance_id]
         return marks
 
-    def _is_over(self, notice: ReclaimNotice, now: float) -> bool:
+    def _is_past(self, notice: ReclaimNotice, now: float) -> bool:
         return 0.0 < notice.deadline < now - self._lag
--- a/src/ebonydeal/_internal/directory/poll_schedule.py
+++ b/src/ebonydeal/_internal/directory/poll_schedule.py
@@ -1,15 +1,15 @@
-"""Which endpoints to ask next, within a bound on polls a second."""
+"""Choice of the endpoints to poll next."""
 
 from collections.abc import Iterable
 
 
 class PollSchedule:
-    """Spreads polls over endpoints, the longest unheard first.
+    """Spreads polls over endpoints, longest without contact first.
 
     Parameters
     ----------
     period : float
-        Seconds since an endpoint was last heard of, after which it is due.
+        Seconds after the last contact at which an endpoint is due.
     """
 
     def __init__(self, period: float) -> None:
@@ -17,20 +17,20 @@
         self._last_contact: dict[str, float] = {}
 
     def record_contact(self, endpoint_id: str, now: float) -> None:
-        """Note that an endpoint was asked, or spoke by itself."""
+        """Record that an endpoint was polled, or reported its load."""
         self._last_contact[endpoint_id] = now
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is known of an endpoint."""
+        """Drop the state of an endpoint."""
         self._last_contact.pop(endpoint_id, None)
 
     def due(self, endpoint_ids: Iterable[str], now: float, limit: int) -> list[str]:
-        """Return at most ``limit`` endpoints to ask now."""
+        """Return at most ``limit`` endpoints to poll now."""
         never = now - self._period
-        late = [
+        due = [
             (self._last_contact.get(endpoint_id, never), endpoint_id)
             for endpoint_id in endpoint_ids
         ]
-        late = [item for item in late if item[0] <= now - self._period]
-        late.sort()
-        return [endpoint_id for _, endpoint_id in late[:limit]]
+        due = [item for item in due if item[0] <= now - self._period]
+        due.sort()
+        return [endpoint_id for _, endpoint_id in due[:limit]]
--- a/src/ebonydeal/_internal/directory/refusal_tracker.py
+++ b/src/ebonydeal/_internal/directory/refusal_tracker.py
@@ -1,15 +1,15 @@
-"""Endpoints that refuse connections again and again."""
+"""Detection of endpoints that repeatedly refuse connections."""
 
 
 class RefusalTracker:
-    """Counts refused connections in a row; leaves suspects out for a while.
+    """Counts consecutive refused connections, and suspects endpoints for some time.
 
     Parameters
     ----------
     threshold : int
-        Refusals in a row that make a suspect.
+        Consecutive refusals after which an endpoint is suspected.
     hold : float
-        Seconds that a suspect is left out; the next refusal starts it anew.
+        Seconds that a suspicion lasts; the next refusal restarts it.
     """
 
     def __init__(self, threshold: int, hold: float) -> None:
@@ -19,11 +19,11 @@
         self._until: dict[str, float] = {}
 
     def __bool__(self) -> bool:
-        """Return whether there may be any suspect."""
+        """Return whether any endpoint may be suspected."""
         return bool(self._until)
 
     def record_refusal(self, endpoint_id: str, now: float) -> bool:
-        """Count a refused connection; return whether it is suspected now."""
+        """Count a refused connection; return whether the endpoint is suspected now."""
         count = self._refusals.get(endpoint_id, 0) + 1
         self._refusals[endpoint_id] = count
         if count < self._threshold:
@@ -32,10 +32,10 @@
         return True
 
     def clear(self, endpoint_id: str) -> None:
-        """Clear an endpoint that answered, or that is gone."""
+        """Clear an endpoint that responded, or that is gone."""
         self._refusals.pop(endpoint_id, None)
         self._until.pop(endpoint_id, None)
 
     def is_suspected(self, endpoint_id: str, now: float) -> bool:
-        """Return whether an endpoint should be left out."""
+        """Return whether an endpoint is suspected now."""
         return now < self._until.get(endpoint_id, now)
--- a/src/ebonydeal/_internal/directory/service.py
+++ b/src/ebonydeal/_internal/directory/service.py
@@ -1,8 +1,8 @@
-"""What a process knows of the endpoints, followed without a fixed place to ask.
+"""The endpoints that a process knows, followed without a central registry.
 
 The instance list lags and has outages, so the last good list is kept. Leaving
-marks come from the cloud, engines, peers and the list itself; they stick to an
-incarnation whatever the list says later.
+marks come from the cloud, engines, peers and the list itself; they remain valid for
+an incarnation whatever the list says later.
 """
 
 import random
@@ -42,8 +42,8 @@
 logger = get_logger("directory")
 
 NOTICE_READS_PER_PERIOD = 6
-_LOWEST_JITTER = 0.5
-_HIGHEST_JITTER = 1.5
+_MIN_JITTER = 0.5
+_MAX_JITTER = 1.5
 MarkCallback = Callable[[LeavingMark], None]
 ChangeCallback = Callable[[TableChange], None]
 EventsCallback = Callable[[str, list[CacheEvent]], None]
@@ -51,20 +51,20 @@
 
 
 class Directory(Service):
-    """Follows endpoints, their load and their leaving.
+    """Follows endpoints, their load and their leaving marks.
 
     Parameters
     ----------
     cfg : DirectorySettings
-        Periods and bounds.
+        Periods and limits.
     instances : InstanceList
-        The lagging list.
+        The platform's instance list, which lags.
     metrics, clock, rng
         Counters, time, and the source of jitter.
     cloud : Cloud, optional
-        Where notices are read.
+        Source of reclaim notices.
     engine : Engine, optional
-        By which endpoints are asked for load and cache events.
+        Client for polling endpoints for load and cache events.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self._rng = rng
         self.marks = MarkSet(MarkLimits(cfg.list_lag, cfg.mark_retention))
         self.shared = SharedInstanceList()
-        self._readers: Callable[[], int] = _one_reader
+        self._reader_count: Callable[[], int] = _single_reader
         self._record_callbacks: list[RecordsCallback] = []
         self._table = EndpointTable()
         self._leaving: set[str] = set()
@@ -126,8 +126,8 @@
     def views(self, deployment: str) -> tuple[EndpointView, ...]:
         """Return a deployment's endpoints, without leaving and suspected ones.
 
-        If all are suspected, the suspicion says more of this process than of
-        them, so all are returned.
+        If all are suspected, the cause is more likely this process's network than
+        the endpoints, so all are returned.
         """
         views = [
             view
@@ -149,7 +149,7 @@
         return self._table.all()
 
     def get(self, endpoint_id: str) -> EndpointView | None:
-        """Return the present view of one endpoint, also of a leaving one."""
+        """Return the current view of one endpoint, also of a leaving one."""
         return self._table.get(endpoint_id)
 
     def is_leaving(self, view: EndpointView) -> bool:
@@ -162,67 +162,68 @@
         return self.marks.covers(view, self._table.first_seen(view))
 
     def deadline(self, view: EndpointView) -> float:
-        """Return when the endpoint is taken, in wall seconds; 0.0 if unknown."""
+        """Return when the endpoint is reclaimed, wall clock seconds; 0.0 if unknown."""
         return self.marks.deadline(view, self._clock.wall())
 
-    # --- telling -----------------------------------------------------------------
+    # --- updates -----------------------------------------------------------------
     def mark(self, mark: LeavingMark) -> bool:
-        """Take in a leaving mark; return whether it was news.
+        """Apply a leaving mark; return whether it was new.
 
-        Callbacks of `on_mark` run for news only.
+        Callbacks of `on_mark` run only for new marks.
         """
-        news = self.marks.merge(mark, self._clock.wall())
+        is_new = self.marks.merge(mark, self._clock.wall())
         self._apply(mark)
-        if not news:
+        if not is_new:
             return False
         self._metrics.count(Event.LEAVING_MARKED)
-        logger.info("Leaving.", endpoint=mark.endpoint_id, zone=mark.zone)
+        logger.info("Marked as leaving.", endpoint=mark.endpoint_id, zone=mark.zone)
         call_all(self._mark_callbacks, mark)
         return True
 
     def observe_load(self, endpoint_id: str, load: LoadReport) -> None:
-        """Take in a load report, for example one that rode on an answer."""
+        """Record a load report, for example one from the headers of an answer."""
         self._refusals.clear(endpoint_id)
         if self._poller is not None:
             self._poller.record_contact(endpoint_id)
         self._table.observe_load(endpoint_id, load)
 
     def connect_failed(self, endpoint_id: str) -> None:
-        """Note a refused connection; several in a row make a suspect."""
+        """Record a refused connection; several in a row make the endpoint suspected."""
         if self._refusals.record_refusal(endpoint_id, self._clock.now()):
-            logger.warning("Connections are refused.", endpoint=endpoint_id)
+            logger.warning("Endpoint refuses connections.", endpoint=endpoint_id)
 
-    def set_poll_filter(self, watch: Callable[[EndpointView], bool]) -> None:
-        """Poll only the endpoints for which ``watch`` is true."""
-        self._poll_filter = watch
+    def set_poll_filter(self, matches: Callable[[EndpointView], bool]) -> None:
+        """Poll only the endpoints for which ``matches`` returns true."""
+        self._poll_filter = matches
 
-    def set_reader_count(self, readers: Callable[[], int]) -> None:
-        """Share the platform's list and notices with others.
+    def set_reader_count(self, reader_count: Callable[[], int]) -> None:
+        """Share reads of the platform's list and notices with other processes.
 
-        ``readers`` gives the number of processes that share, this one included;
-        `on_records` and `receive_records` must then be connected to them.
+        ``reader_count`` returns the number of these processes, this one included;
+        `on_records` and `receive_records` must be connected to them.
         """
-        self._readers = readers
+        self._reader_count = reader_count
 
     def on_records(self, callback: RecordsCallback) -> None:
-        """Call ``callback`` with what is news of the instance list."""
+        """Call ``callback`` with changed records of the instance list."""
         self._record_callbacks.append(callback)
 
-    def receive_records(self, facts: list[EndpointRecord]) -> None:
-        """Take in what another process read of the instance list."""
+    def receive_records(self, records: list[EndpointRecord]) -> None:
+        """Merge records of the instance list that another process read."""
         now = self._clock.wall()
-        news = [fact for fact in facts if self.shared.merge(fact, now)]
-        # A few facts are no list: until one was read whole, they only wait.
-        if news and self.ready:
+        changed = [record for record in records if self.shared.merge(record, now)]
+        # Single records are not a complete list, so they aren't applied until this
+        # process has read one.
+        if changed and self.ready:
             self.apply_list(self.shared.views())
-        self._publish_records(news)
+        self._publish_records(changed)
 
     def on_mark(self, callback: MarkCallback) -> None:
-        """Call ``callback`` with each mark that is news."""
+        """Call ``callback`` with each new mark."""
         self._mark_callbacks.append(callback)
 
     def on_change(self, callback: ChangeCallback) -> None:
-        """Call ``callback`` when incarnations come or go."""
+        """Call ``callback`` when incarnations are added or removed."""
         self._change_callbacks.append(callback)
 
     def on_cache_events(self, callback: EventsCallback) -> None:
@@ -231,7 +232,7 @@
 
     # --- following ---------------------------------------------------------------
     async def on_start(self) -> None:
-        """Start to ask endpoints, where they can be asked."""
+        """Start polling endpoints, if there is a client for it."""
         if self._poller is not None:
             await self.add_runtime_dependency(self._poller)
 
@@ -247,7 +248,7 @@
     async def _repeat(
         self, period: float, step: Callable[[], Awaitable[None]], what: str
     ) -> None:
-        """Run ``step`` again and again, jittered; report outages once."""
+        """Run ``step`` periodically with jitter; log each outage once."""
         failing = False
         while not self.should_stop:
             try:
@@ -255,29 +256,29 @@
                 failing = False
             except EbonydealError as exc:
                 if not failing:
-                    logger.warning("Can't read.", what=what, reason=str(exc))
+                    logger.warning("Read failed.", what=what, reason=str(exc))
                 failing = True
-            jitter = self._rng.uniform(_LOWEST_JITTER, _HIGHEST_JITTER)
+            jitter = self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
             await self._clock.sleep(period * jitter)
 
     async def _read_list(self) -> None:
-        if self.ready and not should_read(self._readers(), self._rng.random()):
+        if self.ready and not should_read(self._reader_count(), self._rng.random()):
             return
-        asked_at = self._clock.wall()
+        requested_at = self._clock.wall()
         listed = await self._instances.endpoints()
-        news = self.shared.apply_list(listed, asked_at)
-        self.shared.expire(asked_at)
+        changed = self.shared.apply_list(listed, requested_at)
+        self.shared.expire(requested_at)
         self.apply_list(self.shared.views())
-        self._publish_records(news)
+        self._publish_records(changed)
 
-    def _publish_records(self, news: list[EndpointRecord]) -> None:
-        """Pass on what is news of the list."""
-        if not news:
+    def _publish_records(self, changed: list[EndpointRecord]) -> None:
+        """Pass changed records to the callbacks."""
+        if not changed:
             return
-        call_all(self._record_callbacks, news)
+        call_all(self._record_callbacks, changed)
 
     def apply_list(self, listed: list[EndpointView]) -> None:
-        """Take in a whole instance list."""
+        """Apply a complete instance list."""
         now = self._clock.wall()
         change = self._table.apply_list(listed, now)
         for view in change.removed:
@@ -298,7 +299,7 @@
     async def _read_notices(self) -> None:
         assert self._cloud is not None
         if not should_read(
-            self._readers(), self._rng.random(), NOTICE_READS_PER_PERIOD
+            self._reader_count(), self._rng.random(), NOTICE_READS_PER_PERIOD
         ):
             return
         notices = await self._cloud.notices(self._notices.last_seq)
@@ -306,25 +307,25 @@
         for mark in self._notices.receive(notices, self._table, now):
             self.mark(mark)
 
-    # --- asking endpoints -----------------------------------------------------------
+    # --- polling endpoints ----------------------------------------------------------
     def polled_endpoints(self) -> list[EndpointView]:
-        """Return the endpoints that are asked for load and cache events."""
-        watch = self._poll_filter
+        """Return the endpoints to poll for load and cache events."""
+        matches = self._poll_filter
         views = [v for v in self._table.all() if v.endpoint_id not in self._leaving]
-        return views if watch is None else [view for view in views if watch(view)]
+        return views if matches is None else [view for view in views if matches(view)]
 
     @property
     def wants_cache_events(self) -> bool:
-        """Whether anybody listens to cache events."""
+        """Whether any callback receives cache events."""
         return bool(self._event_callbacks)
 
     def receive_cache_events(self, endpoint_id: str, events: list[CacheEvent]) -> None:
-        """Pass on cache events of one engine."""
+        """Pass cache events of one engine to the callbacks."""
         call_all(self._event_callbacks, endpoint_id, events)
 
     # --- state --------------------------------------------------------------------
     def _apply(self, mark: LeavingMark) -> None:
-        """Hold the incarnations that a mark covers, as long as they are listed."""
+        """Record as leaving the listed incarnations that a mark covers."""
         if mark.endpoint_id:
             view = self._table.get(mark.endpoint_id)
             views = [] if view is None else [view]
@@ -341,6 +342,6 @@
             self._poller.forget(endpoint_id)
 
 
-def _one_reader() -> int:
-    """Return the number of readers of a process that shares with nobody."""
+def _single_reader() -> int:
+    """Return 1: this process shares its reads with no other."""
     return 1
--- a/src/ebonydeal/_internal/directory/sharing.py
+++ b/src/ebonydeal/_internal/directory/sharing.py
@@ -1,11 +1,11 @@
 """The instance list, read by a few processes and shared by all; pure.
 
-At full size the whole list is megabytes, too much for every process to read
-again and again. So each look is made with a probability of one in the number of
-readers, and what changed spreads between the processes as facts. A fact is
-ordered by its endpoint's incarnation, then by when it was read; facts may arrive
-late, twice and in any order, and every process reads the list itself now and
-then, which corrects whatever went wrong.
+At full size the list is megabytes, too much for every process to read repeatedly.
+So each process makes a read with a probability of one in the number of readers, and
+changes spread between the processes as records. Records of an endpoint are ordered
+by its incarnation, then by the time of reading, so they may arrive late, twice and
+in any order. Every process reads the list itself now and then, which corrects any
+error.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 
 
 class EndpointRecord(NamedTuple):
-    """What the list said of one endpoint.
+    """One endpoint as read from the instance list.
 
     Attributes
     ----------
@@ -33,7 +33,7 @@
     gone : bool
         Whether the endpoint was missing from the list.
     at : float
-        Wall clock seconds of the reading.
+        Wall clock seconds of the read.
     """
 
     view: EndpointView
@@ -42,7 +42,7 @@
 
     @property
     def order(self) -> tuple[int, float]:
-        """What decides which of two facts is the later one."""
+        """Sort key: of two records of an endpoint, the higher one is the later one."""
         return (self.view.incarnation, self.at)
 
     def to_wire(self) -> list[Any]:
@@ -67,7 +67,7 @@
 
     @classmethod
     def from_wire(cls, item: Any) -> "EndpointRecord | None":
-        """Return the fact of a wire shape, or None for garbage."""
+        """Return the record of a wire shape, or None if it is malformed."""
         try:
             return cls._build(*item)
         except (TypeError, ValueError):
@@ -93,7 +93,7 @@
     ) -> "EndpointRecord":
         texts = (endpoint_id, address, region, zone, deployment, *models)
         if not endpoint_id or not all(isinstance(text, str) for text in texts):
-            raise TypeError("text expected")
+            raise TypeError("an endpoint's id, names and address must be strings")
         view = EndpointView(
             endpoint_id=endpoint_id,
             incarnation=int(incarnation),
@@ -111,94 +111,94 @@
 
 
 class SharedInstanceList:
-    """All facts that a process holds, and their hashes for anti-entropy."""
+    """All records that a process holds, and their hashes for anti-entropy."""
 
     def __init__(self) -> None:
-        self._facts: dict[str, EndpointRecord] = {}
+        self._records: dict[str, EndpointRecord] = {}
         self.hashes = BucketHashes()
 
     def views(self) -> list[EndpointView]:
         """Return the endpoints that are listed."""
-        return [fact.view for fact in self._facts.values() if not fact.gone]
+        return [record.view for record in self._records.values() if not record.gone]
 
     def apply_list(
         self, listed: Iterable[EndpointView], now: float
     ) -> list[EndpointRecord]:
-        """Take in a whole list that was asked for at ``now``; return what is news.
+        """Apply a complete list that was requested at ``now``; return what changed.
 
-        Facts that were read by others after ``now`` stand.
+        Records that other processes read after ``now`` remain.
         """
         fresh = {view.endpoint_id: view._replace(load=None) for view in listed}
-        facts = [EndpointRecord(view, False, now) for view in fresh.values()]
-        facts += [
-            EndpointRecord(fact.view, True, now)
-            for endpoint_id, fact in self._facts.items()
-            if endpoint_id not in fresh and not fact.gone
+        records = [EndpointRecord(view, False, now) for view in fresh.values()]
+        records += [
+            EndpointRecord(record.view, True, now)
+            for endpoint_id, record in self._records.items()
+            if endpoint_id not in fresh and not record.gone
         ]
-        return [fact for fact in facts if self.merge(fact, now)]
-
-    def merge(self, fact: EndpointRecord, now: float) -> bool:
-        """Take in one fact; return whether it changes what is held."""
-        endpoint_id = fact.view.endpoint_id
-        held = self._facts.get(endpoint_id)
-        if fact.at > now + MAX_CLOCK_AHEAD_S:
-            # A reader's fast clock must not freeze an endpoint's entry.
-            fact = fact._replace(at=now)
-        if held is None and fact.gone:
+        return [record for record in records if self.merge(record, now)]
+
+    def merge(self, record: EndpointRecord, now: float) -> bool:
+        """Merge one record; return whether its content is new."""
+        endpoint_id = record.view.endpoint_id
+        held = self._records.get(endpoint_id)
+        if record.at > now + MAX_CLOCK_AHEAD_S:
+            # A reader's clock that is ahead must not block updates of the endpoint.
+            record = record._replace(at=now)
+        if held is None and record.gone:
             return False
-        if held is not None and fact.order <= held.order:
+        if held is not None and record.order <= held.order:
             return False
-        # The later time is kept even where nothing else changed: a fact that
-        # was read in between and arrives late must not undo this one.
-        self._facts[endpoint_id] = fact
-        if held is not None and _content(fact) == _content(held):
+        # The later time is stored even if nothing else changed: a record that was
+        # read in between and arrives late must not undo this one.
+        self._records[endpoint_id] = record
+        if held is not None and _content(record) == _content(held):
             return False
-        self.hashes.put(endpoint_id, repr(_content(fact)))
+        self.hashes.put(endpoint_id, repr(_content(record)))
         return True
 
     def in_buckets(self, buckets: Iterable[int]) -> list[EndpointRecord]:
-        """Return the facts in some hash buckets."""
+        """Return the records in these hash buckets."""
         wanted = set(buckets)
         return [
-            fact
-            for endpoint_id, fact in self._facts.items()
+            record
+            for endpoint_id, record in self._records.items()
             if bucket_of(endpoint_id) in wanted
         ]
 
     def expire(self, now: float) -> None:
-        """Drop endpoints that are gone for long."""
+        """Drop endpoints that have been gone for longer than their TTL."""
         old = [
             endpoint_id
-            for endpoint_id, fact in self._facts.items()
-            if fact.gone and now - fact.at > GONE_TTL_S
+            for endpoint_id, record in self._records.items()
+            if record.gone and now - record.at > GONE_TTL_S
         ]
         for endpoint_id in old:
-            del self._facts[endpoint_id]
+            del self._records[endpoint_id]
             self.hashes.drop(endpoint_id)
 
 
-def _content(fact: EndpointRecord) -> tuple[EndpointView, bool]:
-    """Return what makes a fact news.
+def _content(record: EndpointRecord) -> tuple[EndpointView, bool]:
+    """Return the content whose change is spread to other processes.
 
-    The price of one offer stands on hundreds of entries: each process takes it
-    from its own readings rather than from its peers.
+    It leaves out prices: a price change of one offer affects hundreds of entries,
+    so each process takes prices from its own reads.
     """
-    return fact.view._replace(evict_per_hour=0.0, price_per_hour=0.0), fact.gone
+    return record.view._replace(evict_per_hour=0.0, price_per_hour=0.0), record.gone
 
 
 def should_read(readers: int, draw: float, reads: int = 1) -> bool:
-    """Return whether this process makes the present look at a shared source.
+    """Return whether this process reads the shared source now.
 
     Parameters
     ----------
     readers : int
         Processes that share the source, this one included.
     draw : float
-        A random number from 0 to 1. With each reader drawing once a period,
-        ``reads`` looks a period are made on average, whoever comes and goes.
-    looks : int
-        Looks a period by all readers together. They fall at random, so what
-        mustn't wait needs several: with one, 7 of 100 notices wait longer than
-        2.5 periods; with six, none of those that were tried.
+        A random number from 0 to 1. If each reader draws once per period, ``reads``
+        reads per period are made on average, however many readers there are.
+    reads : int
+        Reads per period by all readers together. Their times are random, so urgent
+        data needs several: with one, 7 of 100 notices wait longer than 2.5 periods;
+        with six, none of those that were tried.
     """
     return draw * max(1, readers) < reads
--- a/src/ebonydeal/_internal/directory/table.py
+++ b/src/ebonydeal/_internal/directory/table.py
@@ -1,4 +1,4 @@
-"""The endpoints a process knows, by deployment, cheap to read for each request."""
+"""Table of the known endpoints by deployment, cheap to read for each request."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,24 +9,24 @@
 
 
 class TableChange(NamedTuple):
-    """What a new instance list changed.
+    """Changes by a new instance list.
 
     Attributes
     ----------
     added, removed : tuple of EndpointView
-        Incarnations that came and went.
+        Added and removed incarnations.
     """
 
     added: tuple[EndpointView, ...]
     removed: tuple[EndpointView, ...]
 
     def __bool__(self) -> bool:
-        """Return whether anything came or went."""
+        """Return whether anything was added or removed."""
         return bool(self.added or self.removed)
 
 
 class EndpointTable:
-    """Views by id, with the first time each incarnation was seen."""
+    """Views by id, with the time at which each incarnation was first seen."""
 
     def __init__(self) -> None:
         self._views: dict[str, EndpointView] = {}
@@ -36,13 +36,13 @@
         self._loaded = False
 
     def get(self, endpoint_id: str) -> EndpointView | None:
-        """Return the present view of an endpoint, if it is known."""
+        """Return the current view of an endpoint, if it is known."""
         return self._views.get(endpoint_id)
 
     def first_seen(self, view: EndpointView) -> float:
         """Return when this incarnation was first seen.
 
-        0.0 if it stood in the first list, so may be older than this process;
+        0.0 if it was in the first list, so it may be older than this process;
         infinity if it was never seen.
         """
         known = self._views.get(view.endpoint_id)
@@ -59,10 +59,9 @@
         return self._by_deployment.get(deployment, {}).values()
 
     def apply_list(self, listed: Iterable[EndpointView], now: float) -> TableChange:
-        """Take in a whole instance list, keeping the loads known so far.
+        """Apply a complete instance list, keeping the loads known so far.
 
-        A lower incarnation than the known one is a relic of the list's lag and
-        is ignored.
+        A lower incarnation than the known one is ignored, since the list lags.
         """
         seen = 0.0 if not self._loaded else now
         self._loaded = True
@@ -82,11 +81,11 @@
             self._first_seen[view.endpoint_id] = known_since
         for view in fresh.values():
             self._put(self._with_load(view))
-        self._drop_gone(now)
+        self._expire_gone(now)
         return TableChange(tuple(added), tuple(removed))
 
     def observe_load(self, endpoint_id: str, load: LoadReport) -> bool:
-        """Keep a load report unless a later one is known; return whether kept."""
+        """Store a load report unless a later one is known; return whether stored."""
         view = self._views.get(endpoint_id)
         if view is None or (view.load is not None and view.load.at > load.at):
             return False
@@ -111,13 +110,13 @@
         self._by_deployment.setdefault(view.deployment, {})[view.endpoint_id] = view
 
     def _forget(self, view: EndpointView, now: float) -> None:
-        """Drop a view; its first time is kept, as lists have gaps."""
+        """Drop a view; remember when it was first seen, since lists have gaps."""
         del self._views[view.endpoint_id]
         first_seen = self._first_seen.pop(view.endpoint_id)
         self._gone[view.endpoint_id, view.incarnation] = (first_seen, now)
         self._drop_from_deployment(view)
 
-    def _drop_gone(self, now: float) -> None:
+    def _expire_gone(self, now: float) -> None:
         old = [key for key, item in self._gone.items() if item[1] < now - GONE_TTL_S]
         for key in old:
             del self._gone[key]
@@ -131,5 +130,5 @@
 
 def _is_gone(view: EndpointView, fresh: dict[str, EndpointView]) -> bool:
     """Return whether a view's incarnation is not in the new list."""
-    now = fresh.get(view.endpoint_id)
-    return now is None or now.incarnation != view.incarnation
+    current = fresh.get(view.endpoint_id)
+    return current is None or current.incarnation != view.incarnation
--- a/src/ebonydeal/_internal/peers/service.py
+++ b/src/ebonydeal/_internal/peers/service.py
@@ -106,10 +106,10 @@
         self._clock = clock
         self._rng = rng
         self._instances = instances
-        self._targets = PeerSelector(cfg.seeds, cfg.port)
+        self._selector = PeerSelector(cfg.seeds, cfg.port)
         self._client = PeerClient(cfg.credential, ssl_client)
         self._pushes: dict[str, list[Any]] = {}
-        self._push_wanted = asyncio.Event()
+        self._push_requested = asyncio.Event()
         self.app = new_app(metrics)
         self.app.middlewares.append(credential_middleware(cfg.credential))
         self.app.router.add_post(ROUND_PATH, self._handle_round)
@@ -162,9 +162,9 @@
         directory.on_mark(self._push_mark)
         self.register(EndpointsTopic(directory.shared, directory.receive_records))
         directory.on_records(self._push_records)
-        directory.set_reader_count(self._readers)
+        directory.set_reader_count(self._reader_count)
 
-    def _readers(self) -> int:
+    def _reader_count(self) -> int:
         """Return the number of processes that share the platform's list, with this."""
         live = self.membership.live()
         return 1 + sum(
@@ -197,7 +197,7 @@
     def push(self, topic: str, items: list[Any]) -> None:
         """Push payload items of a topic to several peers with the next batch."""
         self._pushes.setdefault(topic, []).extend(items)
-        self._push_wanted.set()
+        self._push_requested.set()
 
     def push_if_small_group(self, topic: str, items: list[Any]) -> None:
         """Push items, unless the group is large; there they wait for the rounds.
@@ -233,16 +233,16 @@
     @Service.task
     async def _send_pushes(self) -> None:
         while not self.should_stop:
-            await self._push_wanted.wait()
+            await self._push_requested.wait()
             await self._clock.sleep(PUSH_BATCH_INTERVAL_S)
-            self._push_wanted.clear()
+            self._push_requested.clear()
             payloads, self._pushes = self._pushes, {}
             await self._push_to_some(payloads)
 
     @Service.task
     async def _follow_list(self) -> None:
         while not self.should_stop and self._instances is not None:
-            if should_read(self._readers(), self._rng.random()):
+            if should_read(self._reader_count(), self._rng.random()):
                 await self._read_nodes(self._instances)
             jitter = self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
             await self._clock.sleep(LIST_READ_INTERVAL_S * jitter)
@@ -250,7 +250,7 @@
     async def _read_nodes(self, instances: InstanceList) -> None:
         """Look for peers that gossip hasn't found yet."""
         try:
-            self._targets.set_listed(await instances.own_nodes())
+            self._selector.set_listed(await instances.own_nodes())
         except EbonydealError as exc:
             logger.debug("Reading the instance list failed.", reason=str(exc))
 
@@ -259,7 +259,7 @@
         """Run one round with one peer, if any is known."""
         for member in self.membership.tick(self._clock.now()):
             logger.warning("Peer declared dead after its suspicion.", peer=member.id)
-        target = self._targets.choose(self.membership, self._rng)
+        target = self._selector.choose(self.membership, self._rng)
         if target is None:
             return
         self._metrics.count(Event.PEER_ROUNDS)
--- a/tests/functional/directory/test_service.py
+++ b/tests/functional/directory/test_service.py
@@ -16,7 +16,7 @@
 
 
 class Notices:
-    """The part of the cloud that the directory reads."""
+    """Fake cloud with the notices that the directory reads."""
 
     def __init__(self) -> None:
         self.list: list[ReclaimNotice] = []
@@ -26,16 +26,16 @@
 
 
 class Engines:
-    """The part of engines that the directory asks."""
+    """Fake client of the endpoints that the directory polls."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
-        self.asked: list[str] = []
+        self.polled: list[str] = []
         self.refusing: set[str] = set()
         self.events: dict[str, list[CacheEvent]] = {}
 
     async def load(self, endpoint):
-        self.asked.append(endpoint.endpoint_id)
+        self.polled.append(endpoint.endpoint_id)
         if endpoint.endpoint_id in self.refusing:
             raise EbonydealError(ErrorKind.CONNECT_FAILED, "refused")
         return LoadReport(1, 0, 8, 0.5, 40.0, self.clock.wall())
@@ -45,7 +45,7 @@
         return [event for event in known if event.seq > after]
 
 
-class World:
+class DirectoryFixture:
     def __init__(self, *views, **settings) -> None:
         self.clock = ManualClock()
         self.metrics = Metrics()
@@ -62,7 +62,7 @@
             engine=self.engine,
         )
 
-    async def __aenter__(self) -> "World":
+    async def __aenter__(self) -> "DirectoryFixture":
         await self.directory.start()
         await self.clock.advance(0.0)
         return self
@@ -78,173 +78,181 @@
 
 
 class TestList:
-    async def test_last_good_list_is_kept_in_an_outage(self):
-        async with World(make_view("a")) as world:
-            world.instances.error = OUTAGE
-            await world.clock.advance(30.0)
-            assert world.ids() == ["a"]
-            world.instances.error = None
-            world.instances.views = [make_view("b")]
-            await world.clock.advance(2.0)
-            assert world.ids() == ["b"]
-
-    async def test_changes_are_told(self):
-        async with World(make_view("a")) as world:
+    async def test_last_good_list_is_kept_during_an_outage(self):
+        async with DirectoryFixture(make_view("a")) as fixture:
+            fixture.instances.error = OUTAGE
+            await fixture.clock.advance(30.0)
+            assert fixture.ids() == ["a"]
+            fixture.instances.error = None
+            fixture.instances.views = [make_view("b")]
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == ["b"]
+
+    async def test_callbacks_receive_changes(self):
+        async with DirectoryFixture(make_view("a")) as fixture:
             changes = []
-            world.directory.on_change(changes.append)
+            fixture.directory.on_change(changes.append)
             restarted = make_view("a", incarnation=2)
-            world.instances.views = [restarted]
-            await world.clock.advance(2.0)
+            fixture.instances.views = [restarted]
+            await fixture.clock.advance(2.0)
             assert [change.added for change in changes] == [(restarted,)]
             removed = [view._replace(load=None) for view in changes[0].removed]
             assert removed == [make_view("a")]
 
-    async def test_fault_in_a_callback_does_not_stop_the_following(self):
-        async with World(make_view("a")) as world:
-            world.directory.on_change(lambda change: 1 / 0)
-            world.instances.views = [make_view("b")]
-            await world.clock.advance(2.0)
-            world.instances.views = [make_view("c")]
-            await world.clock.advance(2.0)
-            assert world.ids() == ["c"]
+    async def test_fault_in_a_callback_does_not_stop_later_updates(self):
+        async with DirectoryFixture(make_view("a")) as fixture:
+            fixture.directory.on_change(lambda change: 1 / 0)
+            fixture.instances.views = [make_view("b")]
+            await fixture.clock.advance(2.0)
+            fixture.instances.views = [make_view("c")]
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == ["c"]
 
 
 class TestLeaving:
-    async def test_mark_sticks_though_the_list_says_ready(self):
+    async def test_endpoint_stays_leaving_though_the_list_says_ready(self):
         views = [make_view("a"), make_view("b")]
-        async with World(*views, mark_retention=60.0) as world:
-            assert world.directory.mark(make_mark("a")) is True
-            assert world.directory.mark(make_mark("a")) is False
-            await world.clock.advance(100.0)
-            assert list(world.directory.marks) == []
-            assert world.ids() == ["b"]
-            assert world.directory.is_leaving(make_view("a"))
-
-    async def test_mark_before_the_list_holds_after_it(self):
-        world = World(make_view("a"))
-        world.directory.mark(make_mark("a"))
-        async with world:
-            assert world.ids() == []
+        async with DirectoryFixture(*views, mark_retention=60.0) as fixture:
+            assert fixture.directory.mark(make_mark("a")) is True
+            assert fixture.directory.mark(make_mark("a")) is False
+            await fixture.clock.advance(100.0)
+            assert list(fixture.directory.marks) == []
+            assert fixture.ids() == ["b"]
+            assert fixture.directory.is_leaving(make_view("a"))
+
+    async def test_mark_received_before_the_list_applies_to_it(self):
+        fixture = DirectoryFixture(make_view("a"))
+        fixture.directory.mark(make_mark("a"))
+        async with fixture:
+            assert fixture.ids() == []
 
     async def test_restarted_incarnation_is_used(self):
-        async with World(make_view("a")) as world:
-            world.directory.mark(make_mark("a"))
-            world.instances.views = [make_view("a", incarnation=2)]
-            await world.clock.advance(2.0)
-            assert world.ids() == ["a"]
-            assert world.directory.is_leaving(make_view("a", incarnation=1))
-            assert not world.directory.is_leaving(make_view("a", incarnation=2))
+        async with DirectoryFixture(make_view("a")) as fixture:
+            fixture.directory.mark(make_mark("a"))
+            fixture.instances.views = [make_view("a", incarnation=2)]
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == ["a"]
+            assert fixture.directory.is_leaving(make_view("a", incarnation=1))
+            assert not fixture.directory.is_leaving(make_view("a", incarnation=2))
 
     async def test_older_incarnation_from_a_lagging_list_is_ignored(self):
-        async with World(make_view("a", incarnation=2)) as world:
-            world.instances.views = [make_view("a", incarnation=1)]
-            await world.clock.advance(2.0)
-            assert world.directory.get("a").incarnation == 2
+        async with DirectoryFixture(make_view("a", incarnation=2)) as fixture:
+            fixture.instances.views = [make_view("a", incarnation=1)]
+            await fixture.clock.advance(2.0)
+            assert fixture.directory.get("a").incarnation == 2
 
-    async def test_zone_notice_covers_old_ones_and_spares_new_ones(self):
+    async def test_zone_notice_covers_old_endpoints_but_not_new_ones(self):
         other = make_view("c", place=Place("wales", "wales-2"))
-        async with World(make_view("a"), make_view("b"), other) as world:
-            now = world.clock.wall()
-            world.cloud.list = [ReclaimNotice(1, "", "wales-1", now + 5.0)]
-            await world.clock.advance(2.0)
-            assert world.ids() == ["c"]
-            assert world.directory.deadline(make_view("a")) == now + 5.0
-            await world.clock.advance(60.0)
-            world.instances.views.append(make_view("d"))
-            await world.clock.advance(2.0)
-            assert world.ids() == ["c", "d"]
-            assert world.metrics.value("events", str(Event.LEAVING_MARKED)) == 1
-
-    async def test_gap_in_the_list_does_not_uncover(self):
-        async with World(make_view("a")) as world:
-            zone_mark = make_mark("", zone="wales-1", at=world.clock.wall())
-            world.directory.mark(zone_mark)
-            world.instances.views = []
-            await world.clock.advance(100.0)
-            world.instances.views = [make_view("a")]
-            await world.clock.advance(2.0)
-            assert world.ids() == []
-
-    async def test_notice_waits_for_an_endpoint_not_listed_yet(self):
-        async with World() as world:
-            now = world.clock.wall()
-            world.cloud.list = [ReclaimNotice(1, "a", "", now + 30.0)]
-            await world.clock.advance(3.0)
-            world.instances.views = [make_view("a")]
-            await world.clock.advance(2.0)
-            assert world.ids() == []
-            assert world.directory.is_leaving(make_view("a"))
-
-    async def test_notice_of_the_past_does_not_mark_a_new_process(self):
-        world = World(make_view("a"))
-        past = world.clock.wall() - 60.0
-        world.cloud.list = [
+        async with DirectoryFixture(make_view("a"), make_view("b"), other) as fixture:
+            now = fixture.clock.wall()
+            fixture.cloud.list = [ReclaimNotice(1, "", "wales-1", now + 5.0)]
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == ["c"]
+            assert fixture.directory.deadline(make_view("a")) == now + 5.0
+            await fixture.clock.advance(60.0)
+            fixture.instances.views.append(make_view("d"))
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == ["c", "d"]
+            assert fixture.metrics.value("events", str(Event.LEAVING_MARKED)) == 1
+
+    async def test_gap_in_the_list_does_not_uncover_an_endpoint(self):
+        async with DirectoryFixture(make_view("a")) as fixture:
+            zone_mark = make_mark("", zone="wales-1", at=fixture.clock.wall())
+            fixture.directory.mark(zone_mark)
+            fixture.instances.views = []
+            await fixture.clock.advance(100.0)
+            fixture.instances.views = [make_view("a")]
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == []
+
+    async def test_notice_is_held_until_its_endpoint_is_listed(self):
+        async with DirectoryFixture() as fixture:
+            now = fixture.clock.wall()
+            fixture.cloud.list = [ReclaimNotice(1, "a", "", now + 30.0)]
+            await fixture.clock.advance(3.0)
+            fixture.instances.views = [make_view("a")]
+            await fixture.clock.advance(2.0)
+            assert fixture.ids() == []
+            assert fixture.directory.is_leaving(make_view("a"))
+
+    async def test_past_notice_does_not_mark_a_new_process(self):
+        fixture = DirectoryFixture(make_view("a"))
+        past = fixture.clock.wall() - 60.0
+        fixture.cloud.list = [
             ReclaimNotice(1, "a", "", past),
             ReclaimNotice(2, "", "wales-1", past),
         ]
-        async with world:
-            await world.clock.advance(3.0)
-            assert world.ids() == ["a"]
+        async with fixture:
+            await fixture.clock.advance(3.0)
+            assert fixture.ids() == ["a"]
 
-    async def test_leaving_in_the_list_is_a_mark(self):
-        async with World(make_view("a", state=EndpointState.LEAVING)) as world:
-            assert world.ids() == []
-            assert [mark.source for mark in world.directory.marks] == ["list"]
+    async def test_leaving_state_in_the_list_makes_a_mark(self):
+        async with DirectoryFixture(
+            make_view("a", state=EndpointState.LEAVING)
+        ) as fixture:
+            assert fixture.ids() == []
+            assert [mark.source for mark in fixture.directory.marks] == ["list"]
 
 
 class TestPolls:
-    async def test_idle_endpoints_are_asked_and_busy_ones_are_not(self):
+    async def test_idle_endpoints_are_polled_and_busy_ones_are_not(self):
         views = [make_view("idle"), make_view("busy"), make_view("unwatched")]
-        async with World(*views, load_period=5.0) as world:
-            world.directory.set_poll_filter(
+        async with DirectoryFixture(*views, load_period=5.0) as fixture:
+            fixture.directory.set_poll_filter(
                 lambda view: view.endpoint_id != "unwatched"
             )
-            await world.clock.advance(1.0)
-            world.engine.asked.clear()
+            await fixture.clock.advance(1.0)
+            fixture.engine.polled.clear()
             for _ in range(20):
-                report = LoadReport(2, 0, 8, 0.5, 40.0, world.clock.wall())
-                world.directory.observe_load("busy", report)
-                await world.clock.advance(1.0)
-            assert set(world.engine.asked) == {"idle"}
-            assert 3 <= len(world.engine.asked) <= 4
-
-    async def test_older_report_does_not_replace_a_newer(self):
-        async with World(make_view("a")) as world:
-            at = world.clock.wall()
+                report = LoadReport(2, 0, 8, 0.5, 40.0, fixture.clock.wall())
+                fixture.directory.observe_load("busy", report)
+                await fixture.clock.advance(1.0)
+            assert set(fixture.engine.polled) == {"idle"}
+            assert 3 <= len(fixture.engine.polled) <= 4
+
+    async def test_older_report_does_not_replace_a_newer_one(self):
+        async with DirectoryFixture(make_view("a")) as fixture:
+            at = fixture.clock.wall()
             new = LoadReport(5, 1, 8, 0.5, 40.0, at + 2.0)
-            world.directory.observe_load("a", new)
-            world.directory.observe_load("a", new._replace(running=1, at=at + 1.0))
-            assert world.directory.get("a").load == new
-
-    async def test_refusing_endpoint_is_left_out_until_it_answers(self):
-        async with World(make_view("a"), make_view("b"), load_period=1.0) as world:
-            world.engine.refusing = {"a"}
-            await world.clock.advance(6.0)
-            assert world.ids() == ["b"]
-            world.engine.refusing = set()
-            await world.clock.advance(3.0)
-            assert world.ids() == ["a", "b"]
-
-    async def test_all_suspected_means_none_is_left_out(self):
-        async with World(make_view("a")) as world:
+            fixture.directory.observe_load("a", new)
+            fixture.directory.observe_load("a", new._replace(running=1, at=at + 1.0))
+            assert fixture.directory.get("a").load == new
+
+    async def test_refusing_endpoint_is_left_out_until_it_responds(self):
+        async with DirectoryFixture(
+            make_view("a"), make_view("b"), load_period=1.0
+        ) as fixture:
+            fixture.engine.refusing = {"a"}
+            await fixture.clock.advance(6.0)
+            assert fixture.ids() == ["b"]
+            fixture.engine.refusing = set()
+            await fixture.clock.advance(3.0)
+            assert fixture.ids() == ["a", "b"]
+
+    async def test_no_endpoint_is_left_out_if_all_are_suspected(self):
+        async with DirectoryFixture(make_view("a")) as fixture:
             for _ in range(3):
-                world.directory.connect_failed("a")
-            assert world.ids() == ["a"]
+                fixture.directory.connect_failed("a")
+            assert fixture.ids() == ["a"]
 
     async def test_cache_events_are_passed_on_once(self):
         service = make_view("s", kind=EndpointKind.SERVICE)
-        async with World(make_view("a"), service) as world:
-            heard = []
-            world.directory.on_cache_events(lambda i, events: heard.append((i, events)))
+        async with DirectoryFixture(make_view("a"), service) as fixture:
+            received = []
+            fixture.directory.on_cache_events(
+                lambda i, events: received.append((i, events))
+            )
             first = [CacheEvent(3, True, "x"), CacheEvent(7, True, "y")]
-            world.engine.events = {"a": first, "s": first}
-            await world.clock.advance(10.0)
-            assert heard == [("a", first)]
+            fixture.engine.events = {"a": first, "s": first}
+            await fixture.clock.advance(10.0)
+            assert received == [("a", first)]
 
-    async def test_polls_a_second_are_bounded(self):
+    async def test_polls_per_second_are_bounded(self):
         views = [make_view(f"i-{n}") for n in range(300)]
-        async with World(*views, load_period=1.0, polls_per_s=40.0) as world:
-            await world.clock.advance(5.0)
-            world.engine.asked.clear()
-            await world.clock.advance(10.0)
-            assert 340 <= len(world.engine.asked) <= 460
+        async with DirectoryFixture(
+            *views, load_period=1.0, polls_per_s=40.0
+        ) as fixture:
+            await fixture.clock.advance(5.0)
+            fixture.engine.polled.clear()
+            await fixture.clock.advance(10.0)
+            assert 340 <= len(fixture.engine.polled) <= 460
--- a/tests/unit/directory/test_crash_guard.py
+++ b/tests/unit/directory/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""One process bounds what it sends of a request that brings endpoints down."""
+"""A process stops sending a request after endpoints crashed under it."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class Guarded:
-    """A guard before endpoints of which some are gone."""
+    """A crash guard over endpoints that crashed, or are alive."""
 
     def __init__(self, gone=True):
         self.clock = ManualClock(100.0)
@@ -39,7 +39,7 @@
 
 
 class TestCheck:
-    async def test_the_third_endpoint_is_the_last(self):
+    async def test_request_is_quarantined_after_the_third_crash(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 2)
         assert guarded.refused(FATAL) is None
@@ -49,19 +49,19 @@
         assert error.outcome is Outcome.NOT_RUN
         assert guarded.metrics.value("events", "requests_quarantined") == 1
 
-    async def test_one_that_may_have_run_isnt_called_not_run(self):
+    async def test_request_that_may_have_run_is_not_reported_as_not_run(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 3)
         assert guarded.refused(FATAL, ran=True).outcome is Outcome.UNKNOWN
 
-    async def test_the_same_body_under_another_id_is_refused_too(self):
+    async def test_same_body_with_another_id_is_quarantined_too(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 3)
         assert guarded.refused(FATAL._replace(request_id="r-0001-02"))
         assert guarded.refused(FATAL._replace(account="another")) is None
         assert guarded.refused(OTHER) is None
 
-    async def test_endpoints_that_live_count_against_nobody(self):
+    async def test_failures_of_live_endpoints_do_not_quarantine(self):
         guarded = Guarded(gone=False)
         await guarded.fail(FATAL, 5)
         assert guarded.refused(FATAL) is None
@@ -69,19 +69,19 @@
     @pytest.mark.parametrize(
         "kind", [ErrorKind.ENDPOINT_STALLED, ErrorKind.CONNECT_FAILED]
     )
-    async def test_nor_does_silence_or_what_was_never_sent(self, kind):
+    async def test_stalls_and_failed_connects_do_not_quarantine(self, kind):
         guarded = Guarded()
         await guarded.fail(FATAL, 5, kind)
         assert guarded.refused(FATAL) is None
 
-    async def test_a_success_clears(self):
+    async def test_success_clears_earlier_crashes(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 2)
         guarded.guard.record_answer(FATAL)
         await guarded.fail(FATAL, 3)
         assert guarded.refused(FATAL) is None
 
-    async def test_a_whole_answer_that_is_a_failure_doesnt(self):
+    async def test_answer_with_an_error_status_does_not_clear(self):
         guarded = Guarded()
         await guarded.fail(FATAL, 2)
         guarded.guard.record_answer(FATAL, 500)
--- a/tests/unit/directory/test_marks.py
+++ b/tests/unit/directory/test_marks.py
@@ -48,14 +48,14 @@
 
 class TestMerge:
     @given(MARKS, st.randoms(use_true_random=False))
-    def test_any_order_and_twice_gives_the_same(self, marks, rng):
+    def test_any_order_and_repeats_end_the_same(self, marks, rng):
         other = marks + [rng.choice(marks) for _ in marks]
         rng.shuffle(other)
         assert set(merged(marks)) == set(merged(other))
         assert merged(marks).hashes.top() == merged(other).hashes.top()
 
     @given(MARKS, st.randoms(use_true_random=False))
-    def test_bounds_keep_the_order_free(self, marks, rng):
+    def test_any_order_ends_the_same_within_limits(self, marks, rng):
         limits = MarkLimits(max_zone_marks=2)
         other = list(marks)
         rng.shuffle(other)
@@ -93,13 +93,13 @@
         assert join_marks(a, b) == join_marks(b, a)
         assert join_marks(a, a) == a
 
-    def test_second_time_is_no_news(self):
+    def test_repeated_mark_is_not_new(self):
         held = MarkSet()
         assert held.merge(make_mark(), NOW) is True
         assert held.merge(make_mark(), NOW) is False
         assert held.merge(make_mark(at=NOW - 5.0), NOW) is False
 
-    def test_known_deadline_after_unknown_is_news(self):
+    def test_deadline_that_becomes_known_is_new(self):
         held = MarkSet()
         held.merge(make_mark(), NOW)
         assert held.merge(make_mark(deadline=NOW + 10.0), NOW) is True
@@ -113,7 +113,7 @@
             make_mark(deadline=math.inf),
         ],
     )
-    def test_garbage_is_not_kept(self, bad):
+    def test_invalid_mark_is_ignored(self, bad):
         held = MarkSet()
         assert held.merge(bad, NOW) is False
         assert len(held) == 0
@@ -126,7 +126,7 @@
         assert held.covers(make_view(incarnation=2), 0.0)
         assert not held.covers(make_view(incarnation=3), 0.0)
 
-    def test_zone_covers_what_was_seen_before_it(self):
+    def test_zone_mark_covers_only_incarnations_seen_before_it(self):
         held = merged([make_mark("", zone="wales-1", at=NOW)])
         view = make_view("i-9")
         assert held.covers(view, 0.0)
@@ -134,11 +134,11 @@
         assert not held.covers(view, NOW + 10.1)
         assert not held.covers(view._replace(place=Place("wales", "wales-2")), 0.0)
 
-    def test_clock_ahead_of_the_notifier_does_not_cover_the_future(self):
+    def test_mark_from_a_clock_ahead_does_not_cover_the_future(self):
         held = merged([make_mark("", zone="wales-1", at=NOW + 500.0)])
         assert not held.covers(make_view(), NOW + 100.0)
 
-    def test_second_wave_covers_what_came_between(self):
+    def test_second_reclaim_of_a_zone_covers_endpoints_added_in_between(self):
         held = merged([make_mark("", zone="wales-1", at=NOW - 50, deadline=NOW - 40)])
         assert not held.covers(make_view(), NOW - 20.0)
         held.merge(make_mark("", zone="wales-1", at=NOW, deadline=NOW + 10), NOW)
@@ -146,8 +146,8 @@
         assert held.deadline(make_view(), NOW) == NOW + 10
 
 
-class TestMemory:
-    def test_old_marks_are_forgotten_and_not_taken_again(self):
+class TestLimits:
+    def test_old_marks_expire_and_are_not_merged_again(self):
         held = merged([make_mark(deadline=NOW + 10.0)])
         later = NOW + 10.0 + 3600.0
         assert held.expire(later) == 0
@@ -169,6 +169,6 @@
         assert len(held) == 8
         assert min(mark.deadline for mark in held) == NOW + 12
 
-    def test_marks_of_both_kinds_share_no_key(self):
+    def test_endpoint_and_zone_marks_have_different_keys(self):
         keys = {mark_key(make_mark("z")), mark_key(make_mark("", zone="z"))}
         assert len(keys) == 2
