--- a/src/ebonydeal/_internal/config/__init__.py
+++ b/src/ebonydeal/_internal/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration documents: validation, commit, following."""
+"""Configuration documents: validation, commit and spread to all processes."""
--- a/src/ebonydeal/_internal/config/delta.py
+++ b/src/ebonydeal/_internal/config/delta.py
@@ -1,8 +1,7 @@
-"""A document by item, and what differs between two versions of it.
+"""Items of a document, and the delta between two versions of it.
 
-An item is one region, account or deployment, or the currency. Versions differ
-by whole items, so that one change moves one item through the table and to the
-nodes.
+An item is one region, account or deployment, or the currency. A delta consists of
+complete items, so a change of one item writes and sends only this item.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,13 +12,13 @@
 
 
 class ItemKey(NamedTuple):
-    """Which item: its section and its name."""
+    """Key of an item: its section and its name."""
 
     section: str
     name: str
 
     def __str__(self) -> str:
-        """Return the key for people, such as ``deployments/kitchen``."""
+        """Return the key as text, such as ``deployments/kitchen``."""
         return f"{self.section}/{self.name}"
 
 
@@ -35,7 +34,7 @@
 
 
 class DeltaMessage(TypedDict):
-    """Wire shape of a delta; also how a version row keeps it."""
+    """Wire shape of a delta; also its fields in a version row."""
 
     changed: list[ChangedMessage]
     removed: list[list[str]]
@@ -73,16 +72,16 @@
 
 
 class Difference(NamedTuple):
-    """One line of a diff for people.
+    """One line of a diff for operators.
 
     Attributes
     ----------
     item : ItemKey
         The item that differs.
     field : str
-        Dotted path inside it; empty where the whole item came or went.
+        Dotted path inside it; empty if the whole item was added or removed.
     before, after : Any
-        Values; None where there is none.
+        Values; None if there is none.
     """
 
     item: ItemKey
@@ -100,7 +99,7 @@
 
 
 def split(document: Mapping[str, Any]) -> dict[ItemKey, dict[str, Any]]:
-    """Return a validated document by item."""
+    """Return the items of a validated document."""
     items = {ItemKey(*_CURRENCY): {"currency": document["currency"]}}
     for section in SECTIONS:
         for value in document[section]:
@@ -109,7 +108,7 @@
 
 
 def join(items: Items) -> dict[str, Any]:
-    """Return the document of these items, each section by name."""
+    """Return the document made of these items, each section sorted by name."""
     currency = items.get(ItemKey(*_CURRENCY), {}).get("currency", "")
     document: dict[str, Any] = {"currency": currency}
     for section in SECTIONS:
@@ -119,7 +118,7 @@
 
 
 def compute_delta(old: Items, new: Items) -> Delta:
-    """Return what turns ``old`` into ``new``."""
+    """Return the delta that turns ``old`` into ``new``."""
     changed = {
         key: value for key, value in sorted(new.items()) if old.get(key) != value
     }
@@ -128,14 +127,14 @@
 
 
 def apply(items: Items, delta: Delta) -> dict[ItemKey, dict[str, Any]]:
-    """Return ``items`` after ``delta``."""
-    gone = set(delta.removed)
-    kept = {key: value for key, value in items.items() if key not in gone}
+    """Return ``items`` with ``delta`` applied."""
+    removed = set(delta.removed)
+    kept = {key: value for key, value in items.items() if key not in removed}
     return {**kept, **delta.changed}
 
 
 def differences(old: Items, new: Items) -> list[Difference]:
-    """Return a diff for people, field by field."""
+    """Return a diff for operators, field by field."""
     found: list[Difference] = []
     for key in sorted({*old, *new}):
         if key not in old:
@@ -143,22 +142,24 @@
         elif key not in new:
             found.append(Difference(key, "", old[key], None))
         else:
-            found.extend(_fields(key, "", old[key], new[key]))
+            found.extend(_field_differences(key, "", old[key], new[key]))
     return found
 
 
-def _fields(item: ItemKey, field: str, old: Any, new: Any) -> Iterator[Difference]:
-    """Yield the fields that differ, going into objects but not into lists."""
+def _field_differences(
+    item: ItemKey, field: str, old: Any, new: Any
+) -> Iterator[Difference]:
+    """Yield the fields that differ, descending into objects but not into lists."""
     if isinstance(old, dict) and isinstance(new, dict):
         for key in sorted({*old, *new}):
             inner = f"{field}.{key}" if field else key
-            yield from _fields(item, inner, old.get(key), new.get(key))
+            yield from _field_differences(item, inner, old.get(key), new.get(key))
     elif old != new:
         yield Difference(item, field, old, new)
 
 
 def _text(value: Any) -> str:
-    """Return a value for people."""
+    """Return a value as text for operators."""
     match value:
         case None:
             return "(none)"
--- a/src/ebonydeal/_internal/config/examples.py
+++ b/src/ebonydeal/_internal/config/examples.py
@@ -7,7 +7,7 @@
 EXAMPLE_NAMES = ("cadwaladr", "palermo")
 
 # One key for each client account of the examples. They are public, so a document
-# that is put to work must replace their hashes.
+# for production must replace their hashes.
 DEMO_KEYS: dict[str, str] = {
     "breakfast": "demo-breakfast",
     "duty-managers": "demo-duty-managers",
--- a/src/ebonydeal/_internal/config/follower.py
+++ b/src/ebonydeal/_internal/config/follower.py
@@ -1,4 +1,4 @@
-"""Each process's view of the configuration: table first, peers meanwhile."""
+"""Each process's view of the configuration, read from the table and from peers."""
 
 import random
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 _DEFAULTS = ConfigSettings()
 _JITTER = 0.25
-# More versions behind than this: reading the whole content is cheaper.
+# A process that is more versions behind reads the complete content, which is cheaper.
 _MAX_DELTAS = 32
 
 
@@ -46,14 +46,14 @@
     Parameters
     ----------
     tables : Tables
-        Where the head is polled.
+        The table service whose head is polled.
     metrics : Metrics
-        Counters, and the time from acceptance to here (``CONFIG_SPREAD``).
+        Counters, and the time from acceptance to adoption (``CONFIG_SPREAD``).
     clock : Clock
         For waits and spread times.
     rng : random.Random
         For jitter.
-    nodes : callable, optional
+    process_count : callable, optional
         Returns how many processes poll; the poll interval grows with it.
     cfg : ConfigSettings, optional
         Poll interval.
@@ -94,7 +94,7 @@
 
     @property
     def document(self) -> Document:
-        """The highest version seen; `EMPTY_DOCUMENT` before the first."""
+        """The document of the highest version seen; at first `EMPTY_DOCUMENT`."""
         return self.topic.document
 
     def on_change(self, callback: Callback) -> None:
@@ -106,38 +106,38 @@
         self._version_callbacks.append(callback)
 
     def _on_adopted(self, document: Document, info: VersionInfo | None) -> None:
-        """Time the spread and tell the callbacks."""
+        """Record the spread time and run the callbacks."""
         if info is not None:
             spread = max(0.0, self._clock.wall() - info.at)
             self._metrics.timed(Timing.CONFIG_SPREAD, spread)
             _notify(self._version_callbacks, info)
-        logger.info("Adopted a document.", version=document.version)
+        logger.info("Adopted a configuration version.", version=document.version)
         _notify(self._callbacks, document)
 
     async def refresh(self) -> None:
-        """Read the head once, and what is newer; raises if the table is out."""
+        """Read the head once, and newer versions; raises if the table fails."""
         head = await read_head(self._tables)
-        mine = self.topic.content.version
-        if head == mine:
+        own = self.topic.content.version
+        if head == own:
             return
-        if head < mine:
+        if head < own:
             self._metrics.count(Event.CONFIG_OLDER_IGNORED)
             return
-        if mine and head - mine <= _MAX_DELTAS:
-            self.topic.adopt_versions(await read_versions(self._tables, mine, head))
+        if own and head - own <= _MAX_DELTAS:
+            self.topic.adopt_versions(await read_versions(self._tables, own, head))
         if self.topic.content.version < head:
             self.topic.adopt_content(await read_content(self._tables))
 
     async def try_refresh(self) -> bool:
-        """Refresh; return False, counted and logged, if the table is out."""
+        """Refresh; on failure, count and log it and return False."""
         try:
             await self.refresh()
         except EbonydealError as exc:
             self._metrics.retried(RetryReason.STORE)
-            logger.debug("The table gives no configuration.", kind=str(exc.kind))
+            logger.debug("Configuration could not be read.", kind=str(exc.kind))
             return False
         except PARSE_ERRORS as exc:
-            logger.error("The table's configuration is unusable.", exc=str(exc))
+            logger.error("Configuration rows in the table are invalid.", exc=str(exc))
             return False
         return True
 
@@ -146,16 +146,16 @@
         """Poll until stopped."""
         while not self.should_stop:
             await self.try_refresh()
-            spread = self._rng.uniform(1 - _JITTER, 1 + _JITTER)
+            jitter = self._rng.uniform(1 - _JITTER, 1 + _JITTER)
             await self._clock.sleep(
-                poll_interval(self._cfg, self._process_count()) * spread
+                poll_interval(self._cfg, self._process_count()) * jitter
             )
 
 
-def _notify(callbacks: list[Callable[[T], None]], news: T) -> None:
-    """Call all; one that fails neither stops the others nor the following."""
+def _notify(callbacks: list[Callable[[T], None]], update: T) -> None:
+    """Run all callbacks; a fault in one must not stop the others or the follower."""
     for callback in callbacks:
         try:
-            callback(news)
+            callback(update)
         except Exception as exc:
-            logger.error("A listener failed.", exc_info=exc)
+            logger.error("A callback raised an exception.", exc_info=exc)
--- a/src/ebonydeal/_internal/config/peer_routes.py
+++ b/src/ebonydeal/_internal/config/peer_routes.py
@@ -1,4 +1,4 @@
-"""What each process tells its peers of configuration and counters."""
+"""Each process's peer routes for its configuration version and counters."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol, TypedDict
@@ -18,7 +18,10 @@
 
 
 class ProcessMessage(TypedDict):
-    """Wire shape of one process's status."""
+    """Wire shape of one process's status.
+
+    ``spread_s`` is the 99th percentile of the time from acceptance to adoption.
+    """
 
     version: int
     spread_s: float
@@ -28,13 +31,13 @@
 
 
 class Peers(Protocol):
-    """What is needed of `PeerService`."""
+    """The part of `PeerService` that is used here."""
 
     def register(self, topic: ConfigTopic) -> None:
-        """Carry a further topic."""
+        """Add a topic to the gossip."""
 
     def push_if_small_group(self, topic: str, items: list[Any]) -> None:
-        """Send payload items of a topic at once, unless the peers are many."""
+        """Push payload items of a topic, unless the group is large."""
 
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
         """Serve further routes on the peer listener."""
@@ -57,20 +60,20 @@
     metrics: Metrics,
     explain: Callable[[str], list[Any] | None] | None = None,
 ) -> None:
-    """Let peers carry the configuration, and tell them status; before the start.
+    """Spread the configuration through peers, and serve status; before the start.
 
-    A version that is news here is pushed to several peers at once, so that it is
-    everywhere before most have polled; rounds carry what a push missed, and all
-    of it in large groups.
+    A newly adopted version is pushed to several peers immediately, so that it reaches
+    all processes before most have polled. Gossip rounds deliver what a push missed;
+    in large groups they deliver all versions.
 
     Parameters
     ----------
     peers : PeerService
         The process's peers.
     follower : ConfigFollower
-        Whose topic is carried.
+        Its topic is spread.
     metrics : Metrics
-        What is told.
+        Counters of the status.
     explain : callable, optional
         Returns the decision trail of a request id (`Trails.steps`).
     """
@@ -78,7 +81,7 @@
     async def status(_req: web.Request) -> web.Response:
         return web.json_response(own_status_message(follower, metrics))
 
-    async def explained(req: web.Request) -> web.Response:
+    async def explain_request(req: web.Request) -> web.Response:
         body = await read_json(req)
         steps = explain(str(body.get("request_id"))) if explain else None
         if steps is None:
@@ -90,4 +93,6 @@
 
     peers.register(follower.topic)
     follower.on_version(push)
-    peers.add_routes([web.post(STATUS_PATH, status), web.post(EXPLAIN_PATH, explained)])
+    peers.add_routes(
+        [web.post(STATUS_PATH, status), web.post(EXPLAIN_PATH, explain_request)]
+    )
--- a/src/ebonydeal/_internal/config/problems.py
+++ b/src/ebonydeal/_internal/config/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a document, and where."""
+"""Validation problems of a document, with their paths."""
 
 from typing import Any, NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class Problem(NamedTuple):
-    """One reason to refuse a document.
+    """One reason to reject a document.
 
     Attributes
     ----------
     path : tuple of str or int
         Keys and list indexes from the document's root.
     message : str
-        What is wrong, and what would be accepted.
+        What is wrong, and which values are accepted.
     """
 
     path: Path
@@ -21,7 +21,7 @@
 
     @property
     def where(self) -> str:
-        """The path in one piece, such as ``deployments[0].zones[2]``."""
+        """The path as text, such as ``deployments[0].zones[2]``."""
         return path_text(self.path)
 
     def __str__(self) -> str:
@@ -39,7 +39,7 @@
 
 
 def path_text(path: Path) -> str:
-    """Return a path in one piece; ``document`` for the root."""
+    """Return a path as text; ``document`` for the root."""
     text = ""
     for part in path:
         if isinstance(part, int):
--- a/src/ebonydeal/_internal/config/references.py
+++ b/src/ebonydeal/_internal/config/references.py
@@ -1,4 +1,4 @@
-"""References, ranges across fields and feasibility of a well-formed document."""
+"""Checks of references, ranges across fields and feasibility of a document."""
 
 from collections.abc import Collection, Iterator, Sequence
 from typing import Any
@@ -8,7 +8,7 @@
 
 Item = dict[str, Any]
 
-# Fields that can't be judged without another.
+# Fields that can't be checked without the named one.
 _DEPENDENT_FIELDS = {"models": ("adapters", "kind")}
 
 
@@ -24,9 +24,9 @@
     document : dict
         Its sections must be lists.
     offers : sequence of Offer or None
-        For the feasibility of prices.
-    refused : collection of paths
-        What the schema refused. These fields are left out here, and the rest
+        For checking the feasibility of price ceilings.
+    rejected : collection of paths
+        Paths that the schema rejected. These fields are skipped here, and the rest
         of their items is still checked.
     """
     problems = list(_unique_names(document, rejected))
@@ -52,7 +52,7 @@
 def price_problems(
     document: dict[str, Any], offers: Sequence[Offer], rejected: Collection[Path] = ()
 ) -> list[Problem]:
-    """Return the deployments that present offers can't satisfy."""
+    """Return problems of deployments that the current offers can't satisfy."""
     return [
         problem
         for index, item in _sound_parts(document, "deployments", rejected)
@@ -63,7 +63,7 @@
 def _sound_parts(
     document: dict[str, Any], section: str, rejected: Collection[Path]
 ) -> list[tuple[int, Item]]:
-    """Return a section's items without the fields that the schema refused."""
+    """Return a section's items without the fields that the schema rejected."""
     bad: dict[int, set[str]] = {}
     for path in rejected:
         match path:
@@ -79,7 +79,7 @@
 
 
 def _names(document: dict[str, Any], section: str) -> list[tuple[Path, str]]:
-    """Return the names of a section, also of unsound items, with their paths."""
+    """Return the names in a section, also of invalid items, with their paths."""
     return [
         ((section, index, "name"), item["name"])
         for index, item in enumerate(document[section])
@@ -101,7 +101,7 @@
 def _unique_names(
     document: dict[str, Any], rejected: Collection[Path]
 ) -> Iterator[Problem]:
-    """Yield names that stand twice; case is not enough to tell two apart."""
+    """Yield repeated names; names that differ only in case are the same."""
     for section in ("regions", "accounts", "deployments"):
         yield from _repeated(_names(document, section))
     if not any(path[:1] == ("regions",) for path in rejected):
@@ -109,19 +109,19 @@
 
 
 def _repeated(names: list[tuple[Path, str]]) -> Iterator[Problem]:
-    """Yield one problem for each name that stood before."""
+    """Yield one problem for each name that occurred before."""
     seen: dict[str, str] = {}
     for path, name in names:
-        before = seen.get(name.casefold())
-        if before is not None:
-            yield Problem(path, f"'{name}' is already taken by '{before}'")
+        earlier = seen.get(name.casefold())
+        if earlier is not None:
+            yield Problem(path, f"'{name}' is already taken by '{earlier}'")
         seen[name.casefold()] = name
 
 
 def _unknown(
     names: list[str], known: set[str], path: Path, what: str
 ) -> Iterator[Problem]:
-    """Yield references to things that the document doesn't have."""
+    """Yield references to items that the document doesn't contain."""
     for index, name in enumerate(names):
         if name not in known:
             listed = ", ".join(sorted(known)) or "none"
@@ -131,7 +131,7 @@
 
 
 def _replica_problems(item: Item, path: Path) -> Iterator[Problem]:
-    """Yield bounds on replicas that contradict each other."""
+    """Yield limits of replicas that contradict each other."""
     replicas = item.get("replicas", {})
     low = replicas.get("min", 1)
     high = replicas.get("max", 1)
@@ -142,7 +142,7 @@
 
 
 def _kind_problems(item: Item, path: Path) -> Iterator[Problem]:
-    """Yield keys that don't go with the kind."""
+    """Yield keys that don't fit the kind."""
     kind = item.get("kind")
     if kind == "engine":
         if item.get("models", []) == []:
@@ -159,23 +159,23 @@
 
 
 def _adapter_problems(item: Item, path: Path) -> Iterator[Problem]:
-    """Yield adapters whose model isn't there, and names that clash."""
+    """Yield adapters of unknown models, and adapter names that are already used."""
     models = item.get("models", [])
     taken = set(models)
     for index, adapter in enumerate(item.get("adapters", [])):
-        where = (*path, "adapters", index)
+        adapter_path = (*path, "adapters", index)
         if adapter["model"] not in models:
             listed = ", ".join(models) or "none"
             message = f"model '{adapter['model']}' is not in models: {listed}"
-            yield Problem((*where, "model"), message)
+            yield Problem((*adapter_path, "model"), message)
         if adapter["name"] in taken:
             message = f"'{adapter['name']}' is already a model or adapter here"
-            yield Problem((*where, "name"), message)
+            yield Problem((*adapter_path, "name"), message)
         taken.add(adapter["name"])
 
 
 def _call_problems(item: Item, path: Path) -> Iterator[Problem]:
-    """Yield two rules for the same calls."""
+    """Yield second rules for the same calls."""
     seen: set[tuple[str, str]] = set()
     for index, call in enumerate(item.get("calls", [])):
         key = (call["method"], call["path"])
@@ -186,30 +186,33 @@
 
 
 def _price_problems(item: Item, path: Path, offers: Sequence[Offer]) -> list[Problem]:
-    """Return whether the ceiling is under what the cloud asks for now."""
+    """Return problems of a price ceiling that is too low for the current offers."""
     ceiling = item.get("price_ceiling_per_hour")
     if not item.get("zones") or ceiling is None:
         return []
     prices = [offer.price_per_hour for offer in offers if offer.zone in item["zones"]]
-    where = (*path, "price_ceiling_per_hour")
+    ceiling_path = (*path, "price_ceiling_per_hour")
     if not prices:
         return [Problem((*path, "zones"), "no instance is offered in these zones")]
     cheapest = min(prices)
     if ceiling < cheapest:
         message = f"{ceiling:g} is under every offer; the cheapest is {cheapest:g}"
-        return [Problem(where, message)]
+        return [Problem(ceiling_path, message)]
     low = item.get("replicas", {}).get("min", 1)
     if ceiling < cheapest * low:
         message = (
-            f"{ceiling:g} can't hold {low} replicas; at the cheapest offer "
+            f"{ceiling:g} can't pay for {low} replicas; at the cheapest offer "
             f"they cost {cheapest * low:g}"
         )
-        return [Problem(where, message)]
+        return [Problem(ceiling_path, message)]
     return []
 
 
 def _shared_models(deployments: list[tuple[int, Item]]) -> Iterator[Problem]:
-    """Yield pairs that both serve one model to one account: routing can't tell."""
+    """Yield deployments that serve one model to the same account.
+
+    Routing couldn't choose between them.
+    """
     earlier: dict[str, list[Item]] = {}
     for index, item in deployments:
         names = [
--- a/src/ebonydeal/_internal/config/rows.py
+++ b/src/ebonydeal/_internal/config/rows.py
@@ -1,8 +1,8 @@
-"""Rows of the configuration in the table service, and how they are read.
+"""Rows of the configuration in the table service, and functions that read them.
 
-``config/head`` names the version in force; ``config/versions/{v}`` keeps each
-version's delta; ``config/items/{section}/{name}`` keeps the present content.
-All three change in one transaction.
+``config/head`` holds the version in force, ``config/versions/{v}`` each version's
+delta, and ``config/items/{section}/{name}`` the current content. All three change in
+one transaction.
 """
 
 from typing import Any, NamedTuple
@@ -14,7 +14,7 @@
 HEAD_KEY = "config/head"
 ITEMS_PREFIX = "config/items/"
 VERSIONS_PREFIX = "config/versions/"
-# What parsing a row or a peer's message may raise.
+# Exceptions that parsing a malformed row or peer message may raise.
 PARSE_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
 _PAGE_ROWS = 1000
 _MAX_READ_ATTEMPTS = 8
@@ -28,13 +28,13 @@
     version : int
         From 1.
     by, note : str
-        Who proposed it and why.
+        Author of the proposal, and the reason.
     at : float
         Wall clock seconds of the proposal.
     proposal : str
-        Unique id of the proposal, to find it again after a lost answer.
+        Unique id of the proposal, to find it after a lost response.
     delta : Delta
-        What it changed.
+        Its change to the previous version.
     """
 
     version: int
@@ -57,7 +57,7 @@
         )
 
     def to_row(self) -> dict[str, Any]:
-        """Return the row's value; also the wire shape between own processes."""
+        """Return the row's value, which is also the wire shape between processes."""
         return {
             "version": self.version,
             "by": self.by,
@@ -116,10 +116,10 @@
 
 
 async def read_content(tables: Tables) -> Content:
-    """Return the present content, never a mix of two versions.
+    """Return the current content, never a mix of two versions.
 
-    Items change only together with the head, so an unchanged head on both sides
-    of the reads shows that they belong together.
+    Items change only together with the head, so if the head is the same before and
+    after the reads, the items belong to one version.
     """
     for _ in range(_MAX_READ_ATTEMPTS):
         before = await read_head(tables)
@@ -129,12 +129,13 @@
         if await read_head(tables) == before:
             return Content(before, dict(_item(row) for row in rows))
     raise EbonydealError(
-        ErrorKind.STORE_UNAVAILABLE, "the document changes faster than it can be read"
+        ErrorKind.STORE_UNAVAILABLE,
+        "the configuration changes faster than it can be read",
     )
 
 
 async def _scan_all(tables: Tables, prefix: str) -> list[Row]:
-    """Return all rows of a prefix, page by page."""
+    """Return all rows of a prefix, read page by page."""
     found: list[Row] = []
     start = ""
     while True:
--- a/src/ebonydeal/_internal/config/store.py
+++ b/src/ebonydeal/_internal/config/store.py
@@ -1,4 +1,4 @@
-"""Acceptance of documents: whole or not at all, one winner, nothing twice."""
+"""Atomic commits of documents: one winner per version, no proposal applied twice."""
 
 import json
 import random
@@ -53,16 +53,16 @@
 
 
 class Conflict(NamedTuple):
-    """A proposal lost: the document had changed since it was read.
+    """Rejection of a proposal, since the document has changed after it was read.
 
     Attributes
     ----------
     base, head : int
-        The version that the proposal was made from, and the one in force.
+        The version that the proposal is based on, and the one in force.
     versions : tuple of VersionInfo
-        The versions accepted meanwhile: who, when and what.
+        The versions accepted since then, with author, time and change.
     differences : tuple of Difference
-        What changed from base to head, for people.
+        Changes from base to head, for operators.
     """
 
     base: int
@@ -82,7 +82,7 @@
     tables : Tables
         The platform's table service.
     clock : Clock
-        For times of versions and waits between tries.
+        For times of versions and waits between attempts.
     rng : random.Random
         For proposal ids and jitter.
     """
@@ -106,21 +106,21 @@
         offers: list[Offer] | None = None,
         proposal: str | None = None,
     ) -> Result[int, Refusal]:
-        """Put a document in force if it is sound and nothing changed meanwhile.
+        """Put a document in force if it is valid and the base is still the head.
 
         Parameters
         ----------
         document : Any
-            The whole document.
+            The complete document.
         base_version : int
-            The version it was made from; 0 for the first.
+            The version it is based on; 0 for the first.
         by, note : str
-            Who and why, for the history.
+            Author and reason, for the history.
         offers : list of Offer, optional
-            For the feasibility of prices.
+            For checking the feasibility of price ceilings.
         proposal : str, optional
-            Proposal id; the same id with the same document never takes effect
-            twice and returns the version it has become.
+            Proposal id. The same id with the same document is never applied twice;
+            a repeat returns the version that it has become.
 
         Returns
         -------
@@ -131,7 +131,7 @@
         ------
         EbonydealError
             ``STORE_UNAVAILABLE``: this call changed nothing. ``STORE_IN_DOUBT``:
-            it may have; ask again with the same proposal id.
+            it may have; repeat it with the same proposal id.
         """
         if isinstance(validate(document), Failure):
             return Failure(validate(document, offers).failure())
@@ -152,14 +152,14 @@
         return await self._commit(info)
 
     async def _commit(self, info: VersionInfo) -> Result[int, Refusal]:
-        """Write a version; tell its fate only when it is known.
+        """Write a version; return its outcome, or raise if that isn't known.
 
-        Every try writes the same rows under the same conditions, so a late
-        landing of a lost one and a repeat can't both take effect.
+        Every attempt writes the same rows under the same conditions, so a lost attempt
+        that is applied late and a repeat can't both take effect.
         """
         conditions, writes = _transaction(info)
         in_doubt = False
-        failure = EbonydealError(ErrorKind.STORE_UNAVAILABLE, "no try was made")
+        failure = EbonydealError(ErrorKind.STORE_UNAVAILABLE, "no attempt was made")
         for attempt in range(_MAX_COMMIT_ATTEMPTS):
             if attempt:
                 await self._clock.sleep(
@@ -172,19 +172,19 @@
             except EbonydealError as exc:
                 failure = exc
                 in_doubt = in_doubt or exc.kind == ErrorKind.STORE_IN_DOUBT
-                logger.warning("A commit got no answer.", kind=str(exc.kind))
+                logger.warning("Commit attempt failed.", kind=str(exc.kind))
         if not in_doubt:
             raise failure
         raise EbonydealError(
             ErrorKind.STORE_IN_DOUBT,
             f"proposal {info.proposal} may have become version {info.version}; "
-            "look at the history, or repeat with the same proposal id",
+            "check the history, or repeat it with the same proposal id",
         )
 
     async def _resolve_failed_conditions(
         self, info: VersionInfo
     ) -> Result[int, Refusal]:
-        """Tell own late success from another's; the conditions did not hold."""
+        """Return success if an own earlier attempt was applied, else the conflict."""
         if await self._is_own(info.version, info.proposal):
             return self._accepted(info)
         return Failure(await self._conflict(info.version - 1))
@@ -196,18 +196,18 @@
 
     def _accepted(self, info: VersionInfo) -> Result[int, Refusal]:
         """Log and return an accepted version."""
-        logger.info("Accepted a document.", version=info.version, by=info.by)
+        logger.info("Accepted a version.", version=info.version, by=info.by)
         return Success(info.version)
 
     async def _conflict(self, base: int) -> Conflict:
-        """Return what changed since ``base``."""
+        """Return the conflict with the versions accepted after ``base``."""
         head = await read_head(self._tables)
         versions = await read_versions(self._tables, base, head)
         found = await self.diff(base, head) if 0 <= base <= head else []
         return Conflict(base, head, tuple(versions), tuple(found))
 
     async def load(self, version: int | None = None) -> Content:
-        """Return the content of a version; of the head by default.
+        """Return the content of a version, by default of the head.
 
         Raises ``NOT_FOUND`` for a version that was never accepted.
         """
@@ -237,7 +237,7 @@
         return infos[::-1]
 
     async def diff(self, a: int, b: int) -> list[Difference]:
-        """Return what differs from version ``a`` to version ``b``, for people."""
+        """Return the differences from version ``a`` to ``b``, for operators."""
         old = await self.load(a)
         new = await self.load(b)
         return differences(old.items, new.items)
@@ -261,7 +261,7 @@
 
 
 def _bind_to_content(proposal: str, document: dict[str, Any]) -> str:
-    """Return the id bound to its content: a repeat with other content is another."""
+    """Return the id with a hash of the content, so other content is no repeat."""
     text = json.dumps(document, sort_keys=True, ensure_ascii=False)
     return f"{proposal}.{xxh3_64_hexdigest(text.encode())}"
 
--- a/src/ebonydeal/_internal/config/topic.py
+++ b/src/ebonydeal/_internal/config/topic.py
@@ -1,8 +1,8 @@
-"""The configuration as peers carry it: no sockets, no clock.
+"""Gossip topic of the configuration; uses neither sockets nor clock.
 
-A process that has a newer version answers with the versions in between, or, if
-it no longer has them or they are too large, with the whole content in parts.
-Nothing here ever replaces a version by an older one.
+A process that has a newer version sends the versions in between or, if it no longer
+has them or the first is too large, the complete content in parts. A version is
+never replaced by an older one.
 """
 
 import json
@@ -35,12 +35,12 @@
     Parameters
     ----------
     metrics : Metrics
-        Counts what was adopted and what was too old.
+        Counts adopted versions and ignored older ones.
     on_adopted : callable
-        Called with each newly adopted document, and the version's row where
-        it is known.
+        Called with each newly adopted document, and with the version's row if it is
+        known.
     limit : int
-        Most bytes of one payload; a single larger item still goes alone.
+        Maximum bytes of one payload; a larger single item is sent alone.
     """
 
     name = "config"
@@ -58,7 +58,7 @@
 
     # --- adopting ----------------------------------------------------------
     def adopt_versions(self, infos: Iterable[VersionInfo]) -> None:
-        """Apply versions that follow the present one without a gap."""
+        """Apply versions that follow the current one without a gap."""
         for info in infos:
             if info.version <= self.content.version:
                 self._metrics.count(Event.CONFIG_OLDER_IGNORED)
@@ -71,7 +71,7 @@
             self._recent.append(info)
 
     def adopt_content(self, content: Content) -> None:
-        """Take a whole content if it is newer."""
+        """Adopt a complete content if it is newer."""
         if content.version <= self.content.version:
             self._metrics.count(Event.CONFIG_OLDER_IGNORED)
             return
@@ -83,7 +83,7 @@
         try:
             document = Document.from_config(join(content.items), content.version)
         except PARSE_ERRORS as exc:
-            logger.error("A version is unusable.", version=content.version, exc=exc)
+            logger.error("Version is invalid.", version=content.version, exc=exc)
             return False
         self.content = content
         self.document = document
@@ -93,7 +93,7 @@
 
     # --- peers ---------------------------------------------------------------
     def digest(self) -> dict[str, Any]:
-        """Return what this process has, for a peer to compare."""
+        """Return the version and partial content of this process, for peers."""
         version, items = self._partial
         return {"version": self.content.version, "partial": [version, len(items)]}
 
@@ -113,7 +113,7 @@
     def delta_since(self, version: int, limit: int) -> dict[str, Any] | None:
         """Return the versions after ``version`` that fit into ``limit`` bytes.
 
-        None if they are no longer kept, or the first alone is larger.
+        None if they are no longer stored, or the first alone is larger.
         """
         rows = [info.to_row() for info in self._recent if info.version > version]
         if not rows or rows[0]["version"] != version + 1:
@@ -122,23 +122,23 @@
         return {"versions": fitting} if fitting else None
 
     def _content_part(self, start: int) -> dict[str, Any]:
-        """Return a part of the whole content, from item ``start``."""
+        """Return a part of the complete content, starting at item ``start``."""
         items = self._sorted_items(self.content.items)
-        left = items[start:]
+        remaining = items[start:]
         return {
             "whole": self.content.version,
             "start": start,
             "total": len(items),
-            "items": _fitting_prefix(left, self._limit) or left[:1],
+            "items": _fitting_prefix(remaining, self._limit) or remaining[:1],
         }
 
     @staticmethod
     def _sorted_items(items: Items) -> list[list[Any]]:
-        """Return items in an order that every process agrees on."""
+        """Return items in an order that is the same in every process."""
         return [[key.section, key.name, items[key]] for key in sorted(items)]
 
     def receive(self, payload: Any) -> None:
-        """Take a peer's answer; garbage is logged and dropped."""
+        """Apply a peer's payload; malformed data is logged and dropped."""
         try:
             match payload:
                 case list(rows) | {"versions": list(rows)}:
@@ -147,33 +147,33 @@
                     start, total = int(payload["start"]), int(payload["total"])
                     self._receive_part(version, start, total, items)
                 case _:
-                    raise ValueError("neither versions nor a whole")
+                    raise ValueError("neither versions nor a part of a content")
         except PARSE_ERRORS as exc:
-            logger.warning("A peer's configuration is unusable.", exc=str(exc))
+            logger.warning("Peer sent an invalid configuration.", exc=str(exc))
 
     def _receive_part(
         self, version: int, start: int, total: int, items: list[list[Any]]
     ) -> None:
-        """Collect parts of one version until it is whole."""
+        """Collect the parts of one version, and adopt it once it is complete."""
         if version <= self.content.version:
             self._metrics.count(Event.CONFIG_OLDER_IGNORED)
             return
-        have, got = self._partial
-        if start == 0 and version > have:
-            got = []
-        elif version != have or start != len(got):
+        partial_version, received = self._partial
+        if start == 0 and version > partial_version:
+            received = []
+        elif version != partial_version or start != len(received):
             return
-        got = [*got, *items]
-        self._partial = (version, got)
-        if len(got) < total:
+        received = [*received, *items]
+        self._partial = (version, received)
+        if len(received) < total:
             return
         self._partial = (0, [])
-        whole = {ItemKey(str(a), str(b)): dict(value) for a, b, value in got}
-        self.adopt_content(Content(version, whole))
+        content = {ItemKey(str(a), str(b)): dict(value) for a, b, value in received}
+        self.adopt_content(Content(version, content))
 
 
 def _fitting_prefix(messages: list[Any], limit: int) -> list[Any]:
-    """Return the first messages that fit into ``limit`` bytes of JSON together."""
+    """Return the longest prefix that fits into ``limit`` bytes of JSON."""
     size = 0
     for index, message in enumerate(messages):
         size += len(json.dumps(message, ensure_ascii=False).encode())
--- a/src/ebonydeal/_internal/config/validate.py
+++ b/src/ebonydeal/_internal/config/validate.py
@@ -1,8 +1,8 @@
-"""Validation of a whole document: every problem at once, each with its path.
+"""Validation of a document: reports all problems at once, each with its path.
 
-Three passes: values that JSON can't carry or the table can't keep, the published
-schema, then references, ranges across fields and feasibility. The last pass leaves
-out fields that the schema refused.
+There are three passes: values that JSON or the table can't represent; the published
+schema; references, ranges across fields and feasibility. The last pass skips fields
+that the schema rejected.
 """
 
 import json
@@ -43,20 +43,20 @@
 def validate(
     document: Any, offers: Sequence[Offer] | None = None
 ) -> Result[dict[str, Any], list[Problem]]:
-    """Check a document whole.
+    """Check a complete document.
 
     Parameters
     ----------
     document : Any
-        Parsed JSON; anything is taken and only a sound document succeeds.
+        Parsed JSON of any form; only a valid document succeeds.
     offers : sequence of Offer, optional
-        What the cloud offers now; without it feasibility of prices isn't
-        checked.
+        Current offers of the cloud; without them the feasibility of price ceilings
+        isn't checked.
 
     Returns
     -------
     Result
-        The document itself, or every problem found, in document order.
+        The document itself, or the problems found, in document order.
     """
     problems = list(_value_problems(document, ()))
     if not problems:
@@ -71,7 +71,7 @@
 
 
 def _comparable(document: Any) -> bool:
-    """Return whether the sections are there, so that items can be compared."""
+    """Return whether all sections are lists, so that items can be compared."""
     return isinstance(document, dict) and all(
         isinstance(document.get(section), list) for section in SECTIONS
     )
@@ -85,15 +85,15 @@
 
 
 def _value_problems(value: Any, path: Path) -> Iterator[Problem]:
-    """Yield values that JSON can't carry, or that look alike but differ."""
+    """Yield values that JSON can't represent, and texts that aren't normalized."""
     if len(path) > _MAX_DEPTH:
-        yield Problem(path[:3], "nests too deep")
+        yield Problem(path[:3], "is nested too deeply")
         return
     match value:
         case dict():
             for key, item in value.items():
                 if not isinstance(key, str):
-                    yield Problem(path, "keys must be text")
+                    yield Problem(path, "keys must be strings")
                     continue
                 yield from _text_problems(key, path)
                 yield from _value_problems(item, (*path, key))
@@ -107,28 +107,28 @@
         case None | bool() | int() | float():
             pass
         case _:
-            yield Problem(path, f"{type(value).__name__} is no JSON value")
+            yield Problem(path, f"{type(value).__name__} is not a JSON type")
 
 
 def _text_problems(text: str, path: Path) -> Iterator[Problem]:
-    """Yield problems of a text itself."""
+    """Yield problems of a string's encoding."""
     try:
         text.encode("utf-8")
     except UnicodeEncodeError:
-        yield Problem(path, "holds characters that UTF-8 can't carry")
+        yield Problem(path, "contains characters that UTF-8 can't encode")
         return
     if not is_normalized("NFC", text):
-        yield Problem(path, "accents must be composed (Unicode NFC)")
+        yield Problem(path, "must be normalized to composed accents (Unicode NFC)")
 
 
 def _shown(value: Any) -> str:
-    """Return a value for a message, cut to a readable length."""
+    """Return a value as text for a message, truncated to a readable length."""
     text = json.dumps(value, ensure_ascii=False, default=str)
     return text if len(text) <= _MAX_SHOWN_CHARS else text[:_MAX_SHOWN_CHARS] + "..."
 
 
 def _from_error(error: ValidationError) -> list[Problem]:
-    """Return the problems that one schema error stands for."""
+    """Return the problems that one schema error describes."""
     path: Path = tuple(error.absolute_path)
     value: Any = error.instance
     rule: Any = error.validator_value
@@ -142,13 +142,14 @@
             known = ", ".join(shape["properties"])
             extra = [key for key in value if key not in shape["properties"]]
             return [
-                Problem((*path, key), f"unknown key; known: {known}") for key in extra
+                Problem((*path, key), f"unknown key; known keys: {known}")
+                for key in extra
             ]
     return [Problem(path, _message(error, value, rule, shape))]
 
 
 def _message(error: ValidationError, value: Any, rule: Any, shape: Any) -> str:
-    """Say what is wrong with one value and what would be accepted."""
+    """Return what is wrong with one value, and which values are accepted."""
     match error.validator:
         case "type":
             return f"must be of type {rule}, not {_shown(value)}"
@@ -171,5 +172,5 @@
         case "maxLength":
             return f"must have at most {rule} characters"
         case "uniqueItems":
-            return "must not name one thing twice"
+            return "must not contain duplicates"
     return error.message[:_MAX_SHOWN_CHARS]
--- a/src/ebonydeal/_internal/directory/service.py
+++ b/src/ebonydeal/_internal/directory/service.py
@@ -126,7 +126,7 @@
     def views(self, deployment: str) -> tuple[EndpointView, ...]:
         """Return a deployment's endpoints, without leaving and suspected ones.
 
-        If all are suspected, the cause is more likely this process's network than
+        If all are suspected, the cause is more likely this process than
         the endpoints, so all are returned.
         """
         views = [
--- a/tests/functional/config/test_spread.py
+++ b/tests/functional/config/test_spread.py
@@ -1,4 +1,4 @@
-"""Nine processes: accepted is in force everywhere, also through peers alone."""
+"""An accepted version reaches nine processes, also through peers alone."""
 
 import asyncio
 import random
@@ -26,14 +26,14 @@
 QUICK = ConfigSettings(shortest_poll=0.02)
 
 
-def document(most):
+def document(max_replicas):
     changed = example_document("palermo")
-    changed["deployments"][0]["replicas"]["max"] = most
+    changed["deployments"][0]["replicas"]["max"] = max_replicas
     return changed
 
 
 class TableView:
-    """The same tables, reached over a way that can fail."""
+    """The same tables over a connection that can fail."""
 
     def __init__(self, tables):
         self.tables = tables
@@ -51,7 +51,7 @@
 
 
 class Cluster:
-    """Processes that follow the configuration, each with its own peers."""
+    """Processes that follow the configuration, each with its own peer service."""
 
     def __init__(self):
         self.period = 0.02
@@ -62,7 +62,7 @@
         self.stack = AsyncExitStack()
 
     async def add(self, tables):
-        """Start one more process that reads these tables."""
+        """Start another process that reads these tables."""
         number = len(self.followers)
         clock, rng, metrics = SystemClock(), random.Random(number), Metrics()
         seeds = self.peers[0].address if self.peers else ""
@@ -91,28 +91,28 @@
 
 
 class TestNineProcesses:
-    async def test_accepted_is_in_force_everywhere(self, cluster):
+    async def test_accepted_version_reaches_all(self, cluster):
         for _ in range(NODES):
             await cluster.add(cluster.tables)
-        for version, most in enumerate((75, 80, 85), start=1):
+        for version, max_replicas in enumerate((75, 80, 85), start=1):
             accepted = await cluster.store.propose(
-                document(most), version - 1, "nia", ""
+                document(max_replicas), version - 1, "nia", ""
             )
             assert accepted.unwrap() == version
-            assert await cluster.all_reach(version) == {most}
+            assert await cluster.all_reach(version) == {max_replicas}
 
-    async def test_peers_alone_carry_it_to_all(self, cluster):
-        out = FakeTables()
-        out.down = True
+    async def test_version_reaches_all_through_peers_alone(self, cluster):
+        unavailable = FakeTables()
+        unavailable.down = True
         await cluster.add(cluster.tables)
         for _ in range(NODES - 1):
-            await cluster.add(out)
-        for version, most in enumerate((75, 80), start=1):
-            await cluster.store.propose(document(most), version - 1, "nia", "")
-            assert await cluster.all_reach(version) == {most}
+            await cluster.add(unavailable)
+        for version, max_replicas in enumerate((75, 80), start=1):
+            await cluster.store.propose(document(max_replicas), version - 1, "nia", "")
+            assert await cluster.all_reach(version) == {max_replicas}
 
-    async def test_pushes_alone_carry_it(self, cluster):
-        cluster.period = 60.0  # the next round comes after the test's bound
+    async def test_version_reaches_all_through_pushes_alone(self, cluster):
+        cluster.period = 60.0  # the next round is after the test's time limit
         view = TableView(cluster.tables)
         await cluster.add(cluster.tables)
         for _ in range(3):
@@ -126,15 +126,15 @@
         await cluster.store.propose(document(80), 1, "nia", "")
         assert await cluster.all_reach(2) == {80}
 
-    async def test_new_process_takes_the_highest_of_table_and_peers(self, cluster):
+    async def test_new_process_adopts_the_highest_of_table_and_peers(self, cluster):
         await cluster.add(cluster.tables)
         await cluster.store.propose(document(75), 0, "nia", "")
         await cluster.store.propose(document(80), 1, "nia", "")
         await cluster.all_reach(2)
-        behind = MemoryTables()
-        other = ConfigStore(behind, SystemClock(), random.Random(5))
+        lagging = MemoryTables()
+        other = ConfigStore(lagging, SystemClock(), random.Random(5))
         await other.propose(document(75), 0, "nia", "")
-        await cluster.add(behind)
+        await cluster.add(lagging)
         assert await cluster.all_reach(2) == {80}
 
 
@@ -150,20 +150,20 @@
         await cluster.add(cluster.tables)
         await cluster.store.propose(document(75), 0, "nia", "")
         await cluster.all_reach(1)
-        told = await self.call(cluster, STATUS_PATH, {})
-        assert told["version"] == 1
-        assert told["events"]["config_adopted"] == 1
+        reply = await self.call(cluster, STATUS_PATH, {})
+        assert reply["version"] == 1
+        assert reply["events"]["config_adopted"] == 1
 
     async def test_explain(self, cluster):
         await cluster.add(cluster.tables)
         path = "/peers/v1/explain"
-        told = await self.call(cluster, path, {"request_id": "r-1"})
-        assert told == {"steps": [{"step": "x"}]}
+        reply = await self.call(cluster, path, {"request_id": "r-1"})
+        assert reply == {"steps": [{"step": "x"}]}
         with pytest.raises(EbonydealError) as caught:
             await self.call(cluster, path, {"request_id": "r-2"})
         assert caught.value.kind == ErrorKind.NOT_FOUND
 
-    async def test_credential_is_needed(self, cluster):
+    async def test_wrong_credential_is_rejected(self, cluster):
         await cluster.add(cluster.tables)
         with pytest.raises(EbonydealError) as caught:
             await self.call(cluster, STATUS_PATH, {}, "wrong")
--- a/tests/functional/config/test_store_faults.py
+++ b/tests/functional/config/test_store_faults.py
@@ -1,4 +1,4 @@
-"""The store over the stand-in tables: every fault that they know."""
+"""A commit takes effect once under every fault of the simulated tables."""
 
 import random
 
@@ -11,9 +11,9 @@
 from tests.lib.config_fakes import AutoAdvancingClock
 
 
-def document(most):
+def document(max_replicas):
     changed = example_document("palermo")
-    changed["deployments"][0]["replicas"]["max"] = most
+    changed["deployments"][0]["replicas"]["max"] = max_replicas
     return changed
 
 
@@ -30,7 +30,7 @@
 class TestCommitFaults:
     @pytest.mark.parametrize("first", Fault)
     @pytest.mark.parametrize("second", Fault)
-    async def test_accepted_once(self, tables, store, first, second):
+    async def test_version_is_accepted_once(self, tables, store, first, second):
         await store.propose(document(75), 0, "nia", "")
         tables.faults.writes.extend([first, second])
         assert (await store.propose(document(80), 1, "nia", "")).unwrap() == 2
@@ -39,7 +39,9 @@
         assert (await store.load()) == (await store.load(2))
 
     @pytest.mark.parametrize("fault", Fault)
-    async def test_late_landing_never_brings_the_old_back(self, tables, store, fault):
+    async def test_late_write_does_not_restore_an_old_version(
+        self, tables, store, fault
+    ):
         await store.propose(document(75), 0, "nia", "")
         tables.faults.writes.append(fault)
         await store.propose(document(80), 1, "nia", "")
--- a/tests/functional/controller/test_program.py
+++ b/tests/functional/controller/test_program.py
@@ -18,7 +18,7 @@
 from ebonydeal._internal.utils.peerclient import PeerClient
 from ebonydeal._internal.utils.tls import TlsContexts
 from tests.lib.fakes_endpoints import running
-from tests.lib.tls_nodes import seen_serial, tls_settings, until_renewed
+from tests.lib.tls_nodes import fetch_serial, tls_settings, wait_until_renewed
 
 PACE = {"period": 0.05, "notice_period": 0.05, "lease_ttl": 1.0, "spend_period": 1.0}
 
@@ -70,9 +70,9 @@
                 told = await secret.call(program.address, STATUS_PATH, {}, 5.0)
                 with pytest.raises(EbonydealError) as caught:
                     await plain.call(program.address, STATUS_PATH, {}, 5.0)
-                first = await seen_serial(program.address, context)
+                first = await fetch_serial(program.address, context)
                 renewed = issue()
-                await until_renewed(program.address, context, renewed)
+                await wait_until_renewed(program.address, context, renewed)
             await secret.close()
             await plain.close()
         assert told["version"] == 0
--- a/tests/functional/gateway/test_tls.py
+++ b/tests/functional/gateway/test_tls.py
@@ -11,14 +11,14 @@
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.tls import TlsContexts
 from ebonydeal._internal.utils.web import HttpServer, new_app
-from tests.lib.certificates import Authority
+from tests.lib.certificates import CertificateAuthority
 
 
 class Node:
     """A listener with TLS, and the files behind it."""
 
     def __init__(self, folder) -> None:
-        self.authority = Authority(folder)
+        self.authority = CertificateAuthority(folder)
         cert, key, self.serial = self.authority.issue()
         self.cert = cert
         self.cfg = TlsSettings(True, str(cert), str(key), str(self.authority.file))
--- a/tests/functional/journal/test_program.py
+++ b/tests/functional/journal/test_program.py
@@ -19,7 +19,7 @@
 from ebonydeal._internal.utils.tls import TlsContexts
 from tests.lib.fakes_endpoints import running
 from tests.lib.journal_fakes import make_request
-from tests.lib.tls_nodes import seen_serial, tls_settings, until_renewed
+from tests.lib.tls_nodes import fetch_serial, tls_settings, wait_until_renewed
 
 
 def new_world() -> StandinWorld:
@@ -120,9 +120,9 @@
                 accepted = await client.accept(make_request(request_id))
                 status = await client.status(request_id, "gwesty")
                 for address in (journal.address, journal.peers.address):
-                    first = await seen_serial(address, context)
-                    await until_renewed(address, context, issue())
-                    assert await seen_serial(address, context) != first
+                    first = await fetch_serial(address, context)
+                    await wait_until_renewed(address, context, issue())
+                    assert await fetch_serial(address, context) != first
             await client.close()
             await tables.close()
         assert accepted.state == "accepted"
--- a/tests/lib/certificates.py
+++ b/tests/lib/certificates.py
@@ -1,4 +1,4 @@
-"""An authority of its own that signs certificates for 127.0.0.1."""
+"""Certificate authority for tests; signs certificates for 127.0.0.1."""
 
 import datetime
 import ipaddress
@@ -17,7 +17,7 @@
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-class Authority:
+class CertificateAuthority:
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._key = ec.generate_private_key(ec.SECP256R1())
--- a/tests/lib/config_fakes.py
+++ b/tests/lib/config_fakes.py
@@ -1,4 +1,4 @@
-"""A small table with faults, for the configuration's tests."""
+"""In-memory table with faults, for the configuration's tests."""
 
 from collections.abc import Callable
 
@@ -17,16 +17,16 @@
 
 
 class SuspendOnce:
-    """Awaiting it lets whoever drives the coroutine do something else first."""
+    """Awaiting it suspends the coroutine once, so its driver can interleave others."""
 
     def __await__(self):
         yield
 
 
 class FakeTables:
-    """Rows in memory; ``faults`` are used up by the coming calls, in order.
+    """Rows in memory; each call consumes the next of ``faults``.
 
-    ``write_faults`` are used up by the coming transactions alone.
+    Transactions consume ``write_faults`` first.
 
     Faults: ``ok``, ``down`` (before any effect), ``lost`` (after the effect) and
     ``late`` (answer lost, the effect comes when `apply_late_writes` is called).
@@ -75,7 +75,7 @@
         return True
 
     def apply_late_writes(self) -> None:
-        """Let every late write take its chance."""
+        """Apply every late write whose conditions still hold."""
         late, self.late = self.late, []
         for effect in late:
             effect()
@@ -106,7 +106,7 @@
 
 
 class AutoAdvancingClock:
-    """A clock whose sleeps end at once and move it on."""
+    """A clock whose sleeps return immediately and advance it."""
 
     def __init__(self) -> None:
         self.time = 1_000.0
--- a/tests/unit/config/test_commit_faults.py
+++ b/tests/unit/config/test_commit_faults.py
@@ -1,4 +1,4 @@
-"""Every fault at every table call of a proposal."""
+"""A proposal takes effect at most once under each fault at each table call."""
 
 import random
 
@@ -11,8 +11,8 @@
 from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 
 FAULTS = ["down", "lost", "late"]
-# Table calls of a proposal with an id: own version, head, commit; from the second
-# version on the items and the head again come before the commit.
+# Table calls of a proposal with an id: own version, head, commit. From the second
+# version on, the items and the head are read before the commit.
 CALLS = {0: 3, 1: 5}
 POINTS = [
     (base, step, fault)
@@ -22,9 +22,9 @@
 ]
 
 
-def edited(most):
+def edited(max_replicas):
     document = example_document("cadwaladr")
-    document["deployments"][0]["replicas"]["max"] = most
+    document["deployments"][0]["replicas"]["max"] = max_replicas
     return document
 
 
@@ -49,7 +49,7 @@
 
 class TestCalls:
     @pytest.mark.parametrize("base", CALLS)
-    async def test_a_proposal_makes_so_many_calls(self, base):
+    async def test_number_of_table_calls_of_a_proposal(self, base):
         tables, store = await prepared(base)
         assert await attempt(store, base) == base + 1
         assert len(tables.calls) == CALLS[base]
@@ -57,7 +57,7 @@
 
 class TestOneFault:
     @pytest.mark.parametrize(("base", "step", "fault"), POINTS)
-    async def test_told_the_truth_and_done_once(self, base, step, fault):
+    async def test_outcome_is_true_and_commit_happens_once(self, base, step, fault):
         tables, store = await prepared(base)
         tables.faults = ["ok"] * step + [fault]
         outcome = await attempt(store, base)
@@ -72,7 +72,7 @@
 
     @pytest.mark.parametrize("base", CALLS)
     @pytest.mark.parametrize("fault", FAULTS)
-    async def test_then_an_outage(self, base, fault):
+    async def test_commit_fault_followed_by_an_outage(self, base, fault):
         tables, store = await prepared(base)
         tables.write_faults = [fault, *["down"] * 30]
         outcome = await attempt(store, base)
@@ -90,7 +90,7 @@
     @pytest.mark.parametrize("first", FAULTS)
     @pytest.mark.parametrize("second", FAULTS)
     @pytest.mark.parametrize("reading", ["ok", "down"])
-    async def test_two_at_the_commit(self, first, second, reading):
+    async def test_two_faults_at_the_commit(self, first, second, reading):
         tables, store = await prepared(1)
         tables.faults = ["ok"] * 4 + [first, second, reading]
         assert await attempt(store, 1) == 2
@@ -99,13 +99,13 @@
         assert tables.written.count("config/head") == 1
 
     @pytest.mark.parametrize("fault", FAULTS)
-    async def test_another_wins_after_the_fault(self, fault):
+    async def test_conflict_if_another_wins_after_the_fault(self, fault):
         tables, store = await prepared(1)
         task = store.propose(edited(50), 1, "rhys", "", proposal="p-1")
         for _ in range(5):
             task.send(None)
         tables.faults = [fault]
-        task.send(None)  # the fault; then about to try again
+        task.send(None)  # hits the fault; the next step is another attempt
         other = ConfigStore(tables, AutoAdvancingClock(), random.Random(2))
         other_won = await other.propose(edited(70), 1, "nia", "") == Success(2)
         assert other_won == (fault != "lost")
--- a/tests/unit/config/test_delta.py
+++ b/tests/unit/config/test_delta.py
@@ -1,4 +1,4 @@
-"""Deltas: what turns one document into another, and a diff for people."""
+"""Deltas between documents, and diffs for operators."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -22,27 +22,27 @@
 
 class TestDelta:
     @given(contents, contents)
-    def test_between_then_apply_gives_the_new(self, old, new):
+    def test_applied_delta_gives_the_new_items(self, old, new):
         assert apply(old, compute_delta(old, new)) == new
 
     @given(contents, contents)
-    def test_wire_shape_goes_round(self, old, new):
+    def test_wire_shape_round_trips(self, old, new):
         delta = compute_delta(old, new)
         assert Delta.from_message(delta.to_message()) == delta
 
     @given(contents)
-    def test_nothing_differs_from_itself(self, items):
+    def test_delta_to_the_same_items_is_empty(self, items):
         assert not compute_delta(items, items)
         assert differences(items, items) == []
 
 
 class TestSplitAndJoin:
-    def test_goes_round(self):
+    def test_split_and_join_round_trip(self):
         for name in EXAMPLE_NAMES:
             items = split(example_document(name))
             assert split(join(items)) == items
 
-    def test_one_changed_field_is_one_item(self):
+    def test_one_changed_field_changes_one_item(self):
         document = example_document("palermo")
         document["deployments"][0]["replicas"]["max"] = 80
         delta = compute_delta(split(example_document("palermo")), split(document))
@@ -51,7 +51,7 @@
 
 
 class TestDifferences:
-    def test_reads_well(self):
+    def test_diff_is_readable(self):
         old = example_document("palermo")
         new = example_document("palermo")
         new["deployments"][0]["replicas"]["max"] = 80
--- a/tests/unit/config/test_examples.py
+++ b/tests/unit/config/test_examples.py
@@ -1,4 +1,4 @@
-"""Example documents: the two fleets, with keys that open them."""
+"""Example documents of two fleets, with keys of their accounts."""
 
 import pytest
 
@@ -13,14 +13,14 @@
 
 @pytest.mark.parametrize("name", EXAMPLE_NAMES)
 class TestExampleDocuments:
-    def test_demo_keys_open_their_accounts(self, name):
+    def test_demo_keys_match_their_accounts(self, name):
         document = Document.from_config(example_document(name), 1)
         assert len(document.accounts) == 5
         for account in document.accounts.values():
             (hashed,) = account.key_hashes
             assert key_matches(DEMO_KEYS[account.name], hashed)
 
-    def test_a_copy_is_fresh(self, name):
+    def test_changed_copy_does_not_affect_the_next(self, name):
         example_document(name)["accounts"].clear()
         assert len(example_document(name)["accounts"]) == 5
 
--- a/tests/unit/config/test_follower.py
+++ b/tests/unit/config/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower: polls, works through outages, never goes back."""
+"""The follower polls, survives outages and never adopts an older version."""
 
 import random
 
@@ -29,9 +29,9 @@
     return ConfigFollower(tables, metrics, AutoAdvancingClock(), random.Random(1))
 
 
-async def accept(tables, version, most):
+async def accept(tables, version, max_replicas):
     document = example_document("palermo")
-    document["deployments"][0]["replicas"]["max"] = most
+    document["deployments"][0]["replicas"]["max"] = max_replicas
     store = ConfigStore(tables, AutoAdvancingClock(), random.Random(version))
     return (await store.propose(document, version - 1, "nia", "")).unwrap()
 
@@ -52,7 +52,7 @@
         assert seen == [1, 2, 3]
         assert follower.document.deployments["luggage"].max_replicas == 82
 
-    async def test_a_failing_callback_stops_nothing(self, follower, tables):
+    async def test_failing_callback_does_not_stop_others(self, follower, tables):
         seen = []
 
         def failing(document):
@@ -64,14 +64,16 @@
         await follower.refresh()
         assert seen == [1]
 
-    async def test_idle_poll_is_one_read(self, follower, tables):
+    async def test_poll_without_a_change_is_one_read(self, follower, tables):
         await accept(tables, 1, 80)
         await follower.refresh()
         tables.calls.clear()
         await follower.refresh()
         assert tables.calls == ["get"]
 
-    async def test_far_behind_reads_the_whole(self, follower, tables):
+    async def test_follower_far_behind_reads_the_complete_content(
+        self, follower, tables
+    ):
         await accept(tables, 1, 50)
         await follower.refresh()
         for version in range(2, 60):
@@ -81,7 +83,7 @@
         assert follower.document.version == 59
         assert len(tables.calls) == 4
 
-    async def test_outage_keeps_the_last_good(self, follower, tables, metrics):
+    async def test_last_version_is_kept_in_an_outage(self, follower, tables, metrics):
         await accept(tables, 1, 80)
         await follower.refresh()
         tables.down = True
@@ -89,7 +91,7 @@
         assert follower.document.version == 1
         assert metrics.value("retries", RetryReason.STORE) == 1
 
-    async def test_peers_carry_it_through_an_outage(self, follower, tables):
+    async def test_peers_deliver_a_version_during_an_outage(self, follower, tables):
         await accept(tables, 1, 80)
         await follower.refresh()
         other = ConfigFollower(
@@ -102,7 +104,9 @@
         assert follower.document == other.document
         assert follower.document.version == 2
 
-    async def test_table_that_went_back_is_ignored(self, follower, tables, metrics):
+    async def test_older_version_in_the_table_is_ignored(
+        self, follower, tables, metrics
+    ):
         await accept(tables, 1, 80)
         old = dict(tables.rows)
         await accept(tables, 2, 81)
@@ -112,7 +116,7 @@
         assert follower.document.version == 2
         assert metrics.value("events", Event.CONFIG_OLDER_IGNORED) == 1
 
-    async def test_spread_is_timed_from_acceptance(self, tables, metrics):
+    async def test_spread_is_measured_from_acceptance(self, tables, metrics):
         clock = AutoAdvancingClock()
         follower = ConfigFollower(tables, metrics, clock, random.Random(1))
         await accept(tables, 1, 80)
@@ -122,7 +126,7 @@
         await follower.refresh()
         assert metrics.quantile(Timing.CONFIG_SPREAD, 50) == pytest.approx(4, rel=0.02)
 
-    async def test_unusable_rows_are_no_traceback(self, follower, tables):
+    async def test_malformed_rows_do_not_raise(self, follower, tables):
         await accept(tables, 1, 80)
         key = "config/items/deployments/luggage"
         tables.rows[key] = tables.rows[key]._replace(value={"version": 1})
@@ -131,7 +135,7 @@
 
 
 class TestPolling:
-    async def test_new_version_comes_within_an_interval(self, tables, metrics):
+    async def test_new_version_is_adopted_within_an_interval(self, tables, metrics):
         clock = ManualClock()
         follower = ConfigFollower(tables, metrics, clock, random.Random(1))
         await follower.start()
@@ -140,7 +144,7 @@
         assert follower.document.version == 1
         await follower.stop()
 
-    def test_interval_grows_with_nodes(self):
+    def test_interval_grows_with_the_number_of_processes(self):
         cfg = ConfigSettings()
         assert poll_interval(cfg, 9) == 1.0
         assert 350 / poll_interval(cfg, 350) == 200.0
--- a/tests/unit/config/test_machine.py
+++ b/tests/unit/config/test_machine.py
@@ -1,4 +1,4 @@
-"""Store and followers together: any interleaving, any lost answer."""
+"""Store and followers under any interleaving and any lost response."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class Proposal:
-    """One proposal, driven a table call at a time."""
+    """One proposal, run one table call at a time."""
 
     def __init__(self, tables, number, base):
         self.id = f"p{number}"
@@ -40,7 +40,7 @@
         )
 
     def step(self):
-        """Run up to the next table call; note the outcome at the end."""
+        """Run to the next table call; record the outcome at the end."""
         try:
             self.run.send(None)
         except StopIteration as stop:
@@ -114,7 +114,7 @@
     @precondition(lambda self: self.running)
     @rule(pick=st.integers(0, 2))
     def lost_in_an_outage(self, pick):
-        """The effect lands or not, no answer comes, then the table is down."""
+        """Lose the response of an applied or late commit, then fail all calls."""
         proposal = self.running[pick % len(self.running)]
         self.tables.write_faults = [["lost", "late"][pick % 2], *["down"] * 30]
         self.finish(proposal)
@@ -212,15 +212,15 @@
         self.one_winner_a_version()
         self.outcomes_are_true()
         for node in self.nodes:
-            assert drive(node.try_refresh())
+            assert run_to_end(node.try_refresh())
             assert node.document.version == self.head()
             if self.head():
                 last = {p.id: p for p in self.ended}[self.versions()[-1].by]
                 assert join(node.topic.content.items) == join(split(last.document))
 
 
-def drive(coroutine):
-    """Run a coroutine over the fake table to its end."""
+def run_to_end(coroutine):
+    """Run a coroutine that uses the fake table to its end."""
     while True:
         try:
             coroutine.send(None)
--- a/tests/unit/config/test_store.py
+++ b/tests/unit/config/test_store.py
@@ -1,4 +1,4 @@
-"""The store: accepted whole or refused, one winner, lost answers found again."""
+"""The store: atomic commits, one winner per version, recovery of lost responses."""
 
 import random
 
@@ -23,9 +23,9 @@
     return ConfigStore(tables, AutoAdvancingClock(), random.Random(1))
 
 
-def edited(most, name="cadwaladr"):
+def edited(max_replicas, name="cadwaladr"):
     document = example_document(name)
-    document["deployments"][0]["replicas"]["max"] = most
+    document["deployments"][0]["replicas"]["max"] = max_replicas
     return document
 
 
@@ -46,14 +46,14 @@
             "config/head",
         ]
 
-    async def test_removed_item_goes(self, store, tables):
+    async def test_removed_item_is_deleted(self, store, tables):
         await store.propose(edited(90), 0, "nia", "")
         document = edited(90)
         del document["deployments"][1]
         assert await store.propose(document, 1, "nia", "") == Success(2)
         assert "config/items/deployments/paperwork" not in tables.rows
 
-    async def test_bad_document_writes_nothing(self, store, tables):
+    async def test_invalid_document_writes_nothing(self, store, tables):
         document = edited(90)
         document["deployments"][0]["zones"] = ["nowhere"]
         document["currency"] = "GBP"
@@ -61,7 +61,7 @@
         assert problem.where == "deployments[0].zones[0]"
         assert tables.written == []
 
-    async def test_ceiling_under_every_offer(self, store, tables):
+    async def test_ceiling_below_every_offer_writes_nothing(self, store, tables):
         offers = [Offer("de-cymru-1", "m", True, 900.0, 0.0, 1)]
         refused = await store.propose(edited(90), 0, "nia", "", offers=offers)
         assert [p.where for p in refused.failure()] == [
@@ -70,7 +70,7 @@
         ]
         assert tables.written == []
 
-    async def test_same_content_is_no_new_version(self, store, tables):
+    async def test_same_content_makes_no_new_version(self, store, tables):
         await store.propose(edited(90), 0, "nia", "")
         tables.written.clear()
         assert await store.propose(edited(90), 1, "nia", "") == Success(1)
@@ -78,7 +78,7 @@
 
 
 class TestTwoOperators:
-    async def test_second_learns_what_changed(self, store):
+    async def test_second_operator_gets_the_changes(self, store):
         await store.propose(edited(90), 0, "nia", "")
         assert await store.propose(edited(80), 1, "nia", "fewer") == Success(2)
         conflict = (await store.propose(edited(70), 1, "rhys", "")).failure()
@@ -89,11 +89,11 @@
             "~ deployments/kitchen replicas.max: 90 -> 80"
         ]
 
-    async def test_base_that_never_was(self, store):
+    async def test_base_version_that_does_not_exist_conflicts(self, store):
         conflict = (await store.propose(edited(90), 5, "nia", "")).failure()
         assert conflict == Conflict(5, 0, (), ())
 
-    async def test_both_have_read_before_either_commits(self, store, tables):
+    async def test_one_of_two_interleaved_proposals_wins(self, store, tables):
         await store.propose(edited(90), 0, "nia", "")
         outcomes = {}
         running = {
@@ -111,34 +111,36 @@
         losers = [name for name, end in outcomes.items() if isinstance(end, Failure)]
         assert (len(winners), len(losers)) == (1, 1)
         content = await store.load()
-        most = content.items[ItemKey("deployments", "kitchen")]["replicas"]["max"]
-        assert most == {"nia": 80, "rhys": 70}[winners[0]]
+        max_replicas = content.items[ItemKey("deployments", "kitchen")]["replicas"][
+            "max"
+        ]
+        assert max_replicas == {"nia": 80, "rhys": 70}[winners[0]]
 
 
-# The first proposal reads only that there is no head; then it commits. One with
-# an id first looks whether it has already become a version.
+# The first proposal only reads that there is no head; then it commits. A proposal
+# with an id first checks whether it has already become a version.
 READS = ["ok"]
 
 
-class TestLostAnswers:
-    async def test_effect_without_answer_is_success(self, store, tables):
+class TestLostResponses:
+    async def test_applied_commit_with_a_lost_response_succeeds(self, store, tables):
         tables.faults = [*READS, "lost"]
         assert await store.propose(edited(90), 0, "nia", "") == Success(1)
         assert tables.written.count("config/head") == 1
 
-    async def test_late_effect_counts_once(self, store, tables):
+    async def test_commit_that_is_applied_late_takes_effect_once(self, store, tables):
         tables.faults = [*READS, "late"]
         assert await store.propose(edited(90), 0, "nia", "") == Success(1)
         tables.apply_late_writes()
         assert tables.written.count("config/head") == 1
         assert tables.rows["config/head"].value == {"version": 1}
 
-    async def test_lost_then_reading_back_fails(self, store, tables):
+    async def test_lost_response_then_failed_read_back_succeeds(self, store, tables):
         tables.faults = [*READS, "lost", "ok", "down"]
         assert await store.propose(edited(90), 0, "nia", "") == Success(1)
         assert tables.written.count("config/head") == 1
 
-    async def test_no_effect_and_table_down_says_so(self, store, tables):
+    async def test_unapplied_commit_in_an_outage_is_unavailable(self, store, tables):
         tables.faults = [*READS, *["down"] * 20]
         with pytest.raises(EbonydealError) as caught:
             await store.propose(edited(90), 0, "nia", "")
@@ -146,7 +148,9 @@
         assert tables.rows == {}
 
     @pytest.mark.parametrize("fault", ["lost", "late"])
-    async def test_in_doubt_is_never_told_as_refused(self, store, tables, fault):
+    async def test_commit_in_doubt_is_not_reported_as_rejected(
+        self, store, tables, fault
+    ):
         tables.faults = ["ok", *READS, fault, *["down"] * 20]
         with pytest.raises(EbonydealError) as caught:
             await store.propose(edited(90), 0, "nia", "", proposal="p-1")
@@ -157,19 +161,19 @@
         assert again == Success(1)
         assert tables.written.count("config/head") == 1
 
-    async def test_repeat_after_later_versions_finds_its_own(self, store, tables):
+    async def test_repeat_after_later_versions_returns_its_own(self, store, tables):
         await store.propose(edited(90), 0, "nia", "", proposal="p-1")
         await store.propose(edited(80), 1, "rhys", "")
         again = await store.propose(edited(90), 0, "nia", "", proposal="p-1")
         assert again == Success(1)
         assert tables.rows["config/head"].value == {"version": 2}
 
-    async def test_same_id_with_other_content_is_another(self, store):
+    async def test_same_id_with_other_content_is_another_proposal(self, store):
         await store.propose(edited(90), 0, "nia", "", proposal="p-1")
         other = await store.propose(edited(70), 0, "nia", "", proposal="p-1")
         assert isinstance(other.failure(), Conflict)
 
-    async def test_another_wins_while_in_doubt(self, store, tables):
+    async def test_conflict_if_another_wins_while_in_doubt(self, store, tables):
         tables.faults = [*READS, "late"]
         task = store.propose(edited(90), 0, "nia", "")
         for _ in range(2):
@@ -187,8 +191,10 @@
 
 class TestHistory:
     async def test_diff_load_and_roll_forward(self, store):
-        for version, most in enumerate((90, 80, 70)):
-            await store.propose(edited(most), version, "nia", f"most {most}")
+        for version, max_replicas in enumerate((90, 80, 70)):
+            await store.propose(
+                edited(max_replicas), version, "nia", f"most {max_replicas}"
+            )
         infos = await store.history()
         assert [(v.version, v.note) for v in infos] == [
             (3, "most 70"),
@@ -203,13 +209,13 @@
         assert (await store.history(1))[0].note == "content of version 1"
 
     @pytest.mark.parametrize("version", [-1, 2, 99])
-    async def test_version_that_never_was(self, store, version):
+    async def test_version_that_does_not_exist_is_not_found(self, store, version):
         await store.propose(edited(90), 0, "nia", "")
         with pytest.raises(EbonydealError) as caught:
             await store.load(version)
         assert caught.value.kind == ErrorKind.NOT_FOUND
 
-    async def test_torn_read_is_read_again(self, store, tables):
+    async def test_torn_read_is_repeated(self, store, tables):
         await store.propose(edited(90), 0, "nia", "")
         task = store.load()
         task.send(None)  # about to read the head
--- a/tests/unit/config/test_topic.py
+++ b/tests/unit/config/test_topic.py
@@ -1,4 +1,4 @@
-"""The configuration among peers: deltas, whole contents in parts, garbage."""
+"""Gossip of the configuration: deltas, complete contents in parts, malformed data."""
 
 import pytest
 from hypothesis import given
@@ -37,12 +37,12 @@
     return made
 
 
-def most(of):
-    return of.document.deployments["luggage"].max_replicas
+def max_replicas(config_topic):
+    return config_topic.document.deployments["luggage"].max_replicas
 
 
 def exchange(source, target):
-    """One round; return whether anything was sent."""
+    """Run one round; return whether anything was sent."""
     payload = source.payload_for(target.digest())
     if payload is not None:
         target.receive(payload)
@@ -50,23 +50,23 @@
 
 
 class TestSpread:
-    def test_versions_are_carried(self):
+    def test_missing_versions_are_sent(self):
         source, target = topic(5), topic(3)
         assert set(source.payload_for(target.digest())) == {"versions"}
         assert exchange(source, target)
-        assert (target.document.version, most(target)) == (5, 105)
+        assert (target.document.version, max_replicas(target)) == (5, 105)
         assert not exchange(source, target)
 
-    def test_pushed_versions_are_taken(self):
+    def test_pushed_versions_are_adopted(self):
         target = topic(3)
         target.receive([info.to_row() for info in version_infos(5)])
-        assert (target.document.version, most(target)) == (5, 105)
+        assert (target.document.version, max_replicas(target)) == (5, 105)
 
-    def test_nothing_goes_to_the_newer(self):
+    def test_nothing_is_sent_to_an_equal_or_newer_peer(self):
         assert topic(3).payload_for(topic(5).digest()) is None
         assert topic(3).payload_for(topic(3).digest()) is None
 
-    def test_versions_come_in_pieces_of_the_limit(self):
+    def test_versions_are_split_at_the_size_limit(self):
         source, target = topic(6, limit=1500), topic(1)
         rounds = 0
         while exchange(source, target):
@@ -74,7 +74,7 @@
         assert rounds > 1
         assert target.content == source.content
 
-    def test_new_node_gets_the_whole_in_parts(self):
+    def test_new_node_gets_the_complete_content_in_parts(self):
         source, target = topic(MAX_RECENT_VERSIONS + 5, limit=600), topic()
         parts = 0
         while exchange(source, target):
@@ -82,7 +82,7 @@
         assert parts > 3
         assert target.content == source.content
 
-    def test_parts_of_a_newer_version_start_again(self):
+    def test_parts_restart_with_a_newer_version(self):
         old = topic(MAX_RECENT_VERSIONS + 5, limit=600)
         new = topic(MAX_RECENT_VERSIONS + 6, limit=600)
         target = topic()
@@ -91,7 +91,7 @@
             pass
         assert target.content == new.content
 
-    def test_a_part_that_comes_twice_is_no_harm(self):
+    def test_repeated_part_is_ignored(self):
         source, target = topic(MAX_RECENT_VERSIONS + 5, limit=600), topic()
         first = source.payload_for(target.digest())
         target.receive(first)
@@ -101,21 +101,21 @@
         assert target.content == source.content
 
 
-class TestNeverBack:
-    def test_older_is_ignored_and_counted(self):
+class TestNeverOlder:
+    def test_older_version_is_ignored_and_counted(self):
         target = topic(5)
         target.receive({"versions": [info.to_row() for info in version_infos(3)]})
         target.adopt_content(Content(2, {}))
-        assert (target.document.version, most(target)) == (5, 105)
+        assert (target.document.version, max_replicas(target)) == (5, 105)
         assert target._metrics.value("events", Event.CONFIG_OLDER_IGNORED) == 4
 
-    def test_gap_is_not_jumped(self):
+    def test_version_after_a_gap_is_not_adopted(self):
         target = topic(2)
         target.receive({"versions": [version_infos(4)[3].to_row()]})
         assert target.document.version == 2
 
 
-class TestGarbage:
+class TestMalformedData:
     @pytest.mark.parametrize(
         "payload",
         [
@@ -128,20 +128,20 @@
             {"whole": 9, "start": 0, "total": 1, "items": [["accounts", "b", {}]]},
         ],
     )
-    def test_is_dropped(self, payload):
+    def test_malformed_payload_is_dropped(self, payload):
         target = topic(2)
         target.receive(payload)
-        assert (target.document.version, most(target)) == (2, 102)
+        assert (target.document.version, max_replicas(target)) == (2, 102)
 
     @given(
         st.dictionaries(st.sampled_from(["version", "partial"]), anything) | anything
     )
-    def test_garbage_digest_gets_no_more_than_an_answer(self, theirs):
-        answered = topic(2).payload_for(theirs)
-        assert answered is None or set(answered) in ({"versions"}, PART)
+    def test_malformed_digest_gets_none_or_a_valid_payload(self, peer_digest):
+        payload = topic(2).payload_for(peer_digest)
+        assert payload is None or set(payload) in ({"versions"}, PART)
 
     @given(st.dictionaries(st.sampled_from([*PART, "versions"]), anything) | anything)
-    def test_garbage_payload_changes_nothing(self, payload):
+    def test_random_payload_changes_nothing(self, payload):
         target = topic(2)
         target.receive(payload)
-        assert (target.document.version, most(target)) == (2, 102)
+        assert (target.document.version, max_replicas(target)) == (2, 102)
--- a/tests/unit/config/test_validate.py
+++ b/tests/unit/config/test_validate.py
@@ -1,4 +1,4 @@
-"""Validation: every problem at once, each with its path; never a traceback."""
+"""Validation reports all problems at once, each with its path, and never raises."""
 
 import json
 import math
@@ -29,7 +29,7 @@
     return [Offer(zone, "m1", True, price, 0.1, 8) for zone in zones]
 
 
-class TestSoundDocuments:
+class TestValidDocuments:
     @pytest.mark.parametrize("name", EXAMPLE_NAMES)
     def test_examples_pass(self, name):
         document = example_document(name)
@@ -47,14 +47,14 @@
             item["accounts"] = ["Llŷn-ŵyl", "città-è-più"]
         assert validate(document) == Success(document)
 
-    def test_schema_is_itself_sound(self):
+    def test_schema_itself_is_valid(self):
         from jsonschema import Draft202012Validator
 
         Draft202012Validator.check_schema(schema())
 
 
 class TestEveryProblemAtOnce:
-    def test_shape(self):
+    def test_schema_problems(self):
         document = example_document("cadwaladr")
         document["currency"] = "pounds"
         del document["deployments"][0]["kind"]
@@ -67,7 +67,7 @@
             "deployments[1].colour",
         ]
 
-    def test_references(self):
+    def test_reference_problems(self):
         document = changed(
             zones=["de-cymru-1", "de-cymru-9"],
             accounts=["breakfast", "nobody"],
@@ -94,7 +94,7 @@
             ),
         ]
 
-    def test_references_beside_a_wrong_shape(self):
+    def test_references_are_checked_beside_schema_problems(self):
         document = changed(zones=["nowhere"])
         document["deployments"][1]["colour"] = "ebony"
         document["deployments"][1]["replicas"] = {"min": 3, "max": 1}
@@ -106,13 +106,13 @@
             "deployments[1].replicas.min",
         ]
 
-    def test_no_false_reasons_beside_wrong_models(self):
+    def test_invalid_models_cause_no_further_problems(self):
         document = changed(models=["covers 13b"])
         assert [where for where, _ in problems(document)] == [
             "deployments[0].models[0]"
         ]
 
-    def test_two_deployments_for_one_model_and_account(self):
+    def test_two_deployments_of_one_model_and_account_are_rejected(self):
         document = example_document("cadwaladr")
         twin = {**document["deployments"][0], "name": "twin", "adapters": []}
         document["deployments"].append(twin)
@@ -124,20 +124,20 @@
             )
         ]
 
-    def test_two_deployments_share_a_model_for_other_accounts(self):
+    def test_two_deployments_may_share_a_model_for_different_accounts(self):
         document = changed(accounts=["breakfast"])
         twin = {**document["deployments"][0], "name": "twin", "accounts": ["stores"]}
         document["deployments"].append(twin)
         assert validate(document) == Success(document)
 
-    def test_zone_in_two_regions(self):
+    def test_zone_in_two_regions_is_rejected(self):
         document = example_document("cadwaladr")
         document["regions"].append({"name": "north", "zones": ["de-cymru-1"]})
         assert problems(document) == [
             ("regions[1].zones[0]", "'de-cymru-1' is already taken by 'de-cymru-1'")
         ]
 
-    def test_engine_without_models_and_service_with_them(self):
+    def test_engine_without_models_and_service_with_models_are_rejected(self):
         document = changed(models=[], adapters=[])
         document["deployments"][1].update(models=["m"], deadline_work=True)
         assert problems(document) == [
@@ -148,7 +148,7 @@
 
 
 class TestFeasibility:
-    def test_ceiling_under_every_offer(self):
+    def test_ceiling_below_every_offer_is_rejected(self):
         document = changed(price_ceiling_per_hour=0.5)
         assert problems(document, offers(0.9)) == [
             (
@@ -157,16 +157,16 @@
             )
         ]
 
-    def test_ceiling_under_the_least_replicas(self):
+    def test_ceiling_below_the_minimum_replicas_is_rejected(self):
         document = changed(price_ceiling_per_hour=4)
         assert problems(document, offers(1.0)) == [
             (
                 "deployments[0].price_ceiling_per_hour",
-                "4 can't hold 5 replicas; at the cheapest offer they cost 5",
+                "4 can't pay for 5 replicas; at the cheapest offer they cost 5",
             )
         ]
 
-    def test_zones_without_offers(self):
+    def test_zones_without_offers_are_rejected(self):
         document = example_document("cadwaladr")
         found = problems(document, offers(1.0, ["elsewhere-1"]))
         assert found == [
@@ -177,7 +177,7 @@
 
 class TestHostileValues:
     @pytest.mark.parametrize("value", [math.nan, math.inf, -math.inf])
-    def test_numbers_that_are_none(self, value):
+    def test_numbers_that_are_not_finite(self, value):
         found = problems(changed(price_ceiling_per_hour=value))
         assert found == [
             ("deployments[0].price_ceiling_per_hour", "must be a finite number")
@@ -185,12 +185,12 @@
 
     def test_lone_surrogate(self):
         found = problems(changed(title="\ud800"))
-        message = "holds characters that UTF-8 can't carry"
+        message = "contains characters that UTF-8 can't encode"
         assert found == [("deployments[0].title", message)]
 
     def test_decomposed_accents(self):
         found = problems(changed(title="y\u0302"))
-        message = "accents must be composed (Unicode NFC)"
+        message = "must be normalized to composed accents (Unicode NFC)"
         assert found == [("deployments[0].title", message)]
 
     def test_huge_integer(self):
@@ -202,7 +202,7 @@
         for _ in range(5000):
             deep = [deep]
         (found,) = problems({"regions": deep})
-        assert found[1] == "nests too deep"
+        assert found[1] == "is nested too deeply"
 
 
 json_values = st.recursive(
@@ -239,9 +239,9 @@
     return copy
 
 
-class TestBadDocuments:
+class TestInvalidDocuments:
     @given(json_values)
-    def test_anything_is_answered(self, value):
+    def test_any_value_gets_a_result(self, value):
         match validate(value):
             case Failure(found):
                 assert found and all(p.message for p in found)
@@ -249,10 +249,10 @@
                 assert document is value
 
     @given(st.sampled_from(list(all_paths(example_document("palermo")))), json_values)
-    def test_any_value_at_any_place(self, path, value):
+    def test_any_value_at_any_path_gets_a_result(self, path, value):
         document = put_at(example_document("palermo"), path, value)
         match validate(document):
             case Failure(found):
                 assert found and all(str(p) for p in found)
-            case Success(sound):
-                assert sound == document
+            case Success(valid):
+                assert valid == document
