--- a/src/ebonydeal/_internal/config/store.py
+++ b/src/ebonydeal/_internal/config/store.py
@@ -1,4 +1,4 @@
-"""Acceptance of documents: whole or not at all, one winner, nothing twice."""
+"""Atomic commits of documents: one winner per version, no proposal applied twice."""
 
 import json
 import random
@@ -10,7 +10,7 @@
 from ebonydeal._internal.config.delta import (
     Difference,
     apply,
-    between,
+    compute_delta,
     differences,
     join,
     split,
@@ -18,8 +18,8 @@
 from ebonydeal._internal.config.problems import Problem
 from ebonydeal._internal.config.references import price_problems
 from ebonydeal._internal.config.rows import (
-    EMPTY,
-    HEAD,
+    EMPTY_CONTENT,
+    HEAD_KEY,
     Content,
     VersionInfo,
     item_key,
@@ -47,22 +47,22 @@
 
 logger = get_logger("config")
 
-_TRIES = 6
-_RETRY_S = 0.25
-_HISTORY = 10_000
+_MAX_COMMIT_ATTEMPTS = 6
+_RETRY_DELAY_S = 0.25
+_MAX_HISTORY = 10_000
 
 
 class Conflict(NamedTuple):
-    """A proposal lost: the document had changed since it was read.
+    """Rejection of a proposal, since the document has changed after it was read.
 
     Attributes
     ----------
     base, head : int
-        The version that the proposal was made from, and the one in force.
+        The version that the proposal is based on, and the one in force.
     versions : tuple of VersionInfo
-        The versions accepted meanwhile: who, when and what.
+        The versions accepted since then, with author, time and change.
     differences : tuple of Difference
-        What changed from base to head, for people.
+        Changes from base to head, for operators.
     """
 
     base: int
@@ -82,7 +82,7 @@
     tables : Tables
         The platform's table service.
     clock : Clock
-        For times of versions and waits between tries.
+        For times of versions and waits between attempts.
     rng : random.Random
         For proposal ids and jitter.
     """
@@ -106,21 +106,21 @@
         offers: list[Offer] | None = None,
         proposal: str | None = None,
     ) -> Result[int, Refusal]:
-        """Put a document in force if it is sound and nothing changed meanwhile.
+        """Put a document in force if it is valid and the base is still the head.
 
         Parameters
         ----------
         document : Any
-            The whole document.
+            The complete document.
         base_version : int
-            The version it was made from; 0 for the first.
+            The version it is based on; 0 for the first.
         by, note : str
-            Who and why, for the history.
+            Author and reason, for the history.
         offers : list of Offer, optional
-            For the feasibility of prices.
+            For checking the feasibility of price ceilings.
         proposal : str, optional
-            Proposal id; the same id with the same document never takes effect
-            twice and returns the version it has become.
+            Proposal id. The same id with the same document is never applied twice;
+            a repeat returns the version that it has become.
 
         Returns
         -------
@@ -131,20 +131,20 @@
         ------
         EbonydealError
             ``STORE_UNAVAILABLE``: this call changed nothing. ``STORE_IN_DOUBT``:
-            it may have; ask again with the same proposal id.
+            it may have; repeat it with the same proposal id.
         """
         if isinstance(validate(document), Failure):
             return Failure(validate(document, offers).failure())
-        bound = _bound(proposal or self.new_proposal(), document)
+        bound = _bind_to_content(proposal or self.new_proposal(), document)
         if proposal and await self._is_own(base_version + 1, bound):
             return Success(base_version + 1)
-        dear = price_problems(document, offers) if offers is not None else []
-        if dear:
-            return Failure(dear)
+        price_failures = price_problems(document, offers) if offers is not None else []
+        if price_failures:
+            return Failure(price_failures)
         content = await read_content(self._tables)
         if content.version != base_version:
             return Failure(await self._conflict(base_version))
-        delta = between(content.items, split(document))
+        delta = compute_delta(content.items, split(document))
         if not delta:
             return Success(base_version)
         now = self._clock.wall()
@@ -152,35 +152,39 @@
         return await self._commit(info)
 
     async def _commit(self, info: VersionInfo) -> Result[int, Refusal]:
-        """Write a version; tell its fate only when it is known.
+        """Write a version; return its outcome, or raise if that isn't known.
 
-        Every try writes the same rows under the same conditions, so a late
-        landing of a lost one and a repeat can't both take effect.
+        Every attempt writes the same rows under the same conditions, so a lost attempt
+        that is applied late and a repeat can't both take effect.
         """
         conditions, writes = _transaction(info)
         in_doubt = False
-        failure = EbonydealError(ErrorKind.STORE_UNAVAILABLE, "no try was made")
-        for attempt in range(_TRIES):
+        failure = EbonydealError(ErrorKind.STORE_UNAVAILABLE, "no attempt was made")
+        for attempt in range(_MAX_COMMIT_ATTEMPTS):
             if attempt:
-                await self._clock.sleep(_RETRY_S * attempt * self._rng.uniform(0.5, 1))
+                await self._clock.sleep(
+                    _RETRY_DELAY_S * attempt * self._rng.uniform(0.5, 1)
+                )
             try:
                 if await self._tables.transact(conditions, writes):
                     return self._accepted(info)
-                return await self._beaten(info)
+                return await self._resolve_failed_conditions(info)
             except EbonydealError as exc:
                 failure = exc
                 in_doubt = in_doubt or exc.kind == ErrorKind.STORE_IN_DOUBT
-                logger.warning("A commit got no answer.", kind=str(exc.kind))
+                logger.warning("Commit attempt failed.", kind=str(exc.kind))
         if not in_doubt:
             raise failure
         raise EbonydealError(
             ErrorKind.STORE_IN_DOUBT,
             f"proposal {info.proposal} may have become version {info.version}; "
-            "look at the history, or repeat with the same proposal id",
+            "check the history, or repeat it with the same proposal id",
         )
 
-    async def _beaten(self, info: VersionInfo) -> Result[int, Refusal]:
-        """Tell own late success from another's; the conditions did not hold."""
+    async def _resolve_failed_conditions(
+        self, info: VersionInfo
+    ) -> Result[int, Refusal]:
+        """Return success if an own earlier attempt was applied, else the conflict."""
         if await self._is_own(info.version, info.proposal):
             return self._accepted(info)
         return Failure(await self._conflict(info.version - 1))
@@ -192,29 +196,29 @@
 
     def _accepted(self, info: VersionInfo) -> Result[int, Refusal]:
         """Log and return an accepted version."""
-        logger.info("Accepted a document.", version=info.version, by=info.by)
+        logger.info("Accepted a version.", version=info.version, by=info.by)
         return Success(info.version)
 
     async def _conflict(self, base: int) -> Conflict:
-        """Return what changed since ``base``."""
+        """Return the conflict with the versions accepted after ``base``."""
         head = await read_head(self._tables)
         versions = await read_versions(self._tables, base, head)
         found = await self.diff(base, head) if 0 <= base <= head else []
         return Conflict(base, head, tuple(versions), tuple(found))
 
     async def load(self, version: int | None = None) -> Content:
-        """Return the content of a version; of the head by default.
+        """Return the content of a version, by default of the head.
 
         Raises ``NOT_FOUND`` for a version that was never accepted.
         """
         if version is None:
             return await read_content(self._tables)
         if version == 0:
-            return EMPTY
+            return EMPTY_CONTENT
         infos = await read_versions(self._tables, 0, version, version)
         if version < 0 or not infos or infos[-1].version != version:
             raise EbonydealError(ErrorKind.NOT_FOUND, f"no version {version}")
-        items = EMPTY.items
+        items = EMPTY_CONTENT.items
         for info in infos:
             items = apply(items, info.delta)
         return Content(version, items)
@@ -226,14 +230,14 @@
             raise EbonydealError(ErrorKind.NOT_FOUND, f"no version {version}")
         return info
 
-    async def history(self, limit: int = _HISTORY) -> list[VersionInfo]:
+    async def history(self, limit: int = _MAX_HISTORY) -> list[VersionInfo]:
         """Return the last ``limit`` versions, newest first."""
         head = await read_head(self._tables)
         infos = await read_versions(self._tables, max(0, head - limit), head, limit)
         return infos[::-1]
 
     async def diff(self, a: int, b: int) -> list[Difference]:
-        """Return what differs from version ``a`` to version ``b``, for people."""
+        """Return the differences from version ``a`` to ``b``, for operators."""
         old = await self.load(a)
         new = await self.load(b)
         return differences(old.items, new.items)
@@ -256,8 +260,8 @@
         )
 
 
-def _bound(proposal: str, document: dict[str, Any]) -> str:
-    """Return the id bound to its content: a repeat with other content is another."""
+def _bind_to_content(proposal: str, document: dict[str, Any]) -> str:
+    """Return the id with a hash of the content, so other content is no repeat."""
     text = json.dumps(document, sort_keys=True, ensure_ascii=False)
     return f"{proposal}.{xxh3_64_hexdigest(text.encode())}"
 
@@ -265,14 +269,14 @@
 def _transaction(info: VersionInfo) -> tuple[list[Condition], list[Write]]:
     """Return the conditions and writes that put a version in force."""
     base = info.version - 1
-    at_base: Condition = FieldEquals(HEAD, "version", base)
+    at_base: Condition = FieldEquals(HEAD_KEY, "version", base)
     if base == 0:
-        at_base = RowAbsent(HEAD)
+        at_base = RowAbsent(HEAD_KEY)
     writes: list[Write] = [
         Put(item_key(key), {"version": info.version, "value": value})
         for key, value in info.delta.changed.items()
     ]
     writes += [Delete(item_key(key)) for key in info.delta.removed]
     writes.append(Put(version_key(info.version), info.to_row()))
-    writes.append(Put(HEAD, {"version": info.version}))
+    writes.append(Put(HEAD_KEY, {"version": info.version}))
     return [at_base, RowAbsent(version_key(info.version))], writes
--- a/src/ebonydeal/_internal/gateway/stream_runner.py
+++ b/src/ebonydeal/_internal/gateway/stream_runner.py
@@ -105,7 +105,7 @@
                 async with aclosing(self._run_attempt(live)) as batches:
                     async for batch in batches:
                         yield batch
-            self._parts.crashes.answered(live.job.request)
+            self._parts.crashes.record_answer(live.job.request)
         finally:
             self.live_streams.discard(live)
 
@@ -113,7 +113,7 @@
         """Run one attempt; on return the answer is complete or another one is due."""
         parts = self._parts
         live.check_deadline(parts.clock.wall())
-        parts.crashes.check(live.job.request, ran=live.attempt_count > 0)
+        parts.crashes.check(live.job.request, may_have_run=live.attempt_count > 0)
         route = self._route(live)
         if route is None:
             detail = "no endpoint is available for the request"
@@ -322,7 +322,9 @@
         if error.kind in FINAL_KINDS:
             raise error
         if route is not None:
-            await parts.crashes.failed(live.job.request, route.endpoint, error.kind)
+            await parts.crashes.record_failure(
+                live.job.request, route.endpoint, error.kind
+            )
             live.avoid.add(incarnation_of(route.endpoint))
             live.cause = self._resume_cause(route, error)
         wait = await self._resumption.wait(live, error)
--- a/src/ebonydeal/_internal/gateway/wiring.py
+++ b/src/ebonydeal/_internal/gateway/wiring.py
@@ -8,7 +8,7 @@
 from mode import Service
 
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import join_peers
+from ebonydeal._internal.config.peer_routes import register_with_peers
 from ebonydeal._internal.directory.service import Directory
 from ebonydeal._internal.gateway.admission_queue import AdmissionQueue
 from ebonydeal._internal.gateway.budget import RetryBudget
@@ -215,7 +215,7 @@
         router.retain_only,
         clock,
     )
-    directory.set_watch(subset.includes)
+    directory.set_poll_filter(subset.includes)
     directory.on_cache_events(cache_events)
     parts.clients.engine.on_backoff = parts.clients.services.on_backoff = back_off
     directory.on_change(lambda _change: subset.refresh())
@@ -252,7 +252,7 @@
     gateway: GatewaySettings = settings["gateway"]
     parts = _build(settings, metrics, clock, rng)
     trails = Trails(gateway.explain_requests)
-    join_peers(parts.peers, parts.follower, metrics, trails.steps)
+    register_with_peers(parts.peers, parts.follower, metrics, trails.steps)
     admission = Admission.from_config(settings["admission"], node.id, rng)
     parts.peers.register(new_demand_topic(admission.limits, clock))
     routes, subset = _new_routing(settings, parts, clock, rng)
--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -125,7 +125,7 @@
             except EbonydealError as exc:
                 return await self._record_ended(job, exc.kind, exc.detail)
         try:
-            self._crashes.check(job.request, ran=job.may_have_run)
+            self._crashes.check(job.request, may_have_run=job.may_have_run)
         except EbonydealError as exc:
             return await self._end_quarantined(job, exc)
         if self._picker.is_leaving(view):
@@ -253,9 +253,9 @@
         except EbonydealError as exc:
             if exc.kind in FINAL_REFUSALS:
                 return await self._record_completed(job, error_answer(exc))
-            await self._crashes.failed(job.request, view, exc.kind)
+            await self._crashes.record_failure(job.request, view, exc.kind)
             return self._retry_elsewhere(job, view, retry_reason(exc.kind))
-        self._crashes.answered(job.request, answer.status)
+        self._crashes.record_answer(job.request, answer.status)
         if (
             answer.status >= MIN_SERVER_ERROR_STATUS
             and job.failures < MAX_SERVER_ERROR_RETRIES
@@ -297,7 +297,7 @@
                 return await self._record_completed(job, error_answer(exc))
             if exc.kind in NOT_RUN_ERRORS:
                 return await self._record_not_run(job, view, retry_reason(exc.kind))
-            await self._crashes.failed(job.request, view, exc.kind)
+            await self._crashes.record_failure(job.request, view, exc.kind)
             attempt_state = UNKNOWN
             if view.kind is EndpointKind.ENGINE:
                 attempt_state = await cancel_attempt(self._engine, view, attempt_id)
--- a/src/ebonydeal/_internal/journal/program.py
+++ b/src/ebonydeal/_internal/journal/program.py
@@ -7,9 +7,9 @@
 from mode import Service
 
 from ebonydeal._internal.config.follower import ConfigFollower
-from ebonydeal._internal.config.peer_routes import join_peers
+from ebonydeal._internal.config.peer_routes import register_with_peers
 from ebonydeal._internal.directory.service import Directory
-from ebonydeal._internal.directory.table import Change
+from ebonydeal._internal.directory.table import TableChange
 from ebonydeal._internal.journal.backlog_rows import BacklogRows
 from ebonydeal._internal.journal.claims import Identity
 from ebonydeal._internal.journal.dispatcher import Dispatcher
@@ -166,9 +166,9 @@
             metrics,
             clock,
             rng,
-            nodes=lambda: 1 + len(peers.members()),
+            process_count=lambda: 1 + len(peers.members()),
         )
-        join_peers(peers, follower, metrics)
+        register_with_peers(peers, follower, metrics)
         router = Router.from_config(settings["routing"], rng)
         picker = RoutedPicker(
             directory, router, place, clock, weights_from(lambda: follower.document)
@@ -242,7 +242,7 @@
         await self.add_runtime_dependency(self.node)
         await self.add_runtime_dependency(self.backlog)
 
-    def _endpoints_changed(self, _change: Change) -> None:
+    def _endpoints_changed(self, _change: TableChange) -> None:
         self.dispatcher.on_endpoints_changed()
 
     async def on_stop(self) -> None:
--- a/src/ebonydeal/_internal/peers/service.py
+++ b/src/ebonydeal/_internal/peers/service.py
@@ -1,8 +1,8 @@
-"""Rounds with random peers, and at-once pushes of leaving marks.
+"""Gossip rounds with random peers, and immediate pushes of leaving marks.
 
-Each round sends digests of every topic to one peer and gets what is missing back;
-a second call sends what the peer is missing. Marks that are news are pushed to
-several peers at once, and every process that hears of one passes it on.
+Each round sends digests of every topic to one peer and receives what is missing here;
+a second call sends what the peer lacks. New marks are pushed to several peers
+immediately, and every process that receives a new one forwards it.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from mode import Service
 
 from ebonydeal._internal.directory.service import Directory
-from ebonydeal._internal.directory.sharing import Fact, is_turn
+from ebonydeal._internal.directory.sharing import EndpointRecord, should_read
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.observe.counters import Event, Metrics
@@ -24,14 +24,14 @@
 from ebonydeal._internal.outside.interfaces import InstanceList
 from ebonydeal._internal.peers.access import credential_middleware
 from ebonydeal._internal.peers.endpoints_topic import EndpointsTopic
-from ebonydeal._internal.peers.exchange import Exchange
+from ebonydeal._internal.peers.exchange import GossipExchange
 from ebonydeal._internal.peers.membership import (
     Member,
     Membership,
-    MembershipTimes,
+    MembershipTimeouts,
     MemberStatus,
 )
-from ebonydeal._internal.peers.targets import PeerTargets
+from ebonydeal._internal.peers.peer_selector import PeerSelector
 from ebonydeal._internal.peers.topics import (
     MarksTopic,
     MembersTopic,
@@ -48,37 +48,37 @@
 ROUND_PATH = "/peers/v1/round"
 PUSH_PATH = "/peers/v1/push"
 REQUEST_HEADER_BYTES = 250
-ANSWER_HEADER_BYTES = 160
+RESPONSE_HEADER_BYTES = 160
 PUSH_FANOUT = 8
-PUSH_TRIES = 3
-PUSH_GATHER_S = 0.02
-LIST_PERIOD_S = 5.0
-LIST_READERS = frozenset({"gateway", "journal"})
+MAX_PUSH_ATTEMPTS = 3
+PUSH_BATCH_INTERVAL_S = 0.02
+LIST_READ_INTERVAL_S = 5.0
+LIST_READING_ROLES = frozenset({"gateway", "journal"})
 CALL_TIMEOUT_S = 1.0
-_LOWEST_JITTER = 0.7
-_HIGHEST_JITTER = 1.3
+_MIN_JITTER = 0.7
+_MAX_JITTER = 1.3
 
 
-def push_width(live: int) -> int:
-    """Return to how many of ``live`` peers a push goes first."""
+def push_target_count(live: int) -> int:
+    """Return to how many of ``live`` peers a process pushes."""
     return PUSH_FANOUT if live > 2 * PUSH_FANOUT else live
 
 
 class PeerService(Service):
-    """The system's own processes among each other.
+    """Gossip between the system's own processes.
 
     Parameters
     ----------
     node : NodeSettings
-        Who and where this process is.
+        Id and location of this process.
     cfg : PeerSettings
         Port, seeds, credential and period.
     metrics, clock, rng
         Counters, time, and the source of peer choice and jitter.
     instances : InstanceList, optional
-        Where further peers are found.
+        For finding further peers.
     directory : Directory, optional
-        Whose leaving marks are carried.
+        Its leaving marks and its records of the instance list are spread.
     roles : iterable of str
         Programs that this process runs.
     ssl_server, ssl_client : SSLContext, optional
@@ -106,10 +106,10 @@
         self._clock = clock
         self._rng = rng
         self._instances = instances
-        self._targets = PeerTargets(cfg.seeds, cfg.port)
+        self._selector = PeerSelector(cfg.seeds, cfg.port)
         self._client = PeerClient(cfg.credential, ssl_client)
         self._pushes: dict[str, list[Any]] = {}
-        self._push_wanted = asyncio.Event()
+        self._push_requested = asyncio.Event()
         self.app = new_app(metrics)
         self.app.middlewares.append(credential_middleware(cfg.credential))
         self.app.router.add_post(ROUND_PATH, self._handle_round)
@@ -122,10 +122,10 @@
             drain_seconds=node.drain_seconds,
         )
         self.membership = self._new_membership(tuple(roles))
-        self._exchange = Exchange(self.membership)
+        self._exchange = GossipExchange(self.membership)
         self.register(MembersTopic(self.membership, clock))
         if directory is not None:
-            self._carry(directory)
+            self._connect_directory(directory)
 
     @classmethod
     def from_config(
@@ -156,22 +156,24 @@
             ssl_client=ssl_client,
         )
 
-    def _carry(self, directory: Directory) -> None:
-        """Carry a directory's leaving marks and its share of the instance list."""
+    def _connect_directory(self, directory: Directory) -> None:
+        """Spread a directory's leaving marks and its records of the instance list."""
         self.register(MarksTopic(directory.marks, directory.mark))
         directory.on_mark(self._push_mark)
-        self.register(EndpointsTopic(directory.shared, directory.receive_facts))
-        directory.on_facts(self._push_facts)
-        directory.set_readers(self._readers)
+        self.register(EndpointsTopic(directory.shared, directory.receive_records))
+        directory.on_records(self._push_records)
+        directory.set_reader_count(self._reader_count)
 
-    def _readers(self) -> int:
-        """Return the processes that share the platform's list with this one."""
+    def _reader_count(self) -> int:
+        """Return the number of processes that share the platform's list, with this."""
         live = self.membership.live()
-        return 1 + sum(not LIST_READERS.isdisjoint(member.roles) for member in live)
+        return 1 + sum(
+            not LIST_READING_ROLES.isdisjoint(member.roles) for member in live
+        )
 
     # --- for other parts ---------------------------------------------------------
     def register(self, topic: Topic) -> None:
-        """Carry a further topic; before the start."""
+        """Add a topic; before the start."""
         self._exchange.register(topic)
 
     def add_routes(self, routes: Iterable[web.AbstractRouteDef]) -> None:
@@ -179,7 +181,7 @@
         self.app.add_routes(routes)
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other processes that are alive, as far as is known."""
+        """Return the other processes that are believed alive."""
         return tuple(self.membership.live())
 
     @property
@@ -193,27 +195,27 @@
         return self.membership.own.incarnation
 
     def push(self, topic: str, items: list[Any]) -> None:
-        """Send payload items of a topic to several peers at once, soon."""
+        """Push payload items of a topic to several peers with the next batch."""
         self._pushes.setdefault(topic, []).extend(items)
-        self._push_wanted.set()
+        self._push_requested.set()
 
-    def push_if_few(self, topic: str, items: list[Any]) -> None:
-        """Push news that can wait for the rounds in a large group.
+    def push_if_small_group(self, topic: str, items: list[Any]) -> None:
+        """Push items, unless the group is large; there they wait for the rounds.
 
-        Each process passes a push on, so its bytes grow with the width; rounds
-        bring each item once, some seconds later.
+        Each process forwards a push, so its bytes grow with the number of targets;
+        rounds deliver each item once, some seconds later.
         """
         if len(self.membership.live()) <= 2 * PUSH_FANOUT:
             self.push(topic, items)
 
-    # --- life ------------------------------------------------------------------
+    # --- lifecycle -------------------------------------------------------------
     async def on_start(self) -> None:
-        """Bind the listener, then tell its address."""
+        """Bind the listener, then announce its address."""
         await self.add_runtime_dependency(self.server)
         self.membership.set_address(self.server.address, self._clock.now())
 
     async def on_stop(self) -> None:
-        """Say goodbye, so that nobody suspects this process."""
+        """Announce the stop, so that no peer suspects this process."""
         self.membership.leave(self._clock.now())
         await self._push_to_some({})
 
@@ -225,39 +227,39 @@
     async def _rounds(self) -> None:
         while not self.should_stop:
             await self.round()
-            jitter = self._rng.uniform(_LOWEST_JITTER, _HIGHEST_JITTER)
+            jitter = self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
             await self._clock.sleep(self._cfg.period * jitter)
 
     @Service.task
     async def _send_pushes(self) -> None:
         while not self.should_stop:
-            await self._push_wanted.wait()
-            await self._clock.sleep(PUSH_GATHER_S)
-            self._push_wanted.clear()
+            await self._push_requested.wait()
+            await self._clock.sleep(PUSH_BATCH_INTERVAL_S)
+            self._push_requested.clear()
             payloads, self._pushes = self._pushes, {}
             await self._push_to_some(payloads)
 
     @Service.task
     async def _follow_list(self) -> None:
         while not self.should_stop and self._instances is not None:
-            if is_turn(self._readers(), self._rng.random()):
+            if should_read(self._reader_count(), self._rng.random()):
                 await self._read_nodes(self._instances)
-            jitter = self._rng.uniform(_LOWEST_JITTER, _HIGHEST_JITTER)
-            await self._clock.sleep(LIST_PERIOD_S * jitter)
+            jitter = self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
+            await self._clock.sleep(LIST_READ_INTERVAL_S * jitter)
 
     async def _read_nodes(self, instances: InstanceList) -> None:
-        """Look for peers that nobody told of yet."""
+        """Look for peers that gossip hasn't found yet."""
         try:
-            self._targets.listed(await instances.own_nodes())
+            self._selector.set_listed(await instances.own_nodes())
         except EbonydealError as exc:
-            logger.debug("Can't read the instance list.", reason=str(exc))
+            logger.debug("Reading the instance list failed.", reason=str(exc))
 
     # --- rounds --------------------------------------------------------------------
     async def round(self) -> None:
-        """Hold one round with one peer, if there is any."""
+        """Run one round with one peer, if any is known."""
         for member in self.membership.tick(self._clock.now()):
-            logger.warning("A peer is gone.", peer=member.id)
-        target = self._targets.next(self.membership, self._rng)
+            logger.warning("Peer declared dead after its suspicion.", peer=member.id)
+        target = self._selector.choose(self.membership, self._rng)
         if target is None:
             return
         self._metrics.count(Event.PEER_ROUNDS)
@@ -266,40 +268,42 @@
         except EbonydealError as exc:
             self._metrics.count(Event.PEER_UNREACHABLE)
             if exc.kind is ErrorKind.UNAUTHORIZED:
-                logger.error("A peer refuses the credential.", address=target.address)
-            self.membership.failed(target.member_id, self._clock.now())
+                logger.error("Peer rejected the credential.", address=target.address)
+            self.membership.record_unreachable(target.member_id, self._clock.now())
 
     async def _round_with(self, address: str, member_id: str) -> None:
-        """Exchange digests, take what is missing here, send what is there."""
-        answer = await self._call(address, ROUND_PATH, self._exchange.ask())
-        closing = self._exchange.closing(answer, member_id, self._clock.now())
-        if closing is not None:
-            self._exchange.receive(await self._call(address, PUSH_PATH, closing))
+        """Exchange digests, apply what is missing here, push what the peer lacks."""
+        response = await self._call(address, ROUND_PATH, self._exchange.build_request())
+        push = self._exchange.handle_response(response, member_id, self._clock.now())
+        if push is not None:
+            self._exchange.apply_payloads(await self._call(address, PUSH_PATH, push))
 
     async def _handle_round(self, req: web.Request) -> web.Response:
-        """Answer a peer's digests with what it lacks and the own digests."""
+        """Respond to a peer's digests with what it lacks and with own digests."""
         message = await read_json(req)
-        return self._respond(self._exchange.answer(message, self._clock.now()))
+        return self._respond(self._exchange.handle_request(message, self._clock.now()))
 
     async def _handle_push(self, req: web.Request) -> web.Response:
-        """Take what a peer sends; answer with what it lacks, if it asks."""
+        """Apply a peer's push; respond with what it lacks, if it sent digests."""
         message = await read_json(req)
-        return self._respond(self._exchange.take_push(message, self._clock.now()))
+        return self._respond(self._exchange.handle_push(message, self._clock.now()))
 
     # --- pushes --------------------------------------------------------------------
     def _push_mark(self, mark: LeavingMark) -> None:
         self.push(MarksTopic.name, [mark_to_wire(mark)])
 
-    def _push_facts(self, facts: list[Fact]) -> None:
-        self.push_if_few(EndpointsTopic.name, [fact.to_wire() for fact in facts])
+    def _push_records(self, records: list[EndpointRecord]) -> None:
+        self.push_if_small_group(
+            EndpointsTopic.name, [record.to_wire() for record in records]
+        )
 
     async def _push_to_some(self, payloads: dict[str, Any]) -> None:
-        """Push to random peers; where one can't be reached, try others."""
+        """Push to random peers; replace unreachable ones by others."""
         live = self.membership.live()
         self._rng.shuffle(live)
-        message = self._exchange.news(payloads)
-        wanted = push_width(len(live))
-        for _ in range(PUSH_TRIES):
+        message = self._exchange.build_push(payloads)
+        wanted = push_target_count(len(live))
+        for _ in range(MAX_PUSH_ATTEMPTS):
             chosen, live = live[:wanted], live[wanted:]
             results = await asyncio.gather(
                 *(self._push_to(member, message) for member in chosen)
@@ -314,7 +318,7 @@
         except EbonydealError:
             self._metrics.count(Event.PEER_UNREACHABLE)
             return False
-        self._exchange.receive(reply)
+        self._exchange.apply_payloads(reply)
         return True
 
     # --- transport -------------------------------------------------------------------
@@ -322,15 +326,17 @@
         self._count_bytes(message, REQUEST_HEADER_BYTES)
         reply = await self._client.call(address, path, message, CALL_TIMEOUT_S)
         if not isinstance(reply, dict):
-            raise EbonydealError(ErrorKind.INTERNAL, f"{address} answered garbage")
+            raise EbonydealError(
+                ErrorKind.INTERNAL, f"{address} sent a malformed response"
+            )
         return reply
 
     def _respond(self, message: Any) -> web.Response:
-        self._count_bytes(message, ANSWER_HEADER_BYTES)
+        self._count_bytes(message, RESPONSE_HEADER_BYTES)
         return web.json_response(message)
 
     def _count_bytes(self, message: Any, headers: int) -> None:
-        """Count body and HTTP headers; what TCP and IP add isn't seen here."""
+        """Count body and HTTP headers; the overhead of TCP and IP isn't known here."""
         size = len(json.dumps(message)) + headers
         self._metrics.count(Event.PEER_BYTES_OUT, size)
 
@@ -345,4 +351,4 @@
             zone=self._node.zone,
             roles=roles,
         )
-        return Membership(own, MembershipTimes(period=self._cfg.period))
+        return Membership(own, MembershipTimeouts(period=self._cfg.period))
--- a/tests/lib/config_fakes.py
+++ b/tests/lib/config_fakes.py
@@ -1,4 +1,4 @@
-"""A small table with faults, for the configuration's tests."""
+"""In-memory table with faults, for the configuration's tests."""
 
 from collections.abc import Callable
 
@@ -16,20 +16,20 @@
 LOST = EbonydealError(ErrorKind.STORE_IN_DOUBT, "lost")
 
 
-class Step:
-    """Awaiting it lets whoever drives the coroutine do something else first."""
+class SuspendOnce:
+    """Awaiting it suspends the coroutine once, so its driver can interleave others."""
 
     def __await__(self):
         yield
 
 
 class FakeTables:
-    """Rows in memory; ``faults`` are used up by the coming calls, in order.
+    """Rows in memory; each call consumes the next of ``faults``.
 
-    ``write_faults`` are used up by the coming transactions alone.
+    Transactions consume ``write_faults`` first.
 
     Faults: ``ok``, ``down`` (before any effect), ``lost`` (after the effect) and
-    ``late`` (answer lost, the effect comes when `land` is called).
+    ``late`` (answer lost, the effect comes when `apply_late_writes` is called).
     """
 
     def __init__(self) -> None:
@@ -74,14 +74,14 @@
                     self.rows.pop(key, None)
         return True
 
-    def land(self) -> None:
-        """Let every late write take its chance."""
+    def apply_late_writes(self) -> None:
+        """Apply every late write whose conditions still hold."""
         late, self.late = self.late, []
         for effect in late:
             effect()
 
     async def transact(self, conditions, writes) -> bool:
-        await Step()
+        await SuspendOnce()
         fault = self._fault("transact")
         if fault == "late":
             self.late.append(lambda: self._do(conditions, writes))
@@ -92,21 +92,21 @@
         return applied
 
     async def get(self, key):
-        await Step()
+        await SuspendOnce()
         if self._fault("get") != "ok":
             raise DOWN
         return self.rows.get(key)
 
     async def scan(self, prefix, start="", limit=1000):
-        await Step()
+        await SuspendOnce()
         if self._fault("scan") != "ok":
             raise DOWN
         keys = sorted(k for k in self.rows if k.startswith(prefix) and k >= start)
         return [self.rows[key] for key in keys[:limit]]
 
 
-class QuickClock:
-    """A clock whose sleeps end at once and move it on."""
+class AutoAdvancingClock:
+    """A clock whose sleeps return immediately and advance it."""
 
     def __init__(self) -> None:
         self.time = 1_000.0
--- a/tests/unit/config/test_machine.py
+++ b/tests/unit/config/test_machine.py
@@ -1,4 +1,4 @@
-"""Store and followers together: any interleaving, any lost answer."""
+"""Store and followers under any interleaving and any lost response."""
 
 import random
 
@@ -14,7 +14,7 @@
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.counters import Metrics
-from tests.lib.config_fakes import FakeTables, QuickClock
+from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
 
 NODES = 3
 WRITE_FAULTS = st.sampled_from(["ok", "ok", "down", "lost", "late"])
@@ -22,14 +22,14 @@
 
 
 class Proposal:
-    """One proposal, driven a table call at a time."""
+    """One proposal, run one table call at a time."""
 
     def __init__(self, tables, number, base):
         self.id = f"p{number}"
         self.base = base
         self.document = example_document("palermo")
         self.document["deployments"][0]["replicas"]["max"] = 100 + number
-        self.store = ConfigStore(tables, QuickClock(), random.Random(number))
+        self.store = ConfigStore(tables, AutoAdvancingClock(), random.Random(number))
         self.outcome = None
         self.tried_before = False
         self.begin()
@@ -40,7 +40,7 @@
         )
 
     def step(self):
-        """Run up to the next table call; note the outcome at the end."""
+        """Run to the next table call; record the outcome at the end."""
         try:
             self.run.send(None)
         except StopIteration as stop:
@@ -61,7 +61,9 @@
         self.polling = {}
 
     def new_node(self):
-        return ConfigFollower(self.tables, Metrics(), QuickClock(), random.Random(1))
+        return ConfigFollower(
+            self.tables, Metrics(), AutoAdvancingClock(), random.Random(1)
+        )
 
     def head(self):
         row = self.tables.rows.get("config/head")
@@ -112,7 +114,7 @@
     @precondition(lambda self: self.running)
     @rule(pick=st.integers(0, 2))
     def lost_in_an_outage(self, pick):
-        """The effect lands or not, no answer comes, then the table is down."""
+        """Lose the response of an applied or late commit, then fail all calls."""
         proposal = self.running[pick % len(self.running)]
         self.tables.write_faults = [["lost", "late"][pick % 2], *["down"] * 30]
         self.finish(proposal)
@@ -125,8 +127,8 @@
         self.ended.append(proposal)
 
     @rule()
-    def land(self):
-        self.tables.land()
+    def apply_late_writes(self):
+        self.tables.apply_late_writes()
 
     @rule(
         node=st.integers(0, NODES - 1),
@@ -156,7 +158,7 @@
         times=st.integers(0, 2),
     )
     def peers(self, a, b, times):
-        payload = self.nodes[a].topic.answer(self.nodes[b].topic.digest())
+        payload = self.nodes[a].topic.payload_for(self.nodes[b].topic.digest())
         for _ in range(times if payload else 0):
             self.nodes[b].topic.receive(payload)
 
@@ -204,21 +206,21 @@
         self.highest = now
 
     def teardown(self):
-        self.tables.land()
+        self.tables.apply_late_writes()
         for proposal in self.running:
             self.finish(proposal)
         self.one_winner_a_version()
         self.outcomes_are_true()
         for node in self.nodes:
-            assert drive(node.try_refresh())
+            assert run_to_end(node.try_refresh())
             assert node.document.version == self.head()
             if self.head():
                 last = {p.id: p for p in self.ended}[self.versions()[-1].by]
                 assert join(node.topic.content.items) == join(split(last.document))
 
 
-def drive(coroutine):
-    """Run a coroutine over the fake table to its end."""
+def run_to_end(coroutine):
+    """Run a coroutine that uses the fake table to its end."""
     while True:
         try:
             coroutine.send(None)
