--- a/src/ebonydeal/_internal/benchmarks/capacity/measures.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/measures.py
@@ -26,9 +26,9 @@
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.config.rows import VersionInfo
 from ebonydeal._internal.controller.reconcile import (
-    Observed,
-    ReconcilePolicy,
-    Wanted,
+    DesiredState,
+    ObservedState,
+    ReconcileConfig,
     plan,
 )
 from ebonydeal._internal.controller.values import OfferKey
@@ -290,24 +290,24 @@
 
 
 # --- controller --------------------------------------------------------------------
-def _observed(size: int) -> Observed:
+def _observed(size: int) -> ObservedState:
     rows = {row.token: row for row in map(instance_row, range(size))}
     instances = {item.token: item for item in map(cloud_instance, range(size))}
     prices = {OfferKey.of(row): row.price_per_hour for row in rows.values()}
-    return Observed(instances, rows, set(rows), set(), {}, prices)
+    return ObservedState(instances, rows, set(rows), set(), {}, prices)
 
 
-def _wanted(observed: Observed) -> Wanted:
+def _wanted(observed: ObservedState) -> DesiredState:
     counts: dict[OfferKey, int] = {}
     for row in observed.rows.values():
         counts[OfferKey.of(row)] = counts.get(OfferKey.of(row), 0) + 1
-    return Wanted(counts, len(observed.rows), 1e9)
+    return DesiredState(counts, len(observed.rows), 1e9)
 
 
 def _plan_us(size: int) -> float:
     observed = _observed(size)
     wanted = _wanted(observed)
-    policy = ReconcilePolicy()
+    policy = ReconcileConfig()
     return cpu_us(lambda: plan(wanted, observed, policy, _AT), 5)
 
 
--- a/src/ebonydeal/_internal/benchmarks/spend/compare.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/compare.py
@@ -22,7 +22,7 @@
     Weather,
     make_trace,
 )
-from ebonydeal._internal.controller.deadline import DeadlinePolicy, Rule
+from ebonydeal._internal.controller.deadline import DeadlineConfig, PriceRule
 
 CEILING = 600.0
 MOST_OF_ON_DEMAND = 0.6
@@ -76,10 +76,10 @@
 def policies(trace: Trace, ceiling: float) -> list[Policy]:
     """Return fresh policies for one trace; baselines know no ceiling."""
     peak = max(needed_replicas(load) for load in trace.in_flight)
-    ours: list[Policy] = [Ebonydeal(rule, ceiling) for rule in Rule]
+    ours: list[Policy] = [Ebonydeal(rule, ceiling) for rule in PriceRule]
     return [
-        Ebonydeal(Rule.AT_ONCE, math.inf, on_demand_only=True),
-        Ebonydeal(Rule.AT_ONCE, math.inf, on_demand_only=True, one_zone=True),
+        Ebonydeal(PriceRule.AT_ONCE, math.inf, on_demand_only=True),
+        Ebonydeal(PriceRule.AT_ONCE, math.inf, on_demand_only=True, one_zone=True),
         CheapestFirst(),
         StaticSpread(math.ceil(peak * 1.5)),
         *ours,
@@ -104,7 +104,7 @@
 
 def chosen_name() -> str:
     """Return the name of the line with the rule that the controller uses."""
-    return f"ebonydeal, {DeadlinePolicy().rule}"
+    return f"ebonydeal, {DeadlineConfig().rule}"
 
 
 def targets(result: Comparison) -> list[tuple[str, bool]]:
@@ -141,7 +141,7 @@
     lines = []
     for seed in seeds:
         trace = make_trace(seed)
-        policy = Ebonydeal(DeadlinePolicy().rule, ceiling)
+        policy = Ebonydeal(DeadlineConfig().rule, ceiling)
         outcome = simulate(trace, policy, ceiling)
         lines.append(
             f"ceiling {ceiling:.0f}, trace {seed}: cost {outcome.cost:.0f}, "
--- a/src/ebonydeal/_internal/benchmarks/spend/policies.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/policies.py
@@ -7,18 +7,18 @@
 
 from ebonydeal._internal.benchmarks.spend.traces import SLOTS, ZONES
 from ebonydeal._internal.controller.capacity import (
-    Terms,
-    cheapest,
+    CapacityConfig,
+    cheapest_price,
     decide_placement,
 )
-from ebonydeal._internal.controller.deadline import Backlog, DeadlinePolicy, Rule
+from ebonydeal._internal.controller.deadline import Backlog, DeadlineConfig, PriceRule
 from ebonydeal._internal.controller.demand import (
-    DemandPolicy,
+    DemandConfig,
     DemandState,
     Load,
     desired_replicas,
 )
-from ebonydeal._internal.controller.placement import PlacementPolicy
+from ebonydeal._internal.controller.placement import PlacementConfig
 from ebonydeal._internal.controller.values import OfferKey
 from ebonydeal._internal.outside.interfaces import Offer
 
@@ -69,7 +69,7 @@
 
     def __init__(self) -> None:
         self._state = DemandState()
-        self._policy = DemandPolicy()
+        self._policy = DemandConfig()
 
     def target(self, scene: Scene) -> int:
         """Return the replicas that serve."""
@@ -90,7 +90,7 @@
 
     Parameters
     ----------
-    rule : Rule
+    rule : PriceRule
         For deadline work.
     ceiling : float
         Most an hour.
@@ -102,15 +102,15 @@
 
     def __init__(
         self,
-        rule: Rule,
+        rule: PriceRule,
         ceiling: float,
         on_demand_only: bool = False,
         one_zone: bool = False,
     ) -> None:
         self.name = f"ebonydeal, {rule}"
         self._demand = _Demand()
-        self._terms = Terms(frozenset(), ceiling, HIGH, True, 1.0)
-        self._deadline = DeadlinePolicy(rule=rule)
+        self._terms = CapacityConfig(frozenset(), ceiling, HIGH, True, 1.0)
+        self._deadline = DeadlineConfig(rule=rule)
         self._only = on_demand_only
         if on_demand_only:
             self.name = "on-demand only"
@@ -126,7 +126,7 @@
             offers = {k: v for k, v in offers.items() if not k.reclaimable}
         if self._one_zone:
             offers = {k: v for k, v in offers.items() if k.zone == ZONES[0]}
-        price = cheapest(offers, reclaimable=True)
+        price = cheapest_price(offers, reclaimable=True)
         self._prices = [*self._prices, price or 0.0][-_KEPT:]
         return decide_placement(
             self._demand.target(scene),
@@ -136,7 +136,7 @@
             scene.blocked,
             scene.backlog,
             tuple(self._prices),
-            PlacementPolicy(),
+            PlacementConfig(),
             self._deadline,
             scene.now,
         ).counts
--- a/src/ebonydeal/_internal/benchmarks/spend/simulate.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/simulate.py
@@ -13,7 +13,7 @@
 )
 from ebonydeal._internal.benchmarks.spend.traces import SLOTS, STEP_S, Trace
 from ebonydeal._internal.controller.deadline import Backlog
-from ebonydeal._internal.controller.demand import DemandPolicy, slots_needed
+from ebonydeal._internal.controller.demand import DemandConfig, slots_needed
 from ebonydeal._internal.controller.values import OfferKey
 
 WARM_S = 120.0
@@ -49,7 +49,7 @@
 
 def needed_replicas(in_flight: float) -> int:
     """Return the replicas that hold the latency target at this load."""
-    policy = DemandPolicy()
+    policy = DemandConfig()
     wait = FIRST_TOKEN_S * policy.wait_share
     return math.ceil(slots_needed(in_flight, policy.service_s, wait) / SLOTS)
 
--- a/src/ebonydeal/_internal/controller/capacity.py
+++ b/src/ebonydeal/_internal/controller/capacity.py
@@ -6,14 +6,17 @@
 
 from ebonydeal._internal.controller.deadline import (
     Backlog,
-    DeadlinePolicy,
+    DeadlineConfig,
     Market,
-    choose,
+    choose_deadline_replicas,
+)
+from ebonydeal._internal.controller.deadline_replicas import (
+    add_deadline_replicas,
+    spare_replicas,
 )
-from ebonydeal._internal.controller.extra import add_extra, spare
 from ebonydeal._internal.controller.placement import (
     Placement,
-    PlacementPolicy,
+    PlacementConfig,
     place,
 )
 from ebonydeal._internal.controller.values import OfferKey
@@ -21,28 +24,28 @@
 from ebonydeal._internal.outside.interfaces import Offer
 
 
-class Terms(NamedTuple):
+class CapacityConfig(NamedTuple):
     """What the document says of a deployment, as far as capacity needs it."""
 
     zones: frozenset[str]
     ceiling: float
-    most: int
+    max_replicas: int
     deadline_work: bool
     recompute_weight: float
 
     @classmethod
-    def from_deployment(cls, item: Deployment) -> "Terms":
+    def from_deployment(cls, item: Deployment) -> "CapacityConfig":
         """Take the terms from the document."""
         return cls(
             zones=frozenset(place.zone for place in item.zones),
             ceiling=item.price_ceiling,
-            most=item.max_replicas,
+            max_replicas=item.max_replicas,
             deadline_work=item.deadline_work,
             recompute_weight=item.weights.recompute,
         )
 
 
-def cheapest(offers: Mapping[OfferKey, Offer], reclaimable: bool) -> float | None:
+def cheapest_price(offers: Mapping[OfferKey, Offer], reclaimable: bool) -> float | None:
     """Return the lowest price in one market, or None without offers."""
     prices = [
         offer.price_per_hour
@@ -54,14 +57,14 @@
 
 def decide_placement(
     target: int,
-    terms: Terms,
+    capacity_config: CapacityConfig,
     offers: Mapping[OfferKey, Offer],
     current: Counter[OfferKey],
     blocked: Set[OfferKey],
     backlog: Sequence[Backlog],
     recent: tuple[float, ...],
-    placement_policy: PlacementPolicy,
-    deadline_policy: DeadlinePolicy,
+    placement_config: PlacementConfig,
+    deadline_config: DeadlineConfig,
     now: float,
 ) -> Placement:
     """Return where instances should run for the target and for deadline work.
@@ -70,7 +73,7 @@
     ----------
     target : int
         Replicas that serve, after the loss of any one zone.
-    terms : Terms
+    capacity_config : CapacityConfig
         From the document.
     offers, current, blocked
         As `placement.place`; offers in the deployment's zones only.
@@ -78,7 +81,7 @@
         Deadline work that waits.
     recent : tuple of float
         Cheapest reclaimable prices of the recent past.
-    placement_policy, deadline_policy
+    placement_config, deadline_config
         Constants.
     now : float
         Wall clock seconds.
@@ -88,29 +91,29 @@
         offers,
         current,
         blocked,
-        terms.ceiling,
-        placement_policy,
-        terms.recompute_weight,
-        terms.most,
+        capacity_config.ceiling,
+        placement_config,
+        capacity_config.recompute_weight,
+        capacity_config.max_replicas,
     )
-    if not terms.deadline_work or not backlog:
+    if not capacity_config.deadline_work or not backlog:
         return placement
     market = _market(offers, blocked, recent)
     if market is None:
         return placement
-    most = terms.most - target
-    choice = choose(backlog, market, most, deadline_policy, now)
-    extra = choice.replicas - spare(placement, target)
-    return add_extra(
+    max_extra = capacity_config.max_replicas - target
+    choice = choose_deadline_replicas(backlog, market, max_extra, deadline_config, now)
+    extra = choice.replicas - spare_replicas(placement, target)
+    return add_deadline_replicas(
         placement,
         extra,
         choice.price_limit,
-        choice.firm,
+        choice.on_demand_allowed,
         offers,
         current,
         blocked,
-        terms.ceiling,
-        placement_policy.keep_discount,
+        capacity_config.ceiling,
+        placement_config.keep_discount,
     )
 
 
@@ -119,8 +122,8 @@
 ) -> Market | None:
     """Return the market for one more replica, or None without any offer."""
     free = {key: offer for key, offer in offers.items() if key not in blocked}
-    firm = cheapest(offers, reclaimable=False)
-    now = cheapest(free, reclaimable=True)
+    firm = cheapest_price(offers, reclaimable=False)
+    now = cheapest_price(free, reclaimable=True)
     if now is None and firm is None:
         return None
     if now is None:
--- a/src/ebonydeal/_internal/controller/context.py
+++ b/src/ebonydeal/_internal/controller/context.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ebonydeal._internal.controller.demand import DemandPolicy
-from ebonydeal._internal.controller.fleet import ReconcilePolicy
+from ebonydeal._internal.controller.demand import DemandConfig
 from ebonydeal._internal.controller.lease import Holder
-from ebonydeal._internal.controller.load_desk import LoadDesk
-from ebonydeal._internal.controller.orders import OrderPolicy
-from ebonydeal._internal.controller.placement import PlacementPolicy
+from ebonydeal._internal.controller.orders import OrderConfig
+from ebonydeal._internal.controller.placement import PlacementConfig
 from ebonydeal._internal.controller.ports import ControlledEngine
+from ebonydeal._internal.controller.reconcile_state import ReconcileConfig
+from ebonydeal._internal.controller.weight_load_scheduler import WeightLoadScheduler
 from ebonydeal._internal.models.endpoints import LeavingMark
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.interfaces import Cloud, Tables
@@ -18,7 +18,7 @@
 from ebonydeal._internal.utils.clock import Clock
 
 
-class Context(NamedTuple):
+class ControllerContext(NamedTuple):
     """Adapters and means, the same for all deployments.
 
     Attributes
@@ -29,7 +29,7 @@
         This run of this process.
     tables, cloud, engine : Tables, Cloud, ControlledEngine
         Adapters.
-    desk : LoadDesk
+    load_scheduler : WeightLoadScheduler
         Paces weight loads.
     metrics, clock, rng
         Counters, time, randomness.
@@ -42,35 +42,35 @@
     tables: Tables
     cloud: Cloud
     engine: ControlledEngine
-    desk: LoadDesk
+    load_scheduler: WeightLoadScheduler
     metrics: Metrics
     clock: Clock
     rng: random.Random
     mark: Callable[[LeavingMark], None]
 
-    def reconcile_policy(self) -> ReconcilePolicy:
+    def reconcile_config(self) -> ReconcileConfig:
         """Return the constants of reconciling."""
-        return ReconcilePolicy(
+        return ReconcileConfig(
             list_grace=self.cfg.list_grace,
             warm_timeout=self.cfg.warm_timeout,
             drain_longest=self.cfg.drain_longest,
             drain_over_ceiling=self.cfg.drain_over_ceiling,
         )
 
-    def order_policy(self) -> OrderPolicy:
+    def order_config(self) -> OrderConfig:
         """Return the constants of orders."""
-        return OrderPolicy(
+        return OrderConfig(
             quiet=self.cfg.lease_ttl + self.cfg.longest_order,
             longest_order=self.cfg.longest_order,
             audit_period=self.cfg.audit_period,
         )
 
-    def demand_policy(self) -> DemandPolicy:
+    def demand_config(self) -> DemandConfig:
         """Return the constants of demand."""
-        return DemandPolicy(
+        return DemandConfig(
             hold_down=self.cfg.hold_down, service_s=self.cfg.service_seconds
         )
 
-    def placement_policy(self) -> PlacementPolicy:
+    def placement_config(self) -> PlacementConfig:
         """Return the constants of placement."""
-        return PlacementPolicy(on_demand_share=self.cfg.on_demand_share)
+        return PlacementConfig(on_demand_share=self.cfg.on_demand_share)
--- a/src/ebonydeal/_internal/controller/deadline.py
+++ b/src/ebonydeal/_internal/controller/deadline.py
@@ -1,7 +1,7 @@
 """When to run work that may wait until a deadline.
 
 A pure decision, made again every few minutes: how many replicas to add now for
-deadline work, and whether any price is paid. `Rule` names the ways that were
+deadline work, and whether any price is paid. `PriceRule` names the ways that were
 weighed; docs/design/deadline-work.md gives the figures.
 """
 
@@ -13,7 +13,7 @@
 _EPS = 1e-9
 
 
-class Rule(StrEnum):
+class PriceRule(StrEnum):
     """How the price at which work runs is chosen."""
 
     AT_ONCE = "at_once"
@@ -22,12 +22,12 @@
     QUANTILE = "price_quantile"
 
 
-class DeadlinePolicy(NamedTuple):
+class DeadlineConfig(NamedTuple):
     """Constants of deadline work.
 
     Attributes
     ----------
-    rule : Rule
+    rule : PriceRule
         Which way.
     fixed_share : float
         For ``FIXED``: share of the on-demand price below which work runs.
@@ -40,7 +40,7 @@
         it up is not worth less.
     """
 
-    rule: Rule = Rule.QUANTILE
+    rule: PriceRule = PriceRule.QUANTILE
     fixed_share: float = 0.35
     margin_s: float = 1800.0
     margin_share: float = 0.1
@@ -86,11 +86,11 @@
     """
 
     replicas: int
-    firm: bool
+    on_demand_allowed: bool
     price_limit: float
 
 
-def price_limit(market: Market, committed: float, policy: DeadlinePolicy) -> float:
+def price_limit(market: Market, committed: float, config: DeadlineConfig) -> float:
     """Return the highest price at which work runs that can still wait.
 
     Parameters
@@ -100,18 +100,18 @@
     committed : float
         Share, 0 to 1, of all replica time left until the deadline that the
         work needs.
-    policy : DeadlinePolicy
+    config : DeadlineConfig
         Names the rule.
     """
     committed = min(1.0, max(0.0, committed))
-    match policy.rule:
-        case Rule.AT_ONCE:
+    match config.rule:
+        case PriceRule.AT_ONCE:
             return math.inf
-        case Rule.FIXED:
-            return policy.fixed_share * market.on_demand
-        case Rule.EXPONENTIAL:
+        case PriceRule.FIXED:
+            return config.fixed_share * market.on_demand
+        case PriceRule.EXPONENTIAL:
             return _exponential(market, committed)
-        case Rule.QUANTILE:
+        case PriceRule.QUANTILE:
             return _quantile(market, committed)
 
 
@@ -128,11 +128,11 @@
     return prices[max(0, index)]
 
 
-def choose(
+def choose_deadline_replicas(
     backlog: Sequence[Backlog],
     market: Market,
-    most: int,
-    policy: DeadlinePolicy,
+    max_replicas: int,
+    config: DeadlineConfig,
     now: float,
 ) -> DeadlineChoice:
     """Return how many replicas to add for deadline work now.
@@ -145,7 +145,7 @@
         Prices.
     most : int
         Most replicas that deadline work may have at once.
-    policy : DeadlinePolicy
+    config : DeadlineConfig
         Constants.
     now : float
         Wall clock seconds.
@@ -156,17 +156,17 @@
         Never less than what the tightest deadline needs from now on: earliest
         deadlines first, every prefix of the work must fit before its deadline.
     """
-    if most <= 0 or not any(item.work_s > _EPS for item in backlog):
+    if max_replicas <= 0 or not any(item.work_s > _EPS for item in backlog):
         return DeadlineChoice(0, False, 0.0)
     committed, total, rate = 0.0, 0.0, 0.0
     for item in sorted(backlog):
-        total += item.work_s * (1.0 + policy.margin_share)
-        left = item.deadline - policy.margin_s - now
-        share = total / (most * left) if left > 0 else math.inf
+        total += item.work_s * (1.0 + config.margin_share)
+        left = item.deadline - config.margin_s - now
+        share = total / (max_replicas * left) if left > 0 else math.inf
         committed = max(committed, share)
         rate = max(rate, total / max(left, 1.0))
-    limit = price_limit(market, committed, policy)
-    useful = min(most, math.ceil(max(rate, total / policy.run_s)))
+    limit = price_limit(market, committed, config)
+    useful = min(max_replicas, math.ceil(max(rate, total / config.run_s)))
     if committed >= 1.0 - _EPS:
         return DeadlineChoice(useful, True, math.inf)
     if market.now <= limit + _EPS:
--- a/src/ebonydeal/_internal/controller/extra.py
+++ b/src/ebonydeal/_internal/controller/deadline_replicas.py
@@ -11,7 +11,7 @@
 _EPS = 1e-9
 
 
-def spare(placement: Placement, target: int) -> int:
+def spare_replicas(placement: Placement, target: int) -> int:
     """Return how many replicas run beyond the target.
 
     They stand by for the loss of a zone, and do deadline work until then.
@@ -19,11 +19,11 @@
     return max(0, sum(placement.counts.values()) - target)
 
 
-def add_extra(
+def add_deadline_replicas(
     placement: Placement,
     number: int,
     price_limit: float,
-    firm: bool,
+    on_demand_allowed: bool,
     offers: Mapping[OfferKey, Offer],
     current: Mapping[OfferKey, int],
     blocked: Set[OfferKey],
@@ -55,7 +55,7 @@
     cost = placement.cost_per_hour
     left = number
     for _score, price, key, room in _choices(
-        counts, firm, offers, current, blocked, keep_discount
+        counts, on_demand_allowed, offers, current, blocked, keep_discount
     ):
         if price > price_limit + _EPS:
             continue
@@ -67,19 +67,19 @@
     wanted = any(
         price <= price_limit + _EPS
         for _score, price, _key, _room in _choices(
-            counts, firm, offers, {}, blocked, keep_discount
+            counts, on_demand_allowed, offers, {}, blocked, keep_discount
         )
     )
     return placement._replace(
         counts=dict(+counts),
         cost_per_hour=cost,
-        held=placement.held + (left if wanted and left > 0 else 0),
+        ceiling_held=placement.ceiling_held + (left if wanted and left > 0 else 0),
     )
 
 
 def _choices(
     counts: Mapping[OfferKey, int],
-    firm: bool,
+    on_demand_allowed: bool,
     offers: Mapping[OfferKey, Offer],
     current: Mapping[OfferKey, int],
     blocked: Set[OfferKey],
@@ -88,7 +88,7 @@
     """Return (score, price, key, room) of what may be added, best first."""
     choices = []
     for key, offer in offers.items():
-        if not (key.reclaimable or firm):
+        if not (key.reclaimable or on_demand_allowed):
             continue
         price = offer.price_per_hour
         kept = current.get(key, 0) - counts.get(key, 0)
--- a/src/ebonydeal/_internal/controller/demand.py
+++ b/src/ebonydeal/_internal/controller/demand.py
@@ -14,7 +14,7 @@
 _LATE_SHARE = 0.05
 
 
-class DemandPolicy(NamedTuple):
+class DemandConfig(NamedTuple):
     """Constants of demand.
 
     Attributes
@@ -108,7 +108,7 @@
     first_token_s: float,
     low: int,
     high: int,
-    policy: DemandPolicy,
+    config: DemandConfig,
     now: float,
 ) -> tuple[int, DemandState]:
     """Return the replicas needed now, and the state for the next decision.
@@ -123,22 +123,22 @@
         Latency target, 95 in 100.
     low, high : int
         Bounds from the document.
-    policy : DemandPolicy
+    config : DemandConfig
         Constants.
     now : float
         Monotonic seconds.
     """
-    smooth = _smoothed(state, load.in_flight, policy, now)
-    ahead = smooth.load + max(0.0, smooth.slope) * policy.ahead
-    wait = first_token_s * policy.wait_share
-    slots = slots_needed(ahead, policy.service_s, wait)
+    smooth = _smoothed(state, load.in_flight, config, now)
+    ahead = smooth.load + max(0.0, smooth.slope) * config.ahead
+    wait = first_token_s * config.wait_share
+    slots = slots_needed(ahead, config.service_s, wait)
     need = min(high, max(low, math.ceil(slots / max(1, load.slots))))
-    peaks = _kept_peaks(smooth.peaks, need, now, policy.hold_down)
+    peaks = _kept_peaks(smooth.peaks, need, now, config.hold_down)
     return peaks[0][1], smooth._replace(peaks=peaks)
 
 
 def _smoothed(
-    state: DemandState, in_flight: float, policy: DemandPolicy, now: float
+    state: DemandState, in_flight: float, config: DemandConfig, now: float
 ) -> DemandState:
     """Return the state with the load averaged over time."""
     if state.at is None:
@@ -146,7 +146,7 @@
     passed = max(0.0, now - state.at)
     if passed == 0.0:
         return state
-    share = 1.0 - math.exp(-passed / policy.smoothing)
+    share = 1.0 - math.exp(-passed / config.smoothing)
     load = state.load + share * (in_flight - state.load)
     slope = state.slope + share * ((load - state.load) / passed - state.slope)
     return state._replace(load=load, slope=slope, at=now)
--- a/src/ebonydeal/_internal/controller/demand_keeper.py
+++ b/src/ebonydeal/_internal/controller/demand_tracker.py
@@ -1,7 +1,7 @@
 """The desired replicas of one deployment from round to round."""
 
 from ebonydeal._internal.controller.demand import (
-    DemandPolicy,
+    DemandConfig,
     DemandState,
     Load,
     desired_replicas,
@@ -10,7 +10,7 @@
 from ebonydeal._internal.models.endpoints import LoadReport
 
 
-class DemandKeeper:
+class DemandTracker:
     """Remembers what `demand.desired_replicas` needs between rounds.
 
     Silence is not low load: what doesn't report counts like the mean of what
@@ -18,12 +18,12 @@
 
     Parameters
     ----------
-    policy : DemandPolicy
+    config : DemandConfig
         Constants.
     """
 
-    def __init__(self, policy: DemandPolicy) -> None:
-        self._policy = policy
+    def __init__(self, config: DemandConfig) -> None:
+        self._config = config
         self._state = DemandState()
         self._target = 0
 
@@ -33,7 +33,7 @@
         What the predecessor found necessary is held for as long as any need:
         ``standing`` replicas that serve through a zone's loss.
         """
-        peaks = ((now + self._policy.hold_down, standing),) if standing else ()
+        peaks = ((now + self._config.hold_down, standing),) if standing else ()
         self._state = DemandState(peaks=peaks)
         self._target = standing
 
@@ -65,6 +65,6 @@
             scale = max(1.0, replicas / len(reports))
             load = load._replace(in_flight=load.in_flight * scale)
         self._target, self._state = desired_replicas(
-            self._state, load, deployment.first_token_s, low, high, self._policy, now
+            self._state, load, deployment.first_token_s, low, high, self._config, now
         )
         return min(high, max(low, self._target))
--- a/src/ebonydeal/_internal/controller/execute.py
+++ b/src/ebonydeal/_internal/controller/execute.py
@@ -19,8 +19,8 @@
     Warm,
 )
 from ebonydeal._internal.controller.events import TrailEvent, TrailKind
-from ebonydeal._internal.controller.records import Records
-from ebonydeal._internal.controller.refusals import Refusals
+from ebonydeal._internal.controller.records import InstanceRecords
+from ebonydeal._internal.controller.start_backoff import StartBackoff
 from ebonydeal._internal.controller.values import (
     MANAGER,
     TAG_DEPLOYMENT,
@@ -51,13 +51,13 @@
     ----------
     deployment : str
         Whose instances.
-    records : Records
+    records : InstanceRecords
         Rows, written under the lease's epoch.
     cloud : Cloud
         Adapter.
     metrics, clock, rng
         Counters, time, and the source of tokens.
-    refusals : Refusals
+    start_backoff : StartBackoff
         Told of refused and successful starts.
     on_drain : callable
         Called with the row of each instance that begins to leave.
@@ -66,12 +66,12 @@
     def __init__(
         self,
         deployment: str,
-        records: Records,
+        records: InstanceRecords,
         cloud: Cloud,
         metrics: Metrics,
         clock: Clock,
         rng: random.Random,
-        refusals: Refusals,
+        start_backoff: StartBackoff,
         on_drain: DrainCallback,
     ) -> None:
         self.refused: list[str] = []
@@ -81,7 +81,7 @@
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
-        self._refusals = refusals
+        self._start_backoff = start_backoff
         self._on_drain = on_drain
         self._epoch = 0
         self._offers: Mapping[OfferKey, Offer] = {}
@@ -195,12 +195,12 @@
                 raise
             await self._was_refused(row, exc)
             return
-        self._refusals.started(key)
+        self._start_backoff.record_start(key)
         await self._started(row, instance)
 
     async def _was_refused(self, row: InstanceRow, exc: EbonydealError) -> None:
         """Take a refused start back and leave the offer alone for a while."""
-        wait = self._refusals.refused(OfferKey.of(row), self._clock.now())
+        wait = self._start_backoff.record_refusal(OfferKey.of(row), self._clock.now())
         self._metrics.count(Event.STARTS_REFUSED)
         self._metrics.refused(ErrorKind.START_REFUSED)
         logger.info(
--- a/src/ebonydeal/_internal/controller/lease.py
+++ b/src/ebonydeal/_internal/controller/lease.py
@@ -40,7 +40,7 @@
     return Holder(f"{node_id}/{new_token('run', rng)}", address)
 
 
-class Sighting(NamedTuple):
+class RowObservation(NamedTuple):
     """When a version of the row was first seen, in own monotonic seconds."""
 
     version: int
@@ -68,17 +68,17 @@
     """Another holder is active, or may be."""
 
 
-Move = Claim | Renew | Wait
+LeaseStep = Claim | Renew | Wait
 
 
-def next_move(
+def next_lease_step(
     key: str,
     row: Row | None,
     holder_id: str,
-    seen: Sighting | None,
+    seen: RowObservation | None,
     now: float,
     ttl: float,
-) -> Move:
+) -> LeaseStep:
     """Return what a process should do about the lease.
 
     Parameters
@@ -89,7 +89,7 @@
         The row as just read.
     holder_id : str
         Id of the asking process.
-    seen : Sighting or None
+    seen : RowObservation or None
         When the present version was first seen.
     now, ttl : float
         Monotonic seconds, and seconds without a change until a takeover.
@@ -131,13 +131,13 @@
     ) -> None:
         self.key = LEASE_PREFIX + name
         self.epoch: int | None = None
-        self.previous = ""
-        self.since = 0.0
+        self.previous_holder = ""
+        self.held_since = 0.0
         self._holder = holder
         self._tables = tables
         self._clock = clock
         self._ttl = ttl
-        self._seen: Sighting | None = None
+        self._seen: RowObservation | None = None
         self._valid_until = 0.0
         self._look_at = 0.0
 
@@ -145,7 +145,7 @@
         """Return the condition that every write of the leader carries."""
         return FieldEquals(self.key, "epoch", self.epoch)
 
-    def believed(self) -> bool:
+    def presumed_held(self) -> bool:
         """Return whether this process may still act; a courtesy, not safety."""
         return self.epoch is not None and self._clock.now() < self._valid_until
 
@@ -158,7 +158,7 @@
         ago is left as it is: another's claim shows in the next write anyway.
         """
         if self._clock.now() < self._look_at:
-            return self.believed()
+            return self.presumed_held()
         try:
             await self._step()
         except EbonydealError as exc:
@@ -167,15 +167,15 @@
                 ErrorKind.STORE_IN_DOUBT,
             ):
                 raise
-        return self.believed()
+        return self.presumed_held()
 
-    def lost(self) -> None:
+    def mark_lost(self) -> None:
         """Note that a conditioned write showed another epoch."""
         self.epoch = None
         self._seen = None
         self._look_at = 0.0
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Clear the holder, so that the next one need not wait."""
         if self.epoch is None:
             return
@@ -189,15 +189,17 @@
         # Only now: a process paused during the read has seen nothing meanwhile.
         began = self._clock.now()
         self._sight(row, began)
-        move = next_move(self.key, row, self._holder.id, self._seen, began, self._ttl)
-        match move:
+        step = next_lease_step(
+            self.key, row, self._holder.id, self._seen, began, self._ttl
+        )
+        match step:
             case Wait():
                 self.epoch = None
                 self._look_at = began + self._ttl * _LOOK_SHARE
             case Renew(epoch, condition):
                 await self._write(epoch, condition, began)
             case Claim(epoch, condition):
-                self.previous = "" if row is None else str(row.value["holder"])
+                self.previous_holder = "" if row is None else str(row.value["holder"])
                 self.epoch = None
                 await self._write(epoch, condition, began)
 
@@ -206,7 +208,7 @@
         if row is None:
             self._seen = None
         elif self._seen is None or self._seen.version != row.version:
-            self._seen = Sighting(row.version, now)
+            self._seen = RowObservation(row.version, now)
 
     async def _write(self, epoch: int, condition: Condition, began: float) -> None:
         """Write the lease as ours; after a lost answer believe only the row."""
@@ -221,7 +223,7 @@
             self.epoch = None
             return
         if self.epoch != epoch:
-            self.since = began
+            self.held_since = began
         self.epoch = epoch
         self._valid_until = began + self._ttl
         self._look_at = began + self._ttl * _LOOK_SHARE
--- a/src/ebonydeal/_internal/controller/ledger.py
+++ b/src/ebonydeal/_internal/controller/ledger.py
@@ -14,7 +14,7 @@
 _HOUR = 3600.0
 
 
-class Ledger:
+class SpendLedger:
     """Adds up spend over time, from prices seen at each round.
 
     Parameters
--- a/src/ebonydeal/_internal/controller/vanished.py
+++ b/src/ebonydeal/_internal/controller/missing_instances.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping, Set
 
 
-class Vanished:
+class MissingInstances:
     """Counts for how long instances have been missing from the cloud's list.
 
     An instance is gone when it has been missing for ``grace`` seconds, or in two
@@ -19,7 +19,7 @@
         self._grace = grace
         self._since: dict[str, float] = {}
 
-    def gone(
+    def update(
         self,
         tokens: Set[str],
         listed: Mapping[str, object],
--- a/src/ebonydeal/_internal/controller/notices.py
+++ b/src/ebonydeal/_internal/controller/notices.py
@@ -21,23 +21,23 @@
 _FORGET_AFTER = 3600.0
 
 
-class ZoneNotice(NamedTuple):
+class ZoneReclaim(NamedTuple):
     """A zone is taken back: all that was started before ``at``."""
 
     at: float
     deadline: float
 
 
-class NoticeBook:
+class ReclaimNotices:
     """What the cloud has said will be taken back; wall clock seconds."""
 
     def __init__(self) -> None:
-        self.after = 0
+        self.last_seq = 0
         self._instances: dict[str, float] = {}
-        self._zones: dict[str, ZoneNotice] = {}
+        self._zones: dict[str, ZoneReclaim] = {}
         self._first = True
 
-    def note(
+    def record(
         self,
         notices: list[ReclaimNotice],
         incarnations: Mapping[str, int],
@@ -51,11 +51,11 @@
         """
         marks = []
         for notice in sorted(notices):
-            self.after = max(self.after, notice.seq)
+            self.last_seq = max(self.last_seq, notice.seq)
             if not notice.instance_id:
                 if self._first and 0.0 < notice.deadline < now:
                     continue
-                self._zones[notice.zone] = ZoneNotice(now, notice.deadline)
+                self._zones[notice.zone] = ZoneReclaim(now, notice.deadline)
             else:
                 self._instances[notice.instance_id] = notice.deadline
             marks.append(
@@ -80,7 +80,7 @@
             return zone.deadline if known is None else min(known, zone.deadline)
         return known
 
-    def zones(self, now: float, seconds: float) -> frozenset[str]:
+    def recently_reclaimed_zones(self, now: float, seconds: float) -> frozenset[str]:
         """Return the zones that were reclaimed in the last ``seconds``."""
         return frozenset(
             zone for zone, item in self._zones.items() if now - item.at < seconds
@@ -116,21 +116,23 @@
         self, cloud: Cloud, clock: Clock, period: float, mark: MarkCallback
     ) -> None:
         super().__init__()
-        self.book = NoticeBook()
+        self.reclaim_notices = ReclaimNotices()
         self._cloud = cloud
         self._clock = clock
         self._period = period
         self._mark = mark
         self._incarnations: dict[str, int] = {}
 
-    def know(self, views: list[EndpointView]) -> None:
+    def set_incarnations(self, views: list[EndpointView]) -> None:
         """Take the incarnations from the instance list."""
         self._incarnations = {view.endpoint_id: view.incarnation for view in views}
 
     async def poll(self) -> None:
         """Read new notices once and spread their marks."""
-        notices = await self._cloud.notices(self.book.after)
-        for mark in self.book.note(notices, self._incarnations, self._clock.wall()):
+        notices = await self._cloud.notices(self.reclaim_notices.last_seq)
+        for mark in self.reclaim_notices.record(
+            notices, self._incarnations, self._clock.wall()
+        ):
             logger.info(
                 "A reclaim was announced.",
                 instance=mark.endpoint_id,
--- a/src/ebonydeal/_internal/controller/offers.py
+++ b/src/ebonydeal/_internal/controller/offers.py
@@ -3,8 +3,8 @@
 from collections import deque
 from collections.abc import Iterable, Mapping, Set
 
-from ebonydeal._internal.controller.capacity import cheapest
-from ebonydeal._internal.controller.refusals import Refusals
+from ebonydeal._internal.controller.capacity import cheapest_price
+from ebonydeal._internal.controller.start_backoff import StartBackoff
 from ebonydeal._internal.controller.values import InstanceRow, OfferKey
 from ebonydeal._internal.outside.interfaces import Offer
 from ebonydeal._internal.utils.clock import Clock
@@ -13,20 +13,20 @@
 _PRICES_KEPT = 288
 
 
-class PriceMemory:
+class PriceHistory:
     """Cheapest reclaimable prices of the last day, one each ``PRICE_STEP_S``."""
 
     def __init__(self) -> None:
         self._prices: deque[float] = deque(maxlen=_PRICES_KEPT)
         self._at: float | None = None
 
-    def note(self, price: float, now: float) -> None:
+    def record(self, price: float, now: float) -> None:
         """Remember a price, at most one a step."""
         if self._at is None or now - self._at >= PRICE_STEP_S:
             self._prices.append(price)
             self._at = now
 
-    def recent(self) -> tuple[float, ...]:
+    def recent_prices(self) -> tuple[float, ...]:
         """Return the remembered prices."""
         return tuple(self._prices)
 
@@ -38,12 +38,12 @@
     return {key: offer for key, offer in offers.items() if key.zone in zones}
 
 
-class OfferBook:
+class OfferTracker:
     """Offers of a deployment from round to round.
 
     Parameters
     ----------
-    refusals : Refusals
+    start_backoff : StartBackoff
         Told which offers are to be left alone.
     clock : Clock
         Source of time.
@@ -51,12 +51,14 @@
         Seconds between rounds.
     """
 
-    def __init__(self, refusals: Refusals, clock: Clock, period: float) -> None:
-        self._refusals = refusals
+    def __init__(
+        self, start_backoff: StartBackoff, clock: Clock, period: float
+    ) -> None:
+        self._start_backoff = start_backoff
         self._clock = clock
         self._period = period
         self._last: dict[OfferKey, Offer] = {}
-        self._prices = PriceMemory()
+        self._prices = PriceHistory()
 
     def usable(
         self,
@@ -72,24 +74,24 @@
         offers = usable_offers(listed, zones)
         self._last.update(offers)
         now = self._clock.now()
-        price = cheapest(offers, reclaimable=True)
+        price = cheapest_price(offers, reclaimable=True)
         if price is not None:
-            self._prices.note(price, now)
+            self._prices.record(price, now)
         for row in rows:
             key = OfferKey.of(row)
             if key not in offers and key.zone in zones:
                 unlisted = Offer(*key, row.price_per_hour, 0.0, 1)
                 offers[key] = self._last.get(key, unlisted)
-                self._refusals.avoid(key, now, self._period * 2)
+                self._start_backoff.block(key, now, self._period * 2)
         return offers
 
-    def avoid_zones(self, offers: Iterable[OfferKey], zones: Set[str]) -> None:
+    def block_zones(self, offers: Iterable[OfferKey], zones: Set[str]) -> None:
         """Leave the reclaimable offers of ``zones`` alone until the next round."""
         now = self._clock.now()
         for key in offers:
             if key.reclaimable and key.zone in zones:
-                self._refusals.avoid(key, now, self._period * 2)
+                self._start_backoff.block(key, now, self._period * 2)
 
-    def recent(self) -> tuple[float, ...]:
+    def recent_prices(self) -> tuple[float, ...]:
         """Return the cheapest reclaimable prices of the last day."""
-        return self._prices.recent()
+        return self._prices.recent_prices()
--- a/src/ebonydeal/_internal/controller/order_keeper.py
+++ b/src/ebonydeal/_internal/controller/order_manager.py
@@ -6,9 +6,9 @@
 from ebonydeal._internal.controller.lease import LeaseKeeper
 from ebonydeal._internal.controller.orders import (
     HoldOrder,
+    KnownOrder,
     Leadership,
-    OrderMemory,
-    OrderPolicy,
+    OrderConfig,
     ReadBack,
     SendOrder,
     Settled,
@@ -31,7 +31,7 @@
 _STEPS = 3
 
 
-class OrderKeeper:
+class OrderManager:
     """Brings engines to their wanted end and keeps them there.
 
     Parameters
@@ -44,7 +44,7 @@
         Counts orders sent and refused as stale.
     clock : Clock
         Source of time.
-    policy : OrderPolicy
+    config : OrderConfig
         Constants.
     """
 
@@ -55,15 +55,15 @@
         engine: ControlledEngine,
         metrics: Metrics,
         clock: Clock,
-        policy: OrderPolicy,
+        config: OrderConfig,
     ) -> None:
         self._lease = lease
         self._tables = tables
         self._engine = engine
         self._metrics = metrics
         self._clock = clock
-        self._policy = policy
-        self._memories: dict[str, OrderMemory] = {}
+        self._config = config
+        self._memories: dict[str, KnownOrder] = {}
         self._epoch: int | None = None
         self._confirmed = False
 
@@ -94,7 +94,7 @@
         for endpoint_id in set(self._memories) - set(engines):
             del self._memories[endpoint_id]
         self._confirmed = False
-        leadership = Leadership(self._lease.since, predecessor_gone)
+        leadership = Leadership(self._lease.held_since, predecessor_gone)
         limit = asyncio.Semaphore(_AT_ONCE)
 
         async def one(endpoint_id: str) -> bool:
@@ -130,16 +130,16 @@
         """Return the next step for one engine."""
         return next_step(
             wanted[endpoint_id],
-            self._memories.get(endpoint_id, OrderMemory()),
+            self._memories.get(endpoint_id, KnownOrder()),
             leadership,
             checks_fence,
-            self._policy,
+            self._config,
             self._clock.now(),
         )
 
     def found(self, endpoint_id: str) -> EngineOrder | None:
         """Return the order last read from an engine."""
-        return self._memories.get(endpoint_id, OrderMemory()).found
+        return self._memories.get(endpoint_id, KnownOrder()).found
 
     async def _settle(
         self,
@@ -152,7 +152,7 @@
         """Do a few steps for one engine; return whether it is settled."""
         order = wanted[view.endpoint_id]
         for _ in range(_STEPS):
-            memory = self._memories.get(view.endpoint_id, OrderMemory())
+            memory = self._memories.get(view.endpoint_id, KnownOrder())
             try:
                 match self._step(view.endpoint_id, wanted, leadership, checks_fence):
                     case Settled():
@@ -172,7 +172,7 @@
         return False
 
     async def _read(
-        self, view: EndpointView, wanted: EngineOrder, memory: OrderMemory
+        self, view: EndpointView, wanted: EngineOrder, memory: KnownOrder
     ) -> None:
         """Read the order in force."""
         found = await self._engine.order_state(view)
@@ -180,7 +180,7 @@
         self._memories[view.endpoint_id] = after_read(memory, found, wanted, now)
 
     async def _send(
-        self, view: EndpointView, wanted: EngineOrder, memory: OrderMemory
+        self, view: EndpointView, wanted: EngineOrder, memory: KnownOrder
     ) -> None:
         """Send an order, after the table has confirmed the lease this round."""
         await self._confirm()
@@ -190,11 +190,11 @@
 
     async def _confirm(self) -> None:
         """Raise ``FENCED`` unless the table still holds our epoch."""
-        if self._confirmed and self._lease.believed():
+        if self._confirmed and self._lease.presumed_held():
             return
         row = await self._tables.get(self._lease.key)
         if row is None or row.value["epoch"] != self._epoch:
-            self._lease.lost()
+            self._lease.mark_lost()
             raise EbonydealError(ErrorKind.FENCED, "another controller leads now")
         self._confirmed = True
 
@@ -202,7 +202,7 @@
         """Count and log; a stale order means that a newer leader is active."""
         if exc.kind is ErrorKind.STALE_ORDER:
             self._metrics.count(Event.ORDERS_STALE)
-            self._lease.lost()
+            self._lease.mark_lost()
         if exc.kind is ErrorKind.CONNECT_FAILED:
             logger.debug("An engine can't be reached.", endpoint=view.endpoint_id)
             return
@@ -211,6 +211,6 @@
         )
 
 
-def _models(memory: OrderMemory) -> tuple[str, ...]:
+def _models(memory: KnownOrder) -> tuple[str, ...]:
     """Return the models that an engine was last seen with."""
     return memory.found.models if memory.found is not None else ()
--- a/src/ebonydeal/_internal/controller/orders.py
+++ b/src/ebonydeal/_internal/controller/orders.py
@@ -13,7 +13,7 @@
 from ebonydeal._internal.outside.interfaces import EngineOrder
 
 
-class OrderPolicy(NamedTuple):
+class OrderConfig(NamedTuple):
     """Constants of orders, in seconds.
 
     Attributes
@@ -32,7 +32,7 @@
     audit_period: float
 
 
-class OrderMemory(NamedTuple):
+class KnownOrder(NamedTuple):
     """What the leader remembers of one engine; times are monotonic seconds.
 
     Attributes
@@ -93,10 +93,10 @@
 
 def next_step(
     wanted: EngineOrder,
-    memory: OrderMemory,
+    memory: KnownOrder,
     leadership: Leadership,
     checks_fence: bool,
-    policy: OrderPolicy,
+    config: OrderConfig,
     now: float,
 ) -> Step:
     """Return what to do about one engine's order.
@@ -105,13 +105,13 @@
     ----------
     wanted : EngineOrder
         The wanted end, with this leader's epoch.
-    memory : OrderMemory
+    memory : KnownOrder
         What is known of the engine.
     leadership : Leadership
         This leader and the one before.
     checks_fence : bool
         Whether the engine refuses an older fencing number.
-    policy : OrderPolicy
+    config : OrderConfig
         Constants.
     now : float
         Monotonic seconds.
@@ -120,34 +120,34 @@
         return ReadBack()
     if checks_fence:
         return Settled() if memory.found == wanted else SendOrder()
-    return _step_unchecked(wanted, memory, leadership, policy, now)
+    return _step_unchecked(wanted, memory, leadership, config, now)
 
 
 def _step_unchecked(
     wanted: EngineOrder,
-    memory: OrderMemory,
+    memory: KnownOrder,
     leadership: Leadership,
-    policy: OrderPolicy,
+    config: OrderConfig,
     now: float,
 ) -> Step:
     """Return the next step for an engine that ignores fencing numbers."""
     found, read_at = memory.found, memory.read_at
     assert found is not None and read_at is not None
     if not same_end(found, wanted):
-        waits = now < leadership.since + policy.quiet
+        waits = now < leadership.since + config.quiet
         if waits and not leadership.predecessor_gone:
             return HoldOrder("the old lease has not run out")
         if cuts_work(found, wanted) and not leadership.predecessor_gone:
             return HoldOrder("can't be undone, and the old holder may be alive")
         return SendOrder()
     stable = memory.same_since is not None and (
-        now - memory.same_since >= policy.longest_order
+        now - memory.same_since >= config.longest_order
     )
     if not stable:
-        if now - read_at >= policy.longest_order / 2:
+        if now - read_at >= config.longest_order / 2:
             return ReadBack()
         return HoldOrder("read back until it is stable")
-    if now - read_at >= policy.audit_period:
+    if now - read_at >= config.audit_period:
         return ReadBack()
     return Settled()
 
@@ -169,8 +169,8 @@
 
 
 def after_read(
-    memory: OrderMemory, found: EngineOrder, wanted: EngineOrder, now: float
-) -> OrderMemory:
+    memory: KnownOrder, found: EngineOrder, wanted: EngineOrder, now: float
+) -> KnownOrder:
     """Return the memory after the order in force was read."""
     same_since = memory.same_since
     if not same_end(found, wanted):
@@ -180,6 +180,6 @@
     return memory._replace(found=found, read_at=now, same_since=same_since)
 
 
-def after_send(memory: OrderMemory) -> OrderMemory:
+def after_send(memory: KnownOrder) -> KnownOrder:
     """Return the memory after an order was sent, whatever its answer."""
     return memory._replace(read_at=None, same_since=None)
--- a/src/ebonydeal/_internal/controller/placement.py
+++ b/src/ebonydeal/_internal/controller/placement.py
@@ -18,7 +18,7 @@
 _CAPS_AT_ONCE = 16
 
 
-class PlacementPolicy(NamedTuple):
+class PlacementConfig(NamedTuple):
     """Constants of placement.
 
     Attributes
@@ -55,8 +55,8 @@
 
     counts: dict[OfferKey, int]
     cost_per_hour: float
-    standing: int
-    held: int
+    zone_loss_capacity: int
+    ceiling_held: int
 
 
 class _Unit(NamedTuple):
@@ -72,8 +72,8 @@
     """What stays the same while ways are tried."""
 
     units: list[_Unit]
-    policy: PlacementPolicy
-    most: float
+    config: PlacementConfig
+    max_total: float
 
 
 class _Fill(NamedTuple):
@@ -91,9 +91,9 @@
     current: Mapping[OfferKey, int],
     blocked: Set[OfferKey],
     ceiling: float,
-    policy: PlacementPolicy,
+    config: PlacementConfig,
     recompute_weight: float = 1.0,
-    most: float = math.inf,
+    max_total: float = math.inf,
 ) -> Placement:
     """Choose the cheapest instances that hold ``target`` through a zone's loss.
 
@@ -110,7 +110,7 @@
         Keys in which nothing can be started now; running ones may stay.
     ceiling : float
         Most that all instances together may cost an hour.
-    policy : PlacementPolicy
+    config : PlacementConfig
         Constants.
     recompute_weight : float
         The deployment's weight of recomputed tokens.
@@ -125,14 +125,16 @@
     """
     if target <= 0:
         return Placement({}, 0.0, 0, 0)
-    units = _units(offers, current, blocked, policy, recompute_weight)
-    task = _Task(units, policy, most)
+    units = _units(offers, current, blocked, config, recompute_weight)
+    task = _Task(units, config, max_total)
     fill = _most_standing(task, target, ceiling)
-    held = 0
-    if _standing(fill.counts) < target:
+    ceiling_held = 0
+    if _zone_loss_capacity(fill.counts) < target:
         free = _most_standing(task, target, math.inf)
-        held = max(0, free.total - fill.total)
-    return Placement(dict(fill.counts), fill.cost, _standing(fill.counts), held)
+        ceiling_held = max(0, free.total - fill.total)
+    return Placement(
+        dict(fill.counts), fill.cost, _zone_loss_capacity(fill.counts), ceiling_held
+    )
 
 
 def affordable(money: float, price: float) -> float:
@@ -146,17 +148,17 @@
     offers: Mapping[OfferKey, Offer],
     current: Mapping[OfferKey, int],
     blocked: Set[OfferKey],
-    policy: PlacementPolicy,
+    config: PlacementConfig,
     recompute_weight: float,
 ) -> list[_Unit]:
     """Return what can be chosen, cheapest first."""
     units = []
     for key, offer in offers.items():
-        restart = offer.evict_per_hour * policy.restart_hours * recompute_weight
+        restart = offer.evict_per_hour * config.restart_hours * recompute_weight
         score = offer.price_per_hour * (1.0 + restart)
         running = current.get(key, 0)
         if running:
-            kept = score * (1.0 - policy.keep_discount)
+            kept = score * (1.0 - config.keep_discount)
             units.append(_Unit(key, offer.price_per_hour, kept, running))
         if key not in blocked:
             units.append(_Unit(key, offer.price_per_hour, score, math.inf))
@@ -212,7 +214,7 @@
             high = middle - 1
         else:
             low, best = middle, fill
-    total = min(target, task.most)
+    total = min(target, task.max_total)
     if best.total >= total:
         return best
     return _take(task.units, int(total), math.inf, ceiling, best)
@@ -226,13 +228,16 @@
     base = _base(task, target, ceiling)
     by_price = sorted(task.units, key=lambda unit: (unit.price, unit.key))
     low = math.ceil(target / (len(zones) - 1))
-    high = int(min(target, task.most - target))
+    high = int(min(target, task.max_total - target))
     tried: dict[int, _Fill | None] = {}
 
     def try_cap(cap: int) -> _Fill | None:
         for order in (task.units, by_price):
             fill = _take(order, target + cap, cap, ceiling, base)
-            if fill.total == target + cap and _standing(fill.counts) >= target:
+            if (
+                fill.total == target + cap
+                and _zone_loss_capacity(fill.counts) >= target
+            ):
                 return fill
         return None
 
@@ -258,7 +263,7 @@
 
 def _base(task: _Task, target: int, ceiling: float) -> _Fill | None:
     """Return the on-demand instances that are wanted at any price, spread."""
-    share = math.ceil(task.policy.on_demand_share * target - _EPS)
+    share = math.ceil(task.config.on_demand_share * target - _EPS)
     firm = [unit for unit in task.units if not unit.key.reclaimable]
     zones = {unit.key.zone for unit in firm}
     if share <= 0 or not zones:
@@ -266,7 +271,7 @@
     return _take(firm, share, math.ceil(share / len(zones)), ceiling)
 
 
-def _standing(counts: Mapping[OfferKey, int]) -> int:
+def _zone_loss_capacity(counts: Mapping[OfferKey, int]) -> int:
     """Return how many remain after the loss of the fullest zone."""
     zones: Counter[str] = Counter()
     for key, number in counts.items():
--- a/src/ebonydeal/_internal/controller/survey.py
+++ b/src/ebonydeal/_internal/controller/platform_snapshot.py
@@ -4,11 +4,11 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from ebonydeal._internal.controller.notices import NoticeBook
+from ebonydeal._internal.controller.notices import ReclaimNotices
 from ebonydeal._internal.controller.values import (
     OfferKey,
-    named_deployment,
     offers_by_key,
+    tagged_deployment,
 )
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.outside.interfaces import (
@@ -19,7 +19,7 @@
 )
 
 
-class Survey(NamedTuple):
+class PlatformSnapshot(NamedTuple):
     """One look at the cloud and the instance list.
 
     Attributes
@@ -33,7 +33,7 @@
     own_nodes : frozenset of str
         Ids of the system's own processes that the platform lists; empty if
         the list could not be read.
-    notices : NoticeBook
+    notices : ReclaimNotices
         What will be taken back.
     """
 
@@ -41,12 +41,12 @@
     instances: dict[str, dict[str, CloudInstance]]
     endpoints: dict[str, EndpointView]
     own_nodes: frozenset[str]
-    notices: NoticeBook
+    reclaim_notices: ReclaimNotices
 
 
-async def take_survey(
-    cloud: Cloud, instance_list: InstanceList, notices: NoticeBook
-) -> Survey:
+async def take_snapshot(
+    cloud: Cloud, instance_list: InstanceList, reclaim_notices: ReclaimNotices
+) -> PlatformSnapshot:
     """Ask the cloud and the instance list; raises where either can't be read."""
     offers, instances, endpoints, nodes = await asyncio.gather(
         cloud.offers(),
@@ -56,13 +56,13 @@
     )
     by_deployment: dict[str, dict[str, CloudInstance]] = defaultdict(dict)
     for instance in instances:
-        name = named_deployment(instance)
+        name = tagged_deployment(instance)
         if name is not None:
             by_deployment[name][instance.token] = instance
-    return Survey(
+    return PlatformSnapshot(
         offers=offers_by_key(offers),
         instances=dict(by_deployment),
         endpoints={view.endpoint_id: view for view in endpoints},
         own_nodes=frozenset(name for name, _address in nodes),
-        notices=notices,
+        reclaim_notices=reclaim_notices,
     )
--- a/src/ebonydeal/_internal/controller/reconcile.py
+++ b/src/ebonydeal/_internal/controller/reconcile.py
@@ -23,7 +23,11 @@
     Start,
     Warm,
 )
-from ebonydeal._internal.controller.fleet import Observed, ReconcilePolicy, Wanted
+from ebonydeal._internal.controller.reconcile_state import (
+    DesiredState,
+    ObservedState,
+    ReconcileConfig,
+)
 from ebonydeal._internal.controller.surplus import drain_surplus
 from ebonydeal._internal.controller.values import (
     LIVE_STATES,
@@ -37,9 +41,9 @@
 
 
 def plan(
-    wanted: Wanted,
-    observed: Observed,
-    policy: ReconcilePolicy,
+    wanted: DesiredState,
+    observed: ObservedState,
+    config: ReconcileConfig,
     now: float,
     unreplaced: tuple[str, ...] = (),
 ) -> list[Action]:
@@ -47,9 +51,9 @@
 
     Parameters
     ----------
-    wanted, observed : Wanted, Observed
+    wanted, observed : DesiredState, ObservedState
         What should run and what does.
-    policy : ReconcilePolicy
+    config : ReconcileConfig
         Constants.
     now : float
         Wall clock seconds.
@@ -64,18 +68,18 @@
     """
     actions: list[Action] = list(_unrecorded(wanted, observed))
     for row in observed.rows.values():
-        actions.extend(_advance(row, observed, policy, now))
+        actions.extend(_advance(row, observed, config, now))
     staying = _staying(observed, actions)
-    drains = drain_surplus(wanted, observed, staying, policy, now)
+    drains = drain_surplus(wanted, observed, staying, config, now)
     actions = _without_rows(actions, {drain.row.token for drain in drains})
     actions.extend(drains)
     if any(isinstance(action, Enlist) for action in actions):
         return actions
-    actions.extend(_starts(wanted, observed, staying, actions, unreplaced, policy))
+    actions.extend(_starts(wanted, observed, staying, actions, unreplaced, config))
     return actions
 
 
-def _unrecorded(wanted: Wanted, observed: Observed) -> Iterator[Action]:
+def _unrecorded(wanted: DesiredState, observed: ObservedState) -> Iterator[Action]:
     """Yield what to do about instances without a row.
 
     One that a controller started comes from a call that landed late, and goes.
@@ -101,7 +105,7 @@
 
 
 def _advance(
-    row: InstanceRow, observed: Observed, policy: ReconcilePolicy, now: float
+    row: InstanceRow, observed: ObservedState, config: ReconcileConfig, now: float
 ) -> Iterator[Action]:
     """Yield the next step of one recorded instance, if any."""
     instance = observed.instances.get(row.token)
@@ -110,13 +114,13 @@
         case InstanceState.STARTING:
             yield Restart(row) if instance is None else Adopt(row, instance)
         case InstanceState.WARMING | InstanceState.READY:
-            yield from _advance_running(row, instance is None, observed, policy, now)
+            yield from _advance_running(row, instance is None, observed, config, now)
         case InstanceState.DRAINING:
-            if instance is None and age > policy.list_grace:
+            if instance is None and age > config.list_grace:
                 yield Forget(row, lost=False)
             elif now >= row.drain_until:
                 yield Release(row)
-            elif row.token in observed.idle and age >= policy.drain_least:
+            elif row.token in observed.idle and age >= config.drain_least:
                 yield Release(row)
         case InstanceState.RELEASING:
             yield Forget(row, lost=False) if instance is None else Release(row)
@@ -125,14 +129,14 @@
 def _advance_running(
     row: InstanceRow,
     missing: bool,
-    observed: Observed,
-    policy: ReconcilePolicy,
+    observed: ObservedState,
+    config: ReconcileConfig,
     now: float,
 ) -> Iterator[Action]:
     """Yield the next step of an instance that warms up or serves."""
     age = now - row.at
     if missing:
-        if row.token in observed.gone and age > policy.list_grace:
+        if row.token in observed.gone and age > config.list_grace:
             yield Forget(row, lost=True)
     elif row.token in observed.leaving:
         yield Drain(row, "reclaim notice", observed.leaving[row.token])
@@ -140,13 +144,13 @@
         return
     elif row.token in observed.warm:
         yield MarkReady(row)
-    elif age > policy.warm_timeout:
+    elif age > config.warm_timeout:
         yield Drain(row, "did not warm up in time", now)
     else:
         yield Warm(row)
 
 
-def _staying(observed: Observed, actions: list[Action]) -> list[InstanceRow]:
+def _staying(observed: ObservedState, actions: list[Action]) -> list[InstanceRow]:
     """Return the live rows that no action takes away."""
     going = {
         action.row.token for action in actions if isinstance(action, Drain | Forget)
@@ -159,12 +163,12 @@
 
 
 def _starts(
-    wanted: Wanted,
-    observed: Observed,
+    wanted: DesiredState,
+    observed: ObservedState,
     staying: list[InstanceRow],
     actions: list[Action],
     unreplaced: tuple[str, ...],
-    policy: ReconcilePolicy,
+    config: ReconcileConfig,
 ) -> Iterator[Action]:
     """Yield starts of what is missing, as far as the ceiling allows."""
     have = Counter(OfferKey.of(row) for row in staying)
@@ -172,7 +176,7 @@
         observed.price(action.row) for action in actions if isinstance(action, Forget)
     )
     causes = iter(unreplaced + _taken_away(actions))
-    left = policy.starts_at_once
+    left = config.starts_at_once
     cheapest_first = sorted(
         wanted.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
     )
--- a/src/ebonydeal/_internal/controller/fleet.py
+++ b/src/ebonydeal/_internal/controller/reconcile_state.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.outside.interfaces import CloudInstance
 
 
-class ReconcilePolicy(NamedTuple):
+class ReconcileConfig(NamedTuple):
     """Constants of reconciling, in seconds and counts.
 
     Attributes
@@ -34,7 +34,7 @@
     starts_at_once: int = 50
 
 
-class Wanted(NamedTuple):
+class DesiredState(NamedTuple):
     """What should run.
 
     Attributes
@@ -52,7 +52,7 @@
     ceiling: float
 
 
-class Observed(NamedTuple):
+class ObservedState(NamedTuple):
     """What is known to run.
 
     ``instances`` must have been listed before ``rows`` were read: then an
--- a/src/ebonydeal/_internal/controller/records.py
+++ b/src/ebonydeal/_internal/controller/records.py
@@ -23,7 +23,7 @@
 _PAGE = 1000
 
 
-class Records:
+class InstanceRecords:
     """The rows ``instances/{deployment}:*`` as their only writer sees them.
 
     Parameters
@@ -65,7 +65,7 @@
         self.rows = rows
         self._epoch = epoch
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Have the rows read again before they are next used."""
         self._epoch = None
 
@@ -76,27 +76,27 @@
         """
         newer = row._replace(revision=row.revision + 1)
         writes = [newer.to_put(), *(event.to_put() for event in events)]
-        await self._write([_unchanged(row)], writes)
+        await self._transact([_unchanged(row)], writes)
         self.rows[row.token] = newer
 
     async def create(self, row: InstanceRow, *events: TrailEvent) -> None:
         """Write a row that must not exist yet; raises ``FENCED`` as `save`."""
         writes = [row.to_put(), *(event.to_put() for event in events)]
-        await self._write([RowAbsent(row.key)], writes)
+        await self._transact([RowAbsent(row.key)], writes)
         self.rows[row.token] = row
 
     async def delete(self, row: InstanceRow, *events: TrailEvent) -> None:
         """Remove a row; raises ``FENCED`` as `save`."""
         writes: list[Write] = [Delete(row.key)]
         writes.extend(event.to_put() for event in events)
-        await self._write([_unchanged(row)], writes)
+        await self._transact([_unchanged(row)], writes)
         self.rows.pop(row.token, None)
 
-    async def note(self, *writes: Write) -> None:
+    async def write_other(self, *writes: Write) -> None:
         """Do other writes of the leader; raises ``FENCED`` as `save`."""
-        await self._write([], list(writes))
+        await self._transact([], list(writes))
 
-    async def _write(
+    async def _transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> None:
         """Write under the lease's epoch."""
@@ -105,13 +105,13 @@
                 [self._lease.condition(), *conditions], writes
             )
         except EbonydealError:
-            self.doubt()
+            self.invalidate()
             raise
         if not applied:
             # Either the epoch is another's or our copy is out of date; the next
             # look at the lease tells which, and the rows are read again.
-            self.doubt()
-            self._lease.lost()
+            self.invalidate()
+            self._lease.mark_lost()
             raise EbonydealError(ErrorKind.FENCED, "another controller leads now")
 
 
--- a/src/ebonydeal/_internal/controller/replicas.py
+++ b/src/ebonydeal/_internal/controller/replicas.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Mapping
 
-from ebonydeal._internal.controller.context import Context
+from ebonydeal._internal.controller.context import ControllerContext
 from ebonydeal._internal.controller.lease import LeaseKeeper
 from ebonydeal._internal.controller.loads import LoadWatcher
-from ebonydeal._internal.controller.order_keeper import OrderKeeper
+from ebonydeal._internal.controller.order_manager import OrderManager
 from ebonydeal._internal.controller.values import InstanceRow, InstanceState
 from ebonydeal._internal.controller.weights import LoadRequest
 from ebonydeal._internal.models.document import Deployment
@@ -63,7 +63,7 @@
     return views
 
 
-class ReplicaKeeper:
+class ReplicaManager:
     """Orders models onto engines at the weight store's pace.
 
     Parameters
@@ -72,16 +72,16 @@
         Deployment.
     lease : LeaseKeeper
         Gives the fencing number.
-    ctx : Context
+    ctx : ControllerContext
         Adapters and means.
     """
 
-    def __init__(self, name: str, lease: LeaseKeeper, ctx: Context) -> None:
+    def __init__(self, name: str, lease: LeaseKeeper, ctx: ControllerContext) -> None:
         self._name = name
         self._lease = lease
         self._ctx = ctx
-        self._orders = OrderKeeper(
-            lease, ctx.tables, ctx.engine, ctx.metrics, ctx.clock, ctx.order_policy()
+        self._orders = OrderManager(
+            lease, ctx.tables, ctx.engine, ctx.metrics, ctx.clock, ctx.order_config()
         )
 
     async def round(
@@ -132,7 +132,7 @@
         return await self._orders.round(
             engines,
             {name: order for name in engines},
-            self._ctx.desk.admitted(self._name),
+            self._ctx.load_scheduler.admitted(self._name),
             deployment.checks_fence,
             self._predecessor_gone(own_nodes),
         )
@@ -166,7 +166,7 @@
             for view in views.values()
             for model in view.models
         ]
-        self._ctx.desk.report(self._name, waiting, ready)
+        self._ctx.load_scheduler.update_requests(self._name, waiting, ready)
 
     def _predecessor_gone(self, own_nodes: frozenset[str]) -> bool:
         """Return whether the platform says that the old holder is gone.
@@ -174,9 +174,9 @@
         An empty list says nothing. A holder on this very node is an earlier run
         of this process.
         """
-        if not self._lease.previous:
+        if not self._lease.previous_holder:
             return True
-        node = self._lease.previous.partition("/")[0]
+        node = self._lease.previous_holder.partition("/")[0]
         if node == self._ctx.holder.id.partition("/")[0]:
             return True
         return bool(own_nodes) and node not in own_nodes
--- a/src/ebonydeal/_internal/controller/service.py
+++ b/src/ebonydeal/_internal/controller/service.py
@@ -5,13 +5,16 @@
 
 from mode import Service
 
-from ebonydeal._internal.controller.context import Context
+from ebonydeal._internal.controller.context import ControllerContext
 from ebonydeal._internal.controller.lease import LEASE_PREFIX, Holder
-from ebonydeal._internal.controller.load_desk import LoadDesk
 from ebonydeal._internal.controller.notices import NoticeReader
+from ebonydeal._internal.controller.platform_snapshot import (
+    PlatformSnapshot,
+    take_snapshot,
+)
 from ebonydeal._internal.controller.ports import ControlledEngine
-from ebonydeal._internal.controller.survey import Survey, take_survey
-from ebonydeal._internal.controller.weights import LoadPolicy
+from ebonydeal._internal.controller.weight_load_scheduler import WeightLoadScheduler
+from ebonydeal._internal.controller.weights import WeightLoadConfig
 from ebonydeal._internal.controller.worker import DeploymentWorker
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.models.document import Document
@@ -69,7 +72,9 @@
     ) -> None:
         super().__init__()
         self.workers: dict[str, DeploymentWorker] = {}
-        self.desk = LoadDesk(weights, clock, LoadPolicy(rate_of_one=cfg.load_rate))
+        self.load_scheduler = WeightLoadScheduler(
+            weights, clock, WeightLoadConfig(rate_of_one=cfg.load_rate)
+        )
         self._cfg = cfg
         self._round_number = 0
         self._leads = True
@@ -79,13 +84,13 @@
         self._clock = clock
         self.notices = NoticeReader(cloud, clock, cfg.notice_period, mark)
         self.add_dependency(self.notices)
-        self._ctx = Context(
+        self._ctx = ControllerContext(
             cfg,
             holder,
             tables,
             cloud,
             engine,
-            self.desk,
+            self.load_scheduler,
             metrics,
             clock,
             rng,
@@ -100,16 +105,16 @@
         if not await self._look_at_leases(document):
             return
         try:
-            survey = await take_survey(
-                self._cloud, self._instance_list, self.notices.book
+            snapshot = await take_snapshot(
+                self._cloud, self._instance_list, self.notices.reclaim_notices
             )
         except EbonydealError as exc:
             logger.warning("The platform can't be asked.", kind=str(exc.kind))
             return
-        self.notices.know(list(survey.endpoints.values()))
-        await self.desk.decide()
-        for name in await self._names(document, survey):
-            await self._round_of(self._worker(name), document, survey)
+        self.notices.set_incarnations(list(snapshot.endpoints.values()))
+        await self.load_scheduler.admit_waiting()
+        for name in await self._names(document, snapshot):
+            await self._round_of(self._worker(name), document, snapshot)
 
     async def _look_at_leases(self, document: Document) -> bool:
         """Take and renew leases; return whether there is anything to lead.
@@ -135,13 +140,13 @@
             self.workers[name] = DeploymentWorker(name, self._ctx)
         return self.workers[name]
 
-    async def _names(self, document: Document, survey: Survey) -> list[str]:
+    async def _names(self, document: Document, snapshot: PlatformSnapshot) -> list[str]:
         """Return the deployments to look after, dropped ones included.
 
         A dropped deployment has instances, or at least rows that are still to
         be removed; every lease that was ever taken names a deployment.
         """
-        names = set(document.deployments) | set(survey.instances)
+        names = set(document.deployments) | set(snapshot.instances)
         names |= {name for name, worker in self.workers.items() if worker.records.rows}
         if self._round_number % _LOOK_FOR_DROPPED == 1:
             names |= await self._leased()
@@ -156,13 +161,13 @@
         return {row.key.removeprefix(_LEASES) for row in rows}
 
     async def _round_of(
-        self, worker: DeploymentWorker, document: Document, survey: Survey
+        self, worker: DeploymentWorker, document: Document, snapshot: PlatformSnapshot
     ) -> None:
         """Do one deployment's round; a failure doesn't hold up the others."""
         if not self._leads:
             return
         try:
-            await worker.round(document.deployments.get(worker.name), survey)
+            await worker.round(document.deployments.get(worker.name), snapshot)
         except EbonydealError as exc:
             logger.warning(
                 "A round failed.", deployment=worker.name, kind=str(exc.kind)
@@ -180,7 +185,7 @@
         self._leads = False
         for worker in self.workers.values():
             try:
-                await worker.lease.give_back()
+                await worker.lease.release()
             except EbonydealError as exc:
                 logger.warning("A lease was not given back.", kind=str(exc.kind))
 
--- a/src/ebonydeal/_internal/controller/refusals.py
+++ b/src/ebonydeal/_internal/controller/start_backoff.py
@@ -15,7 +15,7 @@
     until: float
 
 
-class Refusals:
+class StartBackoff:
     """Exponential back-off by (zone, class, market), with jitter.
 
     Parameters
@@ -32,7 +32,7 @@
         self._rng = rng
         self._refused: dict[OfferKey, Refusal] = {}
 
-    def refused(self, key: OfferKey, now: float) -> float:
+    def record_refusal(self, key: OfferKey, now: float) -> float:
         """Note a refusal; return the seconds until the next try."""
         number = self._refused.get(key, Refusal(0, 0.0)).number + 1
         wait = self._first * 2 ** min(number - 1, _DOUBLINGS)
@@ -40,16 +40,16 @@
         self._refused[key] = Refusal(number, now + wait)
         return wait
 
-    def started(self, key: OfferKey) -> None:
+    def record_start(self, key: OfferKey) -> None:
         """Note a start: the offer is good again."""
         self._refused.pop(key, None)
 
-    def avoid(self, key: OfferKey, now: float, seconds: float) -> None:
+    def block(self, key: OfferKey, now: float, seconds: float) -> None:
         """Leave an offer alone, as its zone is being reclaimed."""
         known = self._refused.get(key, Refusal(0, 0.0))
         until = max(known.until, now + seconds)
         self._refused[key] = Refusal(known.number, until)
 
-    def blocked(self, now: float) -> frozenset[OfferKey]:
+    def blocked_offers(self, now: float) -> frozenset[OfferKey]:
         """Return the offers that are not to be tried now."""
         return frozenset(key for key, item in self._refused.items() if now < item.until)
--- a/src/ebonydeal/_internal/controller/surplus.py
+++ b/src/ebonydeal/_internal/controller/surplus.py
@@ -9,7 +9,11 @@
 from collections.abc import Iterable
 
 from ebonydeal._internal.controller.actions import Drain
-from ebonydeal._internal.controller.fleet import Observed, ReconcilePolicy, Wanted
+from ebonydeal._internal.controller.reconcile_state import (
+    DesiredState,
+    ObservedState,
+    ReconcileConfig,
+)
 from ebonydeal._internal.controller.values import (
     InstanceRow,
     InstanceState,
@@ -20,21 +24,21 @@
 
 
 def drain_surplus(
-    wanted: Wanted,
-    observed: Observed,
+    wanted: DesiredState,
+    observed: ObservedState,
     staying: list[InstanceRow],
-    policy: ReconcilePolicy,
+    config: ReconcileConfig,
     now: float,
 ) -> list[Drain]:
     """Return drains of what is not wanted; ``staying`` loses what is drained.
 
     Parameters
     ----------
-    wanted, observed : Wanted, Observed
+    wanted, observed : DesiredState, ObservedState
         What should run and what does.
     staying : list of InstanceRow
         Live rows that nothing else takes away this round.
-    policy : ReconcilePolicy
+    config : ReconcileConfig
         Constants.
     now : float
         Wall clock seconds.
@@ -49,14 +53,14 @@
             continue
         serving = row.state is InstanceState.READY
         why = "price ceiling" if over else "not wanted any more"
-        wait = policy.drain_over_ceiling if over else policy.drain_longest
+        wait = config.drain_over_ceiling if over else config.drain_longest
         drains.append(Drain(row, why, now + (wait if serving else 0.0)))
         staying.remove(row)
         cost -= observed.price(row)
     return drains
 
 
-def _strong(rest: list[InstanceRow], wanted: Wanted, blocked: bool) -> bool:
+def _strong(rest: list[InstanceRow], wanted: DesiredState, blocked: bool) -> bool:
     """Return whether the ready ones among ``rest`` are enough.
 
     Where the ceiling blocks the start of what is wanted, the target itself is
@@ -71,16 +75,16 @@
     aim = Counter[str]()
     for key, number in wanted.counts.items():
         aim[key.zone] += number
-    return standing(zones) >= min(wanted.target, standing(aim))
+    return zone_loss_capacity(zones) >= min(wanted.target, zone_loss_capacity(aim))
 
 
-def standing(zones: Counter[str]) -> int:
+def zone_loss_capacity(zones: Counter[str]) -> int:
     """Return how many remain after the loss of the fullest zone."""
     return sum(zones.values()) - max(zones.values(), default=0)
 
 
 def _surplus(
-    wanted: Wanted, observed: Observed, staying: Iterable[InstanceRow]
+    wanted: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
 ) -> list[InstanceRow]:
     """Return the rows beyond the wanted counts: not ready first, then dearest."""
     order = sorted(staying, key=lambda row: (row.state != InstanceState.READY, row.at))
@@ -98,7 +102,7 @@
 
 
 def _blocked_by_ceiling(
-    wanted: Wanted, observed: Observed, staying: Iterable[InstanceRow]
+    wanted: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
 ) -> bool:
     """Return whether a wanted start can't be paid before something is drained."""
     have = Counter(OfferKey.of(row) for row in staying)
--- a/src/ebonydeal/_internal/controller/values.py
+++ b/src/ebonydeal/_internal/controller/values.py
@@ -129,6 +129,6 @@
     return instance.tags.get(TAG_MANAGER) == MANAGER
 
 
-def named_deployment(instance: CloudInstance) -> str | None:
+def tagged_deployment(instance: CloudInstance) -> str | None:
     """Return the deployment that an instance is tagged with, or None."""
     return instance.tags.get(TAG_DEPLOYMENT)
--- a/src/ebonydeal/_internal/controller/load_desk.py
+++ b/src/ebonydeal/_internal/controller/weight_load_scheduler.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 
 from ebonydeal._internal.controller.weights import (
-    LoadPolicy,
     LoadRequest,
     RunningLoad,
+    WeightLoadConfig,
     admit_loads,
 )
 from ebonydeal._internal.errors import EbonydealError
@@ -21,7 +21,7 @@
 _SERVED_MEMORY_S = 300.0
 
 
-class LoadDesk:
+class WeightLoadScheduler:
     """Takes requests to load from all workers and admits them at the store's rate.
 
     Parameters
@@ -30,14 +30,16 @@
         Adapter.
     clock : Clock
         Source of time.
-    policy : LoadPolicy
+    config : WeightLoadConfig
         Constants.
     """
 
-    def __init__(self, store: WeightStore, clock: Clock, policy: LoadPolicy) -> None:
+    def __init__(
+        self, store: WeightStore, clock: Clock, config: WeightLoadConfig
+    ) -> None:
         self._store = store
         self._clock = clock
-        self._policy = policy
+        self._config = config
         self._requests: dict[str, list[LoadRequest]] = {}
         self._ready: dict[str, list[WeightCopy]] = {}
         self._running: dict[str, RunningLoad] = {}
@@ -45,7 +47,7 @@
         self._served_at = clock.now()
         self._copies: dict[str, tuple[float, list[WeightCopy]]] = {}
 
-    def report(
+    def update_requests(
         self, deployment: str, requests: list[LoadRequest], ready: list[WeightCopy]
     ) -> None:
         """Replace what a deployment waits for, and the copies it has.
@@ -69,7 +71,7 @@
             if load.deployment == deployment
         }
 
-    async def decide(self) -> None:
+    async def admit_waiting(self) -> None:
         """Admit what the store's rate allows."""
         waiting = [
             req
@@ -92,8 +94,8 @@
             list(self._running.values()),
             copies,
             self._served,
-            rate + used * self._policy.rate_of_one,
-            self._policy,
+            rate + used * self._config.rate_of_one,
+            self._config,
         )
         for start in starts:
             self._running[start.endpoint_id] = RunningLoad(*start)
--- a/src/ebonydeal/_internal/controller/weights.py
+++ b/src/ebonydeal/_internal/controller/weights.py
@@ -16,7 +16,7 @@
 _EPS = 1e-9
 
 
-class LoadPolicy(NamedTuple):
+class WeightLoadConfig(NamedTuple):
     """Constants of loading.
 
     Attributes
@@ -88,7 +88,7 @@
     copies: Mapping[str, Sequence[WeightCopy]],
     served_gb: Mapping[str, float],
     store_rate: float,
-    policy: LoadPolicy,
+    config: WeightLoadConfig,
 ) -> list[LoadStart]:
     """Return the loads that may start now.
 
@@ -104,15 +104,15 @@
         Gigabytes that the store has lately given to each deployment.
     store_rate : float
         Gigabytes a second that the store gives altogether.
-    policy : LoadPolicy
+    config : WeightLoadConfig
         Constants.
     """
-    state = _State(running, copies, served_gb, store_rate, policy)
+    state = _State(running, copies, served_gb, store_rate, config)
     groups = _grouped(requests)
     starts = state.admit(groups, shared=True)
     # What the shared reads leave free is used too, but for a reserve: a
     # deployment that falls below strength next finds the store open.
-    state.free -= policy.reserve * store_rate
+    state.free -= config.reserve * store_rate
     return starts + state.admit(groups, shared=False)
 
 
@@ -125,13 +125,13 @@
         copies: Mapping[str, Sequence[WeightCopy]],
         served_gb: Mapping[str, float],
         store_rate: float,
-        policy: LoadPolicy,
+        config: WeightLoadConfig,
     ) -> None:
         direct = [load for load in running if not load.source]
         self.copies = copies
-        self.policy = policy
+        self.config = config
         self.served = defaultdict(float, served_gb)
-        self.free = store_rate - policy.rate_of_one * len(direct)
+        self.free = store_rate - config.rate_of_one * len(direct)
         self.reading = {(load.model, load.zone) for load in direct}
         self.near: Counter[str] = Counter(
             load.source for load in running if load.source
@@ -166,7 +166,7 @@
         if (shared and place in self.reading) or self.free <= _EPS:
             return None
         self.reading.add(place)
-        self.free -= self.policy.rate_of_one
+        self.free -= self.config.rate_of_one
         self.served[req.deployment] += _store_size(req.model, self.copies)
         return ""
 
@@ -182,7 +182,7 @@
             self._sources[place] = [(self.near[name], name) for name in found]
             heapify(self._sources[place])
         heap = self._sources[place]
-        if not heap or heap[0][0] >= self.policy.near_at_once:
+        if not heap or heap[0][0] >= self.config.near_at_once:
             return None
         used, source = heap[0]
         heapreplace(heap, (used + 1, source))
@@ -190,7 +190,7 @@
 
     def _share(self, req: LoadRequest) -> tuple[float, float, float, str]:
         """Return the order of a request: least served by weight comes first."""
-        extra = self.policy.below_strength_weight - 1.0
+        extra = self.config.below_strength_weight - 1.0
         weight = 1.0 + extra * min(1.0, max(0.0, req.shortfall))
         share = self.served[req.deployment] / weight
         return (share, -req.shortfall, req.asked_at, req.endpoint_id)
--- a/src/ebonydeal/_internal/controller/worker.py
+++ b/src/ebonydeal/_internal/controller/worker.py
@@ -5,32 +5,32 @@
 from ebonydeal._internal.controller.actions import Drain, Enlist, Forget, Start
 from ebonydeal._internal.controller.backlog import read_backlog
 from ebonydeal._internal.controller.capacity import (
-    Terms,
+    CapacityConfig,
     decide_placement,
 )
-from ebonydeal._internal.controller.context import Context
-from ebonydeal._internal.controller.deadline import Backlog, DeadlinePolicy
-from ebonydeal._internal.controller.demand_keeper import DemandKeeper
+from ebonydeal._internal.controller.context import ControllerContext
+from ebonydeal._internal.controller.deadline import Backlog, DeadlineConfig
+from ebonydeal._internal.controller.demand_tracker import DemandTracker
 from ebonydeal._internal.controller.execute import Executor
-from ebonydeal._internal.controller.fleet import Observed, Wanted
 from ebonydeal._internal.controller.lease import LeaseKeeper
-from ebonydeal._internal.controller.ledger import Ledger
+from ebonydeal._internal.controller.ledger import SpendLedger
 from ebonydeal._internal.controller.loads import LoadWatcher
-from ebonydeal._internal.controller.offers import OfferBook
+from ebonydeal._internal.controller.missing_instances import MissingInstances
+from ebonydeal._internal.controller.offers import OfferTracker
 from ebonydeal._internal.controller.placement import Placement
+from ebonydeal._internal.controller.platform_snapshot import PlatformSnapshot
 from ebonydeal._internal.controller.reconcile import plan
-from ebonydeal._internal.controller.records import Records
-from ebonydeal._internal.controller.refusals import Refusals
-from ebonydeal._internal.controller.replicas import ReplicaKeeper, views_by_token
-from ebonydeal._internal.controller.surplus import standing
-from ebonydeal._internal.controller.survey import Survey
+from ebonydeal._internal.controller.reconcile_state import DesiredState, ObservedState
+from ebonydeal._internal.controller.records import InstanceRecords
+from ebonydeal._internal.controller.replicas import ReplicaManager, views_by_token
+from ebonydeal._internal.controller.start_backoff import StartBackoff
+from ebonydeal._internal.controller.surplus import zone_loss_capacity
 from ebonydeal._internal.controller.values import (
     LIVE_STATES,
     InstanceRow,
     InstanceState,
     OfferKey,
 )
-from ebonydeal._internal.controller.vanished import Vanished
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.document import Deployment
 from ebonydeal._internal.models.endpoints import EndpointView, LeavingMark
@@ -50,23 +50,23 @@
     ----------
     name : str
         Deployment.
-    ctx : Context
+    ctx : ControllerContext
         Adapters and means.
     """
 
-    def __init__(self, name: str, ctx: Context) -> None:
+    def __init__(self, name: str, ctx: ControllerContext) -> None:
         self.name = name
         self.lease = LeaseKeeper(
             f"controller-{name}", ctx.holder, ctx.tables, ctx.clock, ctx.cfg.lease_ttl
         )
-        self.records = Records(name, self.lease, ctx.tables)
+        self.records = InstanceRecords(name, self.lease, ctx.tables)
         self.placement = Placement({}, 0.0, 0, 0)
         self.target = 0
         self._ctx = ctx
-        self._refusals = Refusals(
+        self._start_backoff = StartBackoff(
             ctx.cfg.refused_first, ctx.cfg.refused_longest, ctx.rng
         )
-        self._offers = OfferBook(self._refusals, ctx.clock, ctx.cfg.period)
+        self._offers = OfferTracker(self._start_backoff, ctx.clock, ctx.cfg.period)
         self._executor = Executor(
             name,
             self.records,
@@ -74,19 +74,21 @@
             ctx.metrics,
             ctx.clock,
             ctx.rng,
-            self._refusals,
+            self._start_backoff,
             self._mark_leaving,
         )
-        self._replicas = ReplicaKeeper(name, self.lease, ctx)
+        self._replicas = ReplicaManager(name, self.lease, ctx)
         self._loads = LoadWatcher(ctx.engine, ctx.clock, ctx.cfg.load_period)
-        self._ledger = Ledger(name, ctx.clock, ctx.cfg.spend_period)
-        self._vanished = Vanished(ctx.cfg.list_grace)
-        self._demand = DemandKeeper(ctx.demand_policy())
+        self._ledger = SpendLedger(name, ctx.clock, ctx.cfg.spend_period)
+        self._missing = MissingInstances(ctx.cfg.list_grace)
+        self._demand = DemandTracker(ctx.demand_config())
         self._unreplaced: list[str] = []
-        self._views: dict[str, EndpointView] = {}
+        self._endpoint_views: dict[str, EndpointView] = {}
         self._epoch = 0
 
-    async def round(self, deployment: Deployment | None, survey: Survey) -> None:
+    async def round(
+        self, deployment: Deployment | None, snapshot: PlatformSnapshot
+    ) -> None:
         """Do one round; a deployment that the document dropped is None.
 
         Raises what the table raises; the next round takes up from there.
@@ -94,34 +96,36 @@
         if not await self.lease.step():
             return
         try:
-            await self._lead(deployment, survey)
+            await self._lead(deployment, snapshot)
         except EbonydealError as exc:
             if exc.kind is not ErrorKind.FENCED:
                 raise
             logger.warning("Another controller leads.", deployment=self.name)
 
-    async def _lead(self, deployment: Deployment | None, survey: Survey) -> None:
+    async def _lead(
+        self, deployment: Deployment | None, snapshot: PlatformSnapshot
+    ) -> None:
         """Do one round as the leader."""
         await self.records.refresh()
         if self.lease.epoch != self._epoch:
             self._begin_epoch()
-        instances = survey.instances.get(self.name, {})
-        self._views = views_by_token(
-            deployment, self.records.rows, instances, survey.endpoints
+        instances = snapshot.instances.get(self.name, {})
+        self._endpoint_views = views_by_token(
+            deployment, self.records.rows, instances, snapshot.endpoints
         )
         await self._look_at_loads()
         zones = frozenset() if deployment is None else _zones(deployment)
-        offers = self._offers.usable(survey.offers, zones, self.records.rows.values())
-        await self._decide(deployment, survey, offers)
+        offers = self._offers.usable(snapshot.offers, zones, self.records.rows.values())
+        await self._decide(deployment, snapshot, offers)
         warm = await self._replicas.round(
             deployment,
             self.records.rows,
-            self._views,
+            self._endpoint_views,
             self._loads,
             self._shortfall(),
-            survey.own_nodes,
+            snapshot.own_nodes,
         )
-        await self._reconcile(deployment, survey, offers, warm)
+        await self._reconcile(deployment, snapshot, offers, warm)
         if self.lease.epoch is not None:
             await self._write_spend(deployment, offers)
 
@@ -140,27 +144,27 @@
         """Hold what is there for a while: its load is not known yet."""
         rows = self.records.rows.values()
         zones = Counter(row.zone for row in rows if row.state in states)
-        self._demand.begin(standing(zones), self._ctx.clock.now())
+        self._demand.begin(zone_loss_capacity(zones), self._ctx.clock.now())
 
     async def _look_at_loads(self) -> None:
         """Ask replicas for their load: draining ones first."""
         states = {token: row.state for token, row in self.records.rows.items()}
-        views = {
+        endpoint_views = {
             view.endpoint_id: view
-            for token, view in self._views.items()
+            for token, view in self._endpoint_views.items()
             if token in states and states[token] is not InstanceState.STARTING
         }
         first = {
             view.endpoint_id
-            for token, view in self._views.items()
+            for token, view in self._endpoint_views.items()
             if states.get(token) in (InstanceState.DRAINING, InstanceState.WARMING)
         }
-        await self._loads.ask(views, first)
+        await self._loads.ask(endpoint_views, first)
 
     async def _decide(
         self,
         deployment: Deployment | None,
-        survey: Survey,
+        snapshot: PlatformSnapshot,
         offers: dict[OfferKey, Offer],
     ) -> None:
         """Choose the target and where it runs."""
@@ -173,18 +177,20 @@
             deployment, self._loads.reports(serving), len(serving), now
         )
         wall = ctx.clock.wall()
-        reclaimed = survey.notices.zones(wall, ctx.cfg.zone_avoid)
-        self._offers.avoid_zones(offers, reclaimed)
+        reclaimed = snapshot.reclaim_notices.recently_reclaimed_zones(
+            wall, ctx.cfg.zone_avoid
+        )
+        self._offers.block_zones(offers, reclaimed)
         self.placement = decide_placement(
             self.target,
-            Terms.from_deployment(deployment),
+            CapacityConfig.from_deployment(deployment),
             offers,
-            self._current(survey),
-            self._refusals.blocked(now),
+            self._current(snapshot),
+            self._start_backoff.blocked_offers(now),
             await self._backlog(deployment, wall),
-            self._offers.recent(),
-            ctx.placement_policy(),
-            DeadlinePolicy(),
+            self._offers.recent_prices(),
+            ctx.placement_config(),
+            DeadlineConfig(),
             wall,
         )
 
@@ -196,9 +202,9 @@
             if row.state in (InstanceState.READY, InstanceState.DRAINING)
         }
 
-    def _current(self, survey: Survey) -> Counter[OfferKey]:
+    def _current(self, snapshot: PlatformSnapshot) -> Counter[OfferKey]:
         """Return the live instances that are not under a notice."""
-        leaving = self._leaving(survey)
+        leaving = self._leaving(snapshot)
         return Counter(
             OfferKey.of(row)
             for row in self.records.rows.values()
@@ -214,36 +220,36 @@
     async def _reconcile(
         self,
         deployment: Deployment | None,
-        survey: Survey,
+        snapshot: PlatformSnapshot,
         offers: dict[OfferKey, Offer],
         warm: set[str],
     ) -> None:
         """Plan and act."""
-        instances = survey.instances.get(self.name, {})
-        observed = Observed(
+        instances = snapshot.instances.get(self.name, {})
+        observed = ObservedState(
             instances=instances,
             rows=dict(self.records.rows),
             warm=warm,
             idle=self._idle(),
-            leaving=self._leaving(survey),
+            leaving=self._leaving(snapshot),
             prices={key: offer.price_per_hour for key, offer in offers.items()},
-            gone=self._gone(survey),
+            gone=self._gone(snapshot),
         )
         ceiling = 0.0 if deployment is None else deployment.price_ceiling
-        wanted = Wanted(self.placement.counts, self.target, ceiling)
+        wanted = DesiredState(self.placement.counts, self.target, ceiling)
         actions = plan(
             wanted,
             observed,
-            self._ctx.reconcile_policy(),
+            self._ctx.reconcile_config(),
             self._ctx.clock.wall(),
             tuple(self._unreplaced),
         )
-        if self.placement.held:
-            self._ctx.metrics.count(Event.CEILING_HELD, self.placement.held)
+        if self.placement.ceiling_held:
+            self._ctx.metrics.count(Event.CEILING_HELD, self.placement.ceiling_held)
             logger.warning(
                 "The price ceiling holds replicas back.",
                 deployment=self.name,
-                number=self.placement.held,
+                number=self.placement.ceiling_held,
             )
         for action in actions:
             match action:
@@ -258,32 +264,32 @@
         still = [token for token in self._unreplaced if token not in begun]
         self._unreplaced = (still + self._executor.refused)[-_MOST_UNREPLACED:]
 
-    def _leaving(self, survey: Survey) -> dict[str, float]:
+    def _leaving(self, snapshot: PlatformSnapshot) -> dict[str, float]:
         """Return the tokens under a notice, with its deadline."""
         leaving = {}
-        for token, instance in survey.instances.get(self.name, {}).items():
-            deadline = survey.notices.deadline(instance)
+        for token, instance in snapshot.instances.get(self.name, {}).items():
+            deadline = snapshot.reclaim_notices.deadline(instance)
             if deadline is not None:
                 leaving[token] = deadline
         return leaving
 
-    def _gone(self, survey: Survey) -> set[str]:
+    def _gone(self, snapshot: PlatformSnapshot) -> set[str]:
         """Return the tokens of instances that vanished."""
         rows = self.records.rows
-        instances = survey.instances.get(self.name, {})
+        instances = snapshot.instances.get(self.name, {})
         answering = {
             row.token
             for row in rows.values()
             if self._loads.report(row.instance_id) is not None
         }
         now = self._ctx.clock.now()
-        return self._vanished.gone(set(rows), instances, answering, now)
+        return self._missing.update(set(rows), instances, answering, now)
 
     def _idle(self) -> set[str]:
         """Return the draining tokens whose replica says that it runs nothing."""
         idle = set()
         for row in self.records.rows.values():
-            view = self._views.get(row.token)
+            view = self._endpoint_views.get(row.token)
             if row.state is not InstanceState.DRAINING or view is None:
                 continue
             report = self._loads.report(view.endpoint_id)
@@ -302,7 +308,7 @@
 
     def _mark_leaving(self, row: InstanceRow) -> None:
         """Spread the leaving mark of an instance that drains."""
-        view = self._views.get(row.token)
+        view = self._endpoint_views.get(row.token)
         self._ctx.mark(
             LeavingMark(
                 endpoint_id=row.instance_id,
@@ -324,7 +330,7 @@
         )
         if self._ledger.due():
             await self._ledger.load(self._ctx.tables, self._epoch)
-            await self.records.note(self._ledger.total(spend).to_put())
+            await self.records.write_other(self._ledger.total(spend).to_put())
 
 
 def _zones(deployment: Deployment) -> frozenset[str]:
--- a/tests/functional/controller/test_replicas.py
+++ b/tests/functional/controller/test_replicas.py
@@ -2,7 +2,7 @@
 from ebonydeal._internal.controller.values import MANAGER
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from tests.lib.controller_fakes import (
-    Site,
+    ControllerCluster,
     make_deployment,
     make_document,
     make_offers,
@@ -11,15 +11,15 @@
 
 class TestReplicas:
     async def test_a_deployment_comes_to_strength_over_three_zones(self):
-        site = Site()
+        site = ControllerCluster()
         await site.rounds(site.controller("n1"), 40)
         zones = sorted(item.offer.zone for item in site.world.live())
         assert zones == ["z1", "z1", "z2", "z2", "z3", "z3"]
         assert site.ready() == 6
-        assert {row["state"] for row in site.kept()} == {"ready"}
+        assert {row["state"] for row in site.instance_rows()} == {"ready"}
 
     async def test_a_reclaimed_zone_is_replaced_elsewhere_before_it_goes(self):
-        site = Site()
+        site = ControllerCluster()
         leader = site.controller("n1")
         await site.rounds(leader, 40)
         site.world.reclaim_zone("z1", 30.0)
@@ -32,48 +32,50 @@
         assert site.ready() == 8
 
     async def test_a_dropped_deployment_is_released_whole(self):
-        site = Site()
+        site = ControllerCluster()
         leader = site.controller("n1")
         await site.rounds(leader, 40)
         site.document = make_document(make_deployment(name="other", min_replicas=1))
         await site.rounds(leader, 40)
         names = {item.tags["deployment"] for item in site.world.live()}
         assert names == {"other"}
-        assert {row["deployment"] for row in site.kept()} == {"other"}
+        assert {row["deployment"] for row in site.instance_rows()} == {"other"}
 
     async def test_a_start_that_lands_after_its_row_went_is_released(self):
-        site = Site()
+        site = ControllerCluster()
         leader = site.controller("n1")
         await site.rounds(leader, 40)
         tags = {"managed_by": MANAGER, "deployment": "kitchen", "fence": "0"}
         late = await WorldCloud(site.world).start("kitchen:0-x", make_offers()[0], tags)
         await site.rounds(leader, 3)
         assert site.world.find(late.instance_id).stopped_at is not None
-        assert len(site.kept()) == site.ready() == 6
+        assert len(site.instance_rows()) == site.ready() == 6
 
     async def test_an_instance_of_somebody_else_is_left_alone(self):
-        site = Site()
+        site = ControllerCluster()
         offer = make_offers()[0]
         other = await WorldCloud(site.world).start("theirs", offer, {})
         await site.rounds(site.controller("n1"), 10)
         assert site.world.find(other.instance_id).stopped_at is None
 
     async def test_instances_started_for_it_by_others_are_taken_over(self):
-        site = Site()
+        site = ControllerCluster()
         cloud = WorldCloud(site.world)
         for number in range(6):
             offer = make_offers()[2 * (number % 3)]
             await cloud.start(f"first-{number}", offer, {"deployment": "kitchen"})
         await site.rounds(site.controller("n1"), 40)
         assert site.world.starts == 6
-        assert sorted(row["token"][:6] for row in site.kept()) == ["first-"] * 6
+        assert (
+            sorted(row["token"][:6] for row in site.instance_rows()) == ["first-"] * 6
+        )
         assert site.ready() == 6
-        assert {row["state"] for row in site.kept()} == {"ready"}
+        assert {row["state"] for row in site.instance_rows()} == {"ready"}
 
 
 class TestLoad:
     async def busy_site(self):
-        site = Site()
+        site = ControllerCluster()
         leader = site.controller("n1")
         await site.rounds(leader, 30)
         for item in site.world.live():
@@ -127,7 +129,7 @@
         assert site.world.starts == starts
 
     async def test_a_fleet_that_is_taken_over_is_not_cut_before_its_load_is_known(self):
-        site = Site()
+        site = ControllerCluster()
         cloud = WorldCloud(site.world)
         for number in range(18):
             offer = make_offers()[2 * (number % 3)]
--- a/tests/functional/controller/test_takeover.py
+++ b/tests/functional/controller/test_takeover.py
@@ -6,7 +6,7 @@
 from ebonydeal._internal.benchmarks.spend.world import AFTER, WorldTimes
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from tests.lib.clock import settle
-from tests.lib.controller_fakes import Site, make_deployment, make_document
+from tests.lib.controller_fakes import ControllerCluster, make_deployment, make_document
 
 # Every call of the old leader while it replaces a zone, before and after it
 # takes effect.
@@ -49,7 +49,7 @@
     """A leader replaces a zone; a fault strikes it; another takes over."""
 
     def __init__(self, step: int, kind: str, checks_fence: bool = True) -> None:
-        self.site = Site(checks_fence=checks_fence, times=QUICK)
+        self.site = ControllerCluster(checks_fence=checks_fence, times=QUICK)
         self.fault = Fault(step, kind)
         item = make_deployment(min_replicas=2, checks_fence=checks_fence)
         self.site.document = make_document(item)
@@ -101,7 +101,7 @@
     def check(self) -> None:
         site = self.site
         live = site.world.live()
-        recorded = {row["token"]: row["state"] for row in site.kept()}
+        recorded = {row["token"]: row["state"] for row in site.instance_rows()}
         assert {item.token: "ready" for item in live} == recorded
         zones = sorted(item.offer.zone for item in live)
         assert zones == ["z2", "z2", "z3", "z3"]
--- a/tests/lib/controller_fakes.py
+++ b/tests/lib/controller_fakes.py
@@ -135,7 +135,7 @@
     return Document(1, {}, {item.name: item for item in deployments}, places)
 
 
-class Site:
+class ControllerCluster:
     """A world, its table, and the controllers that run on it."""
 
     def __init__(self, seed: int = 1, **world: object) -> None:
@@ -175,7 +175,7 @@
             await controller.round()
             await self.clock.advance(gap)
 
-    def kept(self) -> list[dict]:
+    def instance_rows(self) -> list[dict]:
         return [row.value for key, row in self.rows.rows.items() if "instances/" in key]
 
     def ready(self) -> int:
--- a/tests/lib/matrix_orders.py
+++ b/tests/lib/matrix_orders.py
@@ -11,7 +11,7 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import EngineOrder
 from tests.lib.clock import settle
-from tests.lib.controller_fakes import Site, make_deployment, make_document
+from tests.lib.controller_fakes import ControllerCluster, make_deployment, make_document
 from tests.lib.matrix import Row, Strike, When, spawn
 
 TIMES = WorldTimes(boot=5.0, load=5.0, list_lag=0.0)
@@ -33,7 +33,7 @@
 
     def __init__(self, strikes: tuple[Strike, ...], checks_fence: bool) -> None:
         self.due = list(strikes)
-        self.site = Site(checks_fence=checks_fence, times=TIMES)
+        self.site = ControllerCluster(checks_fence=checks_fence, times=TIMES)
         self.site.document = self._document(())
         self.site.world.nodes = [("n1", "n1:1"), ("n2", "n2:1")]
         self.armed = False
@@ -152,7 +152,7 @@
         for machine in world.live():
             if set(machine.order.models) != wanted:
                 broken.append(f"{machine.instance_id} has {machine.order.models}")
-        recorded = {row["token"] for row in self.site.kept()}
+        recorded = {row["token"] for row in self.site.instance_rows()}
         started = {machine.token for machine in world.live()}
         if recorded != started:
             broken.append(f"started {sorted(started)}, recorded {sorted(recorded)}")
--- a/tests/unit/controller/test_bench.py
+++ b/tests/unit/controller/test_bench.py
@@ -5,7 +5,7 @@
 from ebonydeal._internal.benchmarks.spend.repair import lose_a_zone
 from ebonydeal._internal.benchmarks.spend.simulate import simulate
 from ebonydeal._internal.benchmarks.spend.traces import WEATHERS, make_trace
-from ebonydeal._internal.controller.deadline import Rule
+from ebonydeal._internal.controller.deadline import PriceRule
 
 
 class TestBench:
@@ -19,7 +19,7 @@
             "ebonydeal._internal.benchmarks.spend.hindsight", exc_type=ImportError
         )
         trace = make_trace(2, weather, days=1)
-        found = simulate(trace, Ebonydeal(Rule.QUANTILE, CEILING), CEILING)
+        found = simulate(trace, Ebonydeal(PriceRule.QUANTILE, CEILING), CEILING)
         assert (found.met, found.over_ceiling) == (found.jobs, 0)
         assert found.below_share < 0.005
         bound = hindsight.hindsight_cost(trace, CEILING)
--- a/tests/unit/controller/test_deadline.py
+++ b/tests/unit/controller/test_deadline.py
@@ -5,17 +5,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.controller.capacity import Terms, decide_placement
+from ebonydeal._internal.controller.capacity import CapacityConfig, decide_placement
 from ebonydeal._internal.controller.deadline import (
     Backlog,
     DeadlineChoice,
-    DeadlinePolicy,
+    DeadlineConfig,
     Market,
-    Rule,
-    choose,
+    PriceRule,
+    choose_deadline_replicas,
     price_limit,
 )
-from ebonydeal._internal.controller.placement import PlacementPolicy
+from ebonydeal._internal.controller.placement import PlacementConfig
 from ebonydeal._internal.controller.values import OfferKey, offers_by_key
 from ebonydeal._internal.outside.interfaces import Offer
 
@@ -23,60 +23,83 @@
 HOUR = 3600.0
 
 
-def policy(rule: Rule) -> DeadlinePolicy:
-    return DeadlinePolicy(rule=rule, fixed_share=0.3, margin_s=0.0, margin_share=0.0)
+def deadline_config(rule: PriceRule) -> DeadlineConfig:
+    return DeadlineConfig(rule=rule, fixed_share=0.3, margin_s=0.0, margin_share=0.0)
 
 
 class TestPriceLimit:
     def test_each_rule_at_no_half_and_full_commitment(self):
         found = {
-            rule: [price_limit(MARKET, part, policy(rule)) for part in (0.0, 0.5, 1.0)]
-            for rule in Rule
+            rule: [
+                price_limit(MARKET, part, deadline_config(rule))
+                for part in (0.0, 0.5, 1.0)
+            ]
+            for rule in PriceRule
         }
-        assert found[Rule.AT_ONCE] == [math.inf] * 3
-        assert found[Rule.FIXED] == pytest.approx([3.0] * 3)
-        assert found[Rule.EXPONENTIAL] == pytest.approx([1.0, math.sqrt(10.0), 10.0])
-        assert found[Rule.QUANTILE] == [1.0, 2.0, 4.0]
+        assert found[PriceRule.AT_ONCE] == [math.inf] * 3
+        assert found[PriceRule.FIXED] == pytest.approx([3.0] * 3)
+        assert found[PriceRule.EXPONENTIAL] == pytest.approx(
+            [1.0, math.sqrt(10.0), 10.0]
+        )
+        assert found[PriceRule.QUANTILE] == [1.0, 2.0, 4.0]
 
 
 class TestChoose:
     def test_nothing_waits(self):
-        rule = policy(Rule.AT_ONCE)
-        assert choose([], MARKET, 5, rule, 0.0) == DeadlineChoice(0, False, 0.0)
+        rule = deadline_config(PriceRule.AT_ONCE)
+        assert choose_deadline_replicas([], MARKET, 5, rule, 0.0) == DeadlineChoice(
+            0, False, 0.0
+        )
 
     def test_work_waits_for_a_price_and_runs_at_it(self):
         slack = [Backlog(20 * HOUR, 2 * HOUR)]
         dear = Market(3.0, 10.0, (1.0, 2.0))
-        assert choose(slack, dear, 4, policy(Rule.QUANTILE), 0.0).replicas == 0
+        assert (
+            choose_deadline_replicas(
+                slack, dear, 4, deadline_config(PriceRule.QUANTILE), 0.0
+            ).replicas
+            == 0
+        )
         cheap = Market(1.0, 10.0, (1.0, 2.0))
-        assert choose(slack, cheap, 4, policy(Rule.QUANTILE), 0.0).replicas == 2
+        assert (
+            choose_deadline_replicas(
+                slack, cheap, 4, deadline_config(PriceRule.QUANTILE), 0.0
+            ).replicas
+            == 2
+        )
 
     def test_a_replica_finds_work_for_its_run_where_the_deadline_allows(self):
-        rule = policy(Rule.AT_ONCE)._replace(run_s=HOUR)
+        rule = deadline_config(PriceRule.AT_ONCE)._replace(run_s=HOUR)
         found = [
-            choose([Backlog(end * HOUR, work * HOUR)], MARKET, 9, rule, 0.0).replicas
+            choose_deadline_replicas(
+                [Backlog(end * HOUR, work * HOUR)], MARKET, 9, rule, 0.0
+            ).replicas
             for end, work in ((20, 0.1), (20, 3.5), (20, 99), (0.5, 3.5))
         ]
         assert found == [1, 4, 9, 7]
 
     @given(
-        st.sampled_from(list(Rule)),
+        st.sampled_from(list(PriceRule)),
         st.lists(st.tuples(st.floats(1.0, 9.0), st.floats(0.1, 9.0)), min_size=1),
         st.integers(1, 6),
         st.floats(0.5, 30.0),
     )
     def test_in_danger_all_runs_at_any_price(self, rule, items, most, price):
         backlog = [Backlog(end * HOUR, work * HOUR) for end, work in items]
-        found = choose(backlog, Market(price, 10.0, (0.4,)), most, policy(rule), 0.0)
+        found = choose_deadline_replicas(
+            backlog, Market(price, 10.0, (0.4,)), most, deadline_config(rule), 0.0
+        )
         total, danger = 0.0, False
         for end, work in sorted(items):
             total += work
             danger = danger or total >= most * end
         if danger:
-            assert found.firm and found.replicas == most
+            assert found.on_demand_allowed and found.replicas == most
 
     def test_a_passed_deadline_is_still_worked_off(self):
-        found = choose([Backlog(1.0, 500.0)], MARKET, 3, DeadlinePolicy(), HOUR)
+        found = choose_deadline_replicas(
+            [Backlog(1.0, 500.0)], MARKET, 3, DeadlineConfig(), HOUR
+        )
         assert found == DeadlineChoice(3, True, math.inf)
 
 
@@ -91,14 +114,14 @@
     def decide(self, work: float, blocked=(), ceiling=100.0) -> dict:
         return decide_placement(
             2,
-            Terms(frozenset("ab"), ceiling, 12, True, 1.0),
+            CapacityConfig(frozenset("ab"), ceiling, 12, True, 1.0),
             self.OFFERS,
             Counter(),
             set(blocked),
             [Backlog(2 * HOUR, work * HOUR)],
             (2.0,),
-            PlacementPolicy(),
-            DeadlinePolicy(),
+            PlacementConfig(),
+            DeadlineConfig(),
             0.0,
         ).counts
 
--- a/tests/unit/controller/test_demand.py
+++ b/tests/unit/controller/test_demand.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.controller.demand import (
-    DemandPolicy,
+    DemandConfig,
     DemandState,
     Load,
     desired_replicas,
@@ -12,7 +12,7 @@
 )
 from ebonydeal._internal.models.endpoints import LoadReport
 
-POLICY = DemandPolicy(smoothing=1.0, hold_down=600.0, ahead=0.0)
+POLICY = DemandConfig(smoothing=1.0, hold_down=600.0, ahead=0.0)
 
 
 def waiting_share(load: float, slots: int, wait_s: float) -> float:
--- a/tests/unit/controller/test_lease.py
+++ b/tests/unit/controller/test_lease.py
@@ -46,8 +46,8 @@
         await pair.clock.advance(TTL)
         assert await pair.two.step()
         assert pair.two.epoch == 2
-        assert pair.two.previous == "n0/run"
-        assert not pair.one.believed()
+        assert pair.two.previous_holder == "n0/run"
+        assert not pair.one.presumed_held()
         assert not await pair.write(pair.one)
         assert await pair.write(pair.two)
         assert not await pair.one.step()
@@ -55,9 +55,9 @@
     async def test_a_lease_given_back_is_taken_at_once(self):
         pair = Pair()
         await pair.one.step()
-        await pair.one.give_back()
+        await pair.one.release()
         assert await pair.two.step()
-        assert (pair.two.epoch, pair.two.previous) == (2, "")
+        assert (pair.two.epoch, pair.two.previous_holder) == (2, "")
 
     async def test_only_one_of_two_claims_takes_effect(self):
         pair = Pair()
--- a/tests/unit/controller/test_orders.py
+++ b/tests/unit/controller/test_orders.py
@@ -1,8 +1,8 @@
 from ebonydeal._internal.controller.orders import (
     HoldOrder,
+    KnownOrder,
     Leadership,
-    OrderMemory,
-    OrderPolicy,
+    OrderConfig,
     ReadBack,
     SendOrder,
     Settled,
@@ -12,7 +12,7 @@
 )
 from ebonydeal._internal.outside.interfaces import EngineOrder
 
-POLICY = OrderPolicy(quiet=20.0, longest_order=10.0, audit_period=30.0)
+POLICY = OrderConfig(quiet=20.0, longest_order=10.0, audit_period=30.0)
 WANTED = EngineOrder(5, ("m", "n"), "serve")
 ALIVE, GONE = Leadership(100.0, False), Leadership(100.0, True)
 
@@ -22,12 +22,12 @@
 
 
 def read(found, now=200.0):
-    return after_read(OrderMemory(), found, WANTED, now)
+    return after_read(KnownOrder(), found, WANTED, now)
 
 
 class TestEnginesThatCheck:
     def test_read_then_send_then_read_then_settled(self):
-        assert step(OrderMemory(), checks=True) == ReadBack()
+        assert step(KnownOrder(), checks=True) == ReadBack()
         memory = read(EngineOrder(4, ("m", "n"), "serve"))
         assert step(memory, ALIVE, checks=True) == SendOrder()
         assert step(after_send(memory), checks=True) == ReadBack()
--- a/tests/unit/controller/test_placement.py
+++ b/tests/unit/controller/test_placement.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.controller.placement import PlacementPolicy, place
+from ebonydeal._internal.controller.placement import PlacementConfig, place
 from ebonydeal._internal.controller.values import OfferKey, offers_by_key
 from ebonydeal._internal.outside.interfaces import Offer
 
-POLICY = PlacementPolicy()
+POLICY = PlacementConfig()
 ZONES = ("a", "b", "c", "d")
 
 
@@ -17,7 +17,7 @@
     return Offer(zone, name, reclaimable, price, 0.0, 8)
 
 
-def standing(counts) -> int:
+def zone_loss_capacity(counts) -> int:
     zones = Counter()
     for key, number in counts.items():
         zones[key.zone] += number
@@ -73,7 +73,7 @@
         cost = sum(n * offers[key].price_per_hour for key, n in found.counts.items())
         assert cost <= ceiling + 1e-6
         assert found.cost_per_hour == pytest.approx(cost)
-        assert found.standing == standing(found.counts)
+        assert found.zone_loss_capacity == zone_loss_capacity(found.counts)
         for key in blocked:
             assert found.counts.get(key, 0) <= current[key]
 
@@ -83,7 +83,7 @@
         zones = {key.zone for key in offers if key not in blocked}
         found = place(target, offers, current, blocked, math.inf, POLICY)
         if len(zones) >= 2:
-            assert found.standing >= target
+            assert found.zone_loss_capacity >= target
         elif zones:
             assert sum(found.counts.values()) >= target
 
@@ -117,7 +117,7 @@
         offers = offers_by_key([offer(zone, 10.0) for zone in ("a", "b", "c")])
         found = place(4, offers, {}, set(), 40.0, POLICY)
         assert sum(found.counts.values()) == 4
-        assert found.held == 2
+        assert found.ceiling_held == 2
 
     def test_a_running_instance_is_kept_through_a_small_change_of_price(self):
         offers = offers_by_key(
--- a/tests/unit/controller/test_reconcile.py
+++ b/tests/unit/controller/test_reconcile.py
@@ -14,8 +14,12 @@
     Start,
     Warm,
 )
-from ebonydeal._internal.controller.fleet import Observed, ReconcilePolicy, Wanted
 from ebonydeal._internal.controller.reconcile import plan
+from ebonydeal._internal.controller.reconcile_state import (
+    DesiredState,
+    ObservedState,
+    ReconcileConfig,
+)
 from ebonydeal._internal.controller.values import (
     InstanceRow,
     InstanceState,
@@ -23,7 +27,7 @@
 )
 from ebonydeal._internal.outside.interfaces import CloudInstance
 
-POLICY = ReconcilePolicy()
+POLICY = ReconcileConfig()
 A, B, C = (OfferKey(zone, "l", True) for zone in "abc")
 PRICES = {A: 1.0, B: 2.0, C: 3.0}
 READY, WARMING = InstanceState.READY, InstanceState.WARMING
@@ -42,18 +46,18 @@
     return CloudInstance(f"i-{token}", token, *key, "running", "", 0.0, tags)
 
 
-def observed(rows, missing=(), extra=(), **changes) -> Observed:
+def observed(rows, missing=(), extra=(), **changes) -> ObservedState:
     machines = [machine(r.token, OfferKey.of(r)) for r in rows]
     listed = {m.token: m for m in [*machines, *extra] if m.token not in missing}
     by_token = {r.token: r for r in rows}
-    base = Observed(
+    base = ObservedState(
         listed, by_token, set(), set(), {}, dict(PRICES), frozenset(missing)
     )
     return base._replace(**changes)
 
 
 def actions(rows, counts=None, target=0, ceiling=100.0, **changes):
-    wanted = Wanted(counts or {}, target, ceiling)
+    wanted = DesiredState(counts or {}, target, ceiling)
     return plan(wanted, observed(rows, **changes), POLICY, NOW)
 
 
--- a/tests/unit/controller/test_weights.py
+++ b/tests/unit/controller/test_weights.py
@@ -2,14 +2,14 @@
 from hypothesis import strategies as st
 
 from ebonydeal._internal.controller.weights import (
-    LoadPolicy,
     LoadRequest,
     RunningLoad,
+    WeightLoadConfig,
     admit_loads,
 )
 from ebonydeal._internal.outside.interfaces import WeightCopy
 
-POLICY = LoadPolicy(rate_of_one=2.0, near_at_once=2, reserve=0.25)
+POLICY = WeightLoadConfig(rate_of_one=2.0, near_at_once=2, reserve=0.25)
 COPIES = {"m": [WeightCopy("store", "m", 10.0, "")]}
 
 
