--- a/src/ebonydeal/_internal/controller/__init__.py
+++ b/src/ebonydeal/_internal/controller/__init__.py
@@ -1,1 +1,1 @@
-"""Instances under endpoints: capacity, placement, orders, spend."""
+"""Controls the instances of endpoints: capacity, placement, orders and spend."""
--- a/src/ebonydeal/_internal/controller/actions.py
+++ b/src/ebonydeal/_internal/controller/actions.py
@@ -1,4 +1,4 @@
-"""What a controller may do next about the instances of one deployment."""
+"""Actions of a controller on the instances of one deployment."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Record a row, then ask the cloud for an instance with its token."""
+    """Write a row, then request an instance from the cloud with the row's token."""
 
     key: OfferKey
     price_per_hour: float
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True)
 class Restart:
-    """Ask the cloud again, with the token of a row whose answer is not known."""
+    """Repeat a start request whose outcome is unknown, with the same token."""
 
     row: InstanceRow
 
 
 @dataclass(frozen=True)
 class Adopt:
-    """Record that a start took effect."""
+    """Record that the cloud has started the instance of a row."""
 
     row: InstanceRow
     instance: CloudInstance
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class Enlist:
-    """Record an instance that carries the deployment's name as ours.
+    """Take over an instance that is tagged with the deployment but not managed.
 
-    Somebody else started it for the deployment; it counts and is paid from now
-    on like one of our own.
+    Something other than a controller started it. From now on it counts towards
+    replicas and spend like a managed instance.
     """
 
     instance: CloudInstance
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True)
 class Condemn:
-    """Record an instance that a controller started, without a row, as to go.
+    """Record a managed instance that has no row, so that it is released.
 
-    The row makes the release conditional on the lease, like everything else.
+    The row makes the release conditional on the lease, like all other changes.
     """
 
     instance: CloudInstance
@@ -54,21 +54,21 @@
 
 @dataclass(frozen=True)
 class Warm:
-    """Order the instance's engine to load its models."""
+    """Keep warming up; `ReplicaManager` sends the orders to the engine."""
 
     row: InstanceRow
 
 
 @dataclass(frozen=True)
 class MarkReady:
-    """Record that the instance is warm and counts for strength."""
+    """Record that the instance is warm and counts as a ready replica."""
 
     row: InstanceRow
 
 
 @dataclass(frozen=True)
 class Drain:
-    """Record that the instance leaves, and spread its leaving mark."""
+    """Record that the instance is draining, and publish its leaving mark."""
 
     row: InstanceRow
     why: str
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class Forget:
-    """Delete the row of an instance that is gone."""
+    """Delete the row of an instance that no longer exists."""
 
     row: InstanceRow
     lost: bool
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Hold:
-    """Nothing is started: the price ceiling would be broken."""
+    """Start nothing, as ``number`` instances would exceed the price ceiling."""
 
     key: OfferKey
     number: int
--- a/src/ebonydeal/_internal/controller/capacity.py
+++ b/src/ebonydeal/_internal/controller/capacity.py
@@ -1,4 +1,4 @@
-"""How many instances a deployment should have, and where: the decisions joined."""
+"""Combines the decisions on how many instances a deployment has, and where."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence, Set
@@ -25,7 +25,7 @@
 
 
 class CapacityConfig(NamedTuple):
-    """What the document says of a deployment, as far as capacity needs it."""
+    """Settings of a deployment in the document that capacity depends on."""
 
     zones: frozenset[str]
     ceiling: float
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_deployment(cls, item: Deployment) -> "CapacityConfig":
-        """Take the terms from the document."""
+        """Read the settings from the document."""
         return cls(
             zones=frozenset(place.zone for place in item.zones),
             ceiling=item.price_ceiling,
@@ -46,7 +46,7 @@
 
 
 def cheapest_price(offers: Mapping[OfferKey, Offer], reclaimable: bool) -> float | None:
-    """Return the lowest price in one market, or None without offers."""
+    """Return the lowest reclaimable or on-demand price, or None without offers."""
     prices = [
         offer.price_per_hour
         for key, offer in offers.items()
@@ -67,22 +67,22 @@
     deadline_config: DeadlineConfig,
     now: float,
 ) -> Placement:
-    """Return where instances should run for the target and for deadline work.
+    """Return where instances should run to serve requests and deadline work.
 
     Parameters
     ----------
     target : int
-        Replicas that serve, after the loss of any one zone.
+        Replicas that must remain after the loss of any one zone.
     capacity_config : CapacityConfig
         From the document.
     offers, current, blocked
-        As `placement.place`; offers in the deployment's zones only.
+        As for `placement.place`; only offers in the deployment's zones.
     backlog : sequence of Backlog
-        Deadline work that waits.
+        Waiting deadline work.
     recent : tuple of float
-        Cheapest reclaimable prices of the recent past.
+        Recent cheapest reclaimable prices.
     placement_config, deadline_config
-        Constants.
+        Parameters of the two decisions.
     now : float
         Wall clock seconds.
     """
@@ -103,10 +103,10 @@
         return placement
     max_extra = capacity_config.max_replicas - target
     choice = choose_deadline_replicas(backlog, market, max_extra, deadline_config, now)
-    extra = choice.replicas - spare_replicas(placement, target)
+    added = choice.replicas - spare_replicas(placement, target)
     return add_deadline_replicas(
         placement,
-        extra,
+        added,
         choice.price_limit,
         choice.on_demand_allowed,
         offers,
@@ -120,12 +120,14 @@
 def _market(
     offers: Mapping[OfferKey, Offer], blocked: Set[OfferKey], recent: tuple[float, ...]
 ) -> Market | None:
-    """Return the market for one more replica, or None without any offer."""
-    free = {key: offer for key, offer in offers.items() if key not in blocked}
-    firm = cheapest_price(offers, reclaimable=False)
-    now = cheapest_price(free, reclaimable=True)
-    if now is None and firm is None:
+    """Return the prices of one more replica, or None without any offer."""
+    available = {key: offer for key, offer in offers.items() if key not in blocked}
+    on_demand = cheapest_price(offers, reclaimable=False)
+    reclaimable = cheapest_price(available, reclaimable=True)
+    if reclaimable is None and on_demand is None:
         return None
-    if now is None:
-        return Market(firm or 0.0, firm or 0.0, recent)
-    return Market(now, firm if firm is not None else now, recent)
+    if reclaimable is None:
+        return Market(on_demand or 0.0, on_demand or 0.0, recent)
+    return Market(
+        reclaimable, on_demand if on_demand is not None else reclaimable, recent
+    )
--- a/src/ebonydeal/_internal/controller/context.py
+++ b/src/ebonydeal/_internal/controller/context.py
@@ -1,4 +1,4 @@
-"""What every deployment's worker is given."""
+"""Dependencies that the workers of all deployments share."""
 
 import random
 from collections.abc import Callable
@@ -19,22 +19,22 @@
 
 
 class ControllerContext(NamedTuple):
-    """Adapters and means, the same for all deployments.
+    """Adapters, settings and callbacks, the same for all deployments.
 
     Attributes
     ----------
     cfg : ControllerSettings
         ``[controller]``.
     holder : Holder
-        This run of this process.
+        Identity of this run of the process.
     tables, cloud, engine : Tables, Cloud, ControlledEngine
         Adapters.
     load_scheduler : WeightLoadScheduler
-        Paces weight loads.
+        Limits the rate of weight loads.
     metrics, clock, rng
-        Counters, time, randomness.
+        Counters, time and random numbers.
     mark : callable
-        Takes a `LeavingMark` and spreads it.
+        Publishes a `LeavingMark` to the other processes.
     """
 
     cfg: ControllerSettings
@@ -49,7 +49,7 @@
     mark: Callable[[LeavingMark], None]
 
     def reconcile_config(self) -> ReconcileConfig:
-        """Return the constants of reconciling."""
+        """Return the parameters of reconciliation."""
         return ReconcileConfig(
             list_grace=self.cfg.list_grace,
             warm_timeout=self.cfg.warm_timeout,
@@ -58,7 +58,7 @@
         )
 
     def order_config(self) -> OrderConfig:
-        """Return the constants of orders."""
+        """Return the parameters of orders."""
         return OrderConfig(
             quiet=self.cfg.lease_ttl + self.cfg.longest_order,
             longest_order=self.cfg.longest_order,
@@ -66,11 +66,11 @@
         )
 
     def demand_config(self) -> DemandConfig:
-        """Return the constants of demand."""
+        """Return the parameters of demand."""
         return DemandConfig(
             hold_down=self.cfg.hold_down, service_s=self.cfg.service_seconds
         )
 
     def placement_config(self) -> PlacementConfig:
-        """Return the constants of placement."""
+        """Return the parameters of placement."""
         return PlacementConfig(on_demand_share=self.cfg.on_demand_share)
--- a/src/ebonydeal/_internal/controller/deadline.py
+++ b/src/ebonydeal/_internal/controller/deadline.py
@@ -1,8 +1,8 @@
-"""When to run work that may wait until a deadline.
+"""Decides when to run work that may wait until a deadline.
 
-A pure decision, made again every few minutes: how many replicas to add now for
-deadline work, and whether any price is paid. `PriceRule` names the ways that were
-weighed; docs/design/deadline-work.md gives the figures.
+A pure function, called in every round, returns how many replicas to add now for
+deadline work and up to which price. `PriceRule` lists the alternatives;
+docs/design/deadline-work.md compares them.
 """
 
 import math
@@ -14,7 +14,7 @@
 
 
 class PriceRule(StrEnum):
-    """How the price at which work runs is chosen."""
+    """How the highest price at which work runs is chosen."""
 
     AT_ONCE = "at_once"
     FIXED = "fixed_threshold"
@@ -23,21 +23,20 @@
 
 
 class DeadlineConfig(NamedTuple):
-    """Constants of deadline work.
+    """Parameters of deadline work.
 
     Attributes
     ----------
     rule : PriceRule
-        Which way.
+        How the price limit is chosen.
     fixed_share : float
         For ``FIXED``: share of the on-demand price below which work runs.
     margin_s : float
-        Time kept free before a deadline: starts, loads, one reclaim.
+        Seconds kept free before a deadline for starts, loads and one reclaim.
     margin_share : float
-        Share of the remaining work that is added for reclaims on the way.
+        Share of the remaining work that is added to allow for reclaims.
     run_s : float
-        How long a replica that is added should find work: starting and warming
-        it up is not worth less.
+        Seconds of work that justify starting and warming up one more replica.
     """
 
     rule: PriceRule = PriceRule.QUANTILE
@@ -55,34 +54,34 @@
 
 
 class Market(NamedTuple):
-    """Prices of one replica an hour.
+    """Prices of one replica per hour.
 
     Attributes
     ----------
-    now : float
-        Cheapest reclaimable offer.
+    reclaimable : float
+        Cheapest reclaimable offer; the on-demand price if there is none.
     on_demand : float
-        Cheapest on-demand offer.
+        Cheapest on-demand offer; the reclaimable price if there is none.
     recent : tuple of float
-        Cheapest reclaimable prices at even steps of the recent past.
+        Recent cheapest reclaimable prices, at equal intervals.
     """
 
-    now: float
+    reclaimable: float
     on_demand: float
     recent: tuple[float, ...]
 
 
 class DeadlineChoice(NamedTuple):
-    """What to run now.
+    """Replicas to run now for deadline work.
 
     Attributes
     ----------
     replicas : int
-        Added for deadline work.
-    firm : bool
-        Whether a deadline is in danger, so that on-demand is bought too.
+        Replicas to add.
+    on_demand_allowed : bool
+        Whether a deadline is at risk, so that on-demand instances may be bought.
     price_limit : float
-        Highest price an hour at which work that can wait runs now.
+        Highest price per hour at which work that can wait runs now.
     """
 
     replicas: int
@@ -91,17 +90,17 @@
 
 
 def price_limit(market: Market, committed: float, config: DeadlineConfig) -> float:
-    """Return the highest price at which work runs that can still wait.
+    """Return the highest price per hour at which work that can wait runs now.
 
     Parameters
     ----------
     market : Market
         Prices.
     committed : float
-        Share, 0 to 1, of all replica time left until the deadline that the
+        Share, 0 to 1, of the replica time left until the deadline that the
         work needs.
     config : DeadlineConfig
-        Names the rule.
+        Contains the rule.
     """
     committed = min(1.0, max(0.0, committed))
     match config.rule:
@@ -116,14 +115,14 @@
 
 
 def _exponential(market: Market, committed: float) -> float:
-    """Return ``L (U / L) ** committed``: from the lowest price to on-demand."""
-    low = min((*market.recent, market.now))
+    """Return ``L (U / L) ** committed``, from the lowest to the on-demand price."""
+    low = min((*market.recent, market.reclaimable))
     return low * (market.on_demand / low) ** committed
 
 
 def _quantile(market: Market, committed: float) -> float:
-    """Return the price below which the needed share of recent time lay."""
-    prices = sorted((*market.recent, market.now))
+    """Return the ``committed`` quantile of the recent prices."""
+    prices = sorted((*market.recent, market.reclaimable))
     index = math.ceil(committed * len(prices)) - 1
     return prices[max(0, index)]
 
@@ -135,40 +134,41 @@
     config: DeadlineConfig,
     now: float,
 ) -> DeadlineChoice:
-    """Return how many replicas to add for deadline work now.
+    """Return how many replicas to add for deadline work now, and at which price.
 
     Parameters
     ----------
     backlog : sequence of Backlog
-        Work that remains.
+        Remaining work.
     market : Market
         Prices.
-    most : int
-        Most replicas that deadline work may have at once.
+    max_replicas : int
+        Maximum number of replicas for deadline work.
     config : DeadlineConfig
-        Constants.
+        Parameters.
     now : float
         Wall clock seconds.
 
     Returns
     -------
     DeadlineChoice
-        Never less than what the tightest deadline needs from now on: earliest
-        deadlines first, every prefix of the work must fit before its deadline.
+        If replicas are added, they are enough for the tightest deadline, up to
+        ``max_replicas``. Work is assumed to run in the order of its deadlines:
+        all work up to each deadline must fit before it.
     """
     if max_replicas <= 0 or not any(item.work_s > _EPS for item in backlog):
         return DeadlineChoice(0, False, 0.0)
-    committed, total, rate = 0.0, 0.0, 0.0
+    committed, total, min_replicas = 0.0, 0.0, 0.0
     for item in sorted(backlog):
         total += item.work_s * (1.0 + config.margin_share)
         left = item.deadline - config.margin_s - now
         share = total / (max_replicas * left) if left > 0 else math.inf
         committed = max(committed, share)
-        rate = max(rate, total / max(left, 1.0))
+        min_replicas = max(min_replicas, total / max(left, 1.0))
     limit = price_limit(market, committed, config)
-    useful = min(max_replicas, math.ceil(max(rate, total / config.run_s)))
+    useful = min(max_replicas, math.ceil(max(min_replicas, total / config.run_s)))
     if committed >= 1.0 - _EPS:
         return DeadlineChoice(useful, True, math.inf)
-    if market.now <= limit + _EPS:
+    if market.reclaimable <= limit + _EPS:
         return DeadlineChoice(useful, False, limit)
     return DeadlineChoice(0, False, limit)
--- a/src/ebonydeal/_internal/controller/deadline_replicas.py
+++ b/src/ebonydeal/_internal/controller/deadline_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas for deadline work, on top of the placement that holds the target."""
+"""Adds replicas for deadline work to the placement that holds the target."""
 
 import math
 from collections import Counter
@@ -12,9 +12,9 @@
 
 
 def spare_replicas(placement: Placement, target: int) -> int:
-    """Return how many replicas run beyond the target.
+    """Return how many replicas the placement has beyond the target.
 
-    They stand by for the loss of a zone, and do deadline work until then.
+    They are kept for the loss of a zone, and run deadline work until then.
     """
     return max(0, sum(placement.counts.values()) - target)
 
@@ -32,39 +32,41 @@
 ) -> Placement:
     """Add up to ``number`` replicas, cheapest first, within the ceiling.
 
-    They need not survive a zone's loss: their work starts again elsewhere.
+    They need not survive the loss of a zone, as their work can be restarted
+    elsewhere.
 
     Parameters
     ----------
     placement : Placement
-        What holds the target.
+        Placement that holds the target.
     number : int
         Replicas to add.
     price_limit : float
-        Highest price an hour that is paid for one.
-    firm : bool
-        Whether on-demand may be bought.
+        Highest price per hour of an added instance.
+    on_demand_allowed : bool
+        Whether on-demand instances may be bought.
     offers, current, blocked
-        What can be bought, what runs, and what can't be started now.
+        Offers, running instances, and offers that can't be started now.
     ceiling : float
-        Most that all instances together may cost an hour.
+        Maximum price of all instances together, per hour.
     keep_discount : float
-        Share by which a running instance counts as cheaper than a new one.
+        Share by which a running instance is rated cheaper than a new one.
     """
     counts = Counter(placement.counts)
     cost = placement.cost_per_hour
-    left = number
+    remaining = number
     for _score, price, key, room in _choices(
         counts, on_demand_allowed, offers, current, blocked, keep_discount
     ):
         if price > price_limit + _EPS:
             continue
-        added = max(0, int(min(left, room, affordable(ceiling - cost, price))))
+        added = max(0, int(min(remaining, room, affordable(ceiling - cost, price))))
         counts[key] += added
         cost += added * price
-        left -= added
-    # Only what the price allowed and the ceiling did not is held back.
-    wanted = any(
+        remaining -= added
+    # Replicas count as held back by the ceiling only if an offer is within the
+    # price limit.
+    affordable_offer = any(
         price <= price_limit + _EPS
         for _score, price, _key, _room in _choices(
             counts, on_demand_allowed, offers, {}, blocked, keep_discount
@@ -73,7 +75,8 @@
     return placement._replace(
         counts=dict(+counts),
         cost_per_hour=cost,
-        ceiling_held=placement.ceiling_held + (left if wanted and left > 0 else 0),
+        ceiling_held=placement.ceiling_held
+        + (remaining if affordable_offer and remaining > 0 else 0),
     )
 
 
@@ -85,7 +88,7 @@
     blocked: Set[OfferKey],
     keep_discount: float,
 ) -> list[tuple[float, float, OfferKey, float]]:
-    """Return (score, price, key, room) of what may be added, best first."""
+    """Return (score, price, key, maximum number) of candidates, best first."""
     choices = []
     for key, offer in offers.items():
         if not (key.reclaimable or on_demand_allowed):
--- a/src/ebonydeal/_internal/controller/demand.py
+++ b/src/ebonydeal/_internal/controller/demand.py
@@ -1,9 +1,10 @@
-"""How many replicas a deployment needs now.
+"""Computes how many replicas a deployment needs now.
 
-A pure decision. The load is requests in flight (Little's law: arrival rate times
-time in the engine); the replicas are the fewest for which 95 in 100 requests
-wait no longer than the latency target allows (Erlang C). More are taken at
-once, fewer only when the need has been lower for a while.
+A pure function. The load is the number of requests in flight (Little's law:
+arrival rate times time in the engine). The result is the smallest number of
+replicas for which 95 in 100 requests wait no longer than the latency target
+allows (Erlang C). It rises at once, and falls only after the need has been lower
+for a while.
 """
 
 import math
@@ -11,25 +12,25 @@
 
 from ebonydeal._internal.models.endpoints import LoadReport
 
-_LATE_SHARE = 0.05
+_MAX_LATE_SHARE = 0.05
 
 
 class DemandConfig(NamedTuple):
-    """Constants of demand.
+    """Parameters of the computation.
 
     Attributes
     ----------
     smoothing : float
         Seconds over which the load is averaged.
     hold_down : float
-        Seconds for which a higher need is kept.
+        Seconds for which a higher number of replicas is kept.
     service_s : float
         Mean seconds of one request in an engine.
     wait_share : float
-        Share of the first token target that may be spent waiting.
+        Share of the first-token latency target that may be spent waiting.
     ahead : float
-        Seconds ahead for which a rising load is extrapolated: the time that an
-        instance takes to start and warm up.
+        Seconds by which a rising load is extrapolated, as an instance takes
+        that long to start and warm up.
     """
 
     smoothing: float = 30.0
@@ -40,9 +41,9 @@
 
 
 class Load(NamedTuple):
-    """What the replicas of a deployment report together.
+    """Total load that the replicas of a deployment report.
 
-    ``in_flight`` requests running and waiting; ``slots`` of one replica.
+    ``in_flight`` requests are running or waiting; each replica has ``slots``.
     """
 
     in_flight: float
@@ -50,25 +51,25 @@
 
     @classmethod
     def from_reports(cls, reports: list[LoadReport]) -> "Load":
-        """Add up reports; no reports are no load."""
+        """Add up reports; the load is 0 without reports."""
         in_flight = sum(item.running + item.waiting for item in reports)
         slots = min((item.slots for item in reports if item.slots > 0), default=1)
         return cls(float(in_flight), slots)
 
 
 class DemandState(NamedTuple):
-    """What is remembered between decisions.
+    """State between two computations.
 
     Attributes
     ----------
     load : float
         Smoothed requests in flight.
     slope : float
-        Its smoothed change a second.
+        Its smoothed change per second.
     at : float
-        Monotonic seconds of the last decision.
+        Monotonic seconds of the last computation.
     peaks : tuple of (float, int)
-        Falling needs with the time until which each is kept.
+        (time until which it is kept, replicas), in falling order of replicas.
     """
 
     load: float = 0.0
@@ -78,14 +79,14 @@
 
 
 def slots_needed(load: float, service_s: float, wait_s: float) -> int:
-    """Return the fewest slots for which 95 in 100 wait at most ``wait_s``.
+    """Return the fewest slots for which 95 in 100 requests wait at most ``wait_s``.
 
     Parameters
     ----------
     load : float
-        Offered load in slots (requests in flight without waiting).
+        Offered load in slots (requests that would be in flight without waiting).
     service_s, wait_s : float
-        Mean seconds in a slot, and the longest wait.
+        Mean seconds in a slot, and the maximum wait.
     """
     if load <= 0:
         return 0
@@ -98,7 +99,7 @@
             continue
         waits = slots * blocking / (slots - load * (1.0 - blocking))
         late = waits * math.exp(-(slots - load) * wait_s / service_s)
-        if late <= _LATE_SHARE:
+        if late <= _MAX_LATE_SHARE:
             return slots
 
 
@@ -106,35 +107,35 @@
     state: DemandState,
     load: Load,
     first_token_s: float,
-    low: int,
-    high: int,
+    min_replicas: int,
+    max_replicas: int,
     config: DemandConfig,
     now: float,
 ) -> tuple[int, DemandState]:
-    """Return the replicas needed now, and the state for the next decision.
+    """Return the replicas needed now, and the state for the next call.
 
     Parameters
     ----------
     state : DemandState
-        From the last decision.
+        From the last call.
     load : Load
-        Present reports.
+        Current load.
     first_token_s : float
-        Latency target, 95 in 100.
-    low, high : int
+        First-token latency target for 95 in 100 requests, seconds.
+    min_replicas, max_replicas : int
         Bounds from the document.
     config : DemandConfig
-        Constants.
+        Parameters.
     now : float
         Monotonic seconds.
     """
-    smooth = _smoothed(state, load.in_flight, config, now)
-    ahead = smooth.load + max(0.0, smooth.slope) * config.ahead
+    smoothed = _smoothed(state, load.in_flight, config, now)
+    forecast = smoothed.load + max(0.0, smoothed.slope) * config.ahead
     wait = first_token_s * config.wait_share
-    slots = slots_needed(ahead, config.service_s, wait)
-    need = min(high, max(low, math.ceil(slots / max(1, load.slots))))
-    peaks = _kept_peaks(smooth.peaks, need, now, config.hold_down)
-    return peaks[0][1], smooth._replace(peaks=peaks)
+    slots = slots_needed(forecast, config.service_s, wait)
+    need = min(max_replicas, max(min_replicas, math.ceil(slots / max(1, load.slots))))
+    peaks = _kept_peaks(smoothed.peaks, need, now, config.hold_down)
+    return peaks[0][1], smoothed._replace(peaks=peaks)
 
 
 def _smoothed(
@@ -153,8 +154,8 @@
 
 
 def _kept_peaks(
-    peaks: tuple[tuple[float, int], ...], need: int, now: float, hold: float
+    peaks: tuple[tuple[float, int], ...], need: int, now: float, hold_down: float
 ) -> tuple[tuple[float, int], ...]:
-    """Return a sliding maximum: needs that are still kept, highest first."""
+    """Return the peaks that are still kept, highest first (a sliding maximum)."""
     kept = [(until, number) for until, number in peaks if number > need and until > now]
-    return (*kept, (now + hold, need))
+    return (*kept, (now + hold_down, need))
--- a/src/ebonydeal/_internal/controller/demand_tracker.py
+++ b/src/ebonydeal/_internal/controller/demand_tracker.py
@@ -1,4 +1,4 @@
-"""The desired replicas of one deployment from round to round."""
+"""Tracks the number of replicas that one deployment needs."""
 
 from ebonydeal._internal.controller.demand import (
     DemandConfig,
@@ -11,15 +11,15 @@
 
 
 class DemandTracker:
-    """Remembers what `demand.desired_replicas` needs between rounds.
+    """Keeps the state of `demand.desired_replicas` between rounds.
 
-    Silence is not low load: what doesn't report counts like the mean of what
-    does, and while nothing reports the target stays.
+    A missing report doesn't mean low load: a replica without a report counts
+    with the mean load of the others, and without any report the target stays.
 
     Parameters
     ----------
     config : DemandConfig
-        Constants.
+        Parameters.
     """
 
     def __init__(self, config: DemandConfig) -> None:
@@ -27,15 +27,17 @@
         self._state = DemandState()
         self._target = 0
 
-    def begin(self, standing: int, now: float) -> None:
-        """Start as a new leader.
+    def begin(self, initial_target: int, now: float) -> None:
+        """Start as a new leader with the replicas that the previous leader ran.
 
-        What the predecessor found necessary is held for as long as any need:
-        ``standing`` replicas that serve through a zone's loss.
+        ``initial_target``, which remains after the loss of any one zone, is
+        kept for ``hold_down`` seconds.
         """
-        peaks = ((now + self._config.hold_down, standing),) if standing else ()
+        peaks = (
+            ((now + self._config.hold_down, initial_target),) if initial_target else ()
+        )
         self._state = DemandState(peaks=peaks)
-        self._target = standing
+        self._target = initial_target
 
     def target(
         self,
@@ -44,16 +46,16 @@
         replicas: int,
         now: float,
     ) -> int:
-        """Return the replicas that are needed after the loss of any one zone.
+        """Return the replicas that must remain after the loss of any one zone.
 
         Parameters
         ----------
         deployment : Deployment
             Latency target and bounds.
         reports : list of LoadReport
-            Of the replicas that answer.
+            Reports of the replicas that answered.
         replicas : int
-            All that serve, whether they answer or not.
+            Number of serving replicas, with or without a report.
         now : float
             Monotonic seconds.
         """
--- a/src/ebonydeal/_internal/controller/events.py
+++ b/src/ebonydeal/_internal/controller/events.py
@@ -1,9 +1,9 @@
-"""The event trail: why instances came and went, and at what cost.
+"""The event trail: why instances were started and released, and at what cost.
 
 An event is a row that is written in the same transaction as the change that it
 explains, so that the trail can't disagree with the instances' rows. The trail
-of a deployment is a ring of fixed size: event ``n`` is written over event
-``n - size``.
+of a deployment is a ring buffer: event ``n`` overwrites event
+``n - TRAIL_ROWS``.
 """
 
 from enum import StrEnum
@@ -14,7 +14,7 @@
 TRAIL_PREFIX = "trail/"
 TRAIL_ROWS = 512
 SPEND_PREFIX = "spend/"
-_PAGE = 1000
+_MAX_PAGE_ROWS = 1000
 
 
 class TrailKind(StrEnum):
@@ -37,25 +37,25 @@
     Attributes
     ----------
     number : int
-        Counts the events of a deployment.
+        Sequence number within the deployment.
     at : float
         Wall clock seconds.
     kind : TrailKind
         What happened.
     deployment, zone, machine_class : str
-        To what.
+        Of the instance.
     reclaimable : bool
-        Market.
+        Whether the instance is reclaimable rather than on-demand.
     token, instance_id : str
-        Which instance.
+        Identify the instance.
     replaces : str
-        Token of the instance that this one replaces, or empty.
+        Token of the instance that this one replaces; empty if none.
     price_per_hour : float
         At the time of the event.
     why : str
-        One sentence for operators.
+        Reason, for operators.
     epoch : int
-        Lease epoch of the leader that did it.
+        Lease epoch of the leader that made the change.
     """
 
     number: int
@@ -80,27 +80,27 @@
 
     @classmethod
     def from_row(cls, row: Row) -> "TrailEvent":
-        """Build from a table row; raises KeyError or ValueError on garbage."""
+        """Build from a table row; raises KeyError or ValueError if malformed."""
         fields = {name: row.value[name] for name in cls._fields}
         fields["kind"] = TrailKind(fields["kind"])
         return cls(**fields)
 
 
 class SpendRow(NamedTuple):
-    """What a deployment costs now and has cost, ``spend/{deployment}``.
+    """Current and total cost of a deployment, ``spend/{deployment}``.
 
     Attributes
     ----------
     deployment : str
-        Whose spend it is.
+        Name.
     per_hour, ceiling : float
-        Present cost and its limit, an hour.
+        Current cost per hour, and its limit.
     on_demand_per_hour : float
-        What the same instances would cost on-demand; 0.0 where not offered.
+        Cost of the same instances on-demand; 0.0 for those not offered.
     total : float
-        Spent since the first record.
+        Cost since the first record.
     replicas, ready, target : int
-        Instances that are paid, that serve, and that are needed.
+        Instances that are paid for, instances that are ready, and replicas needed.
     at : float
         Wall clock seconds.
     """
@@ -116,17 +116,17 @@
     at: float
 
     def to_put(self) -> Put:
-        """Return the write that records it."""
+        """Return the write that records the row."""
         return Put(SPEND_PREFIX + self.deployment, dict(self._asdict()))
 
     @classmethod
     def from_value(cls, value: dict[str, Any]) -> "SpendRow":
-        """Build from a row's value; raises KeyError on garbage."""
+        """Build from a row's value; raises KeyError if malformed."""
         return cls(**{name: value[name] for name in cls._fields})
 
 
 async def read_trail(tables: Tables, deployment: str) -> list[TrailEvent]:
-    """Return a deployment's trail, oldest first; all deployments' if empty.
+    """Return the trail, oldest first; of all deployments if the name is empty.
 
     A deployment's trail has at most ``TRAIL_ROWS`` entries.
     """
@@ -134,15 +134,15 @@
     events: list[TrailEvent] = []
     start = ""
     while True:
-        rows = await tables.scan(prefix, start, _PAGE)
+        rows = await tables.scan(prefix, start, _MAX_PAGE_ROWS)
         events.extend(TrailEvent.from_row(row) for row in rows)
-        if len(rows) < _PAGE:
+        if len(rows) < _MAX_PAGE_ROWS:
             break
         start = rows[-1].key + "\0"
     return sorted(events, key=lambda event: (event.at, event.deployment, event.number))
 
 
 async def read_spend(tables: Tables) -> list[SpendRow]:
-    """Return every deployment's spend, by name."""
-    rows = await tables.scan(SPEND_PREFIX, "", _PAGE)
+    """Return the spend of all deployments, in the order of their names."""
+    rows = await tables.scan(SPEND_PREFIX, "", _MAX_PAGE_ROWS)
     return [SpendRow.from_value(row.value) for row in rows]
--- a/src/ebonydeal/_internal/controller/execute.py
+++ b/src/ebonydeal/_internal/controller/execute.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of `reconcile.plan` for one deployment."""
+"""Executes the actions of `reconcile.plan` for one deployment."""
 
 import asyncio
 import random
@@ -40,17 +40,17 @@
 
 logger = get_logger("controller")
 
-_AT_ONCE = 16
+_MAX_CONCURRENT_ACTIONS = 16
 DrainCallback = Callable[[InstanceRow], None]
 
 
 class Executor:
-    """Writes the intent, calls the cloud, writes the outcome.
+    """Records each intent, calls the cloud, and records the outcome.
 
     Parameters
     ----------
     deployment : str
-        Whose instances.
+        Name of the deployment.
     records : InstanceRecords
         Rows, written under the lease's epoch.
     cloud : Cloud
@@ -58,9 +58,9 @@
     metrics, clock, rng
         Counters, time, and the source of tokens.
     start_backoff : StartBackoff
-        Told of refused and successful starts.
+        Records refused and successful starts.
     on_drain : callable
-        Called with the row of each instance that begins to leave.
+        Called with the row of each instance that begins to drain.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         start_backoff: StartBackoff,
         on_drain: DrainCallback,
     ) -> None:
-        self.refused: list[str] = []
+        self.unstarted_replacements: list[str] = []
         self._deployment = deployment
         self._records = records
         self._cloud = cloud
@@ -93,55 +93,60 @@
         offers: Mapping[OfferKey, Offer],
         instances: Mapping[str, CloudInstance],
     ) -> bool:
-        """Do all actions; return whether all went well.
+        """Execute all actions; return whether all succeeded.
 
-        What failed is seen again in the next round. ``refused`` then holds the
-        tokens whose replacement was refused.
+        The next round plans failed actions again. ``unstarted_replacements``
+        then holds the tokens of instances whose replacement was not started.
         """
         self._epoch = epoch
         self._offers = offers
-        self.refused = []
-        limit = asyncio.Semaphore(_AT_ONCE)
+        self.unstarted_replacements = []
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_ACTIONS)
 
-        async def one(action: Action) -> bool:
-            async with limit:
+        async def execute(action: Action) -> bool:
+            async with semaphore:
                 return await self._try(action, instances)
 
-        return all(await asyncio.gather(*(one(action) for action in actions)))
+        return all(await asyncio.gather(*(execute(action) for action in actions)))
 
     async def _try(
         self, action: Action, instances: Mapping[str, CloudInstance]
     ) -> bool:
-        """Do one action; log a failure."""
+        """Execute one action; log a failure."""
         try:
-            await self._do(action, instances)
+            await self._execute(action, instances)
         except EbonydealError as exc:
             name = type(action).__name__.lower()
-            logger.warning("An action failed.", action=name, kind=str(exc.kind))
+            logger.warning("Action failed.", action=name, kind=str(exc.kind))
             return False
         return True
 
-    async def _do(self, action: Action, instances: Mapping[str, CloudInstance]) -> None:
-        """Do one action; raises what the table or the cloud raises."""
+    async def _execute(
+        self, action: Action, instances: Mapping[str, CloudInstance]
+    ) -> None:
+        """Execute one action; raises errors of the table and the cloud."""
         match action:
             case Start():
                 await self._start(action)
             case Restart(row):
-                await self._ask(row)
+                await self._request_start(row)
             case Adopt(row, instance):
-                await self._started(row, instance)
+                await self._record_started(row, instance)
             case Enlist(instance):
-                row = self._row_of(instance, InstanceState.WARMING, "taken over")
+                row = self._new_row(instance, InstanceState.WARMING, "taken over")
                 event = self._event(TrailKind.TAKEN_OVER, row, row.why)
                 await self._records.create(row, event)
             case Condemn(instance):
-                logger.warning("An unrecorded instance runs.", token=instance.token)
+                logger.warning(
+                    "Managed instance without a row; releasing it.",
+                    token=instance.token,
+                )
                 why = "no record of its start"
-                row = self._row_of(instance, InstanceState.RELEASING, why)
+                row = self._new_row(instance, InstanceState.RELEASING, why)
                 event = self._event(TrailKind.ORPHAN, row, why)
                 await self._records.create(row, event)
             case MarkReady(row):
-                await self._turn(row, InstanceState.READY, TrailKind.READY, "warm")
+                await self._set_state(row, InstanceState.READY, TrailKind.READY, "warm")
             case Drain(row, why, until):
                 await self._drain(row, why, until)
             case Release(row):
@@ -154,7 +159,7 @@
                 pass
 
     async def _start(self, action: Start) -> None:
-        """Record a start, then ask for it."""
+        """Record a start, then request it from the cloud."""
         key = action.key
         row = InstanceRow(
             token=new_token(f"{self._deployment}:{self._epoch}", self._rng),
@@ -174,12 +179,12 @@
         try:
             await self._records.create(row, event)
         except EbonydealError:
-            self._still_missing(row)
+            self._keep_unstarted(row)
             raise
-        await self._ask(row)
+        await self._request_start(row)
 
-    async def _ask(self, row: InstanceRow) -> None:
-        """Ask the cloud for the instance of a recorded start."""
+    async def _request_start(self, row: InstanceRow) -> None:
+        """Request the instance of a recorded start from the cloud."""
         key = OfferKey.of(row)
         offer = self._offers.get(key) or Offer(*key, row.price_per_hour, 0.0, 1)
         tags = {
@@ -193,43 +198,46 @@
         except EbonydealError as exc:
             if exc.kind is not ErrorKind.START_REFUSED:
                 raise
-            await self._was_refused(row, exc)
+            await self._handle_refusal(row, exc)
             return
         self._start_backoff.record_start(key)
-        await self._started(row, instance)
+        await self._record_started(row, instance)
 
-    async def _was_refused(self, row: InstanceRow, exc: EbonydealError) -> None:
-        """Take a refused start back and leave the offer alone for a while."""
+    async def _handle_refusal(self, row: InstanceRow, exc: EbonydealError) -> None:
+        """Delete the row of a refused start, and back off from the offer."""
         wait = self._start_backoff.record_refusal(OfferKey.of(row), self._clock.now())
         self._metrics.count(Event.STARTS_REFUSED)
         self._metrics.refused(ErrorKind.START_REFUSED)
         logger.info(
-            "A start was refused.", zone=row.zone, reason=exc.detail, wait=round(wait)
+            "Cloud refused to start an instance.",
+            zone=row.zone,
+            reason=exc.detail,
+            wait=round(wait),
         )
-        self._still_missing(row)
+        self._keep_unstarted(row)
         event = self._event(TrailKind.REFUSED, row, exc.detail)
         await self._records.delete(row, event)
 
-    def _still_missing(self, row: InstanceRow) -> None:
-        """Remember what a start that didn't happen was to replace."""
+    def _keep_unstarted(self, row: InstanceRow) -> None:
+        """Keep the token that a start which didn't happen was to replace."""
         if row.replaces:
-            self.refused.append(row.replaces)
+            self.unstarted_replacements.append(row.replaces)
 
-    async def _started(self, row: InstanceRow, instance: CloudInstance) -> None:
-        """Record that a start took effect."""
-        newer = row._replace(
+    async def _record_started(self, row: InstanceRow, instance: CloudInstance) -> None:
+        """Record that the cloud has started the instance."""
+        updated = row._replace(
             state=InstanceState.WARMING,
             instance_id=instance.instance_id,
             at=self._clock.wall(),
             epoch=self._epoch,
         )
-        await self._records.save(newer)
+        await self._records.save(updated)
         self._metrics.count(Event.INSTANCES_STARTED)
 
-    def _row_of(
+    def _new_row(
         self, instance: CloudInstance, state: InstanceState, why: str
     ) -> InstanceRow:
-        """Return a row for an instance that has none."""
+        """Return a new row for an instance that has none."""
         return InstanceRow(
             token=instance.token,
             deployment=self._deployment,
@@ -244,53 +252,53 @@
             why=why,
         )
 
-    async def _turn(
+    async def _set_state(
         self, row: InstanceRow, state: InstanceState, kind: TrailKind, why: str
     ) -> None:
-        """Record a new state with its event."""
-        newer = row._replace(
+        """Record a new state together with its event."""
+        updated = row._replace(
             state=state, why=why, at=self._clock.wall(), epoch=self._epoch
         )
-        await self._records.save(newer, self._event(kind, newer, why))
+        await self._records.save(updated, self._event(kind, updated, why))
 
     async def _drain(self, row: InstanceRow, why: str, until: float) -> None:
-        """Record that an instance leaves, then spread the word."""
+        """Record that an instance is draining, then call ``on_drain``."""
         row = row._replace(drain_until=until)
-        await self._turn(row, InstanceState.DRAINING, TrailKind.DRAINING, why)
+        await self._set_state(row, InstanceState.DRAINING, TrailKind.DRAINING, why)
         self._on_drain(self._records.rows[row.token])
 
     async def _release(self, row: InstanceRow, instance: CloudInstance | None) -> None:
         """Record the release, then stop the instance."""
         if row.state is not InstanceState.RELEASING:
-            newer = row._replace(
+            updated = row._replace(
                 state=InstanceState.RELEASING,
                 at=self._clock.wall(),
                 epoch=self._epoch,
             )
-            await self._records.save(newer)
+            await self._records.save(updated)
             self._metrics.count(Event.INSTANCES_STOPPED)
         instance_id = instance.instance_id if instance else row.instance_id
         if instance_id:
             await self._cloud.stop(instance_id)
 
     async def _forget(self, row: InstanceRow, lost: bool) -> None:
-        """Delete the row of an instance that is gone."""
+        """Delete the row of an instance that no longer exists."""
         kind = TrailKind.LOST if lost else TrailKind.GONE
         why = "vanished without a notice" if lost else row.why
         await self._records.delete(row, self._event(kind, row, why))
 
     def _hold(self, key: OfferKey, number: int) -> None:
-        """Count and log what the price ceiling holds back."""
+        """Count and log the starts that the price ceiling prevents."""
         self._metrics.count(Event.CEILING_HELD, number)
         logger.warning(
-            "The price ceiling holds starts back.",
+            "Price ceiling prevents starts.",
             deployment=self._deployment,
             zone=key.zone,
             number=number,
         )
 
     def _price(self, key: OfferKey) -> float:
-        """Return the present price of an offer, 0.0 if there is none."""
+        """Return the current price of an offer; 0.0 if there is none."""
         offer = self._offers.get(key)
         return 0.0 if offer is None else offer.price_per_hour
 
--- a/src/ebonydeal/_internal/controller/lease.py
+++ b/src/ebonydeal/_internal/controller/lease.py
@@ -1,10 +1,10 @@
-"""Leadership of one deployment by a row in the table service.
+"""Lease on the leadership of one deployment, a row in the table service.
 
-Safety rests on the epoch: every write of a leader is conditioned on
-``leases/{name}`` holding the leader's epoch, so that a holder that was paused
-past its lease can change nothing. Time only decides when a takeover is tried,
-and then the watcher's own monotonic clock since the row last changed, so that
-clocks of different processes are never compared.
+Safety depends on the epoch: every write of a leader has the condition that
+``leases/{name}`` holds the leader's epoch, so that a holder that was paused
+until after its lease expired can change nothing. Time only decides when another
+process attempts a takeover. It measures on its own monotonic clock how long the
+row has been unchanged, so that clocks of different processes are never compared.
 """
 
 import random
@@ -25,23 +25,23 @@
 from ebonydeal._internal.utils.ids import new_token
 
 LEASE_PREFIX = "leases/"
-_LOOK_SHARE = 1 / 3
+_RENEW_INTERVAL_SHARE = 1 / 3
 
 
 class Holder(NamedTuple):
-    """Who asks for the lease; ``id`` is unique to one run of one process."""
+    """A process that wants the lease; ``id`` is unique to one run of it."""
 
     id: str
     address: str
 
 
 def new_holder(node_id: str, address: str, rng: random.Random) -> Holder:
-    """Return a holder id that is unique to this run of the process."""
+    """Return a holder with an id that is unique to this run of the process."""
     return Holder(f"{node_id}/{new_token('run', rng)}", address)
 
 
 class RowObservation(NamedTuple):
-    """When a version of the row was first seen, in own monotonic seconds."""
+    """When this process first read a version of the row, monotonic seconds."""
 
     version: int
     at: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """Take the lease with this epoch if ``condition`` still holds."""
+    """Take the lease with ``epoch`` if ``condition`` still holds."""
 
     epoch: int
     condition: Condition
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Renew:
-    """Write the held lease again."""
+    """Renew the held lease if ``condition`` still holds."""
 
     epoch: int
     condition: Condition
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """Another holder is active, or may be."""
+    """Do nothing, as another holder is or may be active."""
 
 
 LeaseStep = Claim | Renew | Wait
@@ -79,20 +79,20 @@
     now: float,
     ttl: float,
 ) -> LeaseStep:
-    """Return what a process should do about the lease.
+    """Return the next step of a process that wants or holds the lease.
 
     Parameters
     ----------
     key : str
         Key of the lease row.
     row : Row or None
-        The row as just read.
+        The row as just read; None if it doesn't exist.
     holder_id : str
-        Id of the asking process.
+        Id of this process.
     seen : RowObservation or None
-        When the present version was first seen.
+        When this process first read the current version.
     now, ttl : float
-        Monotonic seconds, and seconds without a change until a takeover.
+        Monotonic seconds, and seconds without a change before a takeover.
     """
     if row is None:
         return Claim(1, RowAbsent(key))
@@ -110,7 +110,7 @@
 
 
 class LeaseKeeper:
-    """Takes, renews and gives back one lease.
+    """Takes, renews and releases one lease.
 
     Parameters
     ----------
@@ -119,11 +119,11 @@
     holder : Holder
         This process.
     tables : Tables
-        Where the row is.
+        Contains the lease row.
     clock : Clock
         Source of time.
     ttl : float
-        Seconds without a renewal after which others may take over.
+        Seconds without a renewal after which another process may take over.
     """
 
     def __init__(
@@ -139,25 +139,25 @@
         self._ttl = ttl
         self._seen: RowObservation | None = None
         self._valid_until = 0.0
-        self._look_at = 0.0
+        self._next_read_at = 0.0
 
     def condition(self) -> FieldEquals:
-        """Return the condition that every write of the leader carries."""
+        """Return the condition that every write of the leader must include."""
         return FieldEquals(self.key, "epoch", self.epoch)
 
     def presumed_held(self) -> bool:
-        """Return whether this process may still act; a courtesy, not safety."""
+        """Return whether the lease is likely held; safety doesn't depend on this."""
         return self.epoch is not None and self._clock.now() < self._valid_until
 
     async def step(self) -> bool:
-        """Look at the row and take, renew or leave the lease.
+        """Read the row, then take or renew the lease or wait; return if it is held.
 
-        Returns whether the lease is held. A lost answer is settled by reading
-        the row back; while the table can't be reached the last word holds
-        until it expires. A lease that was renewed less than a third of its time
-        ago is left as it is: another's claim shows in the next write anyway.
+        If the response to a write is lost, the row is read again. While the
+        table is unreachable, the lease counts as held until it expires. A lease
+        that was renewed less than a third of its TTL ago is not read: if another
+        process has taken it, the next conditional write fails anyway.
         """
-        if self._clock.now() < self._look_at:
+        if self._clock.now() < self._next_read_at:
             return self.presumed_held()
         try:
             await self._step()
@@ -170,13 +170,13 @@
         return self.presumed_held()
 
     def mark_lost(self) -> None:
-        """Note that a conditioned write showed another epoch."""
+        """Drop the lease after a sign that another process has taken it."""
         self.epoch = None
         self._seen = None
-        self._look_at = 0.0
+        self._next_read_at = 0.0
 
     async def release(self) -> None:
-        """Clear the holder, so that the next one need not wait."""
+        """Clear the holder, so that the next one needn't wait for the expiry."""
         if self.epoch is None:
             return
         write = Put(self.key, self._value("", self.epoch))
@@ -184,59 +184,60 @@
         self.epoch = None
 
     async def _step(self) -> None:
-        """Do one move; raises where the table can't be reached."""
+        """Do one step; raises if the table is unreachable."""
         row = await self._tables.get(self.key)
-        # Only now: a process paused during the read has seen nothing meanwhile.
-        began = self._clock.now()
-        self._sight(row, began)
+        # Taken after the read: a process that was paused during the read must not
+        # count the pause as time in which the row was unchanged.
+        read_at = self._clock.now()
+        self._observe(row, read_at)
         step = next_lease_step(
-            self.key, row, self._holder.id, self._seen, began, self._ttl
+            self.key, row, self._holder.id, self._seen, read_at, self._ttl
         )
         match step:
             case Wait():
                 self.epoch = None
-                self._look_at = began + self._ttl * _LOOK_SHARE
+                self._next_read_at = read_at + self._ttl * _RENEW_INTERVAL_SHARE
             case Renew(epoch, condition):
-                await self._write(epoch, condition, began)
+                await self._write(epoch, condition, read_at)
             case Claim(epoch, condition):
                 self.previous_holder = "" if row is None else str(row.value["holder"])
                 self.epoch = None
-                await self._write(epoch, condition, began)
+                await self._write(epoch, condition, read_at)
 
-    def _sight(self, row: Row | None, now: float) -> None:
-        """Remember when this version of the row was first seen."""
+    def _observe(self, row: Row | None, now: float) -> None:
+        """Keep the time at which this version of the row was first read."""
         if row is None:
             self._seen = None
         elif self._seen is None or self._seen.version != row.version:
             self._seen = RowObservation(row.version, now)
 
-    async def _write(self, epoch: int, condition: Condition, began: float) -> None:
-        """Write the lease as ours; after a lost answer believe only the row."""
+    async def _write(self, epoch: int, condition: Condition, read_at: float) -> None:
+        """Write this process as holder; if the response is lost, read the row again."""
         write = Put(self.key, self._value(self._holder.id, epoch))
         try:
             applied = await self._tables.transact([condition], [write])
         except EbonydealError as exc:
             if exc.kind is not ErrorKind.STORE_IN_DOUBT:
                 raise
-            applied = await self._took_effect(epoch)
+            applied = await self._is_written(epoch)
         if not applied:
             self.epoch = None
             return
         if self.epoch != epoch:
-            self.held_since = began
+            self.held_since = read_at
         self.epoch = epoch
-        self._valid_until = began + self._ttl
-        self._look_at = began + self._ttl * _LOOK_SHARE
+        self._valid_until = read_at + self._ttl
+        self._next_read_at = read_at + self._ttl * _RENEW_INTERVAL_SHARE
 
-    async def _took_effect(self, epoch: int) -> bool:
-        """Return whether the row names us with ``epoch``."""
+    async def _is_written(self, epoch: int) -> bool:
+        """Return whether the row names this process as holder with ``epoch``."""
         row = await self._tables.get(self.key)
         if row is None:
             return False
         return row.value["holder"] == self._holder.id and row.value["epoch"] == epoch
 
     def _value(self, holder: str, epoch: int) -> dict[str, object]:
-        """Return the row's JSON object; ``until`` is for operators to read."""
+        """Return the row's JSON object; ``until`` is only information for operators."""
         return {
             "holder": holder,
             "address": self._holder.address,
--- a/src/ebonydeal/_internal/controller/ledger.py
+++ b/src/ebonydeal/_internal/controller/ledger.py
@@ -1,4 +1,4 @@
-"""What a deployment costs, and what the same would cost on-demand."""
+"""Spend of a deployment, and the on-demand price of the same instances."""
 
 from collections.abc import Mapping, Sequence
 
@@ -11,20 +11,20 @@
 from ebonydeal._internal.outside.interfaces import Offer, Tables
 from ebonydeal._internal.utils.clock import Clock
 
-_HOUR = 3600.0
+_HOUR_S = 3600.0
 
 
 class SpendLedger:
-    """Adds up spend over time, from prices seen at each round.
+    """Adds up spend over time at the prices of each round.
 
     Parameters
     ----------
     deployment : str
-        Whose spend.
+        Name of the deployment.
     clock : Clock
         Source of time.
     period : float
-        Seconds between records.
+        Seconds between two records.
     """
 
     def __init__(self, deployment: str, clock: Clock, period: float) -> None:
@@ -32,8 +32,8 @@
         self._clock = clock
         self._period = period
         self._epoch: int | None = None
-        self._before = 0.0
-        self._spent = 0.0
+        self._previous_total = 0.0
+        self._spent_since = 0.0
         self._measured_at: float | None = None
         self._recorded_at: float | None = None
 
@@ -44,18 +44,18 @@
         ceiling: float,
         target: int,
     ) -> SpendRow:
-        """Add the time since the last measure at present prices."""
+        """Add the cost of the time since the last call at current prices."""
         now = self._clock.now()
         per_hour = sum(_price(row, offers) for row in rows)
         if self._measured_at is not None:
-            self._spent += per_hour * (now - self._measured_at) / _HOUR
+            self._spent_since += per_hour * (now - self._measured_at) / _HOUR_S
         self._measured_at = now
         return SpendRow(
             deployment=self._deployment,
             per_hour=per_hour,
             ceiling=ceiling,
             on_demand_per_hour=sum(_on_demand(row, offers) for row in rows),
-            total=self._before + self._spent,
+            total=self._previous_total + self._spent_since,
             replicas=len(rows),
             ready=sum(row.state is InstanceState.READY for row in rows),
             target=target,
@@ -63,7 +63,7 @@
         )
 
     def due(self) -> bool:
-        """Return whether a record should be written; the caller then does so."""
+        """Return whether to write a record now; if so, the caller must write it."""
         now = self._clock.now()
         if self._recorded_at is not None and now - self._recorded_at < self._period:
             return False
@@ -71,26 +71,26 @@
         return True
 
     async def load(self, tables: Tables, epoch: int) -> None:
-        """Take over the total that earlier leaders recorded."""
+        """Read the total that earlier leaders recorded, once per epoch."""
         if self._epoch == epoch:
             return
         row = await tables.get(SPEND_PREFIX + self._deployment)
-        self._before = 0.0 if row is None else float(row.value["total"])
-        self._spent = 0.0
+        self._previous_total = 0.0 if row is None else float(row.value["total"])
+        self._spent_since = 0.0
         self._epoch = epoch
 
     def total(self, spend: SpendRow) -> SpendRow:
-        """Return the row with the total as it is known now."""
-        return spend._replace(total=self._before + self._spent)
+        """Return the row with the current total."""
+        return spend._replace(total=self._previous_total + self._spent_since)
 
 
 def _price(row: InstanceRow, offers: Mapping[OfferKey, Offer]) -> float:
-    """Return the present price of a row's instance, an hour."""
+    """Return the current price of a row's instance, per hour."""
     offer = offers.get(OfferKey.of(row))
     return row.price_per_hour if offer is None else offer.price_per_hour
 
 
 def _on_demand(row: InstanceRow, offers: Mapping[OfferKey, Offer]) -> float:
-    """Return the on-demand price of the same class in the same zone."""
+    """Return the on-demand price of the same class and zone; 0.0 if not offered."""
     offer = offers.get(OfferKey(row.zone, row.machine_class, False))
     return 0.0 if offer is None else offer.price_per_hour
--- a/src/ebonydeal/_internal/controller/missing_instances.py
+++ b/src/ebonydeal/_internal/controller/missing_instances.py
@@ -1,23 +1,23 @@
-"""Which instances are gone, and not only missing from one answer."""
+"""Detects gone instances, as opposed to those missing from one list."""
 
 from collections.abc import Mapping, Set
 
 
 class MissingInstances:
-    """Counts for how long instances have been missing from the cloud's list.
+    """Tracks for how long instances have been missing from the cloud's list.
 
-    An instance is gone when it has been missing for ``grace`` seconds, or in two
-    lists in a row while its engine doesn't answer either.
+    An instance is gone if it has been missing for ``grace`` seconds, or from two
+    consecutive lists while its engine doesn't answer either.
 
     Parameters
     ----------
     grace : float
-        Seconds.
+        Seconds for which an instance may be missing.
     """
 
     def __init__(self, grace: float) -> None:
         self._grace = grace
-        self._since: dict[str, float] = {}
+        self._missing_since: dict[str, float] = {}
 
     def update(
         self,
@@ -26,12 +26,12 @@
         answering: Set[str],
         now: float,
     ) -> set[str]:
-        """Take in one list; return the tokens that are gone.
+        """Process one list; return the tokens of instances that are gone.
 
         Parameters
         ----------
         tokens : set of str
-            Instances that should be there.
+            Tokens of instances that should be listed.
         listed : mapping
             The list, by token.
         answering : set of str
@@ -41,9 +41,11 @@
         """
         missing = {token for token in tokens if token not in listed}
         gone = set()
-        for token in missing & self._since.keys():
-            silent = token not in answering
-            if silent or now - self._since[token] >= self._grace:
+        for token in missing & self._missing_since.keys():
+            unreachable = token not in answering
+            if unreachable or now - self._missing_since[token] >= self._grace:
                 gone.add(token)
-        self._since = {token: self._since.get(token, now) for token in missing}
+        self._missing_since = {
+            token: self._missing_since.get(token, now) for token in missing
+        }
         return gone
--- a/src/ebonydeal/_internal/controller/notices.py
+++ b/src/ebonydeal/_internal/controller/notices.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's reclaim notices and passes leaving marks on."""
+"""Reads the cloud's reclaim notices and publishes leaving marks."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
@@ -18,24 +18,24 @@
 logger = get_logger("controller")
 
 MarkCallback = Callable[[LeavingMark], None]
-_FORGET_AFTER = 3600.0
+_NOTICE_TTL_S = 3600.0
 
 
 class ZoneReclaim(NamedTuple):
-    """A zone is taken back: all that was started before ``at``."""
+    """Reclaim of all instances in a zone that started before ``observed_at``."""
 
-    at: float
+    observed_at: float
     deadline: float
 
 
 class ReclaimNotices:
-    """What the cloud has said will be taken back; wall clock seconds."""
+    """Instances and zones that the cloud will reclaim; wall clock seconds."""
 
     def __init__(self) -> None:
         self.last_seq = 0
         self._instances: dict[str, float] = {}
         self._zones: dict[str, ZoneReclaim] = {}
-        self._first = True
+        self._first_read = True
 
     def record(
         self,
@@ -43,17 +43,16 @@
         incarnations: Mapping[str, int],
         now: float,
     ) -> list[LeavingMark]:
-        """Take in notices; return the marks to spread.
+        """Record notices; return the marks to publish.
 
-        The first read after a start holds old notices as well. A zone notice
-        whose deadline is over has been carried out, and covers nothing that
-        runs now.
+        The first read after the process started also returns old notices. A
+        zone notice whose deadline has passed applies to no running instance.
         """
         marks = []
         for notice in sorted(notices):
             self.last_seq = max(self.last_seq, notice.seq)
             if not notice.instance_id:
-                if self._first and 0.0 < notice.deadline < now:
+                if self._first_read and 0.0 < notice.deadline < now:
                     continue
                 self._zones[notice.zone] = ZoneReclaim(now, notice.deadline)
             else:
@@ -68,37 +67,43 @@
                     at=now,
                 )
             )
-        self._first = False
-        self._forget(now)
+        self._first_read = False
+        self._drop_expired(now)
         return marks
 
     def deadline(self, instance: CloudInstance) -> float | None:
-        """Return when the instance is taken back, or None."""
-        known = self._instances.get(instance.instance_id)
+        """Return when the instance will be reclaimed; None without a notice."""
+        deadline = self._instances.get(instance.instance_id)
         zone = self._zones.get(instance.zone)
-        if zone is not None and instance.reclaimable and instance.started_at < zone.at:
-            return zone.deadline if known is None else min(known, zone.deadline)
-        return known
+        if (
+            zone is not None
+            and instance.reclaimable
+            and instance.started_at < zone.observed_at
+        ):
+            return zone.deadline if deadline is None else min(deadline, zone.deadline)
+        return deadline
 
     def recently_reclaimed_zones(self, now: float, seconds: float) -> frozenset[str]:
-        """Return the zones that were reclaimed in the last ``seconds``."""
+        """Return the zones with a reclaim notice in the last ``seconds``."""
         return frozenset(
-            zone for zone, item in self._zones.items() if now - item.at < seconds
+            zone
+            for zone, item in self._zones.items()
+            if now - item.observed_at < seconds
         )
 
-    def _forget(self, now: float) -> None:
-        """Drop instances whose deadline has long passed; ids aren't used again."""
-        old = [
+    def _drop_expired(self, now: float) -> None:
+        """Drop instances whose deadline has long passed; ids are never reused."""
+        expired = [
             name
             for name, deadline in self._instances.items()
-            if 0.0 < deadline < now - _FORGET_AFTER
+            if 0.0 < deadline < now - _NOTICE_TTL_S
         ]
-        for name in old:
+        for name in expired:
             del self._instances[name]
 
 
 class NoticeReader(Service):
-    """Polls the cloud for notices, on every controller process.
+    """Polls the cloud for notices, in every controller process.
 
     Parameters
     ----------
@@ -109,7 +114,7 @@
     period : float
         Seconds between polls.
     mark : callable
-        Takes each `LeavingMark`; spreads it to the other processes.
+        Publishes each `LeavingMark` to the other processes.
     """
 
     def __init__(
@@ -124,17 +129,17 @@
         self._incarnations: dict[str, int] = {}
 
     def set_incarnations(self, views: list[EndpointView]) -> None:
-        """Take the incarnations from the instance list."""
+        """Update the incarnations from the instance list."""
         self._incarnations = {view.endpoint_id: view.incarnation for view in views}
 
     async def poll(self) -> None:
-        """Read new notices once and spread their marks."""
+        """Read new notices once and publish their marks."""
         notices = await self._cloud.notices(self.reclaim_notices.last_seq)
         for mark in self.reclaim_notices.record(
             notices, self._incarnations, self._clock.wall()
         ):
             logger.info(
-                "A reclaim was announced.",
+                "Reclaim notice received.",
                 instance=mark.endpoint_id,
                 zone=mark.zone,
                 deadline=mark.deadline,
@@ -148,5 +153,5 @@
             try:
                 await self.poll()
             except EbonydealError as exc:
-                logger.warning("Reading notices failed.", kind=str(exc.kind))
+                logger.warning("Reading reclaim notices failed.", kind=str(exc.kind))
             await self._clock.sleep(self._period)
--- a/src/ebonydeal/_internal/controller/offers.py
+++ b/src/ebonydeal/_internal/controller/offers.py
@@ -1,4 +1,4 @@
-"""What one deployment can buy, and what prices were lately."""
+"""Offers that one deployment can buy, and their recent prices."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping, Set
@@ -9,25 +9,25 @@
 from ebonydeal._internal.outside.interfaces import Offer
 from ebonydeal._internal.utils.clock import Clock
 
-PRICE_STEP_S = 300.0
-_PRICES_KEPT = 288
+PRICE_INTERVAL_S = 300.0
+_MAX_PRICES = 288
 
 
 class PriceHistory:
-    """Cheapest reclaimable prices of the last day, one each ``PRICE_STEP_S``."""
+    """Cheapest reclaimable prices of the last day, one per ``PRICE_INTERVAL_S``."""
 
     def __init__(self) -> None:
-        self._prices: deque[float] = deque(maxlen=_PRICES_KEPT)
-        self._at: float | None = None
+        self._prices: deque[float] = deque(maxlen=_MAX_PRICES)
+        self._recorded_at: float | None = None
 
     def record(self, price: float, now: float) -> None:
-        """Remember a price, at most one a step."""
-        if self._at is None or now - self._at >= PRICE_STEP_S:
+        """Record a price, at most one per interval."""
+        if self._recorded_at is None or now - self._recorded_at >= PRICE_INTERVAL_S:
             self._prices.append(price)
-            self._at = now
+            self._recorded_at = now
 
     def recent_prices(self) -> tuple[float, ...]:
-        """Return the remembered prices."""
+        """Return the recorded prices, oldest first."""
         return tuple(self._prices)
 
 
@@ -39,12 +39,12 @@
 
 
 class OfferTracker:
-    """Offers of a deployment from round to round.
+    """Tracks the offers of a deployment over the rounds.
 
     Parameters
     ----------
     start_backoff : StartBackoff
-        Told which offers are to be left alone.
+        Blocks offers that can't be bought now.
     clock : Clock
         Source of time.
     period : float
@@ -66,10 +66,10 @@
         zones: Set[str],
         rows: Iterable[InstanceRow],
     ) -> dict[OfferKey, Offer]:
-        """Return usable offers, with the last price of what still runs.
+        """Return usable offers, including those that running instances were bought on.
 
-        An offer that is listed no longer can't be bought, but what runs on it
-        goes on.
+        An offer that is no longer listed can't be bought. It is returned with its
+        last price, so that the instances bought on it keep running.
         """
         offers = usable_offers(listed, zones)
         self._last.update(offers)
@@ -86,7 +86,7 @@
         return offers
 
     def block_zones(self, offers: Iterable[OfferKey], zones: Set[str]) -> None:
-        """Leave the reclaimable offers of ``zones`` alone until the next round."""
+        """Block the reclaimable offers in ``zones`` until after the next round."""
         now = self._clock.now()
         for key in offers:
             if key.reclaimable and key.zone in zones:
--- a/src/ebonydeal/_internal/controller/order_manager.py
+++ b/src/ebonydeal/_internal/controller/order_manager.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of `orders` for one deployment's engines."""
+"""Executes the decisions of `orders` for the engines of one deployment."""
 
 import asyncio
 from collections.abc import Collection, Mapping
@@ -27,17 +27,17 @@
 
 logger = get_logger("controller")
 
-_AT_ONCE = 32
-_STEPS = 3
+_MAX_CONCURRENT_ENGINES = 32
+_MAX_STEPS_PER_ROUND = 3
 
 
 class OrderManager:
-    """Brings engines to their wanted end and keeps them there.
+    """Brings engines to their desired state and keeps them in it.
 
     Parameters
     ----------
     lease : LeaseKeeper
-        Gives the fencing number; confirmed in the table before sending.
+        Provides the fencing token; confirmed in the table before sending.
     tables, engine : Tables, ControlledEngine
         Adapters.
     metrics : Metrics
@@ -45,7 +45,7 @@
     clock : Clock
         Source of time.
     config : OrderConfig
-        Constants.
+        Parameters.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._metrics = metrics
         self._clock = clock
         self._config = config
-        self._memories: dict[str, KnownOrder] = {}
+        self._known_orders: dict[str, KnownOrder] = {}
         self._epoch: int | None = None
         self._confirmed = False
 
@@ -75,30 +75,30 @@
         checks_fence: bool,
         predecessor_gone: bool,
     ) -> set[str]:
-        """Do the next steps for each engine; return the ids that are settled.
+        """Do the next steps for each engine; return the ids of settled engines.
 
         Parameters
         ----------
         engines : mapping of str to EndpointView
             Engines by instance id.
         wanted : mapping of str to EngineOrder
-            Wanted end of each.
+            Desired state of each, by instance id.
         may_load : collection of str
-            Ids whose weights may be loaded now.
+            Ids of engines that may load weights now.
         checks_fence, predecessor_gone : bool
             See `orders.next_step`.
         """
         if self._epoch != self._lease.epoch:
-            self._memories.clear()
+            self._known_orders.clear()
             self._epoch = self._lease.epoch
-        for endpoint_id in set(self._memories) - set(engines):
-            del self._memories[endpoint_id]
+        for endpoint_id in set(self._known_orders) - set(engines):
+            del self._known_orders[endpoint_id]
         self._confirmed = False
         leadership = Leadership(self._lease.held_since, predecessor_gone)
-        limit = asyncio.Semaphore(_AT_ONCE)
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_ENGINES)
 
-        async def one(endpoint_id: str) -> bool:
-            async with limit:
+        async def settle(endpoint_id: str) -> bool:
+            async with semaphore:
                 return await self._settle(
                     engines[endpoint_id],
                     wanted,
@@ -108,7 +108,7 @@
                 )
 
         settled = set()
-        busy = []
+        unsettled = []
         for endpoint_id in engines:
             if endpoint_id not in wanted:
                 continue
@@ -116,9 +116,13 @@
             if isinstance(step, Settled):
                 settled.add(endpoint_id)
             elif not isinstance(step, HoldOrder):
-                busy.append(endpoint_id)
-        done = await asyncio.gather(*(one(endpoint_id) for endpoint_id in busy))
-        return settled | {name for name, ok in zip(busy, done, strict=True) if ok}
+                unsettled.append(endpoint_id)
+        results = await asyncio.gather(
+            *(settle(endpoint_id) for endpoint_id in unsettled)
+        )
+        return settled | {
+            name for name, ok in zip(unsettled, results, strict=True) if ok
+        }
 
     def _step(
         self,
@@ -130,16 +134,16 @@
         """Return the next step for one engine."""
         return next_step(
             wanted[endpoint_id],
-            self._memories.get(endpoint_id, KnownOrder()),
+            self._known_orders.get(endpoint_id, KnownOrder()),
             leadership,
             checks_fence,
             self._config,
             self._clock.now(),
         )
 
-    def found(self, endpoint_id: str) -> EngineOrder | None:
-        """Return the order last read from an engine."""
-        return self._memories.get(endpoint_id, KnownOrder()).found
+    def last_read(self, endpoint_id: str) -> EngineOrder | None:
+        """Return the order last read from an engine; None if never read."""
+        return self._known_orders.get(endpoint_id, KnownOrder()).found
 
     async def _settle(
         self,
@@ -149,10 +153,10 @@
         leadership: Leadership,
         checks_fence: bool,
     ) -> bool:
-        """Do a few steps for one engine; return whether it is settled."""
+        """Do a limited number of steps for one engine; return if it is settled."""
         order = wanted[view.endpoint_id]
-        for _ in range(_STEPS):
-            memory = self._memories.get(view.endpoint_id, KnownOrder())
+        for _ in range(_MAX_STEPS_PER_ROUND):
+            known = self._known_orders.get(view.endpoint_id, KnownOrder())
             try:
                 match self._step(view.endpoint_id, wanted, leadership, checks_fence):
                     case Settled():
@@ -160,57 +164,57 @@
                     case HoldOrder():
                         return False
                     case ReadBack():
-                        await self._read(view, order, memory)
+                        await self._read(view, order, known)
                     case SendOrder():
-                        has = {*_models(memory), *view.models}
-                        if set(order.models) - has and not may_load:
+                        loaded = {*_models(known), *view.models}
+                        if set(order.models) - loaded and not may_load:
                             return False
-                        await self._send(view, order, memory)
+                        await self._send(view, order, known)
             except EbonydealError as exc:
                 self._note_failure(view, exc)
                 return False
         return False
 
     async def _read(
-        self, view: EndpointView, wanted: EngineOrder, memory: KnownOrder
+        self, view: EndpointView, wanted: EngineOrder, known: KnownOrder
     ) -> None:
-        """Read the order in force."""
+        """Read the order in force from an engine."""
         found = await self._engine.order_state(view)
         now = self._clock.now()
-        self._memories[view.endpoint_id] = after_read(memory, found, wanted, now)
+        self._known_orders[view.endpoint_id] = after_read(known, found, wanted, now)
 
     async def _send(
-        self, view: EndpointView, wanted: EngineOrder, memory: KnownOrder
+        self, view: EndpointView, wanted: EngineOrder, known: KnownOrder
     ) -> None:
         """Send an order, after the table has confirmed the lease this round."""
-        await self._confirm()
-        self._memories[view.endpoint_id] = after_send(memory)
+        await self._confirm_lease()
+        self._known_orders[view.endpoint_id] = after_send(known)
         self._metrics.count(Event.ORDERS_SENT)
         await self._engine.order(view, wanted)
 
-    async def _confirm(self) -> None:
-        """Raise ``FENCED`` unless the table still holds our epoch."""
+    async def _confirm_lease(self) -> None:
+        """Raise ``FENCED`` unless the table still has this leader's epoch."""
         if self._confirmed and self._lease.presumed_held():
             return
         row = await self._tables.get(self._lease.key)
         if row is None or row.value["epoch"] != self._epoch:
             self._lease.mark_lost()
-            raise EbonydealError(ErrorKind.FENCED, "another controller leads now")
+            raise EbonydealError(
+                ErrorKind.FENCED, "another controller has taken the lease"
+            )
         self._confirmed = True
 
     def _note_failure(self, view: EndpointView, exc: EbonydealError) -> None:
-        """Count and log; a stale order means that a newer leader is active."""
+        """Count and log a failure; a stale order proves that a newer leader exists."""
         if exc.kind is ErrorKind.STALE_ORDER:
             self._metrics.count(Event.ORDERS_STALE)
             self._lease.mark_lost()
         if exc.kind is ErrorKind.CONNECT_FAILED:
-            logger.debug("An engine can't be reached.", endpoint=view.endpoint_id)
+            logger.debug("Engine is unreachable.", endpoint=view.endpoint_id)
             return
-        logger.warning(
-            "An order failed.", endpoint=view.endpoint_id, kind=str(exc.kind)
-        )
+        logger.warning("Order failed.", endpoint=view.endpoint_id, kind=str(exc.kind))
 
 
-def _models(memory: KnownOrder) -> tuple[str, ...]:
-    """Return the models that an engine was last seen with."""
-    return memory.found.models if memory.found is not None else ()
+def _models(known: KnownOrder) -> tuple[str, ...]:
+    """Return the models of the order last read from an engine."""
+    return known.found.models if known.found is not None else ()
--- a/src/ebonydeal/_internal/controller/orders.py
+++ b/src/ebonydeal/_internal/controller/orders.py
@@ -1,10 +1,10 @@
-"""Orders to engines: the wanted end, with the lease epoch as fencing number.
+"""Orders to engines: the desired state, with the lease epoch as fencing token.
 
-Where engines check the number, an order is sent at once and a newer leader's
-order can't be undone. Where they ignore it, the number protects nothing, so the
-decision waits, reads back, repeats, and holds what can't be undone; the limits
-are stated in docs/design/orders.md. The decision is `next_step`, a pure
-function.
+If engines check the token, an order is sent at once, and an older leader can't
+revert a newer leader's order. If they ignore it, the token protects nothing. Then
+an order waits for the previous leader's lease to expire, is read back until it
+is stable, and is delayed further if it can't be undone. The remaining risks are
+stated in docs/design/orders.md. `next_step`, a pure function, decides.
 """
 
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 
 
 class OrderConfig(NamedTuple):
-    """Constants of orders, in seconds.
+    """Parameters of orders, in seconds.
 
     Attributes
     ----------
     quiet : float
-        Longest time for which a predecessor that is not paused can go on
-        sending: its lease and one order.
+        Maximum time for which orders of a predecessor that is not paused can
+        still take effect: the TTL of its lease plus one order.
     longest_order : float
-        Longest time that one order takes from sending to effect.
+        Maximum time that one order takes from sending to effect.
     audit_period : float
-        Time between reads of a settled engine that ignores the number.
+        Time between reads of a settled engine that ignores the token.
     """
 
     quiet: float
@@ -33,33 +33,33 @@
 
 
 class KnownOrder(NamedTuple):
-    """What the leader remembers of one engine; times are monotonic seconds.
+    """What the leader knows of one engine; times are monotonic seconds.
 
     Attributes
     ----------
     found : EngineOrder or None
         Order in force when last read.
     read_at : float or None
-        When it was read; None if not since the last order was sent.
-    same_since : float or None
-        Since when every read has shown the wanted end.
+        When it was read; None if it was not read since the last send.
+    matching_since : float or None
+        Since when every read has shown the desired state.
     """
 
     found: EngineOrder | None = None
     read_at: float | None = None
-    same_since: float | None = None
+    matching_since: float | None = None
 
 
 class Leadership(NamedTuple):
-    """What is known of this leader and the one before.
+    """What is known of this leader and its predecessor.
 
     Attributes
     ----------
     since : float
         Monotonic seconds at which the lease was taken.
     predecessor_gone : bool
-        The platform no longer lists the old holder's process, or it gave the
-        lease back itself.
+        Whether the platform no longer lists the previous holder's process, or
+        that process released the lease itself.
     """
 
     since: float
@@ -68,12 +68,12 @@
 
 @dataclass(frozen=True)
 class SendOrder:
-    """Send the wanted end."""
+    """Send the desired state."""
 
 
 @dataclass(frozen=True)
 class ReadBack:
-    """Read the order in force."""
+    """Read the order in force from the engine."""
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Settled:
-    """The wanted end is in force."""
+    """The desired state is in force."""
 
 
 Step = SendOrder | ReadBack | HoldOrder | Settled
@@ -93,55 +93,55 @@
 
 def next_step(
     wanted: EngineOrder,
-    memory: KnownOrder,
+    known: KnownOrder,
     leadership: Leadership,
     checks_fence: bool,
     config: OrderConfig,
     now: float,
 ) -> Step:
-    """Return what to do about one engine's order.
+    """Return the next step for one engine.
 
     Parameters
     ----------
     wanted : EngineOrder
-        The wanted end, with this leader's epoch.
-    memory : KnownOrder
+        The desired state, with this leader's epoch.
+    known : KnownOrder
         What is known of the engine.
     leadership : Leadership
-        This leader and the one before.
+        This leader and its predecessor.
     checks_fence : bool
-        Whether the engine refuses an older fencing number.
+        Whether the engine refuses orders with an older fencing token.
     config : OrderConfig
-        Constants.
+        Parameters.
     now : float
         Monotonic seconds.
     """
-    if memory.read_at is None or memory.found is None:
+    if known.read_at is None or known.found is None:
         return ReadBack()
     if checks_fence:
-        return Settled() if memory.found == wanted else SendOrder()
-    return _step_unchecked(wanted, memory, leadership, config, now)
+        return Settled() if known.found == wanted else SendOrder()
+    return _step_unchecked(wanted, known, leadership, config, now)
 
 
 def _step_unchecked(
     wanted: EngineOrder,
-    memory: KnownOrder,
+    known: KnownOrder,
     leadership: Leadership,
     config: OrderConfig,
     now: float,
 ) -> Step:
-    """Return the next step for an engine that ignores fencing numbers."""
-    found, read_at = memory.found, memory.read_at
+    """Return the next step for an engine that ignores fencing tokens."""
+    found, read_at = known.found, known.read_at
     assert found is not None and read_at is not None
-    if not same_end(found, wanted):
-        waits = now < leadership.since + config.quiet
-        if waits and not leadership.predecessor_gone:
+    if not has_same_state(found, wanted):
+        predecessor_may_send = now < leadership.since + config.quiet
+        if predecessor_may_send and not leadership.predecessor_gone:
             return HoldOrder("the old lease has not run out")
-        if cuts_work(found, wanted) and not leadership.predecessor_gone:
+        if interrupts_work(found, wanted) and not leadership.predecessor_gone:
             return HoldOrder("can't be undone, and the old holder may be alive")
         return SendOrder()
-    stable = memory.same_since is not None and (
-        now - memory.same_since >= config.longest_order
+    stable = known.matching_since is not None and (
+        now - known.matching_since >= config.longest_order
     )
     if not stable:
         if now - read_at >= config.longest_order / 2:
@@ -152,16 +152,16 @@
     return Settled()
 
 
-def same_end(found: EngineOrder, wanted: EngineOrder) -> bool:
-    """Return whether an order states the wanted end, whoever gave it."""
+def has_same_state(found: EngineOrder, wanted: EngineOrder) -> bool:
+    """Return whether two orders state the same models and role."""
     return set(found.models) == set(wanted.models) and found.role == wanted.role
 
 
-def cuts_work(found: EngineOrder, wanted: EngineOrder) -> bool:
-    """Return whether going to the wanted end ends work that runs.
+def interrupts_work(found: EngineOrder, wanted: EngineOrder) -> bool:
+    """Return whether reaching the desired state interrupts running work.
 
-    A model that is unloaded takes its streams and caches with it, and so does
-    another role on an engine that has models: neither can be undone.
+    Unloading a model, or changing the role of an engine that has models, ends
+    streams and deletes caches, which can't be undone.
     """
     if set(found.models) - set(wanted.models):
         return True
@@ -169,17 +169,17 @@
 
 
 def after_read(
-    memory: KnownOrder, found: EngineOrder, wanted: EngineOrder, now: float
+    known: KnownOrder, found: EngineOrder, wanted: EngineOrder, now: float
 ) -> KnownOrder:
-    """Return the memory after the order in force was read."""
-    same_since = memory.same_since
-    if not same_end(found, wanted):
-        same_since = None
-    elif same_since is None:
-        same_since = now
-    return memory._replace(found=found, read_at=now, same_since=same_since)
-
-
-def after_send(memory: KnownOrder) -> KnownOrder:
-    """Return the memory after an order was sent, whatever its answer."""
-    return memory._replace(read_at=None, same_since=None)
+    """Return what is known after the order in force was read."""
+    matching_since = known.matching_since
+    if not has_same_state(found, wanted):
+        matching_since = None
+    elif matching_since is None:
+        matching_since = now
+    return known._replace(found=found, read_at=now, matching_since=matching_since)
+
+
+def after_send(known: KnownOrder) -> KnownOrder:
+    """Return what is known after an order was sent, whatever the response."""
+    return known._replace(read_at=None, matching_since=None)
--- a/src/ebonydeal/_internal/controller/placement.py
+++ b/src/ebonydeal/_internal/controller/placement.py
@@ -1,9 +1,10 @@
-"""Which (zone, class, market) the replicas of a deployment should run on.
+"""Chooses the (zone, class, market) of each replica of a deployment.
 
-A pure decision. With ``n`` replicas needed and at most ``m`` in one zone, the
-loss of any one zone leaves ``n`` standing exactly if ``n + m`` run. For a given
-``m`` the cheapest choice takes the cheapest units first (a laminar matroid, for
-which the greedy choice is the best), so that all ``m`` can be tried.
+A pure function. If ``n`` replicas are needed and at most ``m`` run in one zone,
+``n`` remain after the loss of any one zone exactly if ``n + m`` run. For a given
+``m``, taking the cheapest units first gives the cheapest choice (the constraints
+are a laminar matroid, for which the greedy choice is optimal), so that every
+``m`` can be tried.
 """
 
 import math
@@ -15,22 +16,22 @@
 from ebonydeal._internal.outside.interfaces import Offer
 
 _EPS = 1e-9
-_CAPS_AT_ONCE = 16
+_CAPS_PER_SEARCH = 16
 
 
 class PlacementConfig(NamedTuple):
-    """Constants of placement.
+    """Parameters of placement.
 
     Attributes
     ----------
     restart_hours : float
-        Hours of an instance's price that one reclaim costs (start, load,
-        recomputed tokens), times the deployment's recompute weight.
+        Cost of one reclaim (start, load, recomputed tokens) in hours of the
+        instance's price, multiplied by the deployment's recompute weight.
     keep_discount : float
-        Share by which a running instance counts as cheaper than a new one, so
-        that small changes of price move nothing.
+        Share by which a running instance is rated cheaper than a new one, so
+        that small price changes don't replace instances.
     on_demand_share : float
-        Share of the target, 0 to 1, that runs on-demand whatever the price.
+        Share of the target, 0 to 1, that runs on-demand at any price.
     """
 
     restart_hours: float = 0.25
@@ -44,13 +45,13 @@
     Attributes
     ----------
     counts : dict of OfferKey to int
-        Wanted instances.
+        Desired instances.
     cost_per_hour : float
-        Their price together.
-    standing : int
-        Replicas that remain after the loss of the fullest zone.
-    held : int
-        Replicas that the price ceiling held back.
+        Their total price.
+    zone_loss_capacity : int
+        Replicas that remain after the loss of the zone with the most replicas.
+    ceiling_held : int
+        Replicas that the price ceiling prevents.
     """
 
     counts: dict[OfferKey, int]
@@ -60,7 +61,10 @@
 
 
 class _Unit(NamedTuple):
-    """Some like instances: all running ones, or all new ones, of one key."""
+    """Equivalent instances: either all running or all new ones of one key.
+
+    ``room`` is their maximum number.
+    """
 
     key: OfferKey
     price: float
@@ -68,16 +72,16 @@
     room: float
 
 
-class _Task(NamedTuple):
-    """What stays the same while ways are tried."""
+class _Problem(NamedTuple):
+    """Inputs that stay the same during the search."""
 
     units: list[_Unit]
     config: PlacementConfig
     max_total: float
 
 
-class _Fill(NamedTuple):
-    """Units chosen so far."""
+class _Selection(NamedTuple):
+    """Units selected so far."""
 
     counts: Counter[OfferKey]
     cost: float
@@ -95,50 +99,54 @@
     recompute_weight: float = 1.0,
     max_total: float = math.inf,
 ) -> Placement:
-    """Choose the cheapest instances that hold ``target`` through a zone's loss.
+    """Choose the cheapest instances that keep ``target`` through a zone's loss.
 
     Parameters
     ----------
     target : int
         Replicas needed after the loss of any one zone.
     offers : mapping of OfferKey to Offer
-        What can be bought now, at which price.
+        Offers with their current prices.
     current : mapping of OfferKey to int
-        Instances that run and may be kept; those without an offer have no known
+        Running instances that may be kept; those without an offer have no known
         price and are not kept.
     blocked : set of OfferKey
-        Keys in which nothing can be started now; running ones may stay.
+        Keys of which no instance can be started now; running ones may stay.
     ceiling : float
-        Most that all instances together may cost an hour.
+        Maximum price of all instances together, per hour.
     config : PlacementConfig
-        Constants.
+        Parameters.
     recompute_weight : float
         The deployment's weight of recomputed tokens.
-    most : float
-        Most instances altogether.
+    max_total : float
+        Maximum number of instances.
 
     Returns
     -------
     Placement
-        Where offers or the ceiling don't allow the whole target, as much as can
-        survive a zone's loss, then more without that up to the target.
+        If the offers or the ceiling don't allow the whole target, as many
+        replicas as can survive a zone's loss, then further ones up to the target
+        that can't.
     """
     if target <= 0:
         return Placement({}, 0.0, 0, 0)
     units = _units(offers, current, blocked, config, recompute_weight)
-    task = _Task(units, config, max_total)
-    fill = _most_standing(task, target, ceiling)
+    problem = _Problem(units, config, max_total)
+    selection = _best_effort(problem, target, ceiling)
     ceiling_held = 0
-    if _zone_loss_capacity(fill.counts) < target:
-        free = _most_standing(task, target, math.inf)
-        ceiling_held = max(0, free.total - fill.total)
+    if _zone_loss_capacity(selection.counts) < target:
+        unlimited = _best_effort(problem, target, math.inf)
+        ceiling_held = max(0, unlimited.total - selection.total)
     return Placement(
-        dict(fill.counts), fill.cost, _zone_loss_capacity(fill.counts), ceiling_held
+        dict(selection.counts),
+        selection.cost,
+        _zone_loss_capacity(selection.counts),
+        ceiling_held,
     )
 
 
 def affordable(money: float, price: float) -> float:
-    """Return how many can be paid with ``money`` an hour; maybe infinite."""
+    """Return how many instances ``money`` per hour pays for; maybe infinite."""
     if price <= 0 or math.isinf(money):
         return math.inf
     return math.floor(money / price + _EPS)
@@ -151,41 +159,41 @@
     config: PlacementConfig,
     recompute_weight: float,
 ) -> list[_Unit]:
-    """Return what can be chosen, cheapest first."""
+    """Return the units that can be selected, cheapest first."""
     units = []
     for key, offer in offers.items():
         restart = offer.evict_per_hour * config.restart_hours * recompute_weight
         score = offer.price_per_hour * (1.0 + restart)
         running = current.get(key, 0)
         if running:
-            kept = score * (1.0 - config.keep_discount)
-            units.append(_Unit(key, offer.price_per_hour, kept, running))
+            kept_score = score * (1.0 - config.keep_discount)
+            units.append(_Unit(key, offer.price_per_hour, kept_score, running))
         if key not in blocked:
             units.append(_Unit(key, offer.price_per_hour, score, math.inf))
     return sorted(units, key=lambda unit: (unit.score, unit.key))
 
 
-def _take(
+def _select(
     units: list[_Unit],
     total: int,
     zone_cap: float,
     ceiling: float,
-    start: _Fill | None = None,
-) -> _Fill:
-    """Take units in order up to ``total``, ``zone_cap`` and ``ceiling``."""
+    start: _Selection | None = None,
+) -> _Selection:
+    """Select units in order within ``total``, ``zone_cap`` and ``ceiling``."""
     counts: Counter[OfferKey] = Counter(start.counts if start else {})
     cost = start.cost if start else 0.0
     score = start.score if start else 0.0
-    got = start.total if start else 0
+    selected = start.total if start else 0
     zones: Counter[str] = Counter()
     for key, number in counts.items():
         zones[key.zone] += number
-    already = Counter(counts)
+    already_selected = Counter(counts)
     for unit in units:
         room = unit.room
-        used = min(room, already[unit.key])
-        already[unit.key] -= 0 if math.isinf(used) else int(used)
-        room = min(room - used, zone_cap - zones[unit.key.zone], total - got)
+        used = min(room, already_selected[unit.key])
+        already_selected[unit.key] -= 0 if math.isinf(used) else int(used)
+        room = min(room - used, zone_cap - zones[unit.key.zone], total - selected)
         room = min(room, affordable(ceiling - cost, unit.price))
         number = max(0, int(room))
         if not number:
@@ -194,57 +202,57 @@
         zones[unit.key.zone] += number
         cost += number * unit.price
         score += number * unit.score
-        got += number
-        if got == total:
+        selected += number
+        if selected == total:
             break
-    return _Fill(counts, cost, score, got)
+    return _Selection(counts, cost, score, selected)
 
 
-def _most_standing(task: _Task, target: int, ceiling: float) -> _Fill:
-    """Return the cheapest choice that holds the most of ``target``."""
-    best = _best(task, target, ceiling)
+def _best_effort(problem: _Problem, target: int, ceiling: float) -> _Selection:
+    """Return the cheapest selection that keeps as much of ``target`` as possible."""
+    best = _cheapest(problem, target, ceiling)
     if best is not None:
         return best
-    low, best = 0, _Fill(Counter(), 0.0, 0.0, 0)
+    low, best = 0, _Selection(Counter(), 0.0, 0.0, 0)
     high = target - 1
     while low < high:
         middle = (low + high + 1) // 2
-        fill = _best(task, middle, ceiling)
-        if fill is None:
+        selection = _cheapest(problem, middle, ceiling)
+        if selection is None:
             high = middle - 1
         else:
-            low, best = middle, fill
-    total = min(target, task.max_total)
+            low, best = middle, selection
+    total = min(target, problem.max_total)
     if best.total >= total:
         return best
-    return _take(task.units, int(total), math.inf, ceiling, best)
+    return _select(problem.units, int(total), math.inf, ceiling, best)
 
 
-def _best(task: _Task, target: int, ceiling: float) -> _Fill | None:
-    """Return the cheapest choice that holds ``target``, or None."""
-    zones = {unit.key.zone for unit in task.units}
+def _cheapest(problem: _Problem, target: int, ceiling: float) -> _Selection | None:
+    """Return the cheapest selection that keeps ``target``; None if there is none."""
+    zones = {unit.key.zone for unit in problem.units}
     if len(zones) < 2:
         return None
-    base = _base(task, target, ceiling)
-    by_price = sorted(task.units, key=lambda unit: (unit.price, unit.key))
+    base = _on_demand_base(problem, target, ceiling)
+    by_price = sorted(problem.units, key=lambda unit: (unit.price, unit.key))
     low = math.ceil(target / (len(zones) - 1))
-    high = int(min(target, task.max_total - target))
-    tried: dict[int, _Fill | None] = {}
+    high = int(min(target, problem.max_total - target))
+    tried: dict[int, _Selection | None] = {}
 
-    def try_cap(cap: int) -> _Fill | None:
-        for order in (task.units, by_price):
-            fill = _take(order, target + cap, cap, ceiling, base)
+    def try_cap(cap: int) -> _Selection | None:
+        for order in (problem.units, by_price):
+            selection = _select(order, target + cap, cap, ceiling, base)
             if (
-                fill.total == target + cap
-                and _zone_loss_capacity(fill.counts) >= target
+                selection.total == target + cap
+                and _zone_loss_capacity(selection.counts) >= target
             ):
-                return fill
+                return selection
         return None
 
-    # The score is convex in the cap, so that a coarse look finds the part in
-    # which the best one lies; both ends are always looked at.
+    # The score is convex in the cap, so that a coarse search finds the interval
+    # with the best cap. Both ends are always tried.
     while low <= high:
-        step = max(1, (high - low) // _CAPS_AT_ONCE)
+        step = max(1, (high - low) // _CAPS_PER_SEARCH)
         caps = [*range(low, high, step), high]
         tried.update((cap, try_cap(cap)) for cap in caps if cap not in tried)
         best = _cheapest_cap(tried)
@@ -255,24 +263,30 @@
     return None if best is None else tried[best]
 
 
-def _cheapest_cap(tried: Mapping[int, _Fill | None]) -> int | None:
-    """Return the cap with the least score, the lowest such; None if none fits."""
-    fits = [(fill.score, cap) for cap, fill in tried.items() if fill is not None]
-    return min(fits)[1] if fits else None
+def _cheapest_cap(tried: Mapping[int, _Selection | None]) -> int | None:
+    """Return the lowest cap with the best score; None if no cap is feasible."""
+    feasible = [
+        (selection.score, cap)
+        for cap, selection in tried.items()
+        if selection is not None
+    ]
+    return min(feasible)[1] if feasible else None
 
 
-def _base(task: _Task, target: int, ceiling: float) -> _Fill | None:
-    """Return the on-demand instances that are wanted at any price, spread."""
-    share = math.ceil(task.config.on_demand_share * target - _EPS)
-    firm = [unit for unit in task.units if not unit.key.reclaimable]
-    zones = {unit.key.zone for unit in firm}
+def _on_demand_base(
+    problem: _Problem, target: int, ceiling: float
+) -> _Selection | None:
+    """Select the on-demand instances that run at any price, over all zones."""
+    share = math.ceil(problem.config.on_demand_share * target - _EPS)
+    on_demand = [unit for unit in problem.units if not unit.key.reclaimable]
+    zones = {unit.key.zone for unit in on_demand}
     if share <= 0 or not zones:
         return None
-    return _take(firm, share, math.ceil(share / len(zones)), ceiling)
+    return _select(on_demand, share, math.ceil(share / len(zones)), ceiling)
 
 
 def _zone_loss_capacity(counts: Mapping[OfferKey, int]) -> int:
-    """Return how many remain after the loss of the fullest zone."""
+    """Return the replicas left after the loss of the zone that has the most."""
     zones: Counter[str] = Counter()
     for key, number in counts.items():
         zones[key.zone] += number
--- a/src/ebonydeal/_internal/controller/platform_snapshot.py
+++ b/src/ebonydeal/_internal/controller/platform_snapshot.py
@@ -1,4 +1,4 @@
-"""What all deployments' rounds share: offers, instances, endpoints, notices."""
+"""Snapshot of offers, instances, endpoints and notices for one round."""
 
 import asyncio
 from collections import defaultdict
@@ -20,21 +20,21 @@
 
 
 class PlatformSnapshot(NamedTuple):
-    """One look at the cloud and the instance list.
+    """State of the cloud and the instance list at one time, for all deployments.
 
     Attributes
     ----------
     offers : dict of OfferKey to Offer
-        The cheapest of each kind.
+        The cheapest of each (zone, class, market).
     instances : dict of str to dict of str to CloudInstance
-        By the deployment they are tagged with, then by token.
+        By the deployment that they are tagged with, then by token.
     endpoints : dict of str to EndpointView
         By instance id.
     own_nodes : frozenset of str
-        Ids of the system's own processes that the platform lists; empty if
-        the list could not be read.
-    notices : ReclaimNotices
-        What will be taken back.
+        Ids of ebonydeal's own processes that the platform lists; empty if the
+        list could not be read.
+    reclaim_notices : ReclaimNotices
+        Instances and zones that will be reclaimed.
     """
 
     offers: dict[OfferKey, Offer]
@@ -47,7 +47,7 @@
 async def take_snapshot(
     cloud: Cloud, instance_list: InstanceList, reclaim_notices: ReclaimNotices
 ) -> PlatformSnapshot:
-    """Ask the cloud and the instance list; raises where either can't be read."""
+    """Read the cloud and the instance list; raises if either can't be read."""
     offers, instances, endpoints, nodes = await asyncio.gather(
         cloud.offers(),
         cloud.instances(),
--- a/src/ebonydeal/_internal/controller/ports.py
+++ b/src/ebonydeal/_internal/controller/ports.py
@@ -1,4 +1,4 @@
-"""The part of an engine that a controller uses."""
+"""Interface of the operations of an engine that a controller uses."""
 
 from typing import Protocol
 
@@ -7,13 +7,13 @@
 
 
 class ControlledEngine(Protocol):
-    """Load reports and orders; `platform.interfaces.Engine` has both."""
+    """Load reports and orders of an engine."""
 
     async def load(self, endpoint: EndpointView) -> LoadReport:
-        """Ask an engine or plain service for its load."""
+        """Read the load report of an engine or plain service."""
 
     async def order(self, endpoint: EndpointView, order: EngineOrder) -> None:
-        """Give an order; raises ``STALE_ORDER`` where the engine checks."""
+        """Send an order; raises ``STALE_ORDER`` if the engine refuses its token."""
 
     async def order_state(self, endpoint: EndpointView) -> EngineOrder:
-        """Read back the order in force."""
+        """Read the order in force."""
--- a/src/ebonydeal/_internal/controller/program.py
+++ b/src/ebonydeal/_internal/controller/program.py
@@ -46,7 +46,7 @@
 
 
 class Platform(NamedTuple):
-    """The clients of the outside systems, which the program closes."""
+    """Clients of external systems, which the program closes."""
 
     tables: HttpTables
     cloud: HttpCloud
@@ -67,10 +67,10 @@
 
 
 class ControllerProgram(Service):
-    """Everything of one controller process.
+    """Supervises the services of one controller process.
 
-    Children, in the order of their start: TLS files, directory, peers,
-    configuration, controller. A stop first gives all leases back.
+    They start in this order: TLS files, directory, peers, configuration,
+    controller. On a stop, all leases are released first.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         rng: random.Random,
     ) -> "ControllerProgram":
         """Build the tree from typed settings sections (see `SECTIONS`)."""
-        own: NodeSettings = settings["node"]
+        node: NodeSettings = settings["node"]
         platform = Platform.from_config(settings["platform"])
         tls = TlsContexts.from_config(settings["tls"], clock)
         directory = Directory.from_config(
@@ -111,7 +111,7 @@
             cloud=platform.cloud,
         )
         peers = PeerService.from_config(
-            own,
+            node,
             settings["peers"],
             metrics,
             clock,
@@ -134,14 +134,14 @@
         peers.add_routes(controller_routes(platform.tables))
         controller = Controller(
             settings["controller"],
-            new_holder(own.id, f"{own.host}:{settings['peers'].port}", rng),
+            new_holder(node.id, f"{node.host}:{settings['peers'].port}", rng),
             platform.tables,
             platform.cloud,
             platform.instances,
             platform.engine,
             platform.weights,
             lambda: follower.document,
-            _mark_in(directory),
+            _mark_callback(directory),
             metrics,
             clock,
             rng,
@@ -150,7 +150,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` of the peer listener, as bound."""
+        """Bound ``host:port`` of the peer listener."""
         return self.peers.address
 
     async def on_start(self) -> None:
@@ -162,7 +162,7 @@
         await self.add_runtime_dependency(self.controller)
 
     async def on_stop(self) -> None:
-        """Give the leases back while the table can still be reached."""
+        """Release the leases while the table client is still open."""
         await self.controller.step_down()
 
     async def on_shutdown(self) -> None:
@@ -171,11 +171,11 @@
             await client.close()
 
 
-def _mark_in(directory: Directory) -> MarkCallback:
-    """Return the callback that puts a mark into the directory, and so to peers.
+def _mark_callback(directory: Directory) -> MarkCallback:
+    """Return the callback that puts a mark into the directory, which shares it.
 
-    A mark without incarnation speaks of an endpoint that nobody lists yet: the
-    directory keeps the cloud's own notice until it is listed.
+    A mark without an incarnation is skipped, as its endpoint is not listed yet:
+    the directory keeps the cloud's own notice until the endpoint is listed.
     """
 
     def mark(item: LeavingMark) -> None:
--- a/src/ebonydeal/_internal/controller/reconcile.py
+++ b/src/ebonydeal/_internal/controller/reconcile.py
@@ -1,9 +1,9 @@
-"""From wanted and observed to actions, for the instances of one deployment.
+"""Plans the actions that bring a deployment's instances to the desired state.
 
-Every intent is a row in the table service before it is a call to the cloud, and
-a row's state only moves forward (starting, warming, ready, draining,
-releasing). So a late call of a leader that was paused can only carry out what
-had been recorded anyway, and a new leader finds everything that was begun.
+Every intent is written as a row to the table service before the cloud is called,
+and a row's state only moves forward (starting, warming, ready, draining,
+releasing). So a late call of a leader that was paused can only execute a recorded
+intent, and a new leader finds everything that was started.
 """
 
 from collections import Counter
@@ -47,26 +47,26 @@
     now: float,
     unreplaced: tuple[str, ...] = (),
 ) -> list[Action]:
-    """Return what to do next.
+    """Return the next actions.
 
     Parameters
     ----------
     wanted, observed : DesiredState, ObservedState
-        What should run and what does.
+        What should run and what is known to run.
     config : ReconcileConfig
-        Constants.
+        Parameters.
     now : float
         Wall clock seconds.
     unreplaced : tuple of str
-        Tokens that were lost and whose replacement has not been started.
+        Tokens of lost instances whose replacement has not been started.
 
     Returns
     -------
     list of Action
         At most one for each instance. Nothing is started in a round that takes
-        instances over: they may be what is missing.
+        over instances, as these may be the missing ones.
     """
-    actions: list[Action] = list(_unrecorded(wanted, observed))
+    actions: list[Action] = list(_plan_unrecorded(wanted, observed))
     for row in observed.rows.values():
         actions.extend(_advance(row, observed, config, now))
     staying = _staying(observed, actions)
@@ -79,11 +79,11 @@
     return actions
 
 
-def _unrecorded(wanted: DesiredState, observed: ObservedState) -> Iterator[Action]:
-    """Yield what to do about instances without a row.
+def _plan_unrecorded(wanted: DesiredState, observed: ObservedState) -> Iterator[Action]:
+    """Yield the actions for instances without a row.
 
-    One that a controller started comes from a call that landed late, and goes.
-    One that somebody else started for the deployment is taken over.
+    A managed instance without a row was started by a late call, and is released.
+    One that was started for the deployment by other means is taken over.
     """
     for token, instance in observed.instances.items():
         if token in observed.rows:
@@ -95,7 +95,7 @@
 
 
 def _without_rows(actions: list[Action], tokens: Set[str]) -> list[Action]:
-    """Return the actions that don't touch these rows: one change at a time."""
+    """Drop actions on these rows, so that each row has one action per round."""
     return [
         action
         for action in actions
@@ -107,7 +107,7 @@
 def _advance(
     row: InstanceRow, observed: ObservedState, config: ReconcileConfig, now: float
 ) -> Iterator[Action]:
-    """Yield the next step of one recorded instance, if any."""
+    """Yield the next action on one recorded instance, if any."""
     instance = observed.instances.get(row.token)
     age = now - row.at
     match row.state:
@@ -133,7 +133,7 @@
     config: ReconcileConfig,
     now: float,
 ) -> Iterator[Action]:
-    """Yield the next step of an instance that warms up or serves."""
+    """Yield the next action on an instance that is warming up or ready."""
     age = now - row.at
     if missing:
         if row.token in observed.gone and age > config.list_grace:
@@ -151,14 +151,14 @@
 
 
 def _staying(observed: ObservedState, actions: list[Action]) -> list[InstanceRow]:
-    """Return the live rows that no action takes away."""
-    going = {
+    """Return the live rows that no action drains or deletes."""
+    removed = {
         action.row.token for action in actions if isinstance(action, Drain | Forget)
     }
     return [
         row
         for row in observed.rows.values()
-        if row.state in LIVE_STATES and row.token not in going
+        if row.state in LIVE_STATES and row.token not in removed
     ]
 
 
@@ -170,36 +170,36 @@
     unreplaced: tuple[str, ...],
     config: ReconcileConfig,
 ) -> Iterator[Action]:
-    """Yield starts of what is missing, as far as the ceiling allows."""
-    have = Counter(OfferKey.of(row) for row in staying)
+    """Yield starts of missing instances, as far as the price ceiling allows."""
+    counts = Counter(OfferKey.of(row) for row in staying)
     cost = observed.committed() - sum(
         observed.price(action.row) for action in actions if isinstance(action, Forget)
     )
-    causes = iter(unreplaced + _taken_away(actions))
-    left = config.starts_at_once
+    to_replace = iter(unreplaced + _lost_tokens(actions))
+    starts_left = config.starts_at_once
     cheapest_first = sorted(
         wanted.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
     )
     for key, number in cheapest_first:
-        missing = number - have[key]
+        missing = number - counts[key]
         price = observed.prices.get(key)
         if price is None or missing <= 0:
             continue
-        for done in range(missing):
-            if left <= 0:
+        for started in range(missing):
+            if starts_left <= 0:
                 return
             if cost + price > wanted.ceiling + _EPS:
-                yield Hold(key, missing - done)
+                yield Hold(key, missing - started)
                 break
-            replaces = next(causes, "")
+            replaces = next(to_replace, "")
             why = "replacement" if replaces else "below wanted number"
             yield Start(key, price, why, replaces)
             cost += price
-            left -= 1
+            starts_left -= 1
 
 
-def _taken_away(actions: list[Action]) -> tuple[str, ...]:
-    """Return the tokens that this round takes away against our will."""
+def _lost_tokens(actions: list[Action]) -> tuple[str, ...]:
+    """Return the tokens of instances that are lost or being reclaimed."""
     tokens = []
     for action in actions:
         match action:
--- a/src/ebonydeal/_internal/controller/reconcile_state.py
+++ b/src/ebonydeal/_internal/controller/reconcile_state.py
@@ -1,4 +1,4 @@
-"""What one deployment should run, and what it does."""
+"""Desired and observed state of one deployment."""
 
 from collections.abc import Mapping, Set
 from typing import NamedTuple
@@ -8,22 +8,22 @@
 
 
 class ReconcileConfig(NamedTuple):
-    """Constants of reconciling, in seconds and counts.
+    """Parameters of reconciliation, in seconds and counts.
 
     Attributes
     ----------
     list_grace : float
-        How long a started instance may be absent from the cloud's list.
+        Time for which a started instance may be missing from the cloud's list.
     warm_timeout : float
-        Longest time from start to warm before the instance is replaced.
+        Maximum time from start to warm; then the instance is replaced.
     drain_least : float
-        Least drain of an instance that served: leaving marks spread meanwhile.
+        Minimum drain of an instance that served, so that leaving marks spread.
     drain_longest : float
-        Longest drain where the cloud sets no deadline.
+        Maximum drain if the cloud sets no deadline.
     drain_over_ceiling : float
-        Longest drain of an instance that breaks the price ceiling.
+        Maximum drain of an instance that exceeds the price ceiling.
     starts_at_once : int
-        Most starts in one round.
+        Maximum number of starts in one round.
     """
 
     list_grace: float = 20.0
@@ -42,9 +42,9 @@
     counts : mapping of OfferKey to int
         Instances by (zone, class, market).
     target : int
-        Replicas without which the deployment is below strength.
+        Replicas that the deployment needs.
     ceiling : float
-        Most that all instances together may cost an hour.
+        Maximum price of all instances together, per hour.
     """
 
     counts: Mapping[OfferKey, int]
@@ -55,8 +55,8 @@
 class ObservedState(NamedTuple):
     """What is known to run.
 
-    ``instances`` must have been listed before ``rows`` were read: then an
-    instance without a row can't be one whose start was recorded meanwhile.
+    ``instances`` must have been listed before ``rows`` were read. Otherwise, an
+    instance without a row could be one whose start was recorded in between.
 
     Attributes
     ----------
@@ -67,14 +67,14 @@
     warm : set of str
         Tokens of instances whose order is in force and whose engine is ready.
     idle : set of str
-        Tokens of instances known to run nothing.
+        Tokens of instances known to run no requests.
     leaving : mapping of str to float
-        Tokens under a reclaim notice, with its deadline (wall seconds).
+        Reclaim deadlines by token, wall clock seconds.
     prices : mapping of OfferKey to float
-        Present prices.
+        Current prices.
     gone : set of str
-        Tokens of instances that are not listed, and surely not by a lapse of
-        the list.
+        Tokens of instances that are not listed and surely gone, not just missing
+        from one list.
     """
 
     instances: Mapping[str, CloudInstance]
@@ -86,9 +86,9 @@
     gone: Set[str] = frozenset()
 
     def price(self, row: InstanceRow) -> float:
-        """Return the present price of a row's instance, an hour."""
+        """Return the current price of a row's instance, per hour."""
         return self.prices.get(OfferKey.of(row), row.price_per_hour)
 
     def committed(self) -> float:
-        """Return the present price of everything that may still be running."""
+        """Return the current price per hour of all instances that may be running."""
         return sum(self.price(row) for row in self.rows.values())
--- a/src/ebonydeal/_internal/controller/records.py
+++ b/src/ebonydeal/_internal/controller/records.py
@@ -1,8 +1,8 @@
-"""A leader's durable records of one deployment's instances, kept in memory.
+"""The rows of one deployment's instances, with a cached copy in the leader.
 
-The holder of the lease is the only one whose writes take effect, so that what
-it read once and wrote itself is what the table holds. Only a write whose answer
-was lost makes the copy doubtful; then it is read again.
+Only the lease holder's writes take effect. Its copy, read once and updated with
+its own writes, therefore equals the table. It is read again only after a failed
+write, or a write whose response was lost.
 """
 
 from collections.abc import Sequence
@@ -20,20 +20,20 @@
     Write,
 )
 
-_PAGE = 1000
+_MAX_PAGE_ROWS = 1000
 
 
 class InstanceRecords:
-    """The rows ``instances/{deployment}:*`` as their only writer sees them.
+    """The rows ``instances/{deployment}:*``, cached by their only writer.
 
     Parameters
     ----------
     deployment : str
-        Whose instances.
+        Name of the deployment.
     lease : LeaseKeeper
-        Every write is conditioned on its epoch.
+        Every write has the condition that its epoch is current.
     tables : Tables
-        Where the rows are.
+        Contain the rows.
     """
 
     def __init__(self, deployment: str, lease: LeaseKeeper, tables: Tables) -> None:
@@ -45,7 +45,7 @@
         self._epoch: int | None = None
 
     async def refresh(self) -> None:
-        """Read all rows, unless the copy is known to be right."""
+        """Read all rows, unless the copy is valid."""
         if self._epoch is not None and self._epoch == self._lease.epoch:
             return
         epoch = self._lease.epoch
@@ -53,11 +53,11 @@
         prefix = row_prefix(self._deployment)
         start = ""
         while True:
-            page = await self._tables.scan(prefix, start, _PAGE)
+            page = await self._tables.scan(prefix, start, _MAX_PAGE_ROWS)
             for row in page:
                 item = InstanceRow.from_row(row)
                 rows[item.token] = item
-            if len(page) < _PAGE:
+            if len(page) < _MAX_PAGE_ROWS:
                 break
             start = page[-1].key + "\0"
         trail = await read_trail(self._tables, self._deployment)
@@ -66,40 +66,40 @@
         self._epoch = epoch
 
     def invalidate(self) -> None:
-        """Have the rows read again before they are next used."""
+        """Discard the copy, so that the next `refresh` reads the rows again."""
         self._epoch = None
 
     async def save(self, row: InstanceRow, *events: TrailEvent) -> None:
-        """Write a row that exists, with the events that explain it.
+        """Update an existing row, together with the events that explain the change.
 
         Raises ``FENCED`` if another leader has taken over.
         """
-        newer = row._replace(revision=row.revision + 1)
-        writes = [newer.to_put(), *(event.to_put() for event in events)]
+        updated = row._replace(revision=row.revision + 1)
+        writes = [updated.to_put(), *(event.to_put() for event in events)]
         await self._transact([_unchanged(row)], writes)
-        self.rows[row.token] = newer
+        self.rows[row.token] = updated
 
     async def create(self, row: InstanceRow, *events: TrailEvent) -> None:
-        """Write a row that must not exist yet; raises ``FENCED`` as `save`."""
+        """Create a row that must not exist yet; raises ``FENCED`` as `save`."""
         writes = [row.to_put(), *(event.to_put() for event in events)]
         await self._transact([RowAbsent(row.key)], writes)
         self.rows[row.token] = row
 
     async def delete(self, row: InstanceRow, *events: TrailEvent) -> None:
-        """Remove a row; raises ``FENCED`` as `save`."""
+        """Delete a row; raises ``FENCED`` as `save`."""
         writes: list[Write] = [Delete(row.key)]
         writes.extend(event.to_put() for event in events)
         await self._transact([_unchanged(row)], writes)
         self.rows.pop(row.token, None)
 
     async def write_other(self, *writes: Write) -> None:
-        """Do other writes of the leader; raises ``FENCED`` as `save`."""
+        """Write rows of other kinds as the leader; raises ``FENCED`` as `save`."""
         await self._transact([], list(writes))
 
     async def _transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> None:
-        """Write under the lease's epoch."""
+        """Write on the condition that the lease's epoch is current."""
         try:
             applied = await self._tables.transact(
                 [self._lease.condition(), *conditions], writes
@@ -108,13 +108,15 @@
             self.invalidate()
             raise
         if not applied:
-            # Either the epoch is another's or our copy is out of date; the next
-            # look at the lease tells which, and the rows are read again.
+            # Either another process has the lease or the copy is stale. The next
+            # read of the lease shows which, and the rows are read again.
             self.invalidate()
             self._lease.mark_lost()
-            raise EbonydealError(ErrorKind.FENCED, "another controller leads now")
+            raise EbonydealError(
+                ErrorKind.FENCED, "another controller has taken the lease"
+            )
 
 
 def _unchanged(row: InstanceRow) -> Condition:
-    """Return the condition that the table holds the row as we know it."""
+    """Return the condition that the table has this revision of the row."""
     return FieldEquals(row.key, "revision", row.revision)
--- a/src/ebonydeal/_internal/controller/replicas.py
+++ b/src/ebonydeal/_internal/controller/replicas.py
@@ -1,10 +1,10 @@
-"""Brings a deployment's replicas to their models, and says which are warm."""
+"""Orders models onto a deployment's replicas, and determines which are warm."""
 
 from collections.abc import Mapping
 
 from ebonydeal._internal.controller.context import ControllerContext
 from ebonydeal._internal.controller.lease import LeaseKeeper
-from ebonydeal._internal.controller.loads import LoadWatcher
+from ebonydeal._internal.controller.loads import LoadPoller
 from ebonydeal._internal.controller.order_manager import OrderManager
 from ebonydeal._internal.controller.values import InstanceRow, InstanceState
 from ebonydeal._internal.controller.weights import LoadRequest
@@ -32,11 +32,12 @@
 ) -> dict[str, EndpointView]:
     """Return the endpoint on each instance, by token.
 
-    An instance that the list doesn't show yet is reached at the address that
-    the cloud gave; one that the cloud's answer lacks, as the list shows it.
+    An instance that is missing from the instance list is reached at the address
+    from the cloud; one that is missing from the cloud's list, at the address in
+    the instance list.
     """
     kind = EndpointKind.ENGINE if deployment is None else EndpointKind(deployment.kind)
-    regions = {} if deployment is None else {p.zone: p for p in deployment.zones}
+    places = {} if deployment is None else {p.zone: p for p in deployment.zones}
     views = {
         token: endpoints[row.instance_id]
         for token, row in rows.items()
@@ -52,7 +53,7 @@
                 incarnation=0,
                 kind=kind,
                 address=instance.address,
-                place=regions.get(instance.zone, Place("", instance.zone)),
+                place=places.get(instance.zone, Place("", instance.zone)),
                 deployment="" if deployment is None else deployment.name,
                 models=(),
                 state=EndpointState.STARTING,
@@ -64,16 +65,16 @@
 
 
 class ReplicaManager:
-    """Orders models onto engines at the weight store's pace.
+    """Orders models onto engines within the weight store's rate.
 
     Parameters
     ----------
     name : str
-        Deployment.
+        Name of the deployment.
     lease : LeaseKeeper
-        Gives the fencing number.
+        Provides the fencing token.
     ctx : ControllerContext
-        Adapters and means.
+        Shared dependencies.
     """
 
     def __init__(self, name: str, lease: LeaseKeeper, ctx: ControllerContext) -> None:
@@ -89,25 +90,25 @@
         deployment: Deployment | None,
         rows: Mapping[str, InstanceRow],
         views: Mapping[str, EndpointView],
-        loads: LoadWatcher,
+        loads: LoadPoller,
         shortfall: float,
         own_nodes: frozenset[str],
     ) -> set[str]:
-        """Give orders as needed; return the tokens of warm replicas."""
+        """Send orders as needed; return the tokens of warm replicas."""
         if deployment is None:
             return set()
-        ours = {
+        active = {
             token: view
             for token, view in views.items()
             if token in rows
             and rows[token].state in (InstanceState.WARMING, InstanceState.READY)
         }
-        in_force = {view.endpoint_id for view in ours.values()}
+        in_force = {view.endpoint_id for view in active.values()}
         if deployment.kind == EndpointKind.ENGINE:
-            in_force = await self._order(deployment, rows, ours, shortfall, own_nodes)
+            in_force = await self._order(deployment, rows, active, shortfall, own_nodes)
         return {
             token
-            for token, view in ours.items()
+            for token, view in active.items()
             if view.endpoint_id in in_force
             and view.state is EndpointState.READY
             and set(_models(deployment)) <= set(view.models)
@@ -122,13 +123,13 @@
         shortfall: float,
         own_nodes: frozenset[str],
     ) -> set[str]:
-        """Order the models; return the ids whose order is in force."""
+        """Order the models; return the ids of engines whose order is in force."""
         epoch = self._lease.epoch
         assert epoch is not None
         models = _models(deployment)
         engines = {view.endpoint_id: view for view in views.values()}
         order = EngineOrder(epoch, models, ROLE_SERVE)
-        self._report_loads(deployment, rows, views, shortfall)
+        self._update_load_requests(deployment, rows, views, shortfall)
         return await self._orders.round(
             engines,
             {name: order for name in engines},
@@ -137,14 +138,14 @@
             self._predecessor_gone(own_nodes),
         )
 
-    def _report_loads(
+    def _update_load_requests(
         self,
         deployment: Deployment,
         rows: Mapping[str, InstanceRow],
         views: Mapping[str, EndpointView],
         shortfall: float,
     ) -> None:
-        """Tell the desk which engines wait for weights and which have them."""
+        """Update which engines wait for weights and which have them."""
         models = _models(deployment)
         waiting = [
             LoadRequest(
@@ -158,8 +159,9 @@
             for token, view in views.items()
             if models
             and not set(models) <= set(view.models)
-            # One that can't be reached yet would hold a share of the store idle.
-            and self._orders.found(view.endpoint_id) is not None
+            # An engine that is not reachable yet would reserve a part of the
+            # store's rate without using it.
+            and self._orders.last_read(view.endpoint_id) is not None
         ]
         ready = [
             WeightCopy(view.endpoint_id, model, 0.0, view.place.zone)
@@ -169,10 +171,10 @@
         self._ctx.load_scheduler.update_requests(self._name, waiting, ready)
 
     def _predecessor_gone(self, own_nodes: frozenset[str]) -> bool:
-        """Return whether the platform says that the old holder is gone.
+        """Return whether the previous holder's process is known to be gone.
 
-        An empty list says nothing. A holder on this very node is an earlier run
-        of this process.
+        An empty list of nodes proves nothing. A previous holder on this node is
+        an earlier run of this process.
         """
         if not self._lease.previous_holder:
             return True
--- a/src/ebonydeal/_internal/controller/routes.py
+++ b/src/ebonydeal/_internal/controller/routes.py
@@ -1,4 +1,4 @@
-"""Pages that ``ebonydeal reclaims`` and ``ebonydeal spend`` read."""
+"""HTTP routes that ``ebonydeal reclaims`` and ``ebonydeal spend`` read."""
 
 from aiohttp import web
 
@@ -6,11 +6,11 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import Tables
 
-_TRAIL_MOST = 2000
+_MAX_EVENTS = 2000
 
 
 def controller_routes(tables: Tables) -> list[web.RouteDef]:
-    """Return the pages; both read the table, so any controller answers."""
+    """Return the routes; they read the table, so any controller can answer."""
 
     async def reclaims(req: web.Request) -> web.Response:
         events = await read_trail(tables, req.query.get("deployment", ""))
@@ -28,9 +28,9 @@
 
 
 def _limit(req: web.Request) -> int:
-    """Return how many events are asked for, at most ``_TRAIL_MOST``."""
+    """Return how many events are requested, at most ``_MAX_EVENTS``."""
     try:
         limit = int(req.query.get("limit", "100"))
     except ValueError as exc:
         raise EbonydealError(ErrorKind.BAD_REQUEST, "limit is not a number") from exc
-    return max(1, min(_TRAIL_MOST, limit))
+    return max(1, min(_MAX_EVENTS, limit))
--- a/src/ebonydeal/_internal/controller/service.py
+++ b/src/ebonydeal/_internal/controller/service.py
@@ -1,4 +1,4 @@
-"""Rounds of decisions over all deployments of the document."""
+"""Runs the rounds of all deployments in the document."""
 
 import random
 from collections.abc import Callable
@@ -32,27 +32,27 @@
 
 logger = get_logger("controller")
 
-_LEASES = LEASE_PREFIX + "controller-"
-_LOOK_FOR_DROPPED = 100
+_LEASE_KEY_PREFIX = LEASE_PREFIX + "controller-"
+_DROPPED_CHECK_ROUNDS = 100
 
 
 class Controller(Service):
-    """Rounds over all deployments of the document.
+    """Runs the rounds of all deployments in the document.
 
     Parameters
     ----------
     cfg : ControllerSettings
         ``[controller]``.
     holder : Holder
-        This run of this process.
+        Identity of this run of the process.
     tables, cloud, instance_list, engine, weights
         Adapters.
     document : callable
-        Returns the present document.
+        Returns the current document.
     mark : callable
-        Takes a `LeavingMark` and spreads it.
+        Publishes a `LeavingMark` to the other processes.
     metrics, clock, rng
-        Counters, time, randomness.
+        Counters, time and random numbers.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         super().__init__()
         self.workers: dict[str, DeploymentWorker] = {}
         self.load_scheduler = WeightLoadScheduler(
-            weights, clock, WeightLoadConfig(rate_of_one=cfg.load_rate)
+            weights, clock, WeightLoadConfig(engine_rate_gb_per_s=cfg.load_rate)
         )
         self._cfg = cfg
         self._round_number = 0
-        self._leads = True
+        self._may_lead = True
         self._cloud = cloud
         self._instance_list = instance_list
         self._document = document
@@ -98,97 +98,103 @@
         )
 
     async def round(self) -> None:
-        """Look once, then do every deployment's round."""
+        """Take one snapshot, then run the round of each deployment."""
         document = self._document()
-        if document.version == 0 or not self._leads:
+        if document.version == 0 or not self._may_lead:
             return
-        if not await self._look_at_leases(document):
+        if not await self._update_leases(document):
             return
         try:
             snapshot = await take_snapshot(
                 self._cloud, self._instance_list, self.notices.reclaim_notices
             )
         except EbonydealError as exc:
-            logger.warning("The platform can't be asked.", kind=str(exc.kind))
+            logger.warning("Platform is unreachable.", kind=str(exc.kind))
             return
         self.notices.set_incarnations(list(snapshot.endpoints.values()))
         await self.load_scheduler.admit_waiting()
         for name in await self._names(document, snapshot):
             await self._round_of(self._worker(name), document, snapshot)
 
-    async def _look_at_leases(self, document: Document) -> bool:
-        """Take and renew leases; return whether there is anything to lead.
+    async def _update_leases(self, document: Document) -> bool:
+        """Take and renew leases; return whether this round needs a snapshot.
 
-        A process that only stands by asks the cloud and the list nothing, but
-        for a look now and then for what a dropped deployment left.
+        A process without a lease reads the cloud and the instance list only every
+        ``_DROPPED_CHECK_ROUNDS`` rounds, to find instances of dropped deployments.
         """
         number = self._round_number
         self._round_number += 1
-        leads = number % _LOOK_FOR_DROPPED == 0
+        needs_snapshot = number % _DROPPED_CHECK_ROUNDS == 0
         for name in sorted(set(document.deployments) | set(self.workers)):
-            if not self._leads:
+            if not self._may_lead:
                 return False
             try:
-                leads = await self._worker(name).lease.step() or leads
+                needs_snapshot = await self._worker(name).lease.step() or needs_snapshot
             except EbonydealError as exc:
-                logger.warning("A lease failed.", deployment=name, kind=str(exc.kind))
-        return leads
+                logger.warning(
+                    "Taking or renewing a lease failed.",
+                    deployment=name,
+                    kind=str(exc.kind),
+                )
+        return needs_snapshot
 
     def _worker(self, name: str) -> DeploymentWorker:
-        """Return the worker of a deployment, made when first asked for."""
+        """Return the worker of a deployment, creating it on first use."""
         if name not in self.workers:
             self.workers[name] = DeploymentWorker(name, self._ctx)
         return self.workers[name]
 
     async def _names(self, document: Document, snapshot: PlatformSnapshot) -> list[str]:
-        """Return the deployments to look after, dropped ones included.
+        """Return the deployments that need a round, including dropped ones.
 
-        A dropped deployment has instances, or at least rows that are still to
-        be removed; every lease that was ever taken names a deployment.
+        A dropped deployment still has instances or rows to remove. Now and then,
+        all deployments that ever had a lease are included.
         """
         names = set(document.deployments) | set(snapshot.instances)
         names |= {name for name, worker in self.workers.items() if worker.records.rows}
-        if self._round_number % _LOOK_FOR_DROPPED == 1:
-            names |= await self._leased()
+        if self._round_number % _DROPPED_CHECK_ROUNDS == 1:
+            names |= await self._names_with_lease()
         return sorted(names)
 
-    async def _leased(self) -> set[str]:
-        """Return the deployments that ever had a leader; none if unreadable."""
+    async def _names_with_lease(self) -> set[str]:
+        """Return the deployments that ever had a lease; none if unreadable."""
         try:
-            rows = await self._ctx.tables.scan(_LEASES, "", 1000)
+            rows = await self._ctx.tables.scan(_LEASE_KEY_PREFIX, "", 1000)
         except EbonydealError:
             return set()
-        return {row.key.removeprefix(_LEASES) for row in rows}
+        return {row.key.removeprefix(_LEASE_KEY_PREFIX) for row in rows}
 
     async def _round_of(
         self, worker: DeploymentWorker, document: Document, snapshot: PlatformSnapshot
     ) -> None:
-        """Do one deployment's round; a failure doesn't hold up the others."""
-        if not self._leads:
+        """Run one deployment's round; a failure doesn't affect the others."""
+        if not self._may_lead:
             return
         try:
             await worker.round(document.deployments.get(worker.name), snapshot)
         except EbonydealError as exc:
             logger.warning(
-                "A round failed.", deployment=worker.name, kind=str(exc.kind)
+                "Round of a deployment failed.",
+                deployment=worker.name,
+                kind=str(exc.kind),
             )
 
     @Service.task
     async def _rounds(self) -> None:
-        """Do rounds until stopped."""
+        """Run rounds until stopped."""
         while not self.should_stop:
             await self.round()
             await self._clock.sleep(self._cfg.period)
 
     async def step_down(self) -> None:
-        """Lead nothing any more; others need not wait for the leases to lapse."""
-        self._leads = False
+        """Stop leading and release the leases, so that others can take them at once."""
+        self._may_lead = False
         for worker in self.workers.values():
             try:
                 await worker.lease.release()
             except EbonydealError as exc:
-                logger.warning("A lease was not given back.", kind=str(exc.kind))
+                logger.warning("Releasing a lease failed.", kind=str(exc.kind))
 
     async def on_stop(self) -> None:
-        """Give the leases back."""
+        """Release the leases."""
         await self.step_down()
--- a/src/ebonydeal/_internal/controller/surplus.py
+++ b/src/ebonydeal/_internal/controller/surplus.py
@@ -1,8 +1,8 @@
-"""Which instances are drained because they are not wanted any more.
+"""Selects the instances that are drained because they are no longer needed.
 
-Make before break: what is ready goes only while the rest still holds the target
-through the loss of any one zone. Only what breaks the price ceiling goes at
-once.
+Make before break: a ready instance is drained only if the others still keep the
+target through the loss of any one zone. Only instances that exceed the price
+ceiling are drained at once.
 """
 
 from collections import Counter
@@ -30,63 +30,67 @@
     config: ReconcileConfig,
     now: float,
 ) -> list[Drain]:
-    """Return drains of what is not wanted; ``staying`` loses what is drained.
+    """Return drains of surplus instances, and remove them from ``staying``.
 
     Parameters
     ----------
     wanted, observed : DesiredState, ObservedState
-        What should run and what does.
+        What should run and what is known to run.
     staying : list of InstanceRow
-        Live rows that nothing else takes away this round.
+        Live rows that no other action drains or deletes in this round.
     config : ReconcileConfig
-        Constants.
+        Parameters.
     now : float
         Wall clock seconds.
     """
     cost = sum(observed.price(row) for row in staying)
-    blocked = _blocked_by_ceiling(wanted, observed, staying)
+    ceiling_blocks = _blocked_by_ceiling(wanted, observed, staying)
     drains = []
     for row in _surplus(wanted, observed, staying):
-        over = cost > wanted.ceiling + _EPS
+        over_ceiling = cost > wanted.ceiling + _EPS
         rest = [item for item in staying if item is not row]
-        if not over and not _strong(rest, wanted, blocked):
+        if not over_ceiling and not _suffices(rest, wanted, ceiling_blocks):
             continue
         serving = row.state is InstanceState.READY
-        why = "price ceiling" if over else "not wanted any more"
-        wait = config.drain_over_ceiling if over else config.drain_longest
+        why = "price ceiling" if over_ceiling else "not wanted any more"
+        wait = config.drain_over_ceiling if over_ceiling else config.drain_longest
         drains.append(Drain(row, why, now + (wait if serving else 0.0)))
         staying.remove(row)
         cost -= observed.price(row)
     return drains
 
 
-def _strong(rest: list[InstanceRow], wanted: DesiredState, blocked: bool) -> bool:
-    """Return whether the ready ones among ``rest`` are enough.
+def _suffices(
+    rest: list[InstanceRow], wanted: DesiredState, ceiling_blocks: bool
+) -> bool:
+    """Return whether the ready instances among ``rest`` are enough.
 
-    Where the ceiling blocks the start of what is wanted, the target itself is
-    enough: something has to go before anything can come.
+    If the ceiling prevents the start of desired instances, the target without
+    spare replicas is enough, as an instance must be released first.
     """
     zones = Counter(row.zone for row in rest if row.state is InstanceState.READY)
     ready = sum(zones.values())
-    if blocked:
+    if ceiling_blocks:
         return ready >= min(wanted.target, sum(wanted.counts.values()))
     if ready < sum(wanted.counts.values()):
         return False
-    aim = Counter[str]()
+    desired_zones = Counter[str]()
     for key, number in wanted.counts.items():
-        aim[key.zone] += number
-    return zone_loss_capacity(zones) >= min(wanted.target, zone_loss_capacity(aim))
+        desired_zones[key.zone] += number
+    return zone_loss_capacity(zones) >= min(
+        wanted.target, zone_loss_capacity(desired_zones)
+    )
 
 
 def zone_loss_capacity(zones: Counter[str]) -> int:
-    """Return how many remain after the loss of the fullest zone."""
+    """Return the replicas left after the loss of the zone that has the most."""
     return sum(zones.values()) - max(zones.values(), default=0)
 
 
 def _surplus(
     wanted: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
 ) -> list[InstanceRow]:
-    """Return the rows beyond the wanted counts: not ready first, then dearest."""
+    """Return rows beyond the desired counts: unready, then most expensive first."""
     order = sorted(staying, key=lambda row: (row.state != InstanceState.READY, row.at))
     kept: Counter[OfferKey] = Counter()
     surplus = []
@@ -104,12 +108,12 @@
 def _blocked_by_ceiling(
     wanted: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
 ) -> bool:
-    """Return whether a wanted start can't be paid before something is drained."""
-    have = Counter(OfferKey.of(row) for row in staying)
+    """Return whether the ceiling allows no desired start before a release."""
+    counts = Counter(OfferKey.of(row) for row in staying)
     prices = [
         observed.prices.get(key, 0.0)
         for key, number in wanted.counts.items()
-        if number > have[key]
+        if number > counts[key]
     ]
     if not prices:
         return False
--- a/src/ebonydeal/_internal/controller/values.py
+++ b/src/ebonydeal/_internal/controller/values.py
@@ -1,4 +1,4 @@
-"""Values that the controller's decisions and tasks share."""
+"""Types and constants that the modules of the controller share."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class OfferKey(NamedTuple):
-    """What is bought: a machine class in a zone, in one of two markets."""
+    """A machine class in a zone, reclaimable or on-demand (the two markets)."""
 
     zone: str
     machine_class: str
@@ -28,7 +28,7 @@
 
 
 class InstanceState(StrEnum):
-    """Life of an instance as its row records it; it never goes backwards."""
+    """State of an instance as recorded in its row; it never moves backwards."""
 
     STARTING = "starting"
     WARMING = "warming"
@@ -43,35 +43,35 @@
 
 
 class InstanceRow(NamedTuple):
-    """The durable record of one instance, ``instances/{token}``.
+    """The durable row of one instance, ``instances/{token}``.
 
     Attributes
     ----------
     token : str
         Idempotency token of the start; ``{deployment}:{unique}``.
     deployment, zone, machine_class : str
-        What it was started for, and where.
+        Deployment, zone and machine class.
     reclaimable : bool
-        Market.
+        Whether the instance is reclaimable rather than on-demand.
     state : InstanceState
         Last recorded state.
     price_per_hour : float
-        Price when it was started, in the document's currency.
+        Price per hour at the start, in the document's currency.
     instance_id : str
-        The cloud's id; empty until the start is known to have taken effect.
+        The cloud's id; empty until the start is known to have succeeded.
     epoch : int
         Lease epoch of the last writer.
     at : float
         Wall clock seconds of the last change of state.
     why : str
-        Why it has this state, for operators.
+        Reason for the state, for operators.
     replaces : str
-        Token of the instance that it replaces, or empty.
+        Token of the instance that it replaces; empty if none.
     drain_until : float
-        Wall clock seconds at which a drain ends at the latest; 0.0 if none.
+        Deadline of the drain, wall clock seconds; 0.0 if none.
     revision : int
-        Grows by one with each write, so that a write which lands late can't
-        undo a newer one.
+        Incremented by each write, so that a late write can't overwrite a newer
+        one.
     """
 
     token: str
@@ -91,18 +91,18 @@
 
     @property
     def key(self) -> str:
-        """Key of the row; it names the deployment also for foreign tokens."""
+        """Key of the row; contains the deployment even if the token doesn't."""
         prefix = row_prefix(self.deployment)
         return prefix + self.token.removeprefix(f"{self.deployment}:")
 
     def to_put(self) -> Put:
-        """Return the write that records it."""
+        """Return the write that records the row."""
         value: dict[str, Any] = {**self._asdict(), "state": str(self.state)}
         return Put(self.key, value)
 
     @classmethod
     def from_row(cls, row: Row) -> "InstanceRow":
-        """Build from a table row; raises KeyError or ValueError on garbage."""
+        """Build from a table row; raises KeyError or ValueError if malformed."""
         fields = {name: row.value[name] for name in cls._fields}
         fields["state"] = InstanceState(fields["state"])
         return cls(**fields)
@@ -115,13 +115,13 @@
 
 def offers_by_key(offers: Iterable[Offer]) -> dict[OfferKey, Offer]:
     """Return the cheapest offer of each (zone, class, market)."""
-    best: dict[OfferKey, Offer] = {}
+    cheapest: dict[OfferKey, Offer] = {}
     for offer in offers:
         key = OfferKey.of(offer)
-        known = best.get(key)
+        known = cheapest.get(key)
         if known is None or offer.price_per_hour < known.price_per_hour:
-            best[key] = offer
-    return best
+            cheapest[key] = offer
+    return cheapest
 
 
 def is_managed(instance: CloudInstance) -> bool:
@@ -130,5 +130,5 @@
 
 
 def tagged_deployment(instance: CloudInstance) -> str | None:
-    """Return the deployment that an instance is tagged with, or None."""
+    """Return the deployment that an instance is tagged with; None if none."""
     return instance.tags.get(TAG_DEPLOYMENT)
--- a/src/ebonydeal/_internal/controller/weight_load_scheduler.py
+++ b/src/ebonydeal/_internal/controller/weight_load_scheduler.py
@@ -1,4 +1,4 @@
-"""Paces weight loads of all deployments that this process leads."""
+"""Limits the rate of weight loads of all deployments that this process leads."""
 
 import math
 from collections import defaultdict
@@ -17,12 +17,12 @@
 
 logger = get_logger("controller")
 
-_COPIES_KEPT_S = 60.0
-_SERVED_MEMORY_S = 300.0
+_COPIES_TTL_S = 60.0
+_SERVED_DECAY_S = 300.0
 
 
 class WeightLoadScheduler:
-    """Takes requests to load from all workers and admits them at the store's rate.
+    """Admits the load requests of all workers within the weight store's rate.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     clock : Clock
         Source of time.
     config : WeightLoadConfig
-        Constants.
+        Parameters.
     """
 
     def __init__(
@@ -50,9 +50,9 @@
     def update_requests(
         self, deployment: str, requests: list[LoadRequest], ready: list[WeightCopy]
     ) -> None:
-        """Replace what a deployment waits for, and the copies it has.
+        """Replace a deployment's waiting requests and the copies on its engines.
 
-        An engine that waits no longer (it is warm, or gone) has ended its load.
+        A load whose engine no longer waits (it is warm or gone) has ended.
         """
         self._requests[deployment] = requests
         self._ready[deployment] = ready
@@ -72,7 +72,7 @@
         }
 
     async def admit_waiting(self) -> None:
-        """Admit what the store's rate allows."""
+        """Admit the waiting loads that the store's rate allows."""
         waiting = [
             req
             for requests in self._requests.values()
@@ -85,16 +85,16 @@
             rate = await self._store.rate_left()
             copies = await self._all_copies({req.model for req in waiting})
         except EbonydealError as exc:
-            logger.warning("The weight store can't be asked.", kind=str(exc.kind))
+            logger.warning("Weight store is unreachable.", kind=str(exc.kind))
             return
-        self._fade()
+        self._decay_served()
         used = sum(not load.source for load in self._running.values())
         starts = admit_loads(
             waiting,
             list(self._running.values()),
             copies,
             self._served,
-            rate + used * self._config.rate_of_one,
+            rate + used * self._config.engine_rate_gb_per_s,
             self._config,
         )
         for start in starts:
@@ -103,32 +103,32 @@
                 self._served[start.deployment] += _size(start.model, copies)
 
     async def _all_copies(self, models: set[str]) -> Mapping[str, list[WeightCopy]]:
-        """Return the store's copies (asked now and then) and our engines'."""
+        """Return the copies in the store (cached) and those on ready engines."""
         now = self._clock.now()
         copies: dict[str, list[WeightCopy]] = {}
         for model in sorted(models):
-            known = self._copies.get(model)
-            if known is None or now - known[0] > _COPIES_KEPT_S:
-                known = (now, await self._store.copies(model))
-                self._copies[model] = known
+            cached = self._copies.get(model)
+            if cached is None or now - cached[0] > _COPIES_TTL_S:
+                cached = (now, await self._store.copies(model))
+                self._copies[model] = cached
             ready = [
                 copy
                 for items in self._ready.values()
                 for copy in items
                 if copy.model == model
             ]
-            copies[model] = known[1] + ready
+            copies[model] = cached[1] + ready
         return copies
 
-    def _fade(self) -> None:
-        """Let past service count less and less."""
+    def _decay_served(self) -> None:
+        """Reduce the weight of past loads exponentially."""
         now = self._clock.now()
-        keep = math.exp(-(now - self._served_at) / _SERVED_MEMORY_S)
+        factor = math.exp(-(now - self._served_at) / _SERVED_DECAY_S)
         self._served_at = now
         for name in self._served:
-            self._served[name] *= keep
+            self._served[name] *= factor
 
 
 def _size(model: str, copies: Mapping[str, list[WeightCopy]]) -> float:
-    """Return a model's gigabytes, 1.0 where nobody says."""
+    """Return a model's size in gigabytes; 1.0 if unknown."""
     return max((copy.size_gb for copy in copies.get(model, ())), default=1.0)
--- a/src/ebonydeal/_internal/controller/weights.py
+++ b/src/ebonydeal/_internal/controller/weights.py
@@ -1,9 +1,9 @@
-"""Which weight loads may start now, under the weight store's rate.
+"""Decides which weight loads may start now within the weight store's rate.
 
-A pure decision. Loads of one model in one zone share one read of the store: the
-first engine reads it, the others copy from it. Deployments are served by
-weighted shares (a deployment below strength has a higher weight), so that a
-wave of replacements in one never starves the rest.
+A pure function. Loads of one model in one zone share one read of the store: the
+first engine reads it, and the others copy from that engine. Deployments share
+the rate by weight (one with too few ready replicas has a higher weight), so that
+many replacements in one deployment never starve the others.
 """
 
 from collections import Counter, defaultdict, deque
@@ -17,25 +17,25 @@
 
 
 class WeightLoadConfig(NamedTuple):
-    """Constants of loading.
+    """Parameters of weight loads.
 
     Attributes
     ----------
-    rate_of_one : float
-        Gigabytes a second that one engine can read.
-    below_strength_weight : float
-        Weight of a deployment that has lost all its strength; 1 is the weight
-        of one at full strength.
-    near_at_once : int
-        Most engines that copy from one near copy together.
-    reserve : float
+    engine_rate_gb_per_s : float
+        Gigabytes per second that one engine can read.
+    max_shortfall_weight : float
+        Weight of a deployment without ready replicas; one at its target has the
+        weight 1.
+    max_readers_per_copy : int
+        Maximum number of engines that copy from one source in their zone at once.
+    reserved_share : float
         Share of the store's rate that only shared reads may use.
     """
 
-    rate_of_one: float = 2.0
-    below_strength_weight: float = 8.0
-    near_at_once: int = 4
-    reserve: float = 0.25
+    engine_rate_gb_per_s: float = 2.0
+    max_shortfall_weight: float = 8.0
+    max_readers_per_copy: int = 4
+    reserved_share: float = 0.25
 
 
 class LoadRequest(NamedTuple):
@@ -44,9 +44,9 @@
     Attributes
     ----------
     endpoint_id, deployment, model, zone : str
-        Which engine, for whom, what and where.
+        Engine, its deployment, the model to load and the engine's zone.
     shortfall : float
-        Share of its strength that the deployment lacks, 0 to 1.
+        Share of the target that is not ready in the deployment, 0 to 1.
     asked_at : float
         Monotonic seconds.
     """
@@ -60,7 +60,7 @@
 
 
 class RunningLoad(NamedTuple):
-    """A load that goes on; ``source`` is empty for the store itself."""
+    """A load in progress; ``source`` is empty for the store itself."""
 
     endpoint_id: str
     deployment: str
@@ -70,7 +70,7 @@
 
 
 class LoadStart(NamedTuple):
-    """A load that may start now, and from where."""
+    """A load that may start now; ``source`` is empty for the store itself."""
 
     endpoint_id: str
     deployment: str
@@ -95,29 +95,29 @@
     Parameters
     ----------
     requests : iterable of LoadRequest
-        Engines that wait.
+        Requests of waiting engines.
     running : sequence of RunningLoad
-        Loads that go on.
+        Loads in progress.
     copies : mapping of str to sequence of WeightCopy
-        Sources by model; an empty zone is the store.
+        Sources by model; the store has an empty zone.
     served_gb : mapping of str to float
-        Gigabytes that the store has lately given to each deployment.
+        Gigabytes recently read from the store, by deployment.
     store_rate : float
-        Gigabytes a second that the store gives altogether.
+        Total rate of the store, gigabytes per second.
     config : WeightLoadConfig
-        Constants.
+        Parameters.
     """
     state = _State(running, copies, served_gb, store_rate, config)
     groups = _grouped(requests)
     starts = state.admit(groups, shared=True)
-    # What the shared reads leave free is used too, but for a reserve: a
-    # deployment that falls below strength next finds the store open.
-    state.free -= config.reserve * store_rate
+    # The rate that shared reads leave is used too, except for a reserve, so that
+    # a deployment that loses replicas next can read from the store at once.
+    state.free_rate -= config.reserved_share * store_rate
     return starts + state.admit(groups, shared=False)
 
 
 class _State:
-    """What is used while loads are admitted."""
+    """Resources in use while loads are admitted."""
 
     def __init__(
         self,
@@ -130,20 +130,20 @@
         direct = [load for load in running if not load.source]
         self.copies = copies
         self.config = config
-        self.served = defaultdict(float, served_gb)
-        self.free = store_rate - config.rate_of_one * len(direct)
+        self.served_gb = defaultdict(float, served_gb)
+        self.free_rate = store_rate - config.engine_rate_gb_per_s * len(direct)
         self.reading = {(load.model, load.zone) for load in direct}
-        self.near: Counter[str] = Counter(
+        self.readers: Counter[str] = Counter(
             load.source for load in running if load.source
         )
-        self._sources: dict[tuple[str, str], list[tuple[int, str]]] = {}
+        self._zone_copies: dict[tuple[str, str], list[tuple[int, str]]] = {}
 
     def admit(self, groups: _Groups, shared: bool) -> list[LoadStart]:
-        """Admit from the front of groups, the least served deployment first."""
+        """Admit the oldest requests of groups, least served deployment first."""
         starts = []
         open_groups = {key for key, queue in groups.items() if queue}
         while open_groups:
-            key = min(open_groups, key=lambda item: self._share(groups[item][0]))
+            key = min(open_groups, key=lambda item: self._priority(groups[item][0]))
             req = groups[key][0]
             source = self._source(req, shared)
             if source is None:
@@ -158,41 +158,43 @@
         return starts
 
     def _source(self, req: LoadRequest, shared: bool) -> str | None:
-        """Take a source for a load; empty for the store, None for none."""
-        near = self._near_copy(req)
-        if near is not None:
-            return near
-        place = (req.model, req.zone)
-        if (shared and place in self.reading) or self.free <= _EPS:
+        """Reserve a source for a load; empty for the store, None if there is none."""
+        copy = self._zone_copy(req)
+        if copy is not None:
+            return copy
+        model_zone = (req.model, req.zone)
+        if (shared and model_zone in self.reading) or self.free_rate <= _EPS:
             return None
-        self.reading.add(place)
-        self.free -= self.config.rate_of_one
-        self.served[req.deployment] += _store_size(req.model, self.copies)
+        self.reading.add(model_zone)
+        self.free_rate -= self.config.engine_rate_gb_per_s
+        self.served_gb[req.deployment] += _store_size(req.model, self.copies)
         return ""
 
-    def _near_copy(self, req: LoadRequest) -> str | None:
-        """Take the least used copy in the engine's zone that has room."""
-        place = (req.model, req.zone)
-        if place not in self._sources:
+    def _zone_copy(self, req: LoadRequest) -> str | None:
+        """Reserve the least used copy in the engine's zone; None if all are full."""
+        model_zone = (req.model, req.zone)
+        if model_zone not in self._zone_copies:
             found = {
                 copy.source
                 for copy in self.copies.get(req.model, ())
                 if copy.zone == req.zone
             }
-            self._sources[place] = [(self.near[name], name) for name in found]
-            heapify(self._sources[place])
-        heap = self._sources[place]
-        if not heap or heap[0][0] >= self.config.near_at_once:
+            self._zone_copies[model_zone] = [
+                (self.readers[name], name) for name in found
+            ]
+            heapify(self._zone_copies[model_zone])
+        heap = self._zone_copies[model_zone]
+        if not heap or heap[0][0] >= self.config.max_readers_per_copy:
             return None
         used, source = heap[0]
         heapreplace(heap, (used + 1, source))
         return source
 
-    def _share(self, req: LoadRequest) -> tuple[float, float, float, str]:
-        """Return the order of a request: least served by weight comes first."""
-        extra = self.config.below_strength_weight - 1.0
+    def _priority(self, req: LoadRequest) -> tuple[float, float, float, str]:
+        """Return the sort key of a request: least served by weight comes first."""
+        extra = self.config.max_shortfall_weight - 1.0
         weight = 1.0 + extra * min(1.0, max(0.0, req.shortfall))
-        share = self.served[req.deployment] / weight
+        share = self.served_gb[req.deployment] / weight
         return (share, -req.shortfall, req.asked_at, req.endpoint_id)
 
 
@@ -205,5 +207,5 @@
 
 
 def _store_size(model: str, copies: Mapping[str, Sequence[WeightCopy]]) -> float:
-    """Return a model's gigabytes, 1.0 where nobody says."""
+    """Return a model's size in gigabytes; 1.0 if unknown."""
     return max((copy.size_gb for copy in copies.get(model, ())), default=1.0)
--- a/src/ebonydeal/_internal/controller/worker.py
+++ b/src/ebonydeal/_internal/controller/worker.py
@@ -1,4 +1,4 @@
-"""One deployment's rounds: lead, look, decide, act."""
+"""Runs the rounds of one deployment: observe, decide and act as its leader."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
 from ebonydeal._internal.controller.execute import Executor
 from ebonydeal._internal.controller.lease import LeaseKeeper
 from ebonydeal._internal.controller.ledger import SpendLedger
-from ebonydeal._internal.controller.loads import LoadWatcher
+from ebonydeal._internal.controller.loads import LoadPoller
 from ebonydeal._internal.controller.missing_instances import MissingInstances
 from ebonydeal._internal.controller.offers import OfferTracker
 from ebonydeal._internal.controller.placement import Placement
@@ -40,18 +40,18 @@
 
 logger = get_logger("controller")
 
-_MOST_UNREPLACED = 1000
+_MAX_UNREPLACED = 1000
 
 
 class DeploymentWorker:
-    """Leads one deployment, or stands by to lead it.
+    """Leads one deployment, or waits for the lease to lead it.
 
     Parameters
     ----------
     name : str
-        Deployment.
+        Name of the deployment.
     ctx : ControllerContext
-        Adapters and means.
+        Shared dependencies.
     """
 
     def __init__(self, name: str, ctx: ControllerContext) -> None:
@@ -78,7 +78,7 @@
             self._mark_leaving,
         )
         self._replicas = ReplicaManager(name, self.lease, ctx)
-        self._loads = LoadWatcher(ctx.engine, ctx.clock, ctx.cfg.load_period)
+        self._loads = LoadPoller(ctx.engine, ctx.clock, ctx.cfg.load_period)
         self._ledger = SpendLedger(name, ctx.clock, ctx.cfg.spend_period)
         self._missing = MissingInstances(ctx.cfg.list_grace)
         self._demand = DemandTracker(ctx.demand_config())
@@ -89,9 +89,9 @@
     async def round(
         self, deployment: Deployment | None, snapshot: PlatformSnapshot
     ) -> None:
-        """Do one round; a deployment that the document dropped is None.
+        """Run one round; ``deployment`` is None if the document dropped it.
 
-        Raises what the table raises; the next round takes up from there.
+        Raises errors of the table; the next round continues from the rows.
         """
         if not await self.lease.step():
             return
@@ -100,12 +100,14 @@
         except EbonydealError as exc:
             if exc.kind is not ErrorKind.FENCED:
                 raise
-            logger.warning("Another controller leads.", deployment=self.name)
+            logger.warning(
+                "Another controller has taken the lease.", deployment=self.name
+            )
 
     async def _lead(
         self, deployment: Deployment | None, snapshot: PlatformSnapshot
     ) -> None:
-        """Do one round as the leader."""
+        """Run one round as the leader."""
         await self.records.refresh()
         if self.lease.epoch != self._epoch:
             self._begin_epoch()
@@ -113,7 +115,7 @@
         self._endpoint_views = views_by_token(
             deployment, self.records.rows, instances, snapshot.endpoints
         )
-        await self._look_at_loads()
+        await self._poll_loads()
         zones = frozenset() if deployment is None else _zones(deployment)
         offers = self._offers.usable(snapshot.offers, zones, self.records.rows.values())
         await self._decide(deployment, snapshot, offers)
@@ -130,36 +132,36 @@
             await self._write_spend(deployment, offers)
 
     def _begin_epoch(self) -> None:
-        """Start anew after the lease was taken."""
+        """Reset the state after the lease was taken."""
         self._epoch = self.lease.epoch or 0
         self._unreplaced.clear()
-        self._hold_strength(InstanceState.READY)
+        self._hold_replicas(InstanceState.READY)
         self._ctx.metrics.count(Event.TAKEOVERS)
-        logger.info("Leading.", deployment=self.name, epoch=self._epoch)
+        logger.info("Lease taken.", deployment=self.name, epoch=self._epoch)
         for row in self.records.rows.values():
             if row.state is InstanceState.DRAINING:
                 self._mark_leaving(row)
 
-    def _hold_strength(self, *states: InstanceState) -> None:
-        """Hold what is there for a while: its load is not known yet."""
+    def _hold_replicas(self, *states: InstanceState) -> None:
+        """Keep replicas in ``states`` for a while, as their load isn't known yet."""
         rows = self.records.rows.values()
         zones = Counter(row.zone for row in rows if row.state in states)
         self._demand.begin(zone_loss_capacity(zones), self._ctx.clock.now())
 
-    async def _look_at_loads(self) -> None:
-        """Ask replicas for their load: draining ones first."""
+    async def _poll_loads(self) -> None:
+        """Poll the load of replicas, draining and warming ones first."""
         states = {token: row.state for token, row in self.records.rows.items()}
         endpoint_views = {
             view.endpoint_id: view
             for token, view in self._endpoint_views.items()
             if token in states and states[token] is not InstanceState.STARTING
         }
-        first = {
+        priority = {
             view.endpoint_id
             for token, view in self._endpoint_views.items()
             if states.get(token) in (InstanceState.DRAINING, InstanceState.WARMING)
         }
-        await self._loads.ask(endpoint_views, first)
+        await self._loads.poll(endpoint_views, priority)
 
     async def _decide(
         self,
@@ -167,7 +169,7 @@
         snapshot: PlatformSnapshot,
         offers: dict[OfferKey, Offer],
     ) -> None:
-        """Choose the target and where it runs."""
+        """Choose the target, and where its replicas run."""
         if deployment is None:
             self.target, self.placement = 0, Placement({}, 0.0, 0, 0)
             return
@@ -203,7 +205,7 @@
         }
 
     def _current(self, snapshot: PlatformSnapshot) -> Counter[OfferKey]:
-        """Return the live instances that are not under a notice."""
+        """Count the live instances without a reclaim notice."""
         leaving = self._leaving(snapshot)
         return Counter(
             OfferKey.of(row)
@@ -212,7 +214,7 @@
         )
 
     async def _backlog(self, deployment: Deployment, wall: float) -> list[Backlog]:
-        """Return the deadline work that waits."""
+        """Return the waiting deadline work."""
         if not deployment.deadline_work:
             return []
         return await read_backlog(self._ctx.tables, self.name, wall)
@@ -224,7 +226,7 @@
         offers: dict[OfferKey, Offer],
         warm: set[str],
     ) -> None:
-        """Plan and act."""
+        """Plan the actions and execute them."""
         instances = snapshot.instances.get(self.name, {})
         observed = ObservedState(
             instances=instances,
@@ -247,7 +249,7 @@
         if self.placement.ceiling_held:
             self._ctx.metrics.count(Event.CEILING_HELD, self.placement.ceiling_held)
             logger.warning(
-                "The price ceiling holds replicas back.",
+                "Price ceiling prevents replicas.",
                 deployment=self.name,
                 number=self.placement.ceiling_held,
             )
@@ -255,17 +257,21 @@
             match action:
                 case Drain(row=row, why="reclaim notice") | Forget(row=row, lost=True):
                     self._unreplaced.append(row.token)
-        begun = {action.replaces for action in actions if isinstance(action, Start)}
+        started_for = {
+            action.replaces for action in actions if isinstance(action, Start)
+        }
         if self.lease.epoch is None:
             return
         await self._executor.run(actions, self._epoch, offers, instances)
         if any(isinstance(action, Enlist) for action in actions):
-            self._hold_strength(*LIVE_STATES)
-        still = [token for token in self._unreplaced if token not in begun]
-        self._unreplaced = (still + self._executor.refused)[-_MOST_UNREPLACED:]
+            self._hold_replicas(*LIVE_STATES)
+        unreplaced = [token for token in self._unreplaced if token not in started_for]
+        self._unreplaced = (unreplaced + self._executor.unstarted_replacements)[
+            -_MAX_UNREPLACED:
+        ]
 
     def _leaving(self, snapshot: PlatformSnapshot) -> dict[str, float]:
-        """Return the tokens under a notice, with its deadline."""
+        """Return the reclaim deadlines of instances under a notice, by token."""
         leaving = {}
         for token, instance in snapshot.instances.get(self.name, {}).items():
             deadline = snapshot.reclaim_notices.deadline(instance)
@@ -274,7 +280,7 @@
         return leaving
 
     def _gone(self, snapshot: PlatformSnapshot) -> set[str]:
-        """Return the tokens of instances that vanished."""
+        """Return the tokens of instances that are gone."""
         rows = self.records.rows
         instances = snapshot.instances.get(self.name, {})
         answering = {
@@ -286,7 +292,7 @@
         return self._missing.update(set(rows), instances, answering, now)
 
     def _idle(self) -> set[str]:
-        """Return the draining tokens whose replica says that it runs nothing."""
+        """Return tokens of draining instances whose replica reports no requests."""
         idle = set()
         for row in self.records.rows.values():
             view = self._endpoint_views.get(row.token)
@@ -307,7 +313,7 @@
         return max(0.0, 1.0 - ready / self.target)
 
     def _mark_leaving(self, row: InstanceRow) -> None:
-        """Spread the leaving mark of an instance that drains."""
+        """Publish the leaving mark of a draining instance."""
         view = self._endpoint_views.get(row.token)
         self._ctx.mark(
             LeavingMark(
@@ -323,7 +329,7 @@
     async def _write_spend(
         self, deployment: Deployment | None, offers: dict[OfferKey, Offer]
     ) -> None:
-        """Record the spend now and then."""
+        """Measure the spend, and record it once per period."""
         ceiling = 0.0 if deployment is None else deployment.price_ceiling
         spend = self._ledger.measure(
             list(self.records.rows.values()), offers, ceiling, self.target
--- a/tests/unit/controller/test_loads.py
+++ b/tests/unit/controller/test_loads.py
@@ -1,4 +1,4 @@
-from ebonydeal._internal.controller.loads import LoadWatcher
+from ebonydeal._internal.controller.loads import LoadPoller
 from ebonydeal._internal.models.endpoints import LoadReport
 from tests.lib.clock import ManualClock
 from tests.lib.endpoints import make_view
@@ -13,15 +13,15 @@
         return LoadReport(0, 0, 8, 0.0, 40.0, 0.0)
 
 
-class TestLoadWatcher:
+class TestLoadPoller:
     async def test_replica_is_asked_once_a_period_unless_it_comes_first(self):
         engine = CountingEngine()
         clock = ManualClock()
-        loads = LoadWatcher(engine, clock, 60.0)
+        loads = LoadPoller(engine, clock, 60.0)
         views = {name: make_view(name) for name in ("i-1", "i-2")}
-        await loads.ask(views, set())
-        await loads.ask(views, {"i-2"})
+        await loads.poll(views, set())
+        await loads.poll(views, {"i-2"})
         assert engine.asked == ["i-1", "i-2", "i-2"]
         await clock.advance(60.0)
-        await loads.ask(views, set())
+        await loads.poll(views, set())
         assert engine.asked[3:] == ["i-1", "i-2"]
--- a/tests/unit/controller/test_orders.py
+++ b/tests/unit/controller/test_orders.py
@@ -63,5 +63,5 @@
 
     def test_another_end_starts_it_all_again(self):
         memory = after_read(read(WANTED), EngineOrder(4, ("m",), "serve"), WANTED, 260)
-        assert memory.same_since is None
+        assert memory.matching_since is None
         assert step(memory, now=260.0) == SendOrder()
--- a/tests/unit/controller/test_weights.py
+++ b/tests/unit/controller/test_weights.py
@@ -9,7 +9,9 @@
 )
 from ebonydeal._internal.outside.interfaces import WeightCopy
 
-POLICY = WeightLoadConfig(rate_of_one=2.0, near_at_once=2, reserve=0.25)
+POLICY = WeightLoadConfig(
+    engine_rate_gb_per_s=2.0, max_readers_per_copy=2, reserved_share=0.25
+)
 COPIES = {"m": [WeightCopy("store", "m", 10.0, "")]}
 
 
@@ -57,5 +59,8 @@
     def test_the_rate_is_never_passed(self, items, rate):
         requests = [req(str(n), d, z) for n, (d, z) in enumerate(items)]
         direct = [name for name, source in admit(requests, rate) if not source]
-        assert len(direct) * POLICY.rate_of_one < rate + POLICY.rate_of_one
+        assert (
+            len(direct) * POLICY.engine_rate_gb_per_s
+            < rate + POLICY.engine_rate_gb_per_s
+        )
         assert len(direct) == len(set(direct))
