--- a/src/ebonydeal/_internal/controller/deadline.py
+++ b/src/ebonydeal/_internal/controller/deadline.py
@@ -121,7 +121,7 @@
 
 
 def _quantile(market: Market, committed: float) -> float:
-    """Return the ``committed`` quantile of the recent prices."""
+    """Return the ``committed`` quantile of the recent and current prices."""
     prices = sorted((*market.recent, market.reclaimable))
     index = math.ceil(committed * len(prices)) - 1
     return prices[max(0, index)]
--- a/src/ebonydeal/_internal/controller/deadline_replicas.py
+++ b/src/ebonydeal/_internal/controller/deadline_replicas.py
@@ -66,7 +66,7 @@
         remaining -= added
     # Replicas count as held back by the ceiling only if an offer is within the
     # price limit.
-    affordable_offer = any(
+    has_offer_in_limit = any(
         price <= price_limit + _EPS
         for _score, price, _key, _room in _choices(
             counts, on_demand_allowed, offers, {}, blocked, keep_discount
@@ -76,7 +76,7 @@
         counts=dict(+counts),
         cost_per_hour=cost,
         ceiling_held=placement.ceiling_held
-        + (remaining if affordable_offer and remaining > 0 else 0),
+        + (remaining if has_offer_in_limit and remaining > 0 else 0),
     )
 
 
--- a/src/ebonydeal/_internal/controller/demand_tracker.py
+++ b/src/ebonydeal/_internal/controller/demand_tracker.py
@@ -59,14 +59,20 @@
         now : float
             Monotonic seconds.
         """
-        low, high = deployment.min_replicas, deployment.max_replicas
+        min_replicas, max_replicas = deployment.min_replicas, deployment.max_replicas
         if replicas and not reports:
-            return min(high, max(low, self._target))
+            return min(max_replicas, max(min_replicas, self._target))
         load = Load.from_reports(reports)
         if reports:
             scale = max(1.0, replicas / len(reports))
             load = load._replace(in_flight=load.in_flight * scale)
         self._target, self._state = desired_replicas(
-            self._state, load, deployment.first_token_s, low, high, self._config, now
+            self._state,
+            load,
+            deployment.first_token_s,
+            min_replicas,
+            max_replicas,
+            self._config,
+            now,
         )
-        return min(high, max(low, self._target))
+        return min(max_replicas, max(min_replicas, self._target))
--- a/src/ebonydeal/_internal/controller/execute.py
+++ b/src/ebonydeal/_internal/controller/execute.py
@@ -219,7 +219,7 @@
         await self._records.delete(row, event)
 
     def _keep_unstarted(self, row: InstanceRow) -> None:
-        """Keep the token that a start which didn't happen was to replace."""
+        """Keep the token of the instance that a failed start was to replace."""
         if row.replaces:
             self.unstarted_replacements.append(row.replaces)
 
--- a/src/ebonydeal/_internal/controller/order_manager.py
+++ b/src/ebonydeal/_internal/controller/order_manager.py
@@ -70,7 +70,7 @@
     async def round(
         self,
         engines: Mapping[str, EndpointView],
-        wanted: Mapping[str, EngineOrder],
+        desired: Mapping[str, EngineOrder],
         may_load: Collection[str],
         checks_fence: bool,
         predecessor_gone: bool,
@@ -81,7 +81,7 @@
         ----------
         engines : mapping of str to EndpointView
             Engines by instance id.
-        wanted : mapping of str to EngineOrder
+        desired : mapping of str to EngineOrder
             Desired state of each, by instance id.
         may_load : collection of str
             Ids of engines that may load weights now.
@@ -101,7 +101,7 @@
             async with semaphore:
                 return await self._settle(
                     engines[endpoint_id],
-                    wanted,
+                    desired,
                     endpoint_id in may_load,
                     leadership,
                     checks_fence,
@@ -110,9 +110,9 @@
         settled = set()
         unsettled = []
         for endpoint_id in engines:
-            if endpoint_id not in wanted:
+            if endpoint_id not in desired:
                 continue
-            step = self._step(endpoint_id, wanted, leadership, checks_fence)
+            step = self._step(endpoint_id, desired, leadership, checks_fence)
             if isinstance(step, Settled):
                 settled.add(endpoint_id)
             elif not isinstance(step, HoldOrder):
@@ -127,13 +127,13 @@
     def _step(
         self,
         endpoint_id: str,
-        wanted: Mapping[str, EngineOrder],
+        desired: Mapping[str, EngineOrder],
         leadership: Leadership,
         checks_fence: bool,
     ) -> Step:
         """Return the next step for one engine."""
         return next_step(
-            wanted[endpoint_id],
+            desired[endpoint_id],
             self._known_orders.get(endpoint_id, KnownOrder()),
             leadership,
             checks_fence,
@@ -148,17 +148,17 @@
     async def _settle(
         self,
         view: EndpointView,
-        wanted: Mapping[str, EngineOrder],
+        desired: Mapping[str, EngineOrder],
         may_load: bool,
         leadership: Leadership,
         checks_fence: bool,
     ) -> bool:
         """Do a limited number of steps for one engine; return if it is settled."""
-        order = wanted[view.endpoint_id]
+        order = desired[view.endpoint_id]
         for _ in range(_MAX_STEPS_PER_ROUND):
             known = self._known_orders.get(view.endpoint_id, KnownOrder())
             try:
-                match self._step(view.endpoint_id, wanted, leadership, checks_fence):
+                match self._step(view.endpoint_id, desired, leadership, checks_fence):
                     case Settled():
                         return True
                     case HoldOrder():
@@ -176,21 +176,21 @@
         return False
 
     async def _read(
-        self, view: EndpointView, wanted: EngineOrder, known: KnownOrder
+        self, view: EndpointView, desired: EngineOrder, known: KnownOrder
     ) -> None:
         """Read the order in force from an engine."""
         found = await self._engine.order_state(view)
         now = self._clock.now()
-        self._known_orders[view.endpoint_id] = after_read(known, found, wanted, now)
+        self._known_orders[view.endpoint_id] = after_read(known, found, desired, now)
 
     async def _send(
-        self, view: EndpointView, wanted: EngineOrder, known: KnownOrder
+        self, view: EndpointView, desired: EngineOrder, known: KnownOrder
     ) -> None:
         """Send an order, after the table has confirmed the lease this round."""
         await self._confirm_lease()
         self._known_orders[view.endpoint_id] = after_send(known)
         self._metrics.count(Event.ORDERS_SENT)
-        await self._engine.order(view, wanted)
+        await self._engine.order(view, desired)
 
     async def _confirm_lease(self) -> None:
         """Raise ``FENCED`` unless the table still has this leader's epoch."""
--- a/src/ebonydeal/_internal/controller/orders.py
+++ b/src/ebonydeal/_internal/controller/orders.py
@@ -92,7 +92,7 @@
 
 
 def next_step(
-    wanted: EngineOrder,
+    desired: EngineOrder,
     known: KnownOrder,
     leadership: Leadership,
     checks_fence: bool,
@@ -103,7 +103,7 @@
 
     Parameters
     ----------
-    wanted : EngineOrder
+    desired : EngineOrder
         The desired state, with this leader's epoch.
     known : KnownOrder
         What is known of the engine.
@@ -119,12 +119,12 @@
     if known.read_at is None or known.found is None:
         return ReadBack()
     if checks_fence:
-        return Settled() if known.found == wanted else SendOrder()
-    return _step_unchecked(wanted, known, leadership, config, now)
+        return Settled() if known.found == desired else SendOrder()
+    return _step_unchecked(desired, known, leadership, config, now)
 
 
 def _step_unchecked(
-    wanted: EngineOrder,
+    desired: EngineOrder,
     known: KnownOrder,
     leadership: Leadership,
     config: OrderConfig,
@@ -133,11 +133,11 @@
     """Return the next step for an engine that ignores fencing tokens."""
     found, read_at = known.found, known.read_at
     assert found is not None and read_at is not None
-    if not has_same_state(found, wanted):
+    if not has_same_state(found, desired):
         predecessor_may_send = now < leadership.since + config.quiet
         if predecessor_may_send and not leadership.predecessor_gone:
             return HoldOrder("the old lease has not run out")
-        if interrupts_work(found, wanted) and not leadership.predecessor_gone:
+        if interrupts_work(found, desired) and not leadership.predecessor_gone:
             return HoldOrder("can't be undone, and the old holder may be alive")
         return SendOrder()
     stable = known.matching_since is not None and (
@@ -152,28 +152,28 @@
     return Settled()
 
 
-def has_same_state(found: EngineOrder, wanted: EngineOrder) -> bool:
+def has_same_state(found: EngineOrder, desired: EngineOrder) -> bool:
     """Return whether two orders state the same models and role."""
-    return set(found.models) == set(wanted.models) and found.role == wanted.role
+    return set(found.models) == set(desired.models) and found.role == desired.role
 
 
-def interrupts_work(found: EngineOrder, wanted: EngineOrder) -> bool:
+def interrupts_work(found: EngineOrder, desired: EngineOrder) -> bool:
     """Return whether reaching the desired state interrupts running work.
 
     Unloading a model, or changing the role of an engine that has models, ends
     streams and deletes caches, which can't be undone.
     """
-    if set(found.models) - set(wanted.models):
+    if set(found.models) - set(desired.models):
         return True
-    return bool(found.models) and found.role != wanted.role
+    return bool(found.models) and found.role != desired.role
 
 
 def after_read(
-    known: KnownOrder, found: EngineOrder, wanted: EngineOrder, now: float
+    known: KnownOrder, found: EngineOrder, desired: EngineOrder, now: float
 ) -> KnownOrder:
     """Return what is known after the order in force was read."""
     matching_since = known.matching_since
-    if not has_same_state(found, wanted):
+    if not has_same_state(found, desired):
         matching_since = None
     elif matching_since is None:
         matching_since = now
--- a/src/ebonydeal/_internal/controller/reconcile.py
+++ b/src/ebonydeal/_internal/controller/reconcile.py
@@ -41,7 +41,7 @@
 
 
 def plan(
-    wanted: DesiredState,
+    desired: DesiredState,
     observed: ObservedState,
     config: ReconcileConfig,
     now: float,
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    wanted, observed : DesiredState, ObservedState
+    desired, observed : DesiredState, ObservedState
         What should run and what is known to run.
     config : ReconcileConfig
         Parameters.
@@ -66,20 +66,22 @@
         At most one for each instance. Nothing is started in a round that takes
         over instances, as these may be the missing ones.
     """
-    actions: list[Action] = list(_plan_unrecorded(wanted, observed))
+    actions: list[Action] = list(_plan_unrecorded(desired, observed))
     for row in observed.rows.values():
         actions.extend(_advance(row, observed, config, now))
     staying = _staying(observed, actions)
-    drains = drain_surplus(wanted, observed, staying, config, now)
+    drains = drain_surplus(desired, observed, staying, config, now)
     actions = _without_rows(actions, {drain.row.token for drain in drains})
     actions.extend(drains)
     if any(isinstance(action, Enlist) for action in actions):
         return actions
-    actions.extend(_starts(wanted, observed, staying, actions, unreplaced, config))
+    actions.extend(_starts(desired, observed, staying, actions, unreplaced, config))
     return actions
 
 
-def _plan_unrecorded(wanted: DesiredState, observed: ObservedState) -> Iterator[Action]:
+def _plan_unrecorded(
+    desired: DesiredState, observed: ObservedState
+) -> Iterator[Action]:
     """Yield the actions for instances without a row.
 
     A managed instance without a row was started by a late call, and is released.
@@ -90,7 +92,7 @@
             continue
         if is_managed(instance):
             yield Condemn(instance)
-        elif wanted.target > 0:
+        elif desired.target > 0:
             yield Enlist(instance)
 
 
@@ -163,7 +165,7 @@
 
 
 def _starts(
-    wanted: DesiredState,
+    desired: DesiredState,
     observed: ObservedState,
     staying: list[InstanceRow],
     actions: list[Action],
@@ -178,7 +180,7 @@
     to_replace = iter(unreplaced + _lost_tokens(actions))
     starts_left = config.starts_at_once
     cheapest_first = sorted(
-        wanted.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
+        desired.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
     )
     for key, number in cheapest_first:
         missing = number - counts[key]
@@ -188,7 +190,7 @@
         for started in range(missing):
             if starts_left <= 0:
                 return
-            if cost + price > wanted.ceiling + _EPS:
+            if cost + price > desired.ceiling + _EPS:
                 yield Hold(key, missing - started)
                 break
             replaces = next(to_replace, "")
--- a/src/ebonydeal/_internal/controller/service.py
+++ b/src/ebonydeal/_internal/controller/service.py
@@ -147,8 +147,9 @@
     async def _names(self, document: Document, snapshot: PlatformSnapshot) -> list[str]:
         """Return the deployments that need a round, including dropped ones.
 
-        A dropped deployment still has instances or rows to remove. Now and then,
-        all deployments that ever had a lease are included.
+        A dropped deployment still has instances or rows to remove. Every
+        ``_DROPPED_CHECK_ROUNDS`` rounds, all deployments that ever had a lease
+        are included.
         """
         names = set(document.deployments) | set(snapshot.instances)
         names |= {name for name, worker in self.workers.items() if worker.records.rows}
--- a/src/ebonydeal/_internal/controller/surplus.py
+++ b/src/ebonydeal/_internal/controller/surplus.py
@@ -24,7 +24,7 @@
 
 
 def drain_surplus(
-    wanted: DesiredState,
+    desired: DesiredState,
     observed: ObservedState,
     staying: list[InstanceRow],
     config: ReconcileConfig,
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    wanted, observed : DesiredState, ObservedState
+    desired, observed : DesiredState, ObservedState
         What should run and what is known to run.
     staying : list of InstanceRow
         Live rows that no other action drains or deletes in this round.
@@ -44,12 +44,12 @@
         Wall clock seconds.
     """
     cost = sum(observed.price(row) for row in staying)
-    ceiling_blocks = _blocked_by_ceiling(wanted, observed, staying)
+    ceiling_blocks = _blocked_by_ceiling(desired, observed, staying)
     drains = []
-    for row in _surplus(wanted, observed, staying):
-        over_ceiling = cost > wanted.ceiling + _EPS
+    for row in _surplus(desired, observed, staying):
+        over_ceiling = cost > desired.ceiling + _EPS
         rest = [item for item in staying if item is not row]
-        if not over_ceiling and not _suffices(rest, wanted, ceiling_blocks):
+        if not over_ceiling and not _suffices(rest, desired, ceiling_blocks):
             continue
         serving = row.state is InstanceState.READY
         why = "price ceiling" if over_ceiling else "not wanted any more"
@@ -61,7 +61,7 @@
 
 
 def _suffices(
-    rest: list[InstanceRow], wanted: DesiredState, ceiling_blocks: bool
+    rest: list[InstanceRow], desired: DesiredState, ceiling_blocks: bool
 ) -> bool:
     """Return whether the ready instances among ``rest`` are enough.
 
@@ -71,14 +71,14 @@
     zones = Counter(row.zone for row in rest if row.state is InstanceState.READY)
     ready = sum(zones.values())
     if ceiling_blocks:
-        return ready >= min(wanted.target, sum(wanted.counts.values()))
-    if ready < sum(wanted.counts.values()):
+        return ready >= min(desired.target, sum(desired.counts.values()))
+    if ready < sum(desired.counts.values()):
         return False
     desired_zones = Counter[str]()
-    for key, number in wanted.counts.items():
+    for key, number in desired.counts.items():
         desired_zones[key.zone] += number
     return zone_loss_capacity(zones) >= min(
-        wanted.target, zone_loss_capacity(desired_zones)
+        desired.target, zone_loss_capacity(desired_zones)
     )
 
 
@@ -88,7 +88,7 @@
 
 
 def _surplus(
-    wanted: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
+    desired: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
 ) -> list[InstanceRow]:
     """Return rows beyond the desired counts: unready, then most expensive first."""
     order = sorted(staying, key=lambda row: (row.state != InstanceState.READY, row.at))
@@ -97,7 +97,7 @@
     for row in order:
         key = OfferKey.of(row)
         kept[key] += 1
-        if kept[key] > wanted.counts.get(key, 0):
+        if kept[key] > desired.counts.get(key, 0):
             surplus.append(row)
     surplus.sort(
         key=lambda row: (row.state == InstanceState.READY, -observed.price(row))
@@ -106,15 +106,15 @@
 
 
 def _blocked_by_ceiling(
-    wanted: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
+    desired: DesiredState, observed: ObservedState, staying: Iterable[InstanceRow]
 ) -> bool:
     """Return whether the ceiling allows no desired start before a release."""
     counts = Counter(OfferKey.of(row) for row in staying)
     prices = [
         observed.prices.get(key, 0.0)
-        for key, number in wanted.counts.items()
+        for key, number in desired.counts.items()
         if number > counts[key]
     ]
     if not prices:
         return False
-    return observed.committed() + min(prices) > wanted.ceiling + _EPS
+    return observed.committed() + min(prices) > desired.ceiling + _EPS
--- a/src/ebonydeal/_internal/controller/worker.py
+++ b/src/ebonydeal/_internal/controller/worker.py
@@ -238,9 +238,9 @@
             gone=self._gone(snapshot),
         )
         ceiling = 0.0 if deployment is None else deployment.price_ceiling
-        wanted = DesiredState(self.placement.counts, self.target, ceiling)
+        desired = DesiredState(self.placement.counts, self.target, ceiling)
         actions = plan(
-            wanted,
+            desired,
             observed,
             self._ctx.reconcile_config(),
             self._ctx.clock.wall(),
