--- a/tests/functional/controller/test_commands.py
+++ b/tests/functional/controller/test_commands.py
@@ -43,7 +43,9 @@
 
 
 class TestReclaims:
-    async def test_lines_say_what_why_at_what_cost_in_place_of_what(self, tmp_path):
+    async def test_event_lines_show_action_reason_price_and_replaced_instance(
+        self, tmp_path
+    ):
         async with running(TablesServer()) as server:
             tables = HttpTables(server.url, 2.0)
             newer = event(
@@ -51,53 +53,55 @@
             )
             for item in (event(0), newer, event(0, deployment="other", at=0.0)):
                 await tables.transact([], [item.to_put()])
-            shown = await invoke(
+            result = await invoke(
                 server, tmp_path, "reclaims", "--deployment", "kitchen"
             )
-            assert shown.exit_code == 0
-            assert shown.output.splitlines() == [
+            assert result.exit_code == 0
+            assert result.output.splitlines() == [
                 "1970-01-12 13:46:40Z kitchen: started kitchen:1-0 (z1, large, "
                 "reclaimable, 3.10/h): below wanted number",
                 "1970-01-12 13:46:41Z kitchen: started i-7 (z1, large, "
                 "reclaimable, 3.10/h): replacement, in place of kitchen:1-0",
             ]
-            shown = await invoke(server, tmp_path, "reclaims", "--json", "--limit", "2")
+            result = await invoke(
+                server, tmp_path, "reclaims", "--json", "--limit", "2"
+            )
             found = [
                 (item["deployment"], item["number"])
-                for item in json.loads(shown.output)
+                for item in json.loads(result.output)
             ]
             assert found == [("kitchen", 0), ("kitchen", 1)]
             await tables.close()
 
-    async def test_the_trail_is_a_ring(self):
+    async def test_trail_keeps_only_the_newest_events(self):
         async with running(TablesServer()) as server:
             tables = HttpTables(server.url, 2.0)
             for number in range(TRAIL_ROWS + 3):
                 await tables.transact([], [event(number).to_put()])
-            kept = [item.number for item in await read_trail(tables, "kitchen")]
-            assert kept == list(range(3, TRAIL_ROWS + 3))
+            numbers = [item.number for item in await read_trail(tables, "kitchen")]
+            assert numbers == list(range(3, TRAIL_ROWS + 3))
             await tables.close()
 
 
 class TestSpend:
-    async def test_a_line_for_each_deployment(self, tmp_path):
+    async def test_spend_shows_one_line_per_deployment(self, tmp_path):
         async with running(TablesServer()) as server:
             empty = await invoke(server, tmp_path, "spend")
             assert empty.output == "No spend is recorded.\n"
             tables = HttpTables(server.url, 2.0)
             row = SpendRow("kitchen", 12.5, 40.0, 36.0, 100.25, 6, 5, 4, 0.0)
             await tables.transact([], [row.to_put()])
-            shown = await invoke(server, tmp_path, "spend")
-            assert shown.output == (
+            result = await invoke(server, tmp_path, "spend")
+            assert result.output == (
                 "kitchen: 12.50/h of at most 40.00/h, 100.25 so far; 5 of 6 "
                 "instances ready, 4 needed; on-demand would be 36.00/h\n"
             )
             await tables.close()
 
-    async def test_a_table_service_that_is_down_has_its_exit_code(self, tmp_path):
+    async def test_unreachable_table_service_gives_exit_code_5(self, tmp_path):
         async with running(TablesServer()) as server:
             server.tables.faults.down = True
             for name in ("spend", "reclaims"):
-                shown = await invoke(server, tmp_path, name)
-                assert shown.exit_code == 5
-                assert shown.output.startswith("The table service can't be read")
+                result = await invoke(server, tmp_path, name)
+                assert result.exit_code == 5
+                assert result.output.startswith("The table service can't be read")
--- a/tests/functional/controller/test_entry.py
+++ b/tests/functional/controller/test_entry.py
@@ -9,11 +9,11 @@
 
 class TestEntry:
     def test_version(self):
-        shown = CliRunner().invoke(main, ["--version"])
-        assert shown.exit_code == 0
-        assert __version__ in shown.output
+        result = CliRunner().invoke(main, ["--version"])
+        assert result.exit_code == 0
+        assert __version__ in result.output
 
-    def test_a_file_with_all_sections_serves(self, tmp_path, monkeypatch):
+    def test_example_settings_build_the_program(self, tmp_path, monkeypatch):
         built = []
 
         def build_only(build, reread):
@@ -23,14 +23,14 @@
         monkeypatch.setattr(running, "run_program", build_only)
         file = tmp_path / "node.ini"
         file.write_text(CliRunner().invoke(settings_command, ["example"]).output)
-        shown = CliRunner().invoke(main, ["--settings", str(file)])
-        assert (shown.exit_code, shown.output) == (0, "")
-        assert [type(built_one) for built_one in built] == [ControllerProgram]
+        result = CliRunner().invoke(main, ["--settings", str(file)])
+        assert (result.exit_code, result.output) == (0, "")
+        assert [type(program) for program in built] == [ControllerProgram]
 
-    def test_every_mistake_in_the_settings_is_named(self, tmp_path):
+    def test_all_settings_errors_are_reported(self, tmp_path):
         file = tmp_path / "node.ini"
         file.write_text("[controller]\nlease_ttl = soon\nperiodd = 1\n")
-        shown = CliRunner().invoke(main, ["--settings", str(file)])
-        assert shown.exit_code == 2
-        assert "[controller] lease_ttl: 'soon' is not accepted" in shown.output
-        assert "did you mean 'period'?" in shown.output
+        result = CliRunner().invoke(main, ["--settings", str(file)])
+        assert result.exit_code == 2
+        assert "[controller] lease_ttl: 'soon' is not accepted" in result.output
+        assert "did you mean 'period'?" in result.output
--- a/tests/functional/controller/test_program.py
+++ b/tests/functional/controller/test_program.py
@@ -20,25 +20,30 @@
 from tests.lib.fakes_endpoints import running
 from tests.lib.tls_nodes import seen_serial, tls_settings, until_renewed
 
-PACE = {"period": 0.05, "notice_period": 0.05, "lease_ttl": 1.0, "spend_period": 1.0}
+FAST_SETTINGS = {
+    "period": 0.05,
+    "notice_period": 0.05,
+    "lease_ttl": 1.0,
+    "spend_period": 1.0,
+}
 
 
 def settings(world: StandinWorld) -> dict:
     sections = {name: cls() for name, cls in SECTIONS.items()}
     sections["platform"] = world.platform_settings()
     sections["peers"] = sections["peers"]._replace(port=0)
-    sections["controller"] = sections["controller"]._replace(**PACE)
+    sections["controller"] = sections["controller"]._replace(**FAST_SETTINGS)
     return sections
 
 
-async def until(check):
+async def wait_until(check):
     async with asyncio.timeout(30):
         while not await check():
             await asyncio.sleep(0.02)
 
 
 class TestPeers:
-    async def test_peers_are_told_of_configuration_and_counters(self):
+    async def test_status_reports_configuration_and_counters(self):
         document = example_document("cadwaladr")
         spec = WorldSpec.from_document(document, {}, speed=50.0)
         async with running(StandinWorld(spec)) as world:
@@ -48,12 +53,18 @@
             )
             client = PeerClient(settings(world)["peers"].credential)
             async with running(program):
-                told = await client.call(program.address, STATUS_PATH, {}, 5.0)
+                status = await client.call(program.address, STATUS_PATH, {}, 5.0)
             await client.close()
-            assert told["version"] == 0
-            assert set(told) == {"version", "spread_s", "refusals", "retries", "events"}
+            assert status["version"] == 0
+            assert set(status) == {
+                "version",
+                "spread_s",
+                "refusals",
+                "retries",
+                "events",
+            }
 
-    async def test_with_tls_only_tls_is_answered(self, tmp_path):
+    async def test_plain_connections_are_refused_with_tls(self, tmp_path):
         spec = WorldSpec.from_document(example_document("cadwaladr"), {}, speed=50.0)
         sections, issue = tls_settings(tmp_path)
         async with running(StandinWorld(spec)) as world:
@@ -65,26 +76,29 @@
             )
             credential = settings(world)["peers"].credential
             context = TlsContexts.from_config(sections, SystemClock()).client
-            secret, plain = PeerClient(credential, context), PeerClient(credential)
+            tls_client, plain_client = (
+                PeerClient(credential, context),
+                PeerClient(credential),
+            )
             async with running(program):
-                told = await secret.call(program.address, STATUS_PATH, {}, 5.0)
+                status = await tls_client.call(program.address, STATUS_PATH, {}, 5.0)
                 with pytest.raises(EbonydealError) as caught:
-                    await plain.call(program.address, STATUS_PATH, {}, 5.0)
+                    await plain_client.call(program.address, STATUS_PATH, {}, 5.0)
                 first = await seen_serial(program.address, context)
                 renewed = issue()
                 await until_renewed(program.address, context, renewed)
-            await secret.close()
-            await plain.close()
-        assert told["version"] == 0
+            await tls_client.close()
+            await plain_client.close()
+        assert status["version"] == 0
         assert caught.value.kind is ErrorKind.STORE_IN_DOUBT
         assert first != renewed
 
 
 class TestProgram:
-    async def test_a_fleet_is_taken_over_filled_and_repaired(self):
+    async def test_instances_are_taken_over_and_a_reclaimed_zone_is_replaced(self):
         document = example_document("cadwaladr")
-        first = {"kitchen": 3, "paperwork": 3}
-        spec = WorldSpec.from_document(document, first, speed=50.0, list_lag=0.05)
+        initial = {"kitchen": 3, "paperwork": 3}
+        spec = WorldSpec.from_document(document, initial, speed=50.0, list_lag=0.05)
         async with running(StandinWorld(spec)) as world:
             tables = HttpTables.from_config(world.platform_settings())
             store = ConfigStore(tables, SystemClock(), random.Random(1))
@@ -94,13 +108,13 @@
                 settings(world), metrics, SystemClock(), random.Random(2)
             )
             async with running(program):
-                await until(lambda: self.kitchen_holds(world, 5))
-                taken = {i.token for i in world.cloud.running()}
-                assert {"initial-1", "initial-2", "initial-3"} <= taken
+                await wait_until(lambda: self.kitchen_holds(world, 5))
+                running_tokens = {i.token for i in world.cloud.running()}
+                assert {"initial-1", "initial-2", "initial-3"} <= running_tokens
                 zone = world.spec.places[0].zone
                 world.reclaim_zone(zone, 0.5)
-                await until(lambda: self.kitchen_holds(world, 5, without=zone))
-                await until(lambda: self.spend_is_known(tables))
+                await wait_until(lambda: self.kitchen_holds(world, 5, without=zone))
+                await wait_until(lambda: self.spend_is_recorded(tables))
             kinds = Counter(str(e.kind) for e in await read_trail(tables, "kitchen"))
             assert kinds["taken_over"] == 3
             assert kinds["draining"] >= 2
@@ -119,6 +133,6 @@
         )
         return sum(ready.values()) - max(ready.values(), default=0) >= target
 
-    async def spend_is_known(self, tables):
+    async def spend_is_recorded(self, tables):
         rows = await read_spend(tables)
         return any(row.deployment == "kitchen" and row.per_hour > 0 for row in rows)
--- a/tests/functional/controller/test_replicas.py
+++ b/tests/functional/controller/test_replicas.py
@@ -10,132 +10,135 @@
 
 
 class TestReplicas:
-    async def test_a_deployment_comes_to_strength_over_three_zones(self):
-        site = ControllerCluster()
-        await site.rounds(site.controller("n1"), 40)
-        zones = sorted(item.offer.zone for item in site.world.live())
+    async def test_replicas_are_spread_over_three_zones(self):
+        cluster = ControllerCluster()
+        await cluster.rounds(cluster.controller("n1"), 40)
+        zones = sorted(item.offer.zone for item in cluster.world.live())
         assert zones == ["z1", "z1", "z2", "z2", "z3", "z3"]
-        assert site.ready() == 6
-        assert {row["state"] for row in site.instance_rows()} == {"ready"}
-
-    async def test_a_reclaimed_zone_is_replaced_elsewhere_before_it_goes(self):
-        site = ControllerCluster()
-        leader = site.controller("n1")
-        await site.rounds(leader, 40)
-        site.world.reclaim_zone("z1", 30.0)
-        site.world.full.add(("z1", True))
-        await site.rounds(leader, 6)
-        assert site.world.take_zone("z1") == 0
-        await site.rounds(leader, 40)
-        zones = sorted(item.offer.zone for item in site.world.live())
+        assert cluster.ready() == 6
+        assert {row["state"] for row in cluster.instance_rows()} == {"ready"}
+
+    async def test_reclaimed_zone_is_replaced_elsewhere_before_its_deadline(self):
+        cluster = ControllerCluster()
+        leader = cluster.controller("n1")
+        await cluster.rounds(leader, 40)
+        cluster.world.reclaim_zone("z1", 30.0)
+        cluster.world.full.add(("z1", True))
+        await cluster.rounds(leader, 6)
+        assert cluster.world.take_zone("z1") == 0
+        await cluster.rounds(leader, 40)
+        zones = sorted(item.offer.zone for item in cluster.world.live())
         assert zones == ["z2", "z2", "z2", "z2", "z3", "z3", "z3", "z3"]
-        assert site.ready() == 8
-
-    async def test_a_dropped_deployment_is_released_whole(self):
-        site = ControllerCluster()
-        leader = site.controller("n1")
-        await site.rounds(leader, 40)
-        site.document = make_document(make_deployment(name="other", min_replicas=1))
-        await site.rounds(leader, 40)
-        names = {item.tags["deployment"] for item in site.world.live()}
+        assert cluster.ready() == 8
+
+    async def test_dropped_deployment_releases_all_instances(self):
+        cluster = ControllerCluster()
+        leader = cluster.controller("n1")
+        await cluster.rounds(leader, 40)
+        cluster.document = make_document(make_deployment(name="other", min_replicas=1))
+        await cluster.rounds(leader, 40)
+        names = {item.tags["deployment"] for item in cluster.world.live()}
         assert names == {"other"}
-        assert {row["deployment"] for row in site.instance_rows()} == {"other"}
+        assert {row["deployment"] for row in cluster.instance_rows()} == {"other"}
 
-    async def test_a_start_that_lands_after_its_row_went_is_released(self):
-        site = ControllerCluster()
-        leader = site.controller("n1")
-        await site.rounds(leader, 40)
+    async def test_late_start_without_a_row_is_released(self):
+        cluster = ControllerCluster()
+        leader = cluster.controller("n1")
+        await cluster.rounds(leader, 40)
         tags = {"managed_by": MANAGER, "deployment": "kitchen", "fence": "0"}
-        late = await WorldCloud(site.world).start("kitchen:0-x", make_offers()[0], tags)
-        await site.rounds(leader, 3)
-        assert site.world.find(late.instance_id).stopped_at is not None
-        assert len(site.instance_rows()) == site.ready() == 6
+        late = await WorldCloud(cluster.world).start(
+            "kitchen:0-x", make_offers()[0], tags
+        )
+        await cluster.rounds(leader, 3)
+        assert cluster.world.find(late.instance_id).stopped_at is not None
+        assert len(cluster.instance_rows()) == cluster.ready() == 6
 
-    async def test_an_instance_of_somebody_else_is_left_alone(self):
-        site = ControllerCluster()
+    async def test_untagged_instance_is_not_released(self):
+        cluster = ControllerCluster()
         offer = make_offers()[0]
-        other = await WorldCloud(site.world).start("theirs", offer, {})
-        await site.rounds(site.controller("n1"), 10)
-        assert site.world.find(other.instance_id).stopped_at is None
+        other = await WorldCloud(cluster.world).start("theirs", offer, {})
+        await cluster.rounds(cluster.controller("n1"), 10)
+        assert cluster.world.find(other.instance_id).stopped_at is None
 
-    async def test_instances_started_for_it_by_others_are_taken_over(self):
-        site = ControllerCluster()
-        cloud = WorldCloud(site.world)
+    async def test_unmanaged_instances_of_the_deployment_are_taken_over(self):
+        cluster = ControllerCluster()
+        cloud = WorldCloud(cluster.world)
         for number in range(6):
             offer = make_offers()[2 * (number % 3)]
             await cloud.start(f"first-{number}", offer, {"deployment": "kitchen"})
-        await site.rounds(site.controller("n1"), 40)
-        assert site.world.starts == 6
+        await cluster.rounds(cluster.controller("n1"), 40)
+        assert cluster.world.starts == 6
         assert (
-            sorted(row["token"][:6] for row in site.instance_rows()) == ["first-"] * 6
+            sorted(row["token"][:6] for row in cluster.instance_rows())
+            == ["first-"] * 6
         )
-        assert site.ready() == 6
-        assert {row["state"] for row in site.instance_rows()} == {"ready"}
+        assert cluster.ready() == 6
+        assert {row["state"] for row in cluster.instance_rows()} == {"ready"}
 
 
 class TestLoad:
-    async def busy_site(self):
-        site = ControllerCluster()
-        leader = site.controller("n1")
-        await site.rounds(leader, 30)
-        for item in site.world.live():
+    async def loaded_cluster(self):
+        cluster = ControllerCluster()
+        leader = cluster.controller("n1")
+        await cluster.rounds(leader, 30)
+        for item in cluster.world.live():
             item.running = 8
-        await site.rounds(leader, 40)
-        strength = site.ready()
-        assert strength > 6
-        return site, strength
-
-    async def test_a_new_leader_keeps_the_strength_it_finds(self):
-        site, strength = await self.busy_site()
-        for item in site.world.live():
+        await cluster.rounds(leader, 40)
+        replicas = cluster.ready()
+        assert replicas > 6
+        return cluster, replicas
+
+    async def test_new_leader_keeps_ready_replicas(self):
+        cluster, replicas = await self.loaded_cluster()
+        for item in cluster.world.live():
             item.running = 0
-        await site.rounds(site.controller("n2"), 30)
-        assert site.rows.rows["leases/controller-kitchen"].value["epoch"] == 2
-        assert site.ready() == strength
+        await cluster.rounds(cluster.controller("n2"), 30)
+        assert cluster.table.rows["leases/controller-kitchen"].value["epoch"] == 2
+        assert cluster.ready() == replicas
 
-    async def test_silent_engines_are_not_taken_for_idle_ones(self):
-        site, strength = await self.busy_site()
+    async def test_unreachable_engines_do_not_count_as_idle(self):
+        cluster, replicas = await self.loaded_cluster()
 
-        async def silent(when: str, operation: str) -> None:
+        async def fail_load_reports(when: str, operation: str) -> None:
             if operation == "load":
-                raise EbonydealError(ErrorKind.CONNECT_FAILED, "silent")
+                raise EbonydealError(ErrorKind.CONNECT_FAILED, "engine unreachable")
 
-        await site.rounds(site.controller("n2", silent), 200)
-        assert site.ready() == strength
+        await cluster.rounds(cluster.controller("n2", fail_load_reports), 200)
+        assert cluster.ready() == replicas
 
-    async def test_no_offers_are_no_reason_to_release(self):
-        site, strength = await self.busy_site()
-        site.world.offers = []
-        await site.rounds(site.controller("n2"), 40)
-        assert site.ready() == strength
+    async def test_missing_offers_release_no_replicas(self):
+        cluster, replicas = await self.loaded_cluster()
+        cluster.world.offers = []
+        await cluster.rounds(cluster.controller("n2"), 40)
+        assert cluster.ready() == replicas
 
-    async def test_strength_falls_once_the_load_has_been_low_for_long(self):
-        site, strength = await self.busy_site()
-        for item in site.world.live():
+    async def test_replicas_are_released_after_sustained_low_load(self):
+        cluster, replicas = await self.loaded_cluster()
+        for item in cluster.world.live():
             item.running = 0
-        await site.rounds(site.controller("n2"), 200)
-        assert site.ready() == 6 < strength
-
-    async def test_one_empty_answer_of_the_cloud_loses_no_instance(self):
-        site, strength = await self.busy_site()
-        leader = site.controller("n2")
-        await site.rounds(leader, 10)
-        starts = site.world.starts
-        machines, site.world.machines = site.world.machines, {}
-        await site.rounds(leader, 1, 2.0)
-        site.world.machines = machines
-        await site.rounds(leader, 20)
-        assert site.ready() == strength
-        assert site.world.starts == starts
-
-    async def test_a_fleet_that_is_taken_over_is_not_cut_before_its_load_is_known(self):
-        site = ControllerCluster()
-        cloud = WorldCloud(site.world)
+        await cluster.rounds(cluster.controller("n2"), 200)
+        assert cluster.ready() == 6 < replicas
+
+    async def test_one_empty_cloud_list_drops_no_instance(self):
+        cluster, replicas = await self.loaded_cluster()
+        leader = cluster.controller("n2")
+        await cluster.rounds(leader, 10)
+        starts = cluster.world.starts
+        machines, cluster.world.machines = cluster.world.machines, {}
+        await cluster.rounds(leader, 1, 2.0)
+        cluster.world.machines = machines
+        await cluster.rounds(leader, 20)
+        assert cluster.ready() == replicas
+        assert cluster.world.starts == starts
+
+    async def test_taken_over_instances_stay_until_their_load_is_known(self):
+        cluster = ControllerCluster()
+        cloud = WorldCloud(cluster.world)
         for number in range(18):
             offer = make_offers()[2 * (number % 3)]
             await cloud.start(f"first-{number}", offer, {"deployment": "kitchen"})
-        leader = site.controller("n1")
-        await site.rounds(leader, 60)
-        assert (site.ready(), site.world.starts) == (18, 18)
-        await site.rounds(leader, 200)
-        assert (site.ready(), site.world.starts) == (6, 18)
+        leader = cluster.controller("n1")
+        await cluster.rounds(leader, 60)
+        assert (cluster.ready(), cluster.world.starts) == (18, 18)
+        await cluster.rounds(leader, 200)
+        assert (cluster.ready(), cluster.world.starts) == (6, 18)
--- a/tests/lib/controller_fakes.py
+++ b/tests/lib/controller_fakes.py
@@ -1,4 +1,4 @@
-"""A world, a table with a hook, and a controller on them."""
+"""Controllers on a simulated platform, with tables into which faults are injected."""
 
 import copy
 import random
@@ -39,8 +39,8 @@
 ZONES = ("z1", "z2", "z3")
 
 
-class RowsData:
-    """What a table service holds."""
+class TableData:
+    """Rows of a table service."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -70,9 +70,9 @@
 
 
 class HookedTables:
-    """One process's connection to the rows."""
+    """One process's connection to the table, calling a hook at each operation."""
 
-    def __init__(self, data: RowsData, hook: Hook = no_hook) -> None:
+    def __init__(self, data: TableData, hook: Hook = no_hook) -> None:
         self.data = data
         self.hook = hook
         self.operations = 0
@@ -136,12 +136,12 @@
 
 
 class ControllerCluster:
-    """A world, its table, and the controllers that run on it."""
+    """A simulated platform, its table, and the controllers on it."""
 
     def __init__(self, seed: int = 1, **world: object) -> None:
         self.clock = ManualClock()
         self.world = World(self.clock, make_offers(), **world)
-        self.rows = RowsData()
+        self.table = TableData()
         self.document = make_document(
             make_deployment(checks_fence=self.world.checks_fence)
         )
@@ -152,12 +152,12 @@
     def controller(
         self, node: str, hook: Hook = no_hook, document: Document | None = None
     ) -> Controller:
-        """Return a controller; a given ``document`` is all that it ever sees."""
+        """Return a controller; with ``document``, it never sees another document."""
         rng = random.Random(f"{self.seed}{node}")
         return Controller(
             self.cfg,
             Holder(f"{node}/{rng.random()}", f"{node}:1"),
-            HookedTables(self.rows, hook),
+            HookedTables(self.table, hook),
             WorldCloud(self.world, hook),
             WorldList(self.world, hook),
             WorldEngines(self.world, hook),
@@ -176,7 +176,9 @@
             await self.clock.advance(gap)
 
     def instance_rows(self) -> list[dict]:
-        return [row.value for key, row in self.rows.rows.items() if "instances/" in key]
+        return [
+            row.value for key, row in self.table.rows.items() if "instances/" in key
+        ]
 
     def ready(self) -> int:
         return sum(self.world.ready(item) for item in self.world.live())
--- a/tests/unit/controller/test_bench.py
+++ b/tests/unit/controller/test_bench.py
@@ -9,12 +9,12 @@
 
 
 class TestBench:
-    def test_a_trace_is_its_seed(self):
+    def test_trace_depends_only_on_the_seed(self):
         assert make_trace(3, days=1) == make_trace(3, days=1)
         assert make_trace(3, days=1) != make_trace(4, days=1)
 
     @pytest.mark.parametrize("weather", WEATHERS, ids=lambda item: item.name)
-    def test_promises_hold_and_hindsight_is_below(self, weather):
+    def test_deadlines_and_ceiling_hold_at_near_optimal_cost(self, weather):
         hindsight = pytest.importorskip(
             "ebonydeal._internal.benchmarks.spend.hindsight", exc_type=ImportError
         )
@@ -28,7 +28,7 @@
         assert cheap.below_share > 5 * found.below_share
 
     @pytest.mark.parametrize("notice", [30.0, 0.0])
-    async def test_a_lost_zone_is_made_good_in_little_more_than_a_start(self, notice):
+    async def test_lost_zone_is_replaced_within_10_s_of_the_minimum(self, notice):
         repair = await lose_a_zone(4, 1, notice)
         assert repair.below_s == 0
         assert repair.floor_s <= repair.back_s <= repair.floor_s + 10
--- a/tests/unit/controller/test_deadline.py
+++ b/tests/unit/controller/test_deadline.py
@@ -45,30 +45,30 @@
 
 
 class TestChoose:
-    def test_nothing_waits(self):
+    def test_no_replicas_without_backlog(self):
         rule = deadline_config(PriceRule.AT_ONCE)
         assert choose_deadline_replicas([], MARKET, 5, rule, 0.0) == DeadlineChoice(
             0, False, 0.0
         )
 
-    def test_work_waits_for_a_price_and_runs_at_it(self):
-        slack = [Backlog(20 * HOUR, 2 * HOUR)]
-        dear = Market(3.0, 10.0, (1.0, 2.0))
+    def test_work_waits_until_the_price_is_low_enough(self):
+        backlog = [Backlog(20 * HOUR, 2 * HOUR)]
+        expensive = Market(3.0, 10.0, (1.0, 2.0))
         assert (
             choose_deadline_replicas(
-                slack, dear, 4, deadline_config(PriceRule.QUANTILE), 0.0
+                backlog, expensive, 4, deadline_config(PriceRule.QUANTILE), 0.0
             ).replicas
             == 0
         )
         cheap = Market(1.0, 10.0, (1.0, 2.0))
         assert (
             choose_deadline_replicas(
-                slack, cheap, 4, deadline_config(PriceRule.QUANTILE), 0.0
+                backlog, cheap, 4, deadline_config(PriceRule.QUANTILE), 0.0
             ).replicas
             == 2
         )
 
-    def test_a_replica_finds_work_for_its_run_where_the_deadline_allows(self):
+    def test_replicas_get_a_minimum_of_work_unless_a_deadline_needs_more(self):
         rule = deadline_config(PriceRule.AT_ONCE)._replace(run_s=HOUR)
         found = [
             choose_deadline_replicas(
@@ -84,19 +84,25 @@
         st.integers(1, 6),
         st.floats(0.5, 30.0),
     )
-    def test_in_danger_all_runs_at_any_price(self, rule, items, most, price):
+    def test_deadline_at_risk_gets_all_replicas_at_any_price(
+        self, rule, items, max_replicas, price
+    ):
         backlog = [Backlog(end * HOUR, work * HOUR) for end, work in items]
         found = choose_deadline_replicas(
-            backlog, Market(price, 10.0, (0.4,)), most, deadline_config(rule), 0.0
+            backlog,
+            Market(price, 10.0, (0.4,)),
+            max_replicas,
+            deadline_config(rule),
+            0.0,
         )
-        total, danger = 0.0, False
+        total, at_risk = 0.0, False
         for end, work in sorted(items):
             total += work
-            danger = danger or total >= most * end
-        if danger:
-            assert found.on_demand_allowed and found.replicas == most
+            at_risk = at_risk or total >= max_replicas * end
+        if at_risk:
+            assert found.on_demand_allowed and found.replicas == max_replicas
 
-    def test_a_passed_deadline_is_still_worked_off(self):
+    def test_work_past_its_deadline_still_gets_replicas(self):
         found = choose_deadline_replicas(
             [Backlog(1.0, 500.0)], MARKET, 3, DeadlineConfig(), HOUR
         )
@@ -125,18 +131,18 @@
             0.0,
         ).counts
 
-    def test_the_spare_for_a_zones_loss_works_first(self):
+    def test_spare_replicas_do_deadline_work_first(self):
         assert self.decide(0.1) == {
             OfferKey("a", "l", True): 2,
             OfferKey("b", "l", True): 2,
         }
 
-    def test_on_demand_is_bought_when_a_deadline_is_in_danger(self):
+    def test_on_demand_is_bought_when_a_deadline_is_at_risk(self):
         reclaimable = {key for key in self.OFFERS if key.reclaimable}
         found = self.decide(20.0, reclaimable, ceiling=200.0)
         assert sum(found.values()) == 12
         assert not any(key.reclaimable for key in found)
 
-    def test_the_ceiling_holds_also_then(self):
+    def test_ceiling_holds_when_a_deadline_is_at_risk(self):
         found = self.decide(20.0, ceiling=13.0)
         assert sum(n * self.OFFERS[k].price_per_hour for k, n in found.items()) <= 13.0
--- a/tests/unit/controller/test_demand.py
+++ b/tests/unit/controller/test_demand.py
@@ -12,11 +12,11 @@
 )
 from ebonydeal._internal.models.endpoints import LoadReport
 
-POLICY = DemandConfig(smoothing=1.0, hold_down=600.0, ahead=0.0)
+CONFIG = DemandConfig(smoothing=1.0, hold_down=600.0, ahead=0.0)
 
 
 def waiting_share(load: float, slots: int, wait_s: float) -> float:
-    """Erlang C by its defining sum: the share that waits longer."""
+    """Return the share that waits longer, from the defining sum of Erlang C."""
     terms = [load**n / math.factorial(n) for n in range(slots)]
     last = load**slots / math.factorial(slots) * slots / (slots - load)
     return last / (sum(terms) + last) * math.exp(-(slots - load) * wait_s / 4.0)
@@ -26,7 +26,7 @@
     state, found = DemandState(), []
     for number, load in enumerate(loads):
         desired, state = desired_replicas(
-            state, Load(load, 8), 0.8, 2, 50, POLICY, number * gap
+            state, Load(load, 8), 0.8, 2, 50, CONFIG, number * gap
         )
         found.append(desired)
     return found
@@ -34,21 +34,21 @@
 
 class TestSlots:
     @given(st.floats(0.1, 60.0), st.floats(0.0, 4.0))
-    def test_the_fewest_slots_with_which_95_in_100_are_in_time(self, load, wait):
+    def test_fewest_slots_with_95_in_100_within_the_wait(self, load, wait):
         slots = slots_needed(load, 4.0, wait)
         assert waiting_share(load, slots, wait) <= 0.05 + 1e-9
         if slots - 1 > load:
             assert waiting_share(load, slots - 1, wait) > 0.05 - 1e-9
 
-    def test_no_load_needs_none(self):
+    def test_no_load_needs_no_slots(self):
         assert slots_needed(0.0, 4.0, 0.4) == 0
 
 
 class TestDesired:
-    def test_bounds_hold(self):
+    def test_result_stays_within_bounds(self):
         assert run([0.0, 10_000.0]) == [2, 50]
 
-    def test_more_at_once_and_fewer_only_after_the_hold(self):
+    def test_rises_at_once_and_falls_only_after_hold_down(self):
         found = run([8.0] + [80.0] + [8.0] * 12)
         low, high = found[0], found[1]
         assert low < high
--- a/tests/unit/controller/test_lease.py
+++ b/tests/unit/controller/test_lease.py
@@ -7,17 +7,17 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import Put
 from tests.lib.clock import ManualClock
-from tests.lib.controller_fakes import HookedTables, RowsData
+from tests.lib.controller_fakes import HookedTables, TableData
 
 TTL = 10.0
 
 
 class Pair:
-    """Two processes that want one lease."""
+    """Two processes that compete for one lease."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.data = RowsData()
+        self.data = TableData()
         self.tables = [HookedTables(self.data), HookedTables(self.data)]
         self.one, self.two = (
             LeaseKeeper("x", Holder(f"n{i}/run", ""), self.tables[i], self.clock, TTL)
@@ -30,7 +30,7 @@
 
 
 class TestLease:
-    async def test_one_holds_and_renews_while_the_other_waits(self):
+    async def test_holder_renews_while_the_other_waits(self):
         pair = Pair()
         assert await pair.one.step()
         for _ in range(20):
@@ -39,7 +39,7 @@
             assert not await pair.two.step()
         assert pair.one.epoch == 1
 
-    async def test_a_silent_holder_is_followed_and_then_can_write_nothing(self):
+    async def test_expired_lease_is_taken_over_and_old_holder_cannot_write(self):
         pair = Pair()
         await pair.one.step()
         assert not await pair.two.step()
@@ -52,32 +52,32 @@
         assert await pair.write(pair.two)
         assert not await pair.one.step()
 
-    async def test_a_lease_given_back_is_taken_at_once(self):
+    async def test_released_lease_is_taken_at_once(self):
         pair = Pair()
         await pair.one.step()
         await pair.one.release()
         assert await pair.two.step()
         assert (pair.two.epoch, pair.two.previous_holder) == (2, "")
 
-    async def test_only_one_of_two_claims_takes_effect(self):
+    async def test_only_one_of_two_concurrent_claims_succeeds(self):
         pair = Pair()
         assert sorted(await asyncio.gather(pair.one.step(), pair.two.step())) == [
             False,
             True,
         ]
 
-    async def test_a_claim_whose_answer_is_lost_is_read_back(self):
+    async def test_lost_claim_response_is_resolved_by_reading_the_row(self):
         pair = Pair()
 
-        async def lose(when: str, operation: str) -> None:
+        async def lose_response(when: str, operation: str) -> None:
             if (when, operation) == (AFTER, "transact"):
-                raise EbonydealError(ErrorKind.STORE_IN_DOUBT, "lost")
+                raise EbonydealError(ErrorKind.STORE_IN_DOUBT, "response lost")
 
-        pair.tables[0].hook = lose
+        pair.tables[0].hook = lose_response
         assert await pair.one.step()
         assert pair.one.epoch == 1
 
-    async def test_an_outage_ends_the_belief_but_not_the_epoch(self):
+    async def test_lease_expires_during_an_outage_but_keeps_its_epoch(self):
         pair = Pair()
         await pair.one.step()
 
@@ -93,7 +93,7 @@
         assert await pair.one.step()
         assert pair.one.epoch == 1
 
-    async def test_other_failures_are_not_swallowed(self):
+    async def test_unexpected_errors_are_raised(self):
         pair = Pair()
 
         async def broken(_when: str, _operation: str) -> None:
--- a/tests/unit/controller/test_reconcile.py
+++ b/tests/unit/controller/test_reconcile.py
@@ -27,7 +27,7 @@
 )
 from ebonydeal._internal.outside.interfaces import CloudInstance
 
-POLICY = ReconcileConfig()
+CONFIG = ReconcileConfig()
 A, B, C = (OfferKey(zone, "l", True) for zone in "abc")
 PRICES = {A: 1.0, B: 2.0, C: 3.0}
 READY, WARMING = InstanceState.READY, InstanceState.WARMING
@@ -58,11 +58,11 @@
 
 def actions(rows, counts=None, target=0, ceiling=100.0, **changes):
     wanted = DesiredState(counts or {}, target, ceiling)
-    return plan(wanted, observed(rows, **changes), POLICY, NOW)
+    return plan(wanted, observed(rows, **changes), CONFIG, NOW)
 
 
 class TestOneInstance:
-    def test_each_state_has_its_next_step(self):
+    def test_each_state_has_its_next_action(self):
         starting = row("s", A, InstanceState.STARTING)
         warming = row("w", A, WARMING)
         ready = row("r", A, READY)
@@ -82,24 +82,24 @@
         assert actions([going]) == [Release(going)]
         assert actions([going], missing={"g"}) == [Forget(going, lost=False)]
 
-    def test_a_drain_lasts_until_marks_have_spread(self):
+    def test_idle_drain_lasts_until_marks_have_spread(self):
         young = row("d", A, InstanceState.DRAINING, at=NOW - 1, drain_until=NOW + 60)
         assert actions([young], idle={"d"}) == []
 
-    def test_what_never_warms_up_is_drained(self):
-        old = row("w", A, WARMING, at=NOW - POLICY.warm_timeout - 1)
+    def test_instance_that_never_warms_up_is_drained(self):
+        old = row("w", A, WARMING, at=NOW - CONFIG.warm_timeout - 1)
         found = actions([old], counts={A: 1})
         assert found[0] == Drain(old, "did not warm up in time", NOW)
 
-    def test_a_new_instance_may_be_missing_from_the_list_for_a_while(self):
+    def test_new_instance_may_be_missing_from_the_list_for_a_while(self):
         young = row("w", A, WARMING, at=NOW - 1)
         assert actions([young], counts={A: 1}, missing={"w"}) == []
 
-    def test_one_that_is_missing_but_not_gone_is_left_alone(self):
+    def test_missing_instance_that_is_not_gone_is_kept(self):
         ready = row("r", A, READY)
         assert actions([ready], counts={A: 1}, missing={"r"}, gone=set()) == []
 
-    def test_without_a_row_ours_go_and_others_are_taken_over(self):
+    def test_without_a_row_managed_are_released_and_others_taken_over(self):
         late = machine("late", A)
         theirs = machine("theirs", A, managed=False)
         assert actions([], extra=[late]) == [Condemn(late)]
@@ -109,7 +109,7 @@
 
 
 class TestReplacement:
-    def test_a_lost_instance_is_replaced_and_the_start_says_so(self):
+    def test_start_names_the_lost_instance_that_it_replaces(self):
         lost = row("x", A, READY)
         found = actions([lost], counts={A: 1}, missing={"x"})
         assert found == [
@@ -117,7 +117,7 @@
             Start(A, 1.0, "replacement", "x"),
         ]
 
-    def test_a_notice_drains_until_its_deadline_and_starts_elsewhere(self):
+    def test_reclaim_notice_drains_and_starts_a_replacement_elsewhere(self):
         leaving = row("x", A, READY)
         found = actions([leaving], counts={B: 1}, leaving={"x": NOW + 30})
         assert found == [
@@ -125,35 +125,35 @@
             Start(B, 2.0, "replacement", "x"),
         ]
 
-    def test_make_before_break(self):
+    def test_old_instance_is_drained_only_after_the_new_one_is_ready(self):
         old = [row("1", A, READY), row("2", B, READY)]
         new = row("3", C, WARMING)
         counts = {A: 1, C: 1}
         assert actions([*old, new], counts, 1) == [Warm(new)]
         ready = new._replace(state=READY)
         assert actions([*old, ready], counts, 1) == [
-            Drain(old[1], "not wanted any more", NOW + POLICY.drain_longest)
+            Drain(old[1], "not wanted any more", NOW + CONFIG.drain_longest)
         ]
 
-    def test_nothing_is_drained_while_its_loss_would_cost_a_zones_loss(self):
+    def test_no_drain_if_the_target_would_not_survive_a_zone_loss(self):
         rows = [row(str(n), key, READY) for n, key in enumerate((A, A, B, B))]
         found = actions(rows, {A: 1, B: 1, C: 1}, 2)
         assert found == [Start(C, 3.0, "below wanted number", "")]
 
 
 class TestCeiling:
-    def test_draining_instances_count_until_they_are_gone(self):
+    def test_draining_instances_count_towards_the_ceiling(self):
         draining = row("d", C, InstanceState.DRAINING, drain_until=NOW + 9)
         assert actions([draining], {A: 2}, 1, ceiling=4.0) == [
             Start(A, 1.0, "below wanted number", ""),
             Hold(A, 1),
         ]
 
-    def test_what_breaks_the_ceiling_goes_at_once_dearest_first(self):
+    def test_most_expensive_instance_over_the_ceiling_is_drained_first(self):
         rows = [row("1", A, READY), row("2", B, READY), row("3", C, READY)]
         found = actions(rows, {A: 1, B: 1}, 2, ceiling=3.0)
         assert found == [
-            Drain(rows[2], "price ceiling", NOW + POLICY.drain_over_ceiling)
+            Drain(rows[2], "price ceiling", NOW + CONFIG.drain_over_ceiling)
         ]
 
     @given(
@@ -161,7 +161,7 @@
         st.lists(st.tuples(st.sampled_from((A, B, C)), st.sampled_from(InstanceState))),
         st.floats(0.0, 40.0),
     )
-    def test_no_start_ever_breaks_it_and_no_instance_has_two_actions(
+    def test_starts_stay_within_ceiling_and_no_instance_has_two_actions(
         self, counts, states, ceiling
     ):
         rows = [row(str(n), key, state) for n, (key, state) in enumerate(states)]
