--- a/src/ebonydeal/_internal/controller/notices.py
+++ b/src/ebonydeal/_internal/controller/notices.py
@@ -22,7 +22,7 @@
 
 
 class ZoneReclaim(NamedTuple):
-    """Reclaim of all instances in a zone that started before ``observed_at``."""
+    """Reclaim of a zone's reclaimable instances started before ``observed_at``."""
 
     observed_at: float
     deadline: float
