--- a/src/ebonydeal/_internal/controller/capacity.py
+++ b/src/ebonydeal/_internal/controller/capacity.py
@@ -1,4 +1,4 @@
-"""How many instances a deployment should have, and where: the decisions joined."""
+"""Combines the decisions on how many instances a deployment has, and where."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence, Set
@@ -6,14 +6,17 @@
 
 from ebonydeal._internal.controller.deadline import (
     Backlog,
-    DeadlinePolicy,
+    DeadlineConfig,
     Market,
-    choose,
+    choose_deadline_replicas,
+)
+from ebonydeal._internal.controller.deadline_replicas import (
+    add_deadline_replicas,
+    spare_replicas,
 )
-from ebonydeal._internal.controller.extra import add_extra, spare
 from ebonydeal._internal.controller.placement import (
     Placement,
-    PlacementPolicy,
+    PlacementConfig,
     place,
 )
 from ebonydeal._internal.controller.values import OfferKey
@@ -21,29 +24,29 @@
 from ebonydeal._internal.outside.interfaces import Offer
 
 
-class Terms(NamedTuple):
-    """What the document says of a deployment, as far as capacity needs it."""
+class CapacityConfig(NamedTuple):
+    """Settings of a deployment in the document that capacity depends on."""
 
     zones: frozenset[str]
     ceiling: float
-    most: int
+    max_replicas: int
     deadline_work: bool
     recompute_weight: float
 
     @classmethod
-    def from_deployment(cls, item: Deployment) -> "Terms":
-        """Take the terms from the document."""
+    def from_deployment(cls, item: Deployment) -> "CapacityConfig":
+        """Read the settings from the document."""
         return cls(
             zones=frozenset(place.zone for place in item.zones),
             ceiling=item.price_ceiling,
-            most=item.max_replicas,
+            max_replicas=item.max_replicas,
             deadline_work=item.deadline_work,
             recompute_weight=item.weights.recompute,
         )
 
 
-def cheapest(offers: Mapping[OfferKey, Offer], reclaimable: bool) -> float | None:
-    """Return the lowest price in one market, or None without offers."""
+def cheapest_price(offers: Mapping[OfferKey, Offer], reclaimable: bool) -> float | None:
+    """Return the lowest reclaimable or on-demand price, or None without offers."""
     prices = [
         offer.price_per_hour
         for key, offer in offers.items()
@@ -54,32 +57,32 @@
 
 def decide_placement(
     target: int,
-    terms: Terms,
+    capacity_config: CapacityConfig,
     offers: Mapping[OfferKey, Offer],
     current: Counter[OfferKey],
     blocked: Set[OfferKey],
     backlog: Sequence[Backlog],
     recent: tuple[float, ...],
-    placement_policy: PlacementPolicy,
-    deadline_policy: DeadlinePolicy,
+    placement_config: PlacementConfig,
+    deadline_config: DeadlineConfig,
     now: float,
 ) -> Placement:
-    """Return where instances should run for the target and for deadline work.
+    """Return where instances should run to serve requests and deadline work.
 
     Parameters
     ----------
     target : int
-        Replicas that serve, after the loss of any one zone.
-    terms : Terms
+        Replicas that must remain after the loss of any one zone.
+    capacity_config : CapacityConfig
         From the document.
     offers, current, blocked
-        As `placement.place`; offers in the deployment's zones only.
+        As for `placement.place`; only offers in the deployment's zones.
     backlog : sequence of Backlog
-        Deadline work that waits.
+        Waiting deadline work.
     recent : tuple of float
-        Cheapest reclaimable prices of the recent past.
-    placement_policy, deadline_policy
-        Constants.
+        Recent cheapest reclaimable prices.
+    placement_config, deadline_config
+        Parameters of the two decisions.
     now : float
         Wall clock seconds.
     """
@@ -88,41 +91,43 @@
         offers,
         current,
         blocked,
-        terms.ceiling,
-        placement_policy,
-        terms.recompute_weight,
-        terms.most,
+        capacity_config.ceiling,
+        placement_config,
+        capacity_config.recompute_weight,
+        capacity_config.max_replicas,
     )
-    if not terms.deadline_work or not backlog:
+    if not capacity_config.deadline_work or not backlog:
         return placement
     market = _market(offers, blocked, recent)
     if market is None:
         return placement
-    most = terms.most - target
-    choice = choose(backlog, market, most, deadline_policy, now)
-    extra = choice.replicas - spare(placement, target)
-    return add_extra(
+    max_extra = capacity_config.max_replicas - target
+    choice = choose_deadline_replicas(backlog, market, max_extra, deadline_config, now)
+    added = choice.replicas - spare_replicas(placement, target)
+    return add_deadline_replicas(
         placement,
-        extra,
+        added,
         choice.price_limit,
-        choice.firm,
+        choice.on_demand_allowed,
         offers,
         current,
         blocked,
-        terms.ceiling,
-        placement_policy.keep_discount,
+        capacity_config.ceiling,
+        placement_config.keep_discount,
     )
 
 
 def _market(
     offers: Mapping[OfferKey, Offer], blocked: Set[OfferKey], recent: tuple[float, ...]
 ) -> Market | None:
-    """Return the market for one more replica, or None without any offer."""
-    free = {key: offer for key, offer in offers.items() if key not in blocked}
-    firm = cheapest(offers, reclaimable=False)
-    now = cheapest(free, reclaimable=True)
-    if now is None and firm is None:
+    """Return the prices of one more replica, or None without any offer."""
+    available = {key: offer for key, offer in offers.items() if key not in blocked}
+    on_demand = cheapest_price(offers, reclaimable=False)
+    reclaimable = cheapest_price(available, reclaimable=True)
+    if reclaimable is None and on_demand is None:
         return None
-    if now is None:
-        return Market(firm or 0.0, firm or 0.0, recent)
-    return Market(now, firm if firm is not None else now, recent)
+    if reclaimable is None:
+        return Market(on_demand or 0.0, on_demand or 0.0, recent)
+    return Market(
+        reclaimable, on_demand if on_demand is not None else reclaimable, recent
+    )
--- a/src/ebonydeal/_internal/controller/order_keeper.py
+++ b/src/ebonydeal/_internal/controller/order_manager.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of `orders` for one deployment's engines."""
+"""Executes the decisions of `orders` for the engines of one deployment."""
 
 import asyncio
 from collections.abc import Collection, Mapping
@@ -6,9 +6,9 @@
 from ebonydeal._internal.controller.lease import LeaseKeeper
 from ebonydeal._internal.controller.orders import (
     HoldOrder,
+    KnownOrder,
     Leadership,
-    OrderMemory,
-    OrderPolicy,
+    OrderConfig,
     ReadBack,
     SendOrder,
     Settled,
@@ -27,25 +27,25 @@
 
 logger = get_logger("controller")
 
-_AT_ONCE = 32
-_STEPS = 3
+_MAX_CONCURRENT_ENGINES = 32
+_MAX_STEPS_PER_ROUND = 3
 
 
-class OrderKeeper:
-    """Brings engines to their wanted end and keeps them there.
+class OrderManager:
+    """Brings engines to their desired state and keeps them in it.
 
     Parameters
     ----------
     lease : LeaseKeeper
-        Gives the fencing number; confirmed in the table before sending.
+        Provides the fencing token; confirmed in the table before sending.
     tables, engine : Tables, ControlledEngine
         Adapters.
     metrics : Metrics
         Counts orders sent and refused as stale.
     clock : Clock
         Source of time.
-    policy : OrderPolicy
-        Constants.
+    config : OrderConfig
+        Parameters.
     """
 
     def __init__(
@@ -55,162 +55,166 @@
         engine: ControlledEngine,
         metrics: Metrics,
         clock: Clock,
-        policy: OrderPolicy,
+        config: OrderConfig,
     ) -> None:
         self._lease = lease
         self._tables = tables
         self._engine = engine
         self._metrics = metrics
         self._clock = clock
-        self._policy = policy
-        self._memories: dict[str, OrderMemory] = {}
+        self._config = config
+        self._known_orders: dict[str, KnownOrder] = {}
         self._epoch: int | None = None
         self._confirmed = False
 
     async def round(
         self,
         engines: Mapping[str, EndpointView],
-        wanted: Mapping[str, EngineOrder],
+        desired: Mapping[str, EngineOrder],
         may_load: Collection[str],
         checks_fence: bool,
         predecessor_gone: bool,
     ) -> set[str]:
-        """Do the next steps for each engine; return the ids that are settled.
+        """Do the next steps for each engine; return the ids of settled engines.
 
         Parameters
         ----------
         engines : mapping of str to EndpointView
             Engines by instance id.
-        wanted : mapping of str to EngineOrder
-            Wanted end of each.
+        desired : mapping of str to EngineOrder
+            Desired state of each, by instance id.
         may_load : collection of str
-            Ids whose weights may be loaded now.
+            Ids of engines that may load weights now.
         checks_fence, predecessor_gone : bool
             See `orders.next_step`.
         """
         if self._epoch != self._lease.epoch:
-            self._memories.clear()
+            self._known_orders.clear()
             self._epoch = self._lease.epoch
-        for endpoint_id in set(self._memories) - set(engines):
-            del self._memories[endpoint_id]
+        for endpoint_id in set(self._known_orders) - set(engines):
+            del self._known_orders[endpoint_id]
         self._confirmed = False
-        leadership = Leadership(self._lease.since, predecessor_gone)
-        limit = asyncio.Semaphore(_AT_ONCE)
+        leadership = Leadership(self._lease.held_since, predecessor_gone)
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_ENGINES)
 
-        async def one(endpoint_id: str) -> bool:
-            async with limit:
+        async def settle(endpoint_id: str) -> bool:
+            async with semaphore:
                 return await self._settle(
                     engines[endpoint_id],
-                    wanted,
+                    desired,
                     endpoint_id in may_load,
                     leadership,
                     checks_fence,
                 )
 
         settled = set()
-        busy = []
+        unsettled = []
         for endpoint_id in engines:
-            if endpoint_id not in wanted:
+            if endpoint_id not in desired:
                 continue
-            step = self._step(endpoint_id, wanted, leadership, checks_fence)
+            step = self._step(endpoint_id, desired, leadership, checks_fence)
             if isinstance(step, Settled):
                 settled.add(endpoint_id)
             elif not isinstance(step, HoldOrder):
-                busy.append(endpoint_id)
-        done = await asyncio.gather(*(one(endpoint_id) for endpoint_id in busy))
-        return settled | {name for name, ok in zip(busy, done, strict=True) if ok}
+                unsettled.append(endpoint_id)
+        results = await asyncio.gather(
+            *(settle(endpoint_id) for endpoint_id in unsettled)
+        )
+        return settled | {
+            name for name, ok in zip(unsettled, results, strict=True) if ok
+        }
 
     def _step(
         self,
         endpoint_id: str,
-        wanted: Mapping[str, EngineOrder],
+        desired: Mapping[str, EngineOrder],
         leadership: Leadership,
         checks_fence: bool,
     ) -> Step:
         """Return the next step for one engine."""
         return next_step(
-            wanted[endpoint_id],
-            self._memories.get(endpoint_id, OrderMemory()),
+            desired[endpoint_id],
+            self._known_orders.get(endpoint_id, KnownOrder()),
             leadership,
             checks_fence,
-            self._policy,
+            self._config,
             self._clock.now(),
         )
 
-    def found(self, endpoint_id: str) -> EngineOrder | None:
-        """Return the order last read from an engine."""
-        return self._memories.get(endpoint_id, OrderMemory()).found
+    def last_read(self, endpoint_id: str) -> EngineOrder | None:
+        """Return the order last read from an engine; None if never read."""
+        return self._known_orders.get(endpoint_id, KnownOrder()).found
 
     async def _settle(
         self,
         view: EndpointView,
-        wanted: Mapping[str, EngineOrder],
+        desired: Mapping[str, EngineOrder],
         may_load: bool,
         leadership: Leadership,
         checks_fence: bool,
     ) -> bool:
-        """Do a few steps for one engine; return whether it is settled."""
-        order = wanted[view.endpoint_id]
-        for _ in range(_STEPS):
-            memory = self._memories.get(view.endpoint_id, OrderMemory())
+        """Do a limited number of steps for one engine; return if it is settled."""
+        order = desired[view.endpoint_id]
+        for _ in range(_MAX_STEPS_PER_ROUND):
+            known = self._known_orders.get(view.endpoint_id, KnownOrder())
             try:
-                match self._step(view.endpoint_id, wanted, leadership, checks_fence):
+                match self._step(view.endpoint_id, desired, leadership, checks_fence):
                     case Settled():
                         return True
                     case HoldOrder():
                         return False
                     case ReadBack():
-                        await self._read(view, order, memory)
+                        await self._read(view, order, known)
                     case SendOrder():
-                        has = {*_models(memory), *view.models}
-                        if set(order.models) - has and not may_load:
+                        loaded = {*_models(known), *view.models}
+                        if set(order.models) - loaded and not may_load:
                             return False
-                        await self._send(view, order, memory)
+                        await self._send(view, order, known)
             except EbonydealError as exc:
                 self._note_failure(view, exc)
                 return False
         return False
 
     async def _read(
-        self, view: EndpointView, wanted: EngineOrder, memory: OrderMemory
+        self, view: EndpointView, desired: EngineOrder, known: KnownOrder
     ) -> None:
-        """Read the order in force."""
+        """Read the order in force from an engine."""
         found = await self._engine.order_state(view)
         now = self._clock.now()
-        self._memories[view.endpoint_id] = after_read(memory, found, wanted, now)
+        self._known_orders[view.endpoint_id] = after_read(known, found, desired, now)
 
     async def _send(
-        self, view: EndpointView, wanted: EngineOrder, memory: OrderMemory
+        self, view: EndpointView, desired: EngineOrder, known: KnownOrder
     ) -> None:
         """Send an order, after the table has confirmed the lease this round."""
-        await self._confirm()
-        self._memories[view.endpoint_id] = after_send(memory)
+        await self._confirm_lease()
+        self._known_orders[view.endpoint_id] = after_send(known)
         self._metrics.count(Event.ORDERS_SENT)
-        await self._engine.order(view, wanted)
+        await self._engine.order(view, desired)
 
-    async def _confirm(self) -> None:
-        """Raise ``FENCED`` unless the table still holds our epoch."""
-        if self._confirmed and self._lease.believed():
+    async def _confirm_lease(self) -> None:
+        """Raise ``FENCED`` unless the table still has this leader's epoch."""
+        if self._confirmed and self._lease.presumed_held():
             return
         row = await self._tables.get(self._lease.key)
         if row is None or row.value["epoch"] != self._epoch:
-            self._lease.lost()
-            raise EbonydealError(ErrorKind.FENCED, "another controller leads now")
+            self._lease.mark_lost()
+            raise EbonydealError(
+                ErrorKind.FENCED, "another controller has taken the lease"
+            )
         self._confirmed = True
 
     def _note_failure(self, view: EndpointView, exc: EbonydealError) -> None:
-        """Count and log; a stale order means that a newer leader is active."""
+        """Count and log a failure; a stale order proves that a newer leader exists."""
         if exc.kind is ErrorKind.STALE_ORDER:
             self._metrics.count(Event.ORDERS_STALE)
-            self._lease.lost()
+            self._lease.mark_lost()
         if exc.kind is ErrorKind.CONNECT_FAILED:
-            logger.debug("An engine can't be reached.", endpoint=view.endpoint_id)
+            logger.debug("Engine is unreachable.", endpoint=view.endpoint_id)
             return
-        logger.warning(
-            "An order failed.", endpoint=view.endpoint_id, kind=str(exc.kind)
-        )
+        logger.warning("Order failed.", endpoint=view.endpoint_id, kind=str(exc.kind))
 
 
-def _models(memory: OrderMemory) -> tuple[str, ...]:
-    """Return the models that an engine was last seen with."""
-    return memory.found.models if memory.found is not None else ()
+def _models(known: KnownOrder) -> tuple[str, ...]:
+    """Return the models of the order last read from an engine."""
+    return known.found.models if known.found is not None else ()
--- a/src/ebonydeal/_internal/controller/reconcile.py
+++ b/src/ebonydeal/_internal/controller/reconcile.py
@@ -1,9 +1,9 @@
-"""From wanted and observed to actions, for the instances of one deployment.
+"""Plans the actions that bring a deployment's instances to the desired state.
 
-Every intent is a row in the table service before it is a call to the cloud, and
-a row's state only moves forward (starting, warming, ready, draining,
-releasing). So a late call of a leader that was paused can only carry out what
-had been recorded anyway, and a new leader finds everything that was begun.
+Every intent is written as a row to the table service before the cloud is called,
+and a row's state only moves forward (starting, warming, ready, draining,
+releasing). So a late call of a leader that was paused can only execute a recorded
+intent, and a new leader finds everything that was started.
 """
 
 from collections import Counter
@@ -23,7 +23,11 @@
     Start,
     Warm,
 )
-from ebonydeal._internal.controller.fleet import Observed, ReconcilePolicy, Wanted
+from ebonydeal._internal.controller.reconcile_state import (
+    DesiredState,
+    ObservedState,
+    ReconcileConfig,
+)
 from ebonydeal._internal.controller.surplus import drain_surplus
 from ebonydeal._internal.controller.values import (
     LIVE_STATES,
@@ -37,61 +41,63 @@
 
 
 def plan(
-    wanted: Wanted,
-    observed: Observed,
-    policy: ReconcilePolicy,
+    desired: DesiredState,
+    observed: ObservedState,
+    config: ReconcileConfig,
     now: float,
     unreplaced: tuple[str, ...] = (),
 ) -> list[Action]:
-    """Return what to do next.
+    """Return the next actions.
 
     Parameters
     ----------
-    wanted, observed : Wanted, Observed
-        What should run and what does.
-    policy : ReconcilePolicy
-        Constants.
+    desired, observed : DesiredState, ObservedState
+        What should run and what is known to run.
+    config : ReconcileConfig
+        Parameters.
     now : float
         Wall clock seconds.
     unreplaced : tuple of str
-        Tokens that were lost and whose replacement has not been started.
+        Tokens of lost instances whose replacement has not been started.
 
     Returns
     -------
     list of Action
         At most one for each instance. Nothing is started in a round that takes
-        instances over: they may be what is missing.
+        over instances, as these may be the missing ones.
     """
-    actions: list[Action] = list(_unrecorded(wanted, observed))
+    actions: list[Action] = list(_plan_unrecorded(desired, observed))
     for row in observed.rows.values():
-        actions.extend(_advance(row, observed, policy, now))
+        actions.extend(_advance(row, observed, config, now))
     staying = _staying(observed, actions)
-    drains = drain_surplus(wanted, observed, staying, policy, now)
+    drains = drain_surplus(desired, observed, staying, config, now)
     actions = _without_rows(actions, {drain.row.token for drain in drains})
     actions.extend(drains)
     if any(isinstance(action, Enlist) for action in actions):
         return actions
-    actions.extend(_starts(wanted, observed, staying, actions, unreplaced, policy))
+    actions.extend(_starts(desired, observed, staying, actions, unreplaced, config))
     return actions
 
 
-def _unrecorded(wanted: Wanted, observed: Observed) -> Iterator[Action]:
-    """Yield what to do about instances without a row.
+def _plan_unrecorded(
+    desired: DesiredState, observed: ObservedState
+) -> Iterator[Action]:
+    """Yield the actions for instances without a row.
 
-    One that a controller started comes from a call that landed late, and goes.
-    One that somebody else started for the deployment is taken over.
+    A managed instance without a row was started by a late call, and is released.
+    One that was started for the deployment by other means is taken over.
     """
     for token, instance in observed.instances.items():
         if token in observed.rows:
             continue
         if is_managed(instance):
             yield Condemn(instance)
-        elif wanted.target > 0:
+        elif desired.target > 0:
             yield Enlist(instance)
 
 
 def _without_rows(actions: list[Action], tokens: Set[str]) -> list[Action]:
-    """Return the actions that don't touch these rows: one change at a time."""
+    """Drop actions on these rows, so that each row has one action per round."""
     return [
         action
         for action in actions
@@ -101,22 +107,22 @@
 
 
 def _advance(
-    row: InstanceRow, observed: Observed, policy: ReconcilePolicy, now: float
+    row: InstanceRow, observed: ObservedState, config: ReconcileConfig, now: float
 ) -> Iterator[Action]:
-    """Yield the next step of one recorded instance, if any."""
+    """Yield the next action on one recorded instance, if any."""
     instance = observed.instances.get(row.token)
     age = now - row.at
     match row.state:
         case InstanceState.STARTING:
             yield Restart(row) if instance is None else Adopt(row, instance)
         case InstanceState.WARMING | InstanceState.READY:
-            yield from _advance_running(row, instance is None, observed, policy, now)
+            yield from _advance_running(row, instance is None, observed, config, now)
         case InstanceState.DRAINING:
-            if instance is None and age > policy.list_grace:
+            if instance is None and age > config.list_grace:
                 yield Forget(row, lost=False)
             elif now >= row.drain_until:
                 yield Release(row)
-            elif row.token in observed.idle and age >= policy.drain_least:
+            elif row.token in observed.idle and age >= config.drain_least:
                 yield Release(row)
         case InstanceState.RELEASING:
             yield Forget(row, lost=False) if instance is None else Release(row)
@@ -125,14 +131,14 @@
 def _advance_running(
     row: InstanceRow,
     missing: bool,
-    observed: Observed,
-    policy: ReconcilePolicy,
+    observed: ObservedState,
+    config: ReconcileConfig,
     now: float,
 ) -> Iterator[Action]:
-    """Yield the next step of an instance that warms up or serves."""
+    """Yield the next action on an instance that is warming up or ready."""
     age = now - row.at
     if missing:
-        if row.token in observed.gone and age > policy.list_grace:
+        if row.token in observed.gone and age > config.list_grace:
             yield Forget(row, lost=True)
     elif row.token in observed.leaving:
         yield Drain(row, "reclaim notice", observed.leaving[row.token])
@@ -140,62 +146,62 @@
         return
     elif row.token in observed.warm:
         yield MarkReady(row)
-    elif age > policy.warm_timeout:
+    elif age > config.warm_timeout:
         yield Drain(row, "did not warm up in time", now)
     else:
         yield Warm(row)
 
 
-def _staying(observed: Observed, actions: list[Action]) -> list[InstanceRow]:
-    """Return the live rows that no action takes away."""
-    going = {
+def _staying(observed: ObservedState, actions: list[Action]) -> list[InstanceRow]:
+    """Return the live rows that no action drains or deletes."""
+    removed = {
         action.row.token for action in actions if isinstance(action, Drain | Forget)
     }
     return [
         row
         for row in observed.rows.values()
-        if row.state in LIVE_STATES and row.token not in going
+        if row.state in LIVE_STATES and row.token not in removed
     ]
 
 
 def _starts(
-    wanted: Wanted,
-    observed: Observed,
+    desired: DesiredState,
+    observed: ObservedState,
     staying: list[InstanceRow],
     actions: list[Action],
     unreplaced: tuple[str, ...],
-    policy: ReconcilePolicy,
+    config: ReconcileConfig,
 ) -> Iterator[Action]:
-    """Yield starts of what is missing, as far as the ceiling allows."""
-    have = Counter(OfferKey.of(row) for row in staying)
+    """Yield starts of missing instances, as far as the price ceiling allows."""
+    counts = Counter(OfferKey.of(row) for row in staying)
     cost = observed.committed() - sum(
         observed.price(action.row) for action in actions if isinstance(action, Forget)
     )
-    causes = iter(unreplaced + _taken_away(actions))
-    left = policy.starts_at_once
+    to_replace = iter(unreplaced + _lost_tokens(actions))
+    starts_left = config.starts_at_once
     cheapest_first = sorted(
-        wanted.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
+        desired.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
     )
     for key, number in cheapest_first:
-        missing = number - have[key]
+        missing = number - counts[key]
         price = observed.prices.get(key)
         if price is None or missing <= 0:
             continue
-        for done in range(missing):
-            if left <= 0:
+        for started in range(missing):
+            if starts_left <= 0:
                 return
-            if cost + price > wanted.ceiling + _EPS:
-                yield Hold(key, missing - done)
+            if cost + price > desired.ceiling + _EPS:
+                yield Hold(key, missing - started)
                 break
-            replaces = next(causes, "")
+            replaces = next(to_replace, "")
             why = "replacement" if replaces else "below wanted number"
             yield Start(key, price, why, replaces)
             cost += price
-            left -= 1
+            starts_left -= 1
 
 
-def _taken_away(actions: list[Action]) -> tuple[str, ...]:
-    """Return the tokens that this round takes away against our will."""
+def _lost_tokens(actions: list[Action]) -> tuple[str, ...]:
+    """Return the tokens of instances that are lost or being reclaimed."""
     tokens = []
     for action in actions:
         match action:
