--- a/tests/unit/docs/test_counters_page.py
+++ b/tests/unit/docs/test_counters_page.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ebonydeal._internal.errors import ANSWERS, ErrorKind, Outcome
+from ebonydeal._internal.errors import ERROR_RESPONSES, ErrorKind, Outcome
 from ebonydeal._internal.observe.counters import Event, RetryReason, Timing
 from tests.lib.pages import ROOT
 
@@ -34,7 +34,7 @@
 
     @pytest.mark.parametrize("kind", ErrorKind)
     def test_status_and_outcome_are_the_tables(self, kind):
-        answer = ANSWERS[kind]
+        response = ERROR_RESPONSES[kind]
         cells = rows("Refusals, and the error list")[str(kind)]
-        assert cells[:2] == [str(answer.status), RAN[answer.outcome]]
+        assert cells[:2] == [str(response.status), RAN[response.outcome]]
         assert cells[3]
