--- a/src/ebonydeal/_internal/controller/context.py
+++ b/src/ebonydeal/_internal/controller/context.py
@@ -53,15 +53,15 @@
         return ReconcileConfig(
             list_grace=self.cfg.list_grace,
             warm_timeout=self.cfg.warm_timeout,
-            drain_longest=self.cfg.drain_longest,
+            max_drain_s=self.cfg.drain_longest,
             drain_over_ceiling=self.cfg.drain_over_ceiling,
         )
 
     def order_config(self) -> OrderConfig:
         """Return the parameters of orders."""
         return OrderConfig(
-            quiet=self.cfg.lease_ttl + self.cfg.longest_order,
-            longest_order=self.cfg.longest_order,
+            predecessor_timeout_s=self.cfg.lease_ttl + self.cfg.longest_order,
+            max_order_s=self.cfg.longest_order,
             audit_period=self.cfg.audit_period,
         )
 
--- a/src/ebonydeal/_internal/controller/demand.py
+++ b/src/ebonydeal/_internal/controller/demand.py
@@ -20,7 +20,7 @@
 
     Attributes
     ----------
-    smoothing : float
+    smoothing_s : float
         Seconds over which the load is averaged.
     hold_down : float
         Seconds for which a higher number of replicas is kept.
@@ -28,16 +28,16 @@
         Mean seconds of one request in an engine.
     wait_share : float
         Share of the first-token latency target that may be spent waiting.
-    ahead : float
+    forecast_s : float
         Seconds by which a rising load is extrapolated, as an instance takes
         that long to start and warm up.
     """
 
-    smoothing: float = 30.0
+    smoothing_s: float = 30.0
     hold_down: float = 600.0
     service_s: float = 4.0
     wait_share: float = 0.5
-    ahead: float = 120.0
+    forecast_s: float = 120.0
 
 
 class Load(NamedTuple):
@@ -130,7 +130,7 @@
         Monotonic seconds.
     """
     smoothed = _smoothed(state, load.in_flight, config, now)
-    forecast = smoothed.load + max(0.0, smoothed.slope) * config.ahead
+    forecast = smoothed.load + max(0.0, smoothed.slope) * config.forecast_s
     wait = first_token_s * config.wait_share
     slots = slots_needed(forecast, config.service_s, wait)
     need = min(max_replicas, max(min_replicas, math.ceil(slots / max(1, load.slots))))
@@ -147,7 +147,7 @@
     passed = max(0.0, now - state.at)
     if passed == 0.0:
         return state
-    share = 1.0 - math.exp(-passed / config.smoothing)
+    share = 1.0 - math.exp(-passed / config.smoothing_s)
     load = state.load + share * (in_flight - state.load)
     slope = state.slope + share * ((load - state.load) / passed - state.slope)
     return state._replace(load=load, slope=slope, at=now)
--- a/src/ebonydeal/_internal/controller/orders.py
+++ b/src/ebonydeal/_internal/controller/orders.py
@@ -18,17 +18,17 @@
 
     Attributes
     ----------
-    quiet : float
+    predecessor_timeout_s : float
         Maximum time for which orders of a predecessor that is not paused can
         still take effect: the TTL of its lease plus one order.
-    longest_order : float
+    max_order_s : float
         Maximum time that one order takes from sending to effect.
     audit_period : float
         Time between reads of a settled engine that ignores the token.
     """
 
-    quiet: float
-    longest_order: float
+    predecessor_timeout_s: float
+    max_order_s: float
     audit_period: float
 
 
@@ -80,7 +80,7 @@
 class HoldOrder:
     """Send nothing yet."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
@@ -134,17 +134,17 @@
     found, read_at = known.found, known.read_at
     assert found is not None and read_at is not None
     if not has_same_state(found, desired):
-        predecessor_may_send = now < leadership.since + config.quiet
+        predecessor_may_send = now < leadership.since + config.predecessor_timeout_s
         if predecessor_may_send and not leadership.predecessor_gone:
             return HoldOrder("the old lease has not run out")
         if interrupts_work(found, desired) and not leadership.predecessor_gone:
             return HoldOrder("can't be undone, and the old holder may be alive")
         return SendOrder()
     stable = known.matching_since is not None and (
-        now - known.matching_since >= config.longest_order
+        now - known.matching_since >= config.max_order_s
     )
     if not stable:
-        if now - read_at >= config.longest_order / 2:
+        if now - read_at >= config.max_order_s / 2:
             return ReadBack()
         return HoldOrder("read back until it is stable")
     if now - read_at >= config.audit_period:
--- a/src/ebonydeal/_internal/controller/reconcile.py
+++ b/src/ebonydeal/_internal/controller/reconcile.py
@@ -122,7 +122,7 @@
                 yield Forget(row, lost=False)
             elif now >= row.drain_until:
                 yield Release(row)
-            elif row.token in observed.idle and age >= config.drain_least:
+            elif row.token in observed.idle and age >= config.min_drain_s:
                 yield Release(row)
         case InstanceState.RELEASING:
             yield Forget(row, lost=False) if instance is None else Release(row)
@@ -178,7 +178,7 @@
         observed.price(action.row) for action in actions if isinstance(action, Forget)
     )
     to_replace = iter(unreplaced + _lost_tokens(actions))
-    starts_left = config.starts_at_once
+    starts_left = config.max_starts_per_round
     cheapest_first = sorted(
         desired.counts.items(), key=lambda item: observed.prices.get(item[0], 0.0)
     )
--- a/src/ebonydeal/_internal/controller/reconcile_state.py
+++ b/src/ebonydeal/_internal/controller/reconcile_state.py
@@ -16,22 +16,22 @@
         Time for which a started instance may be missing from the cloud's list.
     warm_timeout : float
         Maximum time from start to warm; then the instance is replaced.
-    drain_least : float
+    min_drain_s : float
         Minimum drain of an instance that served, so that leaving marks spread.
-    drain_longest : float
+    max_drain_s : float
         Maximum drain if the cloud sets no deadline.
     drain_over_ceiling : float
         Maximum drain of an instance that exceeds the price ceiling.
-    starts_at_once : int
+    max_starts_per_round : int
         Maximum number of starts in one round.
     """
 
     list_grace: float = 20.0
     warm_timeout: float = 900.0
-    drain_least: float = 5.0
-    drain_longest: float = 600.0
+    min_drain_s: float = 5.0
+    max_drain_s: float = 600.0
     drain_over_ceiling: float = 30.0
-    starts_at_once: int = 50
+    max_starts_per_round: int = 50
 
 
 class DesiredState(NamedTuple):
--- a/src/ebonydeal/_internal/controller/replicas.py
+++ b/src/ebonydeal/_internal/controller/replicas.py
@@ -154,7 +154,7 @@
                 model=models[0],
                 zone=view.place.zone,
                 shortfall=shortfall,
-                asked_at=rows[token].at,
+                requested_at=rows[token].at,
             )
             for token, view in views.items()
             if models
--- a/src/ebonydeal/_internal/controller/surplus.py
+++ b/src/ebonydeal/_internal/controller/surplus.py
@@ -53,7 +53,7 @@
             continue
         serving = row.state is InstanceState.READY
         why = "price ceiling" if over_ceiling else "not wanted any more"
-        wait = config.drain_over_ceiling if over_ceiling else config.drain_longest
+        wait = config.drain_over_ceiling if over_ceiling else config.max_drain_s
         drains.append(Drain(row, why, now + (wait if serving else 0.0)))
         staying.remove(row)
         cost -= observed.price(row)
--- a/src/ebonydeal/_internal/controller/weights.py
+++ b/src/ebonydeal/_internal/controller/weights.py
@@ -47,8 +47,8 @@
         Engine, its deployment, the model to load and the engine's zone.
     shortfall : float
         Share of the target that is not ready in the deployment, 0 to 1.
-    asked_at : float
-        Monotonic seconds.
+    requested_at : float
+        Start of the wait, wall clock seconds; orders requests.
     """
 
     endpoint_id: str
@@ -56,7 +56,7 @@
     model: str
     zone: str
     shortfall: float
-    asked_at: float
+    requested_at: float
 
 
 class RunningLoad(NamedTuple):
@@ -195,13 +195,13 @@
         extra = self.config.max_shortfall_weight - 1.0
         weight = 1.0 + extra * min(1.0, max(0.0, req.shortfall))
         share = self.served_gb[req.deployment] / weight
-        return (share, -req.shortfall, req.asked_at, req.endpoint_id)
+        return (share, -req.shortfall, req.requested_at, req.endpoint_id)
 
 
 def _grouped(requests: Iterable[LoadRequest]) -> _Groups:
     """Return requests by (deployment, model, zone), oldest first."""
     groups: _Groups = defaultdict(deque)
-    for req in sorted(requests, key=lambda item: (item.asked_at, item.endpoint_id)):
+    for req in sorted(requests, key=lambda item: (item.requested_at, item.endpoint_id)):
         groups[(req.deployment, req.model, req.zone)].append(req)
     return groups
 
--- a/tests/unit/controller/test_demand.py
+++ b/tests/unit/controller/test_demand.py
@@ -12,7 +12,7 @@
 )
 from ebonydeal._internal.models.endpoints import LoadReport
 
-CONFIG = DemandConfig(smoothing=1.0, hold_down=600.0, ahead=0.0)
+CONFIG = DemandConfig(smoothing_s=1.0, hold_down=600.0, forecast_s=0.0)
 
 
 def waiting_share(load: float, slots: int, wait_s: float) -> float:
--- a/tests/unit/controller/test_orders.py
+++ b/tests/unit/controller/test_orders.py
@@ -12,7 +12,7 @@
 )
 from ebonydeal._internal.outside.interfaces import EngineOrder
 
-CONFIG = OrderConfig(quiet=20.0, longest_order=10.0, audit_period=30.0)
+CONFIG = OrderConfig(predecessor_timeout_s=20.0, max_order_s=10.0, audit_period=30.0)
 WANTED = EngineOrder(5, ("m", "n"), "serve")
 ALIVE, GONE = Leadership(100.0, False), Leadership(100.0, True)
 
--- a/tests/unit/controller/test_reconcile.py
+++ b/tests/unit/controller/test_reconcile.py
@@ -132,7 +132,7 @@
         assert actions([*old, new], counts, 1) == [Warm(new)]
         ready = new._replace(state=READY)
         assert actions([*old, ready], counts, 1) == [
-            Drain(old[1], "not wanted any more", NOW + CONFIG.drain_longest)
+            Drain(old[1], "not wanted any more", NOW + CONFIG.max_drain_s)
         ]
 
     def test_no_drain_if_the_target_would_not_survive_a_zone_loss(self):
