--- a/src/ebonydeal/_internal/gateway/caller_errors.py
+++ b/src/ebonydeal/_internal/gateway/caller_errors.py
@@ -1,6 +1,6 @@
 """Error messages as callers see them.
 
-They hold no address or text of an endpoint, and "not run" only where it is certain.
+They never contain an endpoint's address or text, and never a false "not run".
 """
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind, Outcome
--- a/src/ebonydeal/_internal/gateway/intake.py
+++ b/src/ebonydeal/_internal/gateway/intake.py
@@ -149,10 +149,7 @@
 
 
 def may_have_run(req: web.Request) -> bool:
-    """Return whether an earlier call under the same key may have run.
-
-    It is False once the journal was called, which knows the outcome.
-    """
+    """Return whether the request has a key that the journal wasn't asked about."""
     return bool(req.headers.get(KEY_HEADER)) and not req.get(JOURNAL_CALLED, False)
 
 
--- a/tests/functional/gateway/test_generation.py
+++ b/tests/functional/gateway/test_generation.py
@@ -42,7 +42,7 @@
 
 
 class TestOpenAIClient:
-    async def test_whole_answer(self):
+    async def test_complete_answer(self):
         async with Bench() as bench, client(bench) as api:
             answer = await api.chat.completions.create(**BODY)
         assert answer.choices[0].message.content == "".join(bench.engine.text)
@@ -229,7 +229,7 @@
             assert bench.program.stream_runner.live_streams == set()
             assert len(bench.admission.released) == 1
 
-    async def test_whole_answer(self):
+    async def test_disconnect_before_a_complete_answer(self):
         engine = FakeEngine()
         engine.faults = {"e1": (3, "stall")}
         async with Bench(engine) as bench:
@@ -272,13 +272,13 @@
                     await asyncio.sleep(0.3)
                 return sent, await resp.read()
 
-    async def test_holds_up_its_engine_only(self):
+    async def test_only_its_engine_stream_slows_down(self):
         async with Bench(FakeEngine(self.COUNT), buffer_tokens=16) as bench:
             sent, raw = await self.read_slowly(bench)
         assert sent < self.COUNT
         assert text_of(read_events(raw)) == "".join(bench.engine.text)
 
-    async def test_is_cut_off_at_last(self):
+    async def test_blocked_connection_is_aborted(self):
         engine = FakeEngine(self.COUNT)
         async with Bench(engine, write_seconds=1.0) as bench:
             async with ClientSession(headers=AUTH, read_bufsize=1024) as http:
--- a/tests/functional/gateway/test_listener.py
+++ b/tests/functional/gateway/test_listener.py
@@ -151,7 +151,7 @@
         assert complete[:2] == (200, '{"covers": 40}')
         assert bench.journal.asked[-1] == ("cancel", "r-0001-00", "kitchen")
 
-    async def test_cancelled(self):
+    async def test_answer_of_a_cancelled_request(self):
         async with Bench() as bench:
             error = EbonydealError(ErrorKind.CANCELLED)
             bench.journal.status_now = JournalStatus("r-1", "ended", error=error)
@@ -237,7 +237,7 @@
         assert last["what"] == {"kind": "queue_full", "why": "full"}
 
     @pytest.mark.parametrize("token", ["", "wrong"])
-    async def test_wrong_token(self, token):
+    async def test_wrong_token_is_refused(self, token):
         async with Bench() as bench:
             status, _text, _headers = await ask(
                 bench, "GET", "/ops/explain/r", headers={"X-Operator-Token": token}
--- a/tests/functional/gateway/test_outcome.py
+++ b/tests/functional/gateway/test_outcome.py
@@ -53,7 +53,7 @@
             actual = await self.post(bench, path, {**AUTH, **KEY}, REQUEST_BODIES[path])
         assert actual == (413, "body_too_large", None, "unknown")
 
-    async def test_failures_without_the_journal(self):
+    async def test_failure_before_the_journal_is_unknown(self):
         async with Bench() as bench:
             bench.directory.all.clear()
             headers = {**AUTH, **KEY}
--- a/tests/functional/gateway/test_program.py
+++ b/tests/functional/gateway/test_program.py
@@ -120,7 +120,7 @@
 
 
 class TestGatewayProgram:
-    async def test_whole_answer(self):
+    async def test_complete_answer(self):
         words = "How many covers tomorrow?"
         async with System() as system:
             answer = await system.api.chat.completions.create(
--- a/tests/functional/gateway/test_services.py
+++ b/tests/functional/gateway/test_services.py
@@ -143,7 +143,7 @@
             )
         assert (actual_status, headers["X-Outcome"]) == (status, outcome)
 
-    async def test_still_running(self):
+    async def test_running_call_is_answered_with_202(self):
         async with Bench() as bench:
             bench.journal.status_now = JournalStatus("k-1", "dispatched")
             status, _text, headers = await self.call(
@@ -159,7 +159,7 @@
         assert status == 400
         assert bench.journal.called == []
 
-    async def test_unknown_service(self):
+    async def test_unknown_service_is_refused(self):
         async with Bench() as bench:
             status, _text, _headers = await self.call(bench, "GET", "covers/x")
         assert status == 404
--- a/tests/unit/gateway/test_reconnect.py
+++ b/tests/unit/gateway/test_reconnect.py
@@ -28,7 +28,7 @@
         assert retained.get("r-2", ACCOUNT, 9.0) is None
         assert retained.get("r-1", ACCOUNT, 10.0) is None
 
-    def test_later_state_replaces_earlier(self):
+    def test_later_state_replaces_the_earlier_one(self):
         retained = RetainedAnswers(10.0, 1000)
         retained.retain(live(tokens=3), 0.0)
         retained.retain(live(tokens=5), 1.0)
