--- a/spec/checker.py
+++ b/spec/checker.py
@@ -1,4 +1,4 @@
-"""One narrow way to the explicit-state checker."""
+"""Interface to the explicit-state model checker."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
@@ -12,19 +12,19 @@
 
 
 class Specification(NamedTuple):
-    """A transition system with what must and what can hold.
+    """A transition system with its properties.
 
     Attributes
     ----------
     initial : NamedTuple
-        The first state; every state is a value of the same class.
+        The initial state; all states have its class.
     transitions : callable
-        From a state to its (label, next state) pairs.
+        Maps a state to its (label, next state) pairs.
     invariants : dict
         Predicates that hold in every reachable state.
     reachable : dict
-        Predicates that hold in some reachable state: shows that the
-        invariants are not proved of an empty model.
+        Predicates that hold in some reachable state. They show that the
+        invariants don't hold merely because the model does nothing.
     """
 
     name: str
@@ -34,12 +34,12 @@
     reachable: dict[str, Predicate]
 
 
-class Checked(NamedTuple):
-    """The verdict of one sweep.
+class CheckResult(NamedTuple):
+    """Result of one exploration.
 
     ``violated`` maps an invariant to the labels of a shortest counterexample;
     ``reached`` maps a reachable predicate to those of a shortest witness;
-    ``states`` counts distinct states, of a partial sweep if not ``exhaustive``.
+    ``states`` counts distinct states; some are missing unless ``exhaustive``.
     """
 
     name: str
@@ -54,21 +54,21 @@
         return min((len(trace) for trace in self.violated.values()), default=0)
 
 
-class _OwnStates(Protocol):
-    """A protocol whose predicates get the state itself, not a dict of it."""
+class _TypedStates(Protocol):
+    """A protocol whose predicates get the state itself instead of a dict."""
 
     def d(self, s: Any) -> Any:
-        """Return the state as the predicates want it."""
+        """Return the state in the form that predicates take."""
         return s
 
 
-def check(spec: Specification, max_states: int = MAX_STATES) -> Checked:
+def check(spec: Specification, max_states: int = MAX_STATES) -> CheckResult:
     """Explore every reachable state of ``spec``, up to ``max_states``."""
-    return _sweep(spec, max_states, lambda: False)
+    return _explore(spec, max_states, lambda: False)
 
 
-def refute(spec: Specification, max_states: int = MAX_STATES) -> Checked:
-    """Explore only until an invariant fails; the counterexample is a shortest."""
+def refute(spec: Specification, max_states: int = MAX_STATES) -> CheckResult:
+    """Explore until an invariant fails, which gives a shortest counterexample."""
     failed: list[str] = []
 
     def watched(name: str, holds: Predicate) -> Predicate:
@@ -81,7 +81,7 @@
         return predicate
 
     watching = {name: watched(name, holds) for name, holds in spec.invariants.items()}
-    return _sweep(
+    return _explore(
         spec._replace(invariants=watching, reachable={}),
         max_states,
         lambda: bool(failed),
@@ -89,14 +89,14 @@
 
 
 def always_can_reach(spec: Specification, goal: Predicate) -> bool:
-    """Tell whether ``goal`` can still be reached from every reachable state.
+    """Return whether ``goal`` can be reached from every reachable state.
 
     Raises
     ------
     RuntimeError
-        If the state space was not explored whole.
+        If the state space was not explored completely.
     """
-    model = _OwnStates(
+    model = _TypedStates(
         name=spec.name,
         candidate=False,
         fields=type(spec.initial)._fields,
@@ -107,18 +107,18 @@
     )
     holds = check_liveness(model)["holds"]
     if holds is None:
-        raise RuntimeError(f"{spec.name} was not explored whole")
+        raise RuntimeError(f"{spec.name} was not explored completely")
     return bool(holds)
 
 
-def _sweep(
+def _explore(
     spec: Specification, max_states: int, stopped: Callable[[], bool]
-) -> Checked:
+) -> CheckResult:
     properties = {f"always {name}": holds for name, holds in spec.invariants.items()}
     properties |= {
         f"never {name}": _negated(holds) for name, holds in spec.reachable.items()
     }
-    model = _OwnStates(
+    model = _TypedStates(
         name=spec.name,
         candidate=False,
         fields=type(spec.initial)._fields,
@@ -132,7 +132,7 @@
         for name, found in verdict["properties"].items()
         if found["holds"] is False
     }
-    return Checked(
+    return CheckResult(
         spec.name,
         verdict["reachable_states"],
         verdict["exhaustive"] and not stopped(),
--- a/spec/config_commit.py
+++ b/spec/config_commit.py
@@ -1,8 +1,8 @@
 """Two operators commit versions by compare-and-set on the head.
 
-The version row, the items and the head are one transaction. A commit that was
-sent can land late, twice or never, and its answer can be lost; the operator's
-process then finds out what became of it before it says anything.
+The version row, the items and the head are written in one transaction. A commit
+that was sent can be applied late, twice or never, and its reply can be lost; the
+operator's process then determines the outcome before it reports one.
 """
 
 from collections.abc import Iterator
@@ -29,16 +29,16 @@
 
 
 class Operator(NamedTuple):
-    """``base`` is the version read; ``doubt`` the one whose answer is missing."""
+    """``base`` is the version read; ``in_doubt`` the one sent without a reply."""
 
     base: int = ABSENT
-    doubt: int = 0
+    in_doubt: int = 0
     accepted: frozenset[int] = frozenset()
     refused: frozenset[int] = frozenset()
 
 
 class Message(NamedTuple):
-    """A commit on its way to the table."""
+    """A commit in flight to the table."""
 
     operator: int
     version: int
@@ -49,7 +49,7 @@
 
     authors: tuple[int, ...]
     operators: tuple[Operator, ...]
-    flight: frozenset[Message]
+    in_flight: frozenset[Message]
     sends: int
 
 
@@ -64,8 +64,8 @@
         lambda state: _transitions(guards, state),
         {
             "each version has one winner at most": _one_winner,
-            "an accepted document stands in the history": _accepted_stands,
-            "a refused document never takes effect": _refused_is_nowhere,
+            "an accepted document stands in the history": _accepted_in_history,
+            "a refused document never takes effect": _refused_not_in_history,
         },
         {
             "a conflict": lambda state: any(one.refused for one in state.operators),
@@ -73,7 +73,7 @@
                 one.accepted for one in state.operators
             ),
             "an old commit is still on its way": lambda state: any(
-                message.version < len(state.authors) for message in state.flight
+                message.version < len(state.authors) for message in state.in_flight
             ),
         },
     )
@@ -88,7 +88,7 @@
     return state.authors[version - 1] if version <= len(state.authors) else ABSENT
 
 
-def _accepted_stands(state: State) -> bool:
+def _accepted_in_history(state: State) -> bool:
     return all(
         _author(state, version) == index
         for index, one in enumerate(state.operators)
@@ -96,7 +96,7 @@
     )
 
 
-def _refused_is_nowhere(state: State) -> bool:
+def _refused_not_in_history(state: State) -> bool:
     return not any(
         _author(state, version) == index
         for index, one in enumerate(state.operators)
@@ -105,10 +105,10 @@
 
 
 def _transitions(guards: Guards, state: State) -> Iterator[Step]:
-    yield from _landings(guards, state)
+    yield from _deliveries(guards, state)
     for index, operator in enumerate(state.operators):
-        if operator.doubt:
-            yield from _find_out(guards, state, index, operator)
+        if operator.in_doubt:
+            yield from _resolve_doubt(guards, state, index, operator)
         elif operator.base == ABSENT:
             read = operator._replace(base=len(state.authors))
             yield f"{index} reads the head", _with(state, index, read)
@@ -123,8 +123,8 @@
 
 
 def _send(state: State, message: Message) -> State:
-    flight = state.flight | {message}
-    return state._replace(flight=flight, sends=state.sends + 1)
+    in_flight = state.in_flight | {message}
+    return state._replace(in_flight=in_flight, sends=state.sends + 1)
 
 
 def _propose(state: State, index: int, operator: Operator) -> Iterator[Step]:
@@ -132,23 +132,23 @@
     if version > MAX_VERSION or state.sends >= MAX_SENDS:
         return
     sent = _send(state, Message(index, version))
-    doubtful = operator._replace(base=ABSENT, doubt=version)
-    yield f"{index} sends version {version}", _with(sent, index, doubtful)
+    waiting = operator._replace(base=ABSENT, in_doubt=version)
+    yield f"{index} sends version {version}", _with(sent, index, waiting)
 
 
-def _landings(guards: Guards, state: State) -> Iterator[Step]:
-    for message in sorted(state.flight):
+def _deliveries(guards: Guards, state: State) -> Iterator[Step]:
+    for message in sorted(state.in_flight):
         name = f"version {message.version} of {message.operator} lands"
-        landed = _land(guards, state, message)
-        yield f"{name}, and will again", landed
-        landed = landed._replace(flight=state.flight - {message})
-        yield f"{name}, answer lost", landed
+        delivered = _deliver(guards, state, message)
+        yield f"{name}, and will again", delivered
+        delivered = delivered._replace(in_flight=state.in_flight - {message})
+        yield f"{name}, answer lost", delivered
         operator = state.operators[message.operator]
-        if landed.authors != state.authors and operator.doubt == message.version:
-            yield f"{name}, answered", _accept(landed, message.operator)
+        if delivered.authors != state.authors and operator.in_doubt == message.version:
+            yield f"{name}, answered", _accept(delivered, message.operator)
 
 
-def _land(guards: Guards, state: State, message: Message) -> State:
+def _deliver(guards: Guards, state: State, message: Message) -> State:
     head = len(state.authors)
     if message.version == head + 1:
         return state._replace(authors=(*state.authors, message.operator))
@@ -161,20 +161,20 @@
 
 def _accept(state: State, index: int) -> State:
     operator = state.operators[index]
-    accepted = operator.accepted | {operator.doubt}
-    return _with(state, index, operator._replace(doubt=0, accepted=accepted))
+    accepted = operator.accepted | {operator.in_doubt}
+    return _with(state, index, operator._replace(in_doubt=0, accepted=accepted))
 
 
 def _refuse(state: State, index: int) -> State:
     operator = state.operators[index]
-    refused = operator.refused | {operator.doubt}
-    return _with(state, index, operator._replace(doubt=0, refused=refused))
+    refused = operator.refused | {operator.in_doubt}
+    return _with(state, index, operator._replace(in_doubt=0, refused=refused))
 
 
-def _find_out(
+def _resolve_doubt(
     guards: Guards, state: State, index: int, operator: Operator
 ) -> Iterator[Step]:
-    version = operator.doubt
+    version = operator.in_doubt
     author = _author(state, version)
     if not guards.answer_after_read_back:
         yield f"{index} is told that {version} failed", _refuse(state, index)
@@ -190,5 +190,5 @@
     if not guards.absent_is_sent_again:
         yield f"{index} takes {version} for lost", _refuse(state, index)
     elif state.sends < MAX_SENDS:
-        again = _send(state, Message(index, version))
-        yield f"{index} sends version {version} again", again
+        resent = _send(state, Message(index, version))
+        yield f"{index} sends version {version} again", resent
--- a/spec/config_spread.py
+++ b/spec/config_spread.py
@@ -1,11 +1,11 @@
-"""Spread of committed versions over nodes, and restarts of nodes.
+"""Propagation of committed versions to nodes, and restarts of nodes.
 
-Nodes learn versions from the table and from each other, as deltas. A delta that
-was once sent to a node can arrive at any later time, any number of times and in
-any order. The table goes down and up. Nodes restart with nothing.
+Nodes get versions from the table and from each other, as deltas. A delta that was
+sent to a node can arrive at any later time, any number of times and in any order.
+The table can become unavailable and available. Nodes restart without state.
 
 The document has two items, the even and the odd; version v changes item v mod 2,
-so that the right content of each version is known.
+so the correct content of each version is known.
 """
 
 from collections.abc import Iterator
@@ -35,10 +35,10 @@
 
 
 class Node(NamedTuple):
-    """A place that applies versions.
+    """A node that applies versions.
 
-    ``version`` is ABSENT while it starts; ``reading`` holds the head and the
-    items read so far of a whole read.
+    ``version`` is ABSENT while it starts; ``reading`` has the head and the items
+    read so far in a full read.
     """
 
     version: int = ABSENT
@@ -49,8 +49,8 @@
 class State(NamedTuple):
     """Table, nodes and network.
 
-    ``highest`` is the highest version that each place had in force; ``sent`` the
-    deltas that were sent to each node; ``unfinished`` a version whose items are
+    ``highest`` is the highest version that each node has had in force; ``sent``
+    has the deltas sent to each node; ``unfinished`` is a version whose items are
     not yet written.
     """
 
@@ -83,12 +83,12 @@
         INITIAL,
         lambda state: _transitions(guards, state),
         {
-            "a place never goes back": _never_back,
+            "a place never goes back": _versions_never_decrease,
             "a version in force has its own content": _content_matches,
         },
         {
             "a version reaches every place during an outage": _spread_in_outage,
-            "a late message of an older version": _older_on_its_way,
+            "a late message of an older version": _older_delta_pending,
             "a restart with the highest version elsewhere": _restarted,
             "a version is skipped by a whole read": lambda state: any(
                 node.version == MAX_VERSION and not sent
@@ -99,7 +99,7 @@
 
 
 # --- predicates ------------------------------------------------------------
-def _never_back(state: State) -> bool:
+def _versions_never_decrease(state: State) -> bool:
     return all(
         node.version in (ABSENT, highest)
         for node, highest in zip(state.nodes, state.highest, strict=True)
@@ -118,7 +118,7 @@
     return everywhere and not state.table_up
 
 
-def _older_on_its_way(state: State) -> bool:
+def _older_delta_pending(state: State) -> bool:
     return any(
         min(sent, default=MAX_VERSION) < node.version
         for sent, node in zip(state.sent, state.nodes, strict=True)
@@ -173,7 +173,7 @@
 
 def _node_steps(guards: Guards, state: State, index: int, node: Node) -> Iterator[Step]:
     if state.table_up:
-        yield from _whole_read(guards, state, index, node)
+        yield from _full_read(guards, state, index, node)
     if node.version == ABSENT:
         yield from _start_from_peer(guards, state, index)
         return
@@ -182,7 +182,7 @@
         yield f"node {index} restarts", fresh
     if state.table_up and state.head not in state.sent[index] | {0}:
         yield f"node {index} asks for the head", _send(state, index, state.head)
-    yield from _tell_peers(state, index, node)
+    yield from _send_to_peers(state, index, node)
     yield from _receive(guards, state, index, node)
 
 
@@ -192,11 +192,11 @@
     return state._replace(sent=tuple(sent))
 
 
-def _tell_peers(state: State, index: int, node: Node) -> Iterator[Step]:
+def _send_to_peers(state: State, index: int, node: Node) -> Iterator[Step]:
     for other in range(NODES):
         if other != index and node.version not in state.sent[other] | {0}:
-            told = _send(state, other, node.version)
-            yield f"node {index} tells {other} of {node.version}", told
+            sent = _send(state, other, node.version)
+            yield f"node {index} tells {other} of {node.version}", sent
 
 
 def _receive(guards: Guards, state: State, index: int, node: Node) -> Iterator[Step]:
@@ -226,31 +226,31 @@
     return applied._replace(highest=tuple(highest))
 
 
-def _whole_read(guards: Guards, state: State, index: int, node: Node) -> Iterator[Step]:
-    """Read the head, each item, and the head again; not one atomic read.
+def _full_read(guards: Guards, state: State, index: int, node: Node) -> Iterator[Step]:
+    """Read the head, each item, and the head again, which is not atomic.
 
-    Only a node that starts, or has missed a delta, reads the whole document.
+    Only a node that starts or has missed a delta reads the full document.
     """
     reading = node.reading
     if not reading:
         if node.version == ABSENT or state.head > node.version + 1:
-            begun = node._replace(reading=(state.head,))
-            yield f"node {index} reads the head", _set(state, index, begun)
+            started = node._replace(reading=(state.head,))
+            yield f"node {index} reads the head", _set(state, index, started)
     elif len(reading) <= len(state.items):
         item = state.items[len(reading) - 1]
-        more = node._replace(reading=(*reading, item))
-        yield f"node {index} reads an item", _set(state, index, more)
+        extended = node._replace(reading=(*reading, item))
+        yield f"node {index} reads an item", _set(state, index, extended)
     else:
-        yield _end_of_read(guards, state, index, node)
+        yield _finish_read(guards, state, index, node)
 
 
-def _end_of_read(guards: Guards, state: State, index: int, node: Node) -> Step:
+def _finish_read(guards: Guards, state: State, index: int, node: Node) -> Step:
     head, even, odd = node.reading
     if guards.whole_read_checks_head and head != state.head:
-        again = _set(state, index, node._replace(reading=()))
-        return f"node {index} reads again", again
+        restarted = _set(state, index, node._replace(reading=()))
+        return f"node {index} reads again", restarted
     if guards.node_refuses_older and head <= node.version:
         dropped = _set(state, index, node._replace(reading=()))
         return f"node {index} drops what it read", dropped
-    whole = _apply(state, index, head, (even, odd))
-    return f"node {index} takes {head} whole", whole
+    complete = _apply(state, index, head, (even, odd))
+    return f"node {index} takes {head} whole", complete
--- a/spec/dispatch.py
+++ b/spec/dispatch.py
@@ -1,17 +1,24 @@
 """Dispatch and outcome of one non-idempotent request.
 
-The journal is taken as correct (see `spec.journal`): a record is appended in one
-step, by the present owner only. Two nodes own the shard in turn, two endpoints
-can each get one attempt. A request on the wire can arrive late, also after its
-sender died. Engines keep their contract: a cancelled attempt that was queued
-never starts, and a refusal comes before running.
+The journal is assumed correct (see `spec.journal`): a record is appended in one
+step, by the current owner only. Two nodes own the shard in turn, and each of two
+endpoints can get one attempt. A request on the wire can arrive late, even after its
+sender crashed. Engines keep their contract: a cancelled attempt that was queued
+never starts, and an attempt is refused only before it runs.
 """
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from spec.checker import Specification, Step
-from spec.dispatch_values import Owner, Place, Record, State, Told, Word
+from spec.dispatch_values import (
+    AttemptReport,
+    AttemptState,
+    Owner,
+    Record,
+    ReportedOutcome,
+    State,
+)
 
 MAX_EPOCH = 3
 NOBODY = 0
@@ -39,21 +46,21 @@
     record=Record.NONE,
     attempt=0,
     owners=(Owner(epoch=1), Owner()),
-    places=(Place.IDLE, Place.IDLE),
+    attempt_states=(AttemptState.IDLE, AttemptState.IDLE),
     runs=0,
-    told=frozenset(),
+    reported=frozenset(),
     notice=False,
     gone=False,
     sent_to_leaving=False,
-    surprise=False,
+    unannounced_failure=False,
 )
 
 _FINAL = {Record.COMPLETED, Record.UNKNOWN, Record.ENDED}
 _OPEN = {Record.ACCEPTED, Record.NOT_RUN}
 _OUTCOMES = {
-    Record.COMPLETED: Told.ANSWERED,
-    Record.UNKNOWN: Told.UNKNOWN,
-    Record.ENDED: Told.NOT_RUN,
+    Record.COMPLETED: ReportedOutcome.ANSWERED,
+    Record.UNKNOWN: ReportedOutcome.UNKNOWN,
+    Record.ENDED: ReportedOutcome.NOT_RUN,
 }
 
 
@@ -67,9 +74,11 @@
             "at most one run": lambda state: state.runs <= 1,
             "not run implies no run": _not_run_is_true,
             "an answer implies one run": _answer_is_true,
-            "the caller is told one outcome": lambda state: len(state.told) <= 1,
+            "the caller is told one outcome": lambda state: len(state.reported) <= 1,
             "an announced reclaim alone never leaves the outcome unknown": (
-                lambda state: state.surprise or state.record is not Record.UNKNOWN
+                lambda state: (
+                    state.unannounced_failure or state.record is not Record.UNKNOWN
+                )
             ),
             "a leaving endpoint gets no attempt": (
                 lambda state: not state.sent_to_leaving
@@ -77,42 +86,51 @@
         },
         {
             "answered at the second attempt": (
-                lambda state: state.told == {Told.ANSWERED} and state.attempt == 2
+                lambda state: (
+                    state.reported == {ReportedOutcome.ANSWERED} and state.attempt == 2
+                )
             ),
             "answered after an attempt that was proved unrun": (
                 lambda state: (
-                    state.places == (Place.CLEARED, Place.DONE)
-                    and state.told == {Told.ANSWERED}
+                    state.attempt_states == (AttemptState.CLEARED, AttemptState.DONE)
+                    and state.reported == {ReportedOutcome.ANSWERED}
                 )
             ),
-            "not run": lambda state: state.told == {Told.NOT_RUN},
+            "not run": lambda state: state.reported == {ReportedOutcome.NOT_RUN},
             "unknown, and it ran": (
-                lambda state: state.told == {Told.UNKNOWN} and state.runs == 1
+                lambda state: (
+                    state.reported == {ReportedOutcome.UNKNOWN} and state.runs == 1
+                )
             ),
             "unknown, and it did not run": (
-                lambda state: state.told == {Told.UNKNOWN} and state.runs == 0
+                lambda state: (
+                    state.reported == {ReportedOutcome.UNKNOWN} and state.runs == 0
+                )
             ),
             "starts after its sender was fenced": _starts_after_takeover,
-            "moved by a reclaim and answered": _moved_and_answered,
+            "moved by a reclaim and answered": _migrated_and_answered,
         },
     )
 
 
 def _not_run_is_true(state: State) -> bool:
-    return Told.NOT_RUN not in state.told or state.runs == 0
+    return ReportedOutcome.NOT_RUN not in state.reported or state.runs == 0
 
 
 def _answer_is_true(state: State) -> bool:
-    return Told.ANSWERED not in state.told or state.runs == 1
+    return ReportedOutcome.ANSWERED not in state.reported or state.runs == 1
 
 
 def _starts_after_takeover(state: State) -> bool:
-    return state.record is Record.UNKNOWN and state.places[0] is Place.RUNNING
+    return (
+        state.record is Record.UNKNOWN
+        and state.attempt_states[0] is AttemptState.RUNNING
+    )
 
 
-def _moved_and_answered(state: State) -> bool:
-    moved = state.places == (Place.STOPPED, Place.DONE)
-    return moved and state.told == {Told.ANSWERED}
+def _migrated_and_answered(state: State) -> bool:
+    migrated = state.attempt_states == (AttemptState.STOPPED, AttemptState.DONE)
+    return migrated and state.reported == {ReportedOutcome.ANSWERED}
 
 
 # --- steps -----------------------------------------------------------------
@@ -127,8 +145,8 @@
         if owner.sending:
             yield from _send(guards, state, index, owner)
         elif owner.waiting:
-            yield from _learn(guards, state, index, owner)
-            yield from _record_word(guards, state, index, owner)
+            yield from _learn_outcome(guards, state, index, owner)
+            yield from _record_report(guards, state, index, owner)
         else:
             yield from _decide(guards, state, index, owner)
 
@@ -138,16 +156,18 @@
     return state._replace(owners=owners)
 
 
-def _place(state: State, attempt: int, place: Place) -> State:
-    first, second = state.places
-    places = (place, second) if attempt == 1 else (first, place)
-    return state._replace(places=places)
+def _set_attempt_state(
+    state: State, attempt: int, attempt_state: AttemptState
+) -> State:
+    first, second = state.attempt_states
+    attempt_states = (attempt_state, second) if attempt == 1 else (first, attempt_state)
+    return state._replace(attempt_states=attempt_states)
 
 
 def _append(
     guards: Guards, state: State, index: int, record: Record, attempt: int
 ) -> State | None:
-    """Append a record; None where the owner is fenced."""
+    """Append a record; return None if the owner is fenced."""
     owner = state.owners[index]
     if guards.append_checks_epoch and owner.epoch != state.epoch:
         return None
@@ -162,7 +182,7 @@
 
 def _crash(state: State, index: int) -> Iterator[Step]:
     dead = _with(state, index, Owner())
-    yield f"{index} crashes", dead._replace(surprise=True)
+    yield f"{index} crashes", dead._replace(unannounced_failure=True)
 
 
 def _takeover(guards: Guards, state: State, index: int) -> Iterator[Step]:
@@ -170,10 +190,12 @@
         return
     epoch = state.epoch + 1
     owner = Owner(epoch=epoch, record=state.record, attempt=state.attempt)
-    taken = _with(state._replace(epoch=epoch, surprise=True), index, owner)
+    updated = _with(state._replace(epoch=epoch, unannounced_failure=True), index, owner)
     if state.record is Record.DISPATCHED and guards.unknown_after_takeover:
-        taken = _append(guards, taken, index, Record.UNKNOWN, state.attempt) or taken
-    yield f"{index} takes over at epoch {epoch}", taken
+        updated = (
+            _append(guards, updated, index, Record.UNKNOWN, state.attempt) or updated
+        )
+    yield f"{index} takes over at epoch {epoch}", updated
 
 
 def _decide(guards: Guards, state: State, index: int, owner: Owner) -> Iterator[Step]:
@@ -181,7 +203,7 @@
         accepted = _append(guards, state, index, Record.ACCEPTED, 0)
         yield (f"{index} accepts", accepted) if accepted else _fenced(state, index)
     elif owner.record in _FINAL:
-        yield from _tell(state, owner)
+        yield from _report_outcome(state, owner)
     elif owner.record in _OPEN:
         yield from _dispatch(guards, state, index, owner)
         yield from _end(guards, state, index, owner)
@@ -189,21 +211,21 @@
         yield from _dispatch(guards, state, index, owner)
 
 
-def _tell(state: State, owner: Owner) -> Iterator[Step]:
+def _report_outcome(state: State, owner: Owner) -> Iterator[Step]:
     outcome = _OUTCOMES[owner.record]
-    told = state._replace(told=state.told | {outcome})
-    yield f"the caller is told: {outcome.value}", told
+    reported = state._replace(reported=state.reported | {outcome})
+    yield f"the caller is told: {outcome.value}", reported
 
 
 def _dispatch(guards: Guards, state: State, index: int, owner: Owner) -> Iterator[Step]:
     attempt = owner.attempt + 1
-    if attempt > len(state.places):
+    if attempt > len(state.attempt_states):
         return
     if attempt == 1 and state.notice and guards.no_attempt_to_leaving_endpoint:
         attempt = 2
     if not guards.dispatch_after_durable_record:
-        bare = owner._replace(sending=attempt)
-        yield f"{index} sends before the record", _with(state, index, bare)
+        unrecorded = owner._replace(sending=attempt)
+        yield f"{index} sends before the record", _with(state, index, unrecorded)
         return
     durable = _append(guards, state, index, Record.DISPATCHED, attempt)
     if durable is None:
@@ -217,125 +239,147 @@
     ended = _append(guards, state, index, Record.ENDED, owner.attempt)
     yield (f"{index} ends it unrun", ended) if ended else _fenced(state, index)
     if not guards.answer_after_durable_record:
-        told = state._replace(told=state.told | {Told.NOT_RUN})
-        yield f"{index} says not run before the record", told
+        reported = state._replace(reported=state.reported | {ReportedOutcome.NOT_RUN})
+        yield f"{index} says not run before the record", reported
 
 
 def _send(guards: Guards, state: State, index: int, owner: Owner) -> Iterator[Step]:
     attempt = owner.sending
     waiting = owner._replace(sending=0, waiting=attempt)
     if attempt == 1 and state.notice and guards.no_attempt_to_leaving_endpoint:
-        held = _with(state, index, waiting._replace(word=Word.PROOF))
-        yield f"{index} holds attempt 1 back", held
+        withheld = _with(state, index, waiting._replace(report=AttemptReport.PROOF))
+        yield f"{index} holds attempt 1 back", withheld
         return
-    if state.places[attempt - 1] is not Place.IDLE:
-        twice = _with(state, index, waiting)._replace(runs=state.runs + 1)
-        yield f"attempt {attempt} is sent twice", twice
+    if state.attempt_states[attempt - 1] is not AttemptState.IDLE:
+        duplicated = _with(state, index, waiting)._replace(runs=state.runs + 1)
+        yield f"attempt {attempt} is sent twice", duplicated
         return
-    refused = _with(state, index, waiting._replace(word=Word.PROOF))
+    refused = _with(state, index, waiting._replace(report=AttemptReport.PROOF))
     yield f"attempt {attempt} finds no connection", refused
     if attempt == 1 and state.gone:
         return
-    sent = _place(_with(state, index, waiting), attempt, Place.WIRE)
+    sent = _set_attempt_state(_with(state, index, waiting), attempt, AttemptState.WIRE)
     if attempt == 1 and state.notice:
         sent = sent._replace(sent_to_leaving=True)
     if not guards.dispatch_after_durable_record:
-        late = _append(guards, sent, index, Record.DISPATCHED, attempt)
-        sent = late or sent
+        recorded_late = _append(guards, sent, index, Record.DISPATCHED, attempt)
+        sent = recorded_late or sent
     yield f"{index} sends attempt {attempt}", sent
 
 
-def _learn(guards: Guards, state: State, index: int, owner: Owner) -> Iterator[Step]:
-    if owner.word is not Word.SILENCE:
+def _learn_outcome(
+    guards: Guards, state: State, index: int, owner: Owner
+) -> Iterator[Step]:
+    if owner.report is not AttemptReport.SILENCE:
         return
     attempt = owner.waiting
-    place = state.places[attempt - 1]
-    if place is Place.DONE:
-        answered = owner._replace(word=Word.ANSWER)
+    attempt_state = state.attempt_states[attempt - 1]
+    if attempt_state is AttemptState.DONE:
+        answered = owner._replace(report=AttemptReport.ANSWER)
         yield f"{index} gets the answer", _with(state, index, answered)
-    broken = _with(state, index, owner._replace(word=Word.BROKEN))
-    yield f"{index} loses the connection", broken._replace(surprise=True)
+    disconnected = _with(state, index, owner._replace(report=AttemptReport.BROKEN))
+    yield (
+        f"{index} loses the connection",
+        disconnected._replace(unannounced_failure=True),
+    )
     yield from _cancel(guards, state, index, owner)
 
 
 def _cancel(guards: Guards, state: State, index: int, owner: Owner) -> Iterator[Step]:
     attempt = owner.waiting
-    place = state.places[attempt - 1]
-    proven = _with(state, index, owner._replace(word=Word.PROOF))
-    if place is Place.QUEUED:
-        stopped = _place(proven, attempt, Place.CLEARED)
+    attempt_state = state.attempt_states[attempt - 1]
+    proven = _with(state, index, owner._replace(report=AttemptReport.PROOF))
+    if attempt_state is AttemptState.QUEUED:
+        stopped = _set_attempt_state(proven, attempt, AttemptState.CLEARED)
         yield f"cancel {attempt}: not started", stopped
-    elif not guards.cancel_word_must_be_not_started and place is Place.WIRE:
+    elif (
+        not guards.cancel_word_must_be_not_started
+        and attempt_state is AttemptState.WIRE
+    ):
         yield f"cancel {attempt}: unknown, taken as proof", proven
 
 
-def _record_word(
+def _record_report(
     guards: Guards, state: State, index: int, owner: Owner
 ) -> Iterator[Step]:
     attempt = owner.waiting
-    match owner.word:
-        case Word.SILENCE:
+    match owner.report:
+        case AttemptReport.SILENCE:
             return
-        case Word.PROOF:
+        case AttemptReport.PROOF:
             record = Record.NOT_RUN
-        case Word.ANSWER:
+        case AttemptReport.ANSWER:
             record = Record.COMPLETED
-        case Word.BROKEN:
+        case AttemptReport.BROKEN:
             proven = not guards.not_run_needs_proof
             record = Record.NOT_RUN if proven else Record.UNKNOWN
     appended = _append(guards, state, index, record, attempt)
     if appended is None:
         yield _fenced(state, index)
         return
-    done = appended.owners[index]._replace(waiting=0, word=Word.SILENCE)
+    done = appended.owners[index]._replace(waiting=0, report=AttemptReport.SILENCE)
     yield f"{index} records {record.value}", _with(appended, index, done)
 
 
 def _endpoint_steps(state: State) -> Iterator[Step]:
-    for attempt, place in enumerate(state.places, start=1):
-        if place is Place.WIRE:
-            yield f"attempt {attempt} arrives", _place(state, attempt, Place.QUEUED)
-        elif place is Place.QUEUED:
-            started = _place(state, attempt, Place.RUNNING)
+    for attempt, attempt_state in enumerate(state.attempt_states, start=1):
+        if attempt_state is AttemptState.WIRE:
+            yield (
+                f"attempt {attempt} arrives",
+                _set_attempt_state(state, attempt, AttemptState.QUEUED),
+            )
+        elif attempt_state is AttemptState.QUEUED:
+            started = _set_attempt_state(state, attempt, AttemptState.RUNNING)
             yield f"attempt {attempt} starts", started._replace(runs=state.runs + 1)
-        elif place is Place.RUNNING:
-            yield f"attempt {attempt} finishes", _place(state, attempt, Place.DONE)
+        elif attempt_state is AttemptState.RUNNING:
+            yield (
+                f"attempt {attempt} finishes",
+                _set_attempt_state(state, attempt, AttemptState.DONE),
+            )
 
 
 def _reclaim_steps(guards: Guards, state: State) -> Iterator[Step]:
-    first, second = state.places
+    first, second = state.attempt_states
     if not state.notice:
         yield "endpoint 1 gets a notice", state._replace(notice=True)
         return
-    if first is Place.RUNNING and second is Place.IDLE:
-        yield from _move(guards, state)
-    cleared = first not in {Place.WIRE, Place.QUEUED, Place.RUNNING}
+    if first is AttemptState.RUNNING and second is AttemptState.IDLE:
+        yield from _migrate(guards, state)
+    cleared = first not in {
+        AttemptState.WIRE,
+        AttemptState.QUEUED,
+        AttemptState.RUNNING,
+    }
     if not state.gone and (cleared or not guards.notice_clears_endpoint):
         yield from _gone(state)
 
 
-def _move(guards: Guards, state: State) -> Iterator[Step]:
-    """Move the running state: the same run, if the source stopped first."""
-    source = Place.STOPPED if guards.move_after_source_stopped else Place.RUNNING
-    runs = state.runs + (source is Place.RUNNING)
-    moved = state._replace(places=(source, Place.RUNNING), runs=runs)
+def _migrate(guards: Guards, state: State) -> Iterator[Step]:
+    """Migrate the run to endpoint 2; it is the same run if the source stopped."""
+    source = (
+        AttemptState.STOPPED
+        if guards.move_after_source_stopped
+        else AttemptState.RUNNING
+    )
+    runs = state.runs + (source is AttemptState.RUNNING)
+    migrated = state._replace(attempt_states=(source, AttemptState.RUNNING), runs=runs)
     owners = tuple(
         owner._replace(waiting=2) if owner.waiting == 1 else owner
         for owner in state.owners
     )
-    yield "the running state moves to endpoint 2", moved._replace(owners=owners)
+    yield "the running state moves to endpoint 2", migrated._replace(owners=owners)
 
 
 def _gone(state: State) -> Iterator[Step]:
-    first = state.places[0]
-    lost = first in {Place.WIRE, Place.QUEUED, Place.RUNNING}
-    taken = state._replace(gone=True)
-    if lost:
-        taken = _place(taken, 1, Place.STOPPED)
+    first = state.attempt_states[0]
+    was_active = first in {AttemptState.WIRE, AttemptState.QUEUED, AttemptState.RUNNING}
+    updated = state._replace(gone=True)
+    if was_active:
+        updated = _set_attempt_state(updated, 1, AttemptState.STOPPED)
     owners = tuple(
-        owner._replace(word=Word.BROKEN)
-        if lost and owner.waiting == 1 and owner.word is Word.SILENCE
+        owner._replace(report=AttemptReport.BROKEN)
+        if was_active and owner.waiting == 1 and owner.report is AttemptReport.SILENCE
         else owner
         for owner in state.owners
     )
-    yield "endpoint 1 is reclaimed", taken._replace(owners=owners)
+    yield "endpoint 1 is reclaimed", updated._replace(owners=owners)
--- a/spec/dispatch_values.py
+++ b/spec/dispatch_values.py
@@ -16,8 +16,8 @@
     ENDED = "ended"
 
 
-class Place(Enum):
-    """Where an attempt is, at its endpoint."""
+class AttemptState(Enum):
+    """State of an attempt at its endpoint."""
 
     IDLE = "idle"
     WIRE = "wire"
@@ -28,8 +28,8 @@
     CLEARED = "cleared"
 
 
-class Word(Enum):
-    """What the sender learned of its attempt, and has not yet recorded."""
+class AttemptReport(Enum):
+    """What the sender knows of its attempt and has not yet recorded."""
 
     SILENCE = "silence"
     PROOF = "proof"
@@ -37,8 +37,8 @@
     BROKEN = "broken"
 
 
-class Told(Enum):
-    """What the caller was told of the request's run."""
+class ReportedOutcome(Enum):
+    """Outcome that was reported to the caller."""
 
     NOTHING = "nothing"
     ANSWERED = "answered"
@@ -47,10 +47,10 @@
 
 
 class Owner(NamedTuple):
-    """A process that believes to own the shard at ``epoch`` (0: it doesn't).
+    """A process that believes that it owns the shard at ``epoch`` (0: it doesn't).
 
     ``record`` and ``attempt`` are its view; ``sending`` is an attempt that it
-    decided on but has not sent; ``waiting`` one that it did send.
+    has decided on but not sent; ``waiting`` is one that it has sent.
     """
 
     epoch: int = 0
@@ -58,24 +58,25 @@
     attempt: int = 0
     sending: int = 0
     waiting: int = 0
-    word: Word = Word.SILENCE
+    report: AttemptReport = AttemptReport.SILENCE
 
 
 class State(NamedTuple):
     """Journal, owners, endpoints and caller.
 
-    ``runs`` counts fresh starts of the request; ``notice`` says that endpoint 1
-    is going away; ``surprise`` that something failed without notice.
+    ``runs`` counts starts of the request from scratch; ``notice`` is whether
+    endpoint 1 is leaving; ``unannounced_failure`` whether something failed without
+    notice.
     """
 
     epoch: int
     record: Record
     attempt: int
     owners: tuple[Owner, ...]
-    places: tuple[Place, Place]
+    attempt_states: tuple[AttemptState, AttemptState]
     runs: int
-    told: frozenset[Told]
+    reported: frozenset[ReportedOutcome]
     notice: bool
     gone: bool
     sent_to_leaving: bool
-    surprise: bool
+    unannounced_failure: bool
--- a/spec/journal.py
+++ b/spec/journal.py
@@ -1,11 +1,11 @@
 """Claim, append, takeover, snapshot and trim of one shard.
 
-Two nodes, one shard row, a few journal rows. Time is absent on purpose: a
-takeover can come at any moment and a holder can be paused between any two
-steps, so nothing may rest on a lease having lapsed. A write that was sent can
-land late, twice, or not at all, and its answer can be lost.
+Two nodes, one shard row, a few journal rows. Time is not modelled on purpose: a
+takeover can happen at any moment and an owner can be paused between any two
+steps, so safety can't depend on lease expiry. A write that was sent can be applied
+late, twice, or not at all, and its reply can be lost.
 
-A replay is one step, apart from the claim before it. The object store is one
+A replay is one step, separate from the claim before it. The object store is one
 flag: whether the object that the snapshot row names is stored.
 """
 
@@ -43,16 +43,16 @@
 
 
 class Node(NamedTuple):
-    """What one process believes; a crash sets it back to the default.
+    """Local state of one process; a crash resets it to the default.
 
-    ``epoch`` is 0 unless it believes to own the shard; ``seen`` is the epoch it
-    read before a claim; ``batch`` is in doubt at row ``seq`` while not 0;
+    ``epoch`` is 0 unless it believes that it owns the shard; ``read_epoch`` is the
+    epoch it read before a claim; ``batch``, unless 0, is in doubt at row ``seq``;
     ``object_upto`` and ``trim_upto`` are the stages of a snapshot.
     """
 
     epoch: int = 0
     ready: bool = False
-    seen: int = NOBODY
+    read_epoch: int = NOBODY
     view: tuple[int, ...] = ()
     seq: int = 0
     batch: int = NONE
@@ -62,7 +62,7 @@
 
 
 class Message(NamedTuple):
-    """An append on its way to the table."""
+    """An append in flight to the table."""
 
     epoch: int
     seq: int
@@ -70,7 +70,7 @@
 
 
 class State(NamedTuple):
-    """Table, nodes and network; ``acked`` holds every acknowledged batch."""
+    """Table, nodes and network; ``acked`` holds all acknowledged batches."""
 
     rows: tuple[int, ...]
     owner: int
@@ -79,7 +79,7 @@
     snapshot_view: tuple[int, ...]
     snapshot_stored: bool
     nodes: tuple[Node, ...]
-    flight: tuple[Message, ...]
+    in_flight: tuple[Message, ...]
     acked: frozenset[int]
     batches: int
     sends: int
@@ -94,7 +94,7 @@
     snapshot_view=(),
     snapshot_stored=True,
     nodes=(Node(epoch=1, ready=True), Node()),
-    flight=(),
+    in_flight=(),
     acked=frozenset(),
     batches=0,
     sends=0,
@@ -109,22 +109,22 @@
         INITIAL,
         lambda state: _transitions(guards, state),
         {
-            "the present owner's view holds every acknowledged batch": _view_is_whole,
-            "a replay finds every acknowledged batch": _replay_is_whole,
-            "a view folds each batch once": _folded_once,
-            "one node at most believes an epoch": _one_believer,
+            "the present owner's view holds every acknowledged batch": _view_complete,
+            "a replay finds every acknowledged batch": _replay_complete,
+            "a view folds each batch once": _batches_folded_once,
+            "one node at most believes an epoch": _one_owner_per_epoch,
         },
         {
             "a takeover with acknowledged batches": _taken_over,
             "a paused owner holds a batch in doubt after a takeover": _paused_in_doubt,
-            "a trimmed row is filled again": _filled_again,
+            "a trimmed row is filled again": _trimmed_row_rewritten,
             "a takeover after a trim": _taken_over_after_trim,
         },
     )
 
 
 # --- invariants ------------------------------------------------------------
-def _view_is_whole(state: State) -> bool:
+def _view_complete(state: State) -> bool:
     return all(
         state.acked <= set(node.view)
         for node in state.nodes
@@ -132,16 +132,16 @@
     )
 
 
-def _replay_is_whole(state: State) -> bool:
+def _replay_complete(state: State) -> bool:
     view, _ = replay(ALL_GUARDS, state)
     return state.acked <= set(view)
 
 
-def _folded_once(state: State) -> bool:
+def _batches_folded_once(state: State) -> bool:
     return all(len(set(node.view)) == len(node.view) for node in state.nodes)
 
 
-def _one_believer(state: State) -> bool:
+def _one_owner_per_epoch(state: State) -> bool:
     epochs = [node.epoch for node in state.nodes if node.epoch]
     return len(set(epochs)) == len(epochs)
 
@@ -155,7 +155,7 @@
     return bool(old.batch) and new.ready and new.epoch > old.epoch
 
 
-def _filled_again(state: State) -> bool:
+def _trimmed_row_rewritten(state: State) -> bool:
     return any(state.rows[: state.snapshot_upto]) and state.duplicates > 0
 
 
@@ -168,7 +168,7 @@
 
 # --- steps -----------------------------------------------------------------
 def replay(guards: Guards, state: State) -> tuple[tuple[int, ...], int]:
-    """Return (view, next row) that a node reads from the table."""
+    """Return the view and next row number that a node replays from the table."""
     view = state.snapshot_view if state.snapshot_stored else ()
     if not guards.replay_ignores_below_snapshot:
         view += tuple(row for row in state.rows[: state.snapshot_upto] if row)
@@ -180,7 +180,7 @@
 
 
 def _transitions(guards: Guards, state: State) -> Iterator[Step]:
-    yield from _landings(guards, state)
+    yield from _deliveries(guards, state)
     for index, node in enumerate(state.nodes):
         if node != Node():
             yield f"{index} crashes", _with(state, index, Node())
@@ -198,19 +198,19 @@
 def _claim_steps(
     guards: Guards, state: State, index: int, node: Node
 ) -> Iterator[Step]:
-    if node.seen == NOBODY:
-        seen = node._replace(seen=state.epoch)
+    if node.read_epoch == NOBODY:
+        read_epoch = node._replace(read_epoch=state.epoch)
         if not guards.replay_after_claim:
             view, seq = replay(guards, state)
-            seen = seen._replace(view=view, seq=seq)
-        yield f"{index} reads the shard row", _with(state, index, seen)
+            read_epoch = read_epoch._replace(view=view, seq=seq)
+        yield f"{index} reads the shard row", _with(state, index, read_epoch)
         return
-    if node.seen >= MAX_EPOCH:
+    if node.read_epoch >= MAX_EPOCH:
         return
-    if guards.claim_compares and node.seen != state.epoch:
+    if guards.claim_compares and node.read_epoch != state.epoch:
         yield f"{index} loses the claim", _with(state, index, Node())
         return
-    epoch = node.seen + 1
+    epoch = node.read_epoch + 1
     claimed = state._replace(owner=index, epoch=max(epoch, state.epoch))
     owner = Node(
         epoch=epoch,
@@ -234,7 +234,7 @@
         yield from _append_steps(guards, state, index, node)
         yield from _snapshot_steps(guards, state, index, node)
     else:
-        yield from _doubt_steps(guards, state, index, node)
+        yield from _in_doubt_steps(guards, state, index, node)
 
 
 def _append_steps(
@@ -247,16 +247,16 @@
     sent = sent._replace(batches=batch)
     if not guards.acknowledge_after_answer:
         sent = sent._replace(acked=sent.acked | {batch})
-    doubtful = node._replace(batch=batch)
-    yield f"{index} sends batch {batch}", _with(sent, index, doubtful)
+    in_doubt = node._replace(batch=batch)
+    yield f"{index} sends batch {batch}", _with(sent, index, in_doubt)
 
 
 def _send(state: State, message: Message) -> State:
-    flight = tuple(sorted((*state.flight, message)))
-    return state._replace(flight=flight, sends=state.sends + 1)
+    in_flight = tuple(sorted((*state.in_flight, message)))
+    return state._replace(in_flight=in_flight, sends=state.sends + 1)
 
 
-def _doubt_steps(
+def _in_doubt_steps(
     guards: Guards, state: State, index: int, node: Node
 ) -> Iterator[Step]:
     row = state.rows[node.seq]
@@ -274,8 +274,8 @@
     guards: Guards, state: State, index: int, node: Node
 ) -> Iterator[Step]:
     if guards.doubt_keeps_row:
-        again = _send(state, Message(node.epoch, node.seq, node.batch))
-        yield f"{index} sends batch {node.batch} again", again
+        resent = _send(state, Message(node.epoch, node.seq, node.batch))
+        yield f"{index} sends batch {node.batch} again", resent
     elif node.seq + 1 < ROWS:
         seq = node.seq + 1
         moved = _send(state, Message(node.epoch, seq, node.batch))
@@ -284,28 +284,30 @@
 
 
 def _acknowledge(state: State, index: int, node: Node) -> State:
-    known = node._replace(view=(*node.view, node.batch), seq=node.seq + 1, batch=NONE)
+    acknowledged = node._replace(
+        view=(*node.view, node.batch), seq=node.seq + 1, batch=NONE
+    )
     acked = state._replace(acked=state.acked | {node.batch})
-    return _with(acked, index, known)
+    return _with(acked, index, acknowledged)
 
 
-def _landings(guards: Guards, state: State) -> Iterator[Step]:
-    for place, message in enumerate(state.flight):
-        flight = state.flight[:place] + state.flight[place + 1 :]
-        taken = state._replace(flight=flight)
-        landed, applied = _land(guards, taken, message)
+def _deliveries(guards: Guards, state: State) -> Iterator[Step]:
+    for position, message in enumerate(state.in_flight):
+        in_flight = state.in_flight[:position] + state.in_flight[position + 1 :]
+        removed = state._replace(in_flight=in_flight)
+        delivered, applied = _deliver(guards, removed, message)
         name = f"batch {message.batch} lands"
-        yield f"{name}, answer lost", landed
+        yield f"{name}, answer lost", delivered
         if state.duplicates < MAX_DUPLICATES:
-            twice, _ = _land(guards, state, message)
-            twice = twice._replace(duplicates=state.duplicates + 1)
-            yield f"{name}, and will again", twice
+            duplicated, _ = _deliver(guards, state, message)
+            duplicated = duplicated._replace(duplicates=state.duplicates + 1)
+            yield f"{name}, and will again", duplicated
         for index, node in enumerate(state.nodes):
             if applied and node.batch == message.batch and node.seq == message.seq:
-                yield f"{name}, answered", _acknowledge(landed, index, node)
+                yield f"{name}, answered", _acknowledge(delivered, index, node)
 
 
-def _land(guards: Guards, state: State, message: Message) -> tuple[State, bool]:
+def _deliver(guards: Guards, state: State, message: Message) -> tuple[State, bool]:
     if guards.append_checks_epoch and message.epoch != state.epoch:
         return state, False
     if guards.row_must_be_absent and state.rows[message.seq]:
--- a/spec/orders.py
+++ b/spec/orders.py
@@ -1,13 +1,12 @@
-"""Orders to two endpoints while leadership changes from one holder to the next.
-
-One endpoint checks fencing numbers, the other ignores them. An order that was
-sent while its sender's lease was good lands before the longest order time after
-the lease is over, or never. The wait at the ignoring endpoint rests on that
-bound. With ``late_orders`` the bound is lifted: the old holder may be paused
-between the look at its lease and the send, for any time. Then the ignoring
-endpoint can be turned back for a while, and what must hold is that reading back
-and repeating mends it, and that an order which can't be undone is never carried
-out for both holders.
+"""Orders to two endpoints while the lease passes from one holder to the next.
+
+One endpoint checks fencing tokens, the other ignores them. An order that was sent
+under a valid lease arrives within the longest order time after the lease ends, or
+never. The wait at the ignoring endpoint depends on that bound. With ``late_orders``
+there is no bound: the old holder may be paused for any time between checking its
+lease and sending. Then the ignoring endpoint can be set back temporarily. What must
+hold is that reading back and repeating the order corrects this, and that an order
+that can't be undone is never carried out for both holders.
 """
 
 from collections.abc import Iterator
@@ -40,7 +39,7 @@
 
 
 class Phase(IntEnum):
-    """What is left of the old holder's lease."""
+    """Progress of the end of the old holder's lease."""
 
     VALID = 0
     LAPSED = 1
@@ -48,19 +47,19 @@
 
 
 class Endpoint(NamedTuple):
-    """``wanted`` is the end in force, numbered by the holder who wants it.
+    """``target`` is the target state in force, numbered by the holder that set it.
 
-    ``fence`` is the highest number it has seen; ``final_for`` holds the holders
-    for whom it carried out an order that can't be undone.
+    ``fence`` is the highest fencing token received; ``final_for`` has the holders
+    for which it carried out an order that can't be undone.
     """
 
-    wanted: int = 0
+    target: int = 0
     fence: int = 0
     final_for: frozenset[int] = frozenset()
 
 
 class Order(NamedTuple):
-    """An order on its way; ``final`` marks one that can't be undone."""
+    """An order in flight; ``final`` marks one that can't be undone."""
 
     holder: int
     endpoint: int
@@ -70,14 +69,14 @@
 class State(NamedTuple):
     """Holders, endpoints and network.
 
-    ``gone`` says that the old holder is known to have ended; ``settled`` holds
-    the endpoints that the new holder regards as being at its wanted end.
+    ``gone`` is whether the old holder is known to have ended; ``settled`` has the
+    endpoints that the new holder believes to be at its target state.
     """
 
     phase: Phase
     gone: bool
     endpoints: tuple[Endpoint, Endpoint]
-    flight: frozenset[Order]
+    in_flight: frozenset[Order]
     settled: frozenset[int]
 
 
@@ -85,7 +84,7 @@
     phase=Phase.VALID,
     gone=False,
     endpoints=(Endpoint(), Endpoint()),
-    flight=frozenset(),
+    in_flight=frozenset(),
     settled=frozenset(),
 )
 
@@ -96,13 +95,13 @@
     """Return the protocol under ``guards``."""
     invariants: dict[str, Predicate] = {
         "a settled checking endpoint stays at the new holder's end": (
-            lambda state: _settled_is_true(state, CHECKING)
+            lambda state: _settled_is_at_target(state, CHECKING)
         ),
-        "an order that can't be undone is carried out for one holder": _final_once,
+        "an order that can't be undone is carried out for one holder": _final_for_one,
     }
     if not late_orders:
         invariants["a settled ignoring endpoint stays at the new holder's end"] = (
-            lambda state: _settled_is_true(state, IGNORING)
+            lambda state: _settled_is_at_target(state, IGNORING)
         )
     return Specification(
         "orders, unbounded delay" if late_orders else "orders",
@@ -114,7 +113,7 @@
             "an old order is on its way after the takeover": (
                 lambda state: (
                     state.phase > Phase.VALID
-                    and any(order.holder == OLD for order in state.flight)
+                    and any(order.holder == OLD for order in state.in_flight)
                 )
             ),
             "the new holder's final order is carried out at both": (
@@ -128,31 +127,31 @@
 
 
 def all_settled(state: State) -> bool:
-    """Tell whether both endpoints are, and are known to be, at the new end."""
+    """Return whether both endpoints are, and are known to be, at the new target."""
     return state.settled == {CHECKING, IGNORING} and all(
-        endpoint.wanted == NEW for endpoint in state.endpoints
+        endpoint.target == NEW for endpoint in state.endpoints
     )
 
 
-def _settled_is_true(state: State, endpoint: int) -> bool:
-    return endpoint not in state.settled or state.endpoints[endpoint].wanted == NEW
+def _settled_is_at_target(state: State, endpoint: int) -> bool:
+    return endpoint not in state.settled or state.endpoints[endpoint].target == NEW
 
 
-def _final_once(state: State) -> bool:
+def _final_for_one(state: State) -> bool:
     return all(len(endpoint.final_for) <= 1 for endpoint in state.endpoints)
 
 
 # --- steps -----------------------------------------------------------------
 def _transitions(guards: Guards, late_orders: bool, state: State) -> Iterator[Step]:
     yield from _time_passes(late_orders, state)
-    for order in sorted(state.flight):
-        landed = _land(guards, state, order)
+    for order in sorted(state.in_flight):
+        delivered = _deliver(guards, state, order)
         name = f"{_name(order)} lands"
-        yield f"{name}, and will again", landed
-        yield name, landed._replace(flight=state.flight - {order})
+        yield f"{name}, and will again", delivered
+        yield name, delivered._replace(in_flight=state.in_flight - {order})
     for endpoint in (CHECKING, IGNORING):
-        yield from _old_sends(guards, late_orders, state, endpoint)
-        yield from _new_acts(guards, state, endpoint)
+        yield from _old_holder_steps(guards, late_orders, state, endpoint)
+        yield from _new_holder_steps(guards, state, endpoint)
 
 
 def _name(order: Order) -> str:
@@ -163,24 +162,24 @@
 
 
 def _time_passes(late_orders: bool, state: State) -> Iterator[Step]:
-    ours = frozenset(order for order in state.flight if order.holder == NEW)
+    new_orders = frozenset(order for order in state.in_flight if order.holder == NEW)
     if state.phase is Phase.VALID:
         yield "the old lease lapses", state._replace(phase=Phase.LAPSED)
     elif state.phase is Phase.LAPSED:
-        over = state._replace(phase=Phase.ORDERS_OVER)
+        elapsed = state._replace(phase=Phase.ORDERS_OVER)
         if not late_orders:
-            over = over._replace(flight=ours)
-        yield "the longest order time is over", over
-    if not state.gone and ours == state.flight:
+            elapsed = elapsed._replace(in_flight=new_orders)
+        yield "the longest order time is over", elapsed
+    if not state.gone and new_orders == state.in_flight:
         yield "the old holder ends", state._replace(gone=True)
 
 
 def _send(state: State, order: Order) -> Step:
-    sent = state._replace(flight=state.flight | {order})
+    sent = state._replace(in_flight=state.in_flight | {order})
     return f"{_name(order)} is sent", sent
 
 
-def _old_sends(
+def _old_holder_steps(
     guards: Guards, late_orders: bool, state: State, endpoint: int
 ) -> Iterator[Step]:
     if state.gone:
@@ -191,7 +190,7 @@
             yield _send(state, Order(OLD, endpoint, final=True))
 
 
-def _new_acts(guards: Guards, state: State, endpoint: int) -> Iterator[Step]:
+def _new_holder_steps(guards: Guards, state: State, endpoint: int) -> Iterator[Step]:
     if state.phase is Phase.VALID:
         return
     waits = guards.waits_for_ignoring_endpoint and endpoint == IGNORING
@@ -210,7 +209,7 @@
 
 def _read_back(state: State, endpoint: int) -> Step:
     settled = state.settled - {endpoint}
-    if state.endpoints[endpoint].wanted == NEW:
+    if state.endpoints[endpoint].target == NEW:
         settled = settled | {endpoint}
     return f"endpoint {endpoint} is read back", state._replace(settled=settled)
 
@@ -224,7 +223,7 @@
     return fenced or state.gone or not guards.final_after_holder_gone
 
 
-def _land(guards: Guards, state: State, order: Order) -> State:
+def _deliver(guards: Guards, state: State, order: Order) -> State:
     endpoint = state.endpoints[order.endpoint]
     checks = order.endpoint == CHECKING and guards.endpoint_checks_fence
     if checks and order.holder < endpoint.fence:
@@ -234,10 +233,10 @@
         final_for = endpoint.final_for | {order.holder}
         endpoint = endpoint._replace(final_for=final_for)
     elif guards.order_states_end:
-        endpoint = endpoint._replace(wanted=order.holder)
+        endpoint = endpoint._replace(target=order.holder)
     else:
-        reached = min(MAX_STEP_SUM, endpoint.wanted + order.holder)
-        endpoint = endpoint._replace(wanted=reached)
+        reached = min(MAX_STEP_SUM, endpoint.target + order.holder)
+        endpoint = endpoint._replace(target=reached)
     endpoints = list(state.endpoints)
     endpoints[order.endpoint] = endpoint
     return state._replace(endpoints=tuple(endpoints))
--- a/tests/unit/spec/conftest.py
+++ b/tests/unit/spec/conftest.py
@@ -1,7 +1,7 @@
 import pytest
-from spec.checker import Checked
+from spec.checker import CheckResult
 
-CHECKED = pytest.StashKey[list[Checked]]()
+CHECKED = pytest.StashKey[list[CheckResult]]()
 
 
 @pytest.fixture
@@ -14,9 +14,9 @@
     if not checked:
         return
     terminalreporter.section("model checking")
-    for one in checked:
-        sweep = "exhaustive" if one.exhaustive else "PARTIAL"
-        line = f"{one.name}: {one.states} states explored, {sweep}"
+    for result in checked:
+        coverage = "exhaustive" if result.exhaustive else "PARTIAL"
+        line = f"{result.name}: {result.states} states explored, {coverage}"
         terminalreporter.write_line(line)
-    total = sum(one.states for one in checked)
+    total = sum(result.states for result in checked)
     terminalreporter.write_line(f"total: {total} states explored")
--- a/tests/unit/spec/test_config_spread.py
+++ b/tests/unit/spec/test_config_spread.py
@@ -4,7 +4,7 @@
 
 pytestmark = pytest.mark.model_check
 
-# Guard turned off -> invariant that fails first, steps of the counterexample.
+# Guard turned off -> invariant that fails first, length of the counterexample.
 COUNTEREXAMPLES = {
     "head_and_items_together": ("a version in force has its own content", 6),
     "node_refuses_older": ("a place never goes back", 7),
@@ -15,7 +15,7 @@
 
 
 class TestConfigSpreadSpecification:
-    def test_holds_in_every_state(self, record_checked):
+    def test_invariants_hold_in_every_state(self, record_checked):
         spec = specification()
         checked = check(spec)
         record_checked(checked)
@@ -24,15 +24,15 @@
         assert set(checked.reached) == set(spec.reachable)
 
     @pytest.mark.parametrize("guard", COUNTEREXAMPLES)
-    def test_needs_guard(self, guard):
+    def test_protocol_fails_without_guard(self, guard):
         invariant, length = COUNTEREXAMPLES[guard]
         checked = refute(specification(Guards()._replace(**{guard: False})))
         assert len(checked.violated[invariant]) == checked.shortest == length
 
-    def test_every_guard_is_tried(self):
+    def test_every_guard_is_covered(self):
         assert set(Guards._fields) == set(COUNTEREXAMPLES)
 
-    def test_content_follows_from_version(self):
+    def test_version_determines_content(self):
         assert [content_of(version) for version in range(4)] == [
             (0, 0),
             (0, 1),
--- a/tests/unit/spec/test_dispatch.py
+++ b/tests/unit/spec/test_dispatch.py
@@ -4,7 +4,7 @@
 
 pytestmark = pytest.mark.model_check
 
-# Guard turned off -> invariant that fails first, steps of the counterexample.
+# Guard turned off -> invariant that fails first, length of the counterexample.
 COUNTEREXAMPLES = {
     "append_checks_epoch": ("the caller is told one outcome", 8),
     "dispatch_after_durable_record": ("at most one run", 8),
@@ -22,7 +22,7 @@
 
 
 class TestDispatchSpecification:
-    def test_holds_in_every_state(self, record_checked):
+    def test_invariants_hold_in_every_state(self, record_checked):
         spec = specification()
         checked = check(spec)
         record_checked(checked)
@@ -31,10 +31,10 @@
         assert set(checked.reached) == set(spec.reachable)
 
     @pytest.mark.parametrize("guard", COUNTEREXAMPLES)
-    def test_needs_guard(self, guard):
+    def test_protocol_fails_without_guard(self, guard):
         invariant, length = COUNTEREXAMPLES[guard]
         checked = refute(specification(Guards()._replace(**{guard: False})))
         assert len(checked.violated[invariant]) == checked.shortest == length
 
-    def test_every_guard_is_tried(self):
+    def test_every_guard_is_covered(self):
         assert set(Guards._fields) == set(COUNTEREXAMPLES)
