--- a/src/ebonydeal/_internal/config/store.py
+++ b/src/ebonydeal/_internal/config/store.py
@@ -135,8 +135,8 @@
         """
         if isinstance(validate(document), Failure):
             return Failure(validate(document, offers).failure())
-        bound = _bind_to_content(proposal or self.new_proposal(), document)
-        if proposal and await self._is_own(base_version + 1, bound):
+        bound_id = _bind_to_content(proposal or self.new_proposal(), document)
+        if proposal and await self._is_own(base_version + 1, bound_id):
             return Success(base_version + 1)
         price_failures = price_problems(document, offers) if offers is not None else []
         if price_failures:
@@ -148,7 +148,7 @@
         if not delta:
             return Success(base_version)
         now = self._clock.wall()
-        info = VersionInfo(base_version + 1, by, now, note, bound, delta)
+        info = VersionInfo(base_version + 1, by, now, note, bound_id, delta)
         return await self._commit(info)
 
     async def _commit(self, info: VersionInfo) -> Result[int, Refusal]:
@@ -184,7 +184,7 @@
     async def _resolve_failed_conditions(
         self, info: VersionInfo
     ) -> Result[int, Refusal]:
-        """Return success if an own earlier attempt was applied, else the conflict."""
+        """Return success if an earlier attempt was applied, else the conflict."""
         if await self._is_own(info.version, info.proposal):
             return self._accepted(info)
         return Failure(await self._conflict(info.version - 1))
--- a/src/ebonydeal/_internal/directory/crash_guard.py
+++ b/src/ebonydeal/_internal/directory/crash_guard.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests while whose execution endpoints crashed.
+"""Quarantine of requests under which endpoints crashed.
 
 Each gateway and journal decides by the crashes that it observed itself.
 """
@@ -97,8 +97,8 @@
     def record_answer(self, request: Request, status: int = _OK) -> None:
         """Record a complete answer.
 
-        Only a success clears a request: an endpoint may reject requests before
-        it runs them.
+        Only a success clears a request: an endpoint that returns an error may not
+        have run it.
         """
         if status < _MIN_FAILURE_STATUS:
             self._evidence.record_success(_digest(request), self._clock.now())
--- a/src/ebonydeal/_internal/directory/refusal_tracker.py
+++ b/src/ebonydeal/_internal/directory/refusal_tracker.py
@@ -8,13 +8,13 @@
     ----------
     threshold : int
         Consecutive refusals after which an endpoint is suspected.
-    hold : float
+    duration : float
         Seconds that a suspicion lasts; the next refusal restarts it.
     """
 
-    def __init__(self, threshold: int, hold: float) -> None:
+    def __init__(self, threshold: int, duration: float) -> None:
         self._threshold = threshold
-        self._hold = hold
+        self._duration = duration
         self._refusals: dict[str, int] = {}
         self._until: dict[str, float] = {}
 
@@ -28,7 +28,7 @@
         self._refusals[endpoint_id] = count
         if count < self._threshold:
             return False
-        self._until[endpoint_id] = now + self._hold
+        self._until[endpoint_id] = now + self._duration
         return True
 
     def clear(self, endpoint_id: str) -> None:
--- a/src/ebonydeal/_internal/peers/demand.py
+++ b/src/ebonydeal/_internal/peers/demand.py
@@ -38,7 +38,7 @@
         self._times_sent: dict[str, int] = {}
 
     def digest(self) -> Any:
-        """Return the own report and, within the limit, the least often sent others."""
+        """Return this gateway's report and, within the limit, the least sent others."""
         reports = [_to_wire(self._own_report())]
         left = MAX_DIGEST_BYTES - len(json.dumps(reports[0]))
         for gateway in sorted(
@@ -53,7 +53,7 @@
         return reports
 
     def payload_for(self, peer_digest: Any) -> Any | None:
-        """Merge a peer's reports; the digest already carries all there is to send."""
+        """Merge a peer's reports; return None, since digests carry the reports."""
         self.receive(peer_digest)
         return None
 
--- a/src/ebonydeal/_internal/peers/endpoints_topic.py
+++ b/src/ebonydeal/_internal/peers/endpoints_topic.py
@@ -12,7 +12,7 @@
 
     Parameters
     ----------
-    shared : SharedList
+    shared : SharedInstanceList
         The records that this process holds.
     receive : callable
         Called with records that a peer sent (`Directory.receive_records`).
--- a/src/ebonydeal/_internal/peers/membership.py
+++ b/src/ebonydeal/_internal/peers/membership.py
@@ -91,10 +91,10 @@
     ----------
     period : float
         Time between rounds of one node.
-    suspect : float
+    min_suspicion : float
         Minimum time between suspicion and removal; longer with many members, since
         the suspicion has to reach the member and its refutation has to come back.
-    keep_dead : float
+    dead_retention : float
         How long a dead member is remembered, so that late states don't revive it,
         and so that it is contacted again after a partition and learns what it has
         to refute.
--- a/tests/lib/config_fakes.py
+++ b/tests/lib/config_fakes.py
@@ -29,7 +29,7 @@
     Transactions consume ``write_faults`` first.
 
     Faults: ``ok``, ``down`` (before any effect), ``lost`` (after the effect) and
-    ``late`` (answer lost, the effect comes when `apply_late_writes` is called).
+    ``late`` (response lost, the effect follows when `apply_late_writes` is called).
     """
 
     def __init__(self) -> None:
--- a/tests/unit/config/test_machine.py
+++ b/tests/unit/config/test_machine.py
@@ -31,7 +31,7 @@
         self.document["deployments"][0]["replicas"]["max"] = 100 + number
         self.store = ConfigStore(tables, AutoAdvancingClock(), random.Random(number))
         self.outcome = None
-        self.tried_before = False
+        self.attempted_before = False
         self.begin()
 
     def begin(self):
@@ -107,7 +107,7 @@
         if proposal.outcome in (ErrorKind.STORE_IN_DOUBT, ErrorKind.STORE_UNAVAILABLE):
             self.ended.remove(proposal)
             proposal.outcome = None
-            proposal.tried_before = True
+            proposal.attempted_before = True
             proposal.begin()
             self.running.append(proposal)
 
@@ -163,7 +163,7 @@
             self.nodes[b].topic.receive(payload)
 
     @invariant()
-    def one_winner_a_version(self):
+    def one_winner_per_version(self):
         infos = self.versions()
         assert [info.version for info in infos] == list(range(1, len(infos) + 1))
         ids = [info.proposal for info in infos]
@@ -178,7 +178,7 @@
                     assert by_id[proposal.id] == version
                 case Failure():
                     assert proposal.id not in by_id
-                case ErrorKind.STORE_UNAVAILABLE if not proposal.tried_before:
+                case ErrorKind.STORE_UNAVAILABLE if not proposal.attempted_before:
                     assert proposal.id not in by_id
 
     @invariant()
@@ -199,7 +199,7 @@
             assert content.items == folded[content.version]
 
     @invariant()
-    def nodes_never_go_back(self):
+    def nodes_never_adopt_older(self):
         now = [node.document.version for node in self.nodes]
         for before, after in zip(self.highest, now, strict=True):
             assert after >= before
@@ -209,7 +209,7 @@
         self.tables.apply_late_writes()
         for proposal in self.running:
             self.finish(proposal)
-        self.one_winner_a_version()
+        self.one_winner_per_version()
         self.outcomes_are_true()
         for node in self.nodes:
             assert run_to_end(node.try_refresh())
