--- a/src/ebonydeal/_internal/config/references.py
+++ b/src/ebonydeal/_internal/config/references.py
@@ -32,13 +32,15 @@
     problems = list(_unique_names(document, rejected))
     zones = {zone for _, zone in _zones(document)}
     accounts = {name for _, name in _names(document, "accounts")}
-    deployments = _sound_parts(document, "deployments", rejected)
+    deployments = _valid_parts(document, "deployments", rejected)
     for index, item in deployments:
         path: Path = ("deployments", index)
         names = item.get("zones", [])
-        problems.extend(_unknown(names, zones, (*path, "zones"), "zone"))
+        problems.extend(_unknown_references(names, zones, (*path, "zones"), "zone"))
         names = item.get("accounts", [])
-        problems.extend(_unknown(names, accounts, (*path, "accounts"), "account"))
+        problems.extend(
+            _unknown_references(names, accounts, (*path, "accounts"), "account")
+        )
         problems.extend(_replica_problems(item, path))
         problems.extend(_kind_problems(item, path))
         problems.extend(_adapter_problems(item, path))
@@ -55,12 +57,12 @@
     """Return problems of deployments that the current offers can't satisfy."""
     return [
         problem
-        for index, item in _sound_parts(document, "deployments", rejected)
+        for index, item in _valid_parts(document, "deployments", rejected)
         for problem in _price_problems(item, ("deployments", index), offers)
     ]
 
 
-def _sound_parts(
+def _valid_parts(
     document: dict[str, Any], section: str, rejected: Collection[Path]
 ) -> list[tuple[int, Item]]:
     """Return a section's items without the fields that the schema rejected."""
@@ -103,12 +105,12 @@
 ) -> Iterator[Problem]:
     """Yield repeated names; names that differ only in case are the same."""
     for section in ("regions", "accounts", "deployments"):
-        yield from _repeated(_names(document, section))
+        yield from _repeated_names(_names(document, section))
     if not any(path[:1] == ("regions",) for path in rejected):
-        yield from _repeated(_zones(document))
+        yield from _repeated_names(_zones(document))
 
 
-def _repeated(names: list[tuple[Path, str]]) -> Iterator[Problem]:
+def _repeated_names(names: list[tuple[Path, str]]) -> Iterator[Problem]:
     """Yield one problem for each name that occurred before."""
     seen: dict[str, str] = {}
     for path, name in names:
@@ -118,7 +120,7 @@
         seen[name.casefold()] = name
 
 
-def _unknown(
+def _unknown_references(
     names: list[str], known: set[str], path: Path, what: str
 ) -> Iterator[Problem]:
     """Yield references to items that the document doesn't contain."""
--- a/src/ebonydeal/_internal/config/rows.py
+++ b/src/ebonydeal/_internal/config/rows.py
@@ -127,7 +127,7 @@
             return EMPTY_CONTENT
         rows = await _scan_all(tables, ITEMS_PREFIX)
         if await read_head(tables) == before:
-            return Content(before, dict(_item(row) for row in rows))
+            return Content(before, dict(_parse_item(row) for row in rows))
     raise EbonydealError(
         ErrorKind.STORE_UNAVAILABLE,
         "the configuration changes faster than it can be read",
@@ -146,7 +146,7 @@
         start = rows[-1].key + "\0"
 
 
-def _item(row: Row) -> tuple[ItemKey, dict[str, Any]]:
+def _parse_item(row: Row) -> tuple[ItemKey, dict[str, Any]]:
     """Return an item from its row."""
     section, _, name = row.key.removeprefix(ITEMS_PREFIX).partition("/")
     return ItemKey(section, name), row.value["value"]
--- a/src/ebonydeal/_internal/config/validate.py
+++ b/src/ebonydeal/_internal/config/validate.py
@@ -62,7 +62,7 @@
     if not problems:
         errors = _validator().iter_errors(document)
         problems = [item for error in errors for item in _from_error(error)]
-        if _comparable(document):
+        if _is_comparable(document):
             rejected = {problem.path for problem in problems}
             problems += reference_problems(document, offers, rejected)
     if problems:
@@ -70,7 +70,7 @@
     return Success(document)
 
 
-def _comparable(document: Any) -> bool:
+def _is_comparable(document: Any) -> bool:
     """Return whether all sections are lists, so that items can be compared."""
     return isinstance(document, dict) and all(
         isinstance(document.get(section), list) for section in SECTIONS
--- a/src/ebonydeal/_internal/directory/notices.py
+++ b/src/ebonydeal/_internal/directory/notices.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, list_lag: float) -> None:
-        self._lag = list_lag
+        self._list_lag = list_lag
         self._pending: dict[str, tuple[ReclaimNotice, float]] = {}
         self.last_seq = 0
 
@@ -63,9 +63,9 @@
                         at,
                     )
                 )
-            if view is not None or now > max(at, notice.deadline) + self._lag:
+            if view is not None or now > max(at, notice.deadline) + self._list_lag:
                 del self._pending[instance_id]
         return marks
 
     def _is_past(self, notice: ReclaimNotice, now: float) -> bool:
-        return 0.0 < notice.deadline < now - self._lag
+        return 0.0 < notice.deadline < now - self._list_lag
--- a/src/ebonydeal/_internal/directory/service.py
+++ b/src/ebonydeal/_internal/directory/service.py
@@ -100,7 +100,7 @@
         self._mark_callbacks: list[MarkCallback] = []
         self._change_callbacks: list[ChangeCallback] = []
         self._event_callbacks: list[EventsCallback] = []
-        self._listed = False
+        self._has_list = False
 
     @classmethod
     def from_config(
@@ -121,7 +121,7 @@
     @property
     def ready(self) -> bool:
         """Whether an instance list has been read."""
-        return self._listed
+        return self._has_list
 
     def views(self, deployment: str) -> tuple[EndpointView, ...]:
         """Return a deployment's endpoints, without leaving and suspected ones.
@@ -172,7 +172,7 @@
         Callbacks of `on_mark` run only for new marks.
         """
         is_new = self.marks.merge(mark, self._clock.wall())
-        self._apply(mark)
+        self._apply_mark(mark)
         if not is_new:
             return False
         self._metrics.count(Event.LEAVING_MARKED)
@@ -292,7 +292,7 @@
         for mark in self._notices.resolve(self._table, now):
             self.mark(mark)
         self.marks.expire(now)
-        self._listed = True
+        self._has_list = True
         if change:
             call_all(self._change_callbacks, change)
 
@@ -324,7 +324,7 @@
         call_all(self._event_callbacks, endpoint_id, events)
 
     # --- state --------------------------------------------------------------------
-    def _apply(self, mark: LeavingMark) -> None:
+    def _apply_mark(self, mark: LeavingMark) -> None:
         """Record as leaving the listed incarnations that a mark covers."""
         if mark.endpoint_id:
             view = self._table.get(mark.endpoint_id)
--- a/src/ebonydeal/_internal/directory/table.py
+++ b/src/ebonydeal/_internal/directory/table.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self._views: dict[str, EndpointView] = {}
         self._first_seen: dict[str, float] = {}
-        self._gone: dict[tuple[str, int], tuple[float, float]] = {}
+        self._recently_removed: dict[tuple[str, int], tuple[float, float]] = {}
         self._by_deployment: dict[str, dict[str, EndpointView]] = {}
         self._loaded = False
 
@@ -77,7 +77,7 @@
             self._forget(view, now)
         for view in added:
             key = (view.endpoint_id, view.incarnation)
-            known_since = self._gone.pop(key, (seen, now))[0]
+            known_since = self._recently_removed.pop(key, (seen, now))[0]
             self._first_seen[view.endpoint_id] = known_since
         for view in fresh.values():
             self._put(self._with_load(view))
@@ -113,13 +113,17 @@
         """Drop a view; remember when it was first seen, since lists have gaps."""
         del self._views[view.endpoint_id]
         first_seen = self._first_seen.pop(view.endpoint_id)
-        self._gone[view.endpoint_id, view.incarnation] = (first_seen, now)
+        self._recently_removed[view.endpoint_id, view.incarnation] = (first_seen, now)
         self._drop_from_deployment(view)
 
     def _expire_gone(self, now: float) -> None:
-        old = [key for key, item in self._gone.items() if item[1] < now - GONE_TTL_S]
+        old = [
+            key
+            for key, item in self._recently_removed.items()
+            if item[1] < now - GONE_TTL_S
+        ]
         for key in old:
-            del self._gone[key]
+            del self._recently_removed[key]
 
     def _drop_from_deployment(self, view: EndpointView) -> None:
         views = self._by_deployment[view.deployment]
--- a/src/ebonydeal/_internal/peers/service.py
+++ b/src/ebonydeal/_internal/peers/service.py
@@ -224,7 +224,7 @@
         await self._client.close()
 
     @Service.task
-    async def _rounds(self) -> None:
+    async def _run_rounds(self) -> None:
         while not self.should_stop:
             await self.round()
             jitter = self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
--- a/tests/functional/peers/test_service.py
+++ b/tests/functional/peers/test_service.py
@@ -48,11 +48,11 @@
     async def __aexit__(self, *exc: object) -> None:
         await self.peers.stop()
 
-    def knows(self) -> set[str]:
+    def known_peers(self) -> set[str]:
         return {member.id for member in self.peers.members()}
 
 
-async def until(condition, seconds: float = 20.0) -> None:
+async def wait_until(condition, seconds: float = 20.0) -> None:
     """Wait for a condition; the time limit only ends a hung test."""
     async with asyncio.timeout(seconds):
         while not condition():
@@ -71,14 +71,14 @@
         async with Node(1) as a:
             async with Node(2, a.peers.address) as b, Node(3, a.peers.address) as c:
                 await join_all(a, b, c)
-                assert a.knows() == {"node-2", "node-3"}
-                assert c.knows() == {"node-1", "node-2"}
+                assert a.known_peers() == {"node-2", "node-3"}
+                assert c.known_peers() == {"node-1", "node-2"}
                 received: list = []
                 c.directory.on_mark(received.append)
                 mark = make_mark(at=a.clock.wall(), source="cloud")
                 assert a.directory.mark(mark) is True
-                await until(lambda: received)
-                await until(lambda: b.directory.views("pool") == ())
+                await wait_until(lambda: received)
+                await wait_until(lambda: b.directory.views("pool") == ())
                 assert received == [mark]
                 assert c.directory.views("pool") == ()
 
@@ -101,8 +101,8 @@
                 a.instances.views.append(make_view("i-9"))
                 a.directory.set_reader_count(lambda: 1)
                 await a.directory._read_list()
-                await until(lambda: b.directory.get("i-9") is not None)
-                await until(lambda: c.directory.get("i-9") is not None)
+                await wait_until(lambda: b.directory.get("i-9") is not None)
+                await wait_until(lambda: c.directory.get("i-9") is not None)
 
     async def test_dead_node_is_suspected_and_marks_still_spread(self):
         async with Node(1) as a:
@@ -117,7 +117,7 @@
                     assert a.metrics.events()["peer_unreachable"] >= 1
                     mark = make_mark(at=a.clock.wall())
                     a.directory.mark(mark)
-                    await until(lambda: list(b.directory.marks) == [mark])
+                    await wait_until(lambda: list(b.directory.marks) == [mark])
 
     async def test_unreachable_seed_does_not_prevent_joining(self):
         async with Node(1) as a:
@@ -125,8 +125,8 @@
             async with Node(2, f"{unreachable},{a.peers.address}") as b:
                 for _ in range(12):
                     await b.peers.round()
-                assert b.knows() == {"node-1"}
-                assert a.knows() == {"node-2"}
+                assert b.known_peers() == {"node-1"}
+                assert a.known_peers() == {"node-2"}
 
     async def test_member_is_suspected_if_another_node_has_its_address(self):
         async with Node(1) as a, Node(2, a.peers.address) as b:
@@ -142,15 +142,15 @@
         async with Node(1) as a:
             async with Node(2, a.peers.address) as b:
                 await join_all(a, b)
-                assert a.knows() == {"node-2"}
-            assert a.knows() == set()
+                assert a.known_peers() == {"node-2"}
+            assert a.known_peers() == set()
             assert a.peers.membership.get("node-2").status is MemberStatus.LEFT
 
     async def test_rounds_run_periodically(self):
         async with Node(1, period=0.05) as a:
             async with Node(2, a.peers.address, period=0.05) as b:
-                await until(lambda: a.knows() and b.knows())
-                assert a.knows() == {"node-2"}
+                await wait_until(lambda: a.known_peers() and b.known_peers())
+                assert a.known_peers() == {"node-2"}
 
     async def test_restart_with_the_same_id_replaces_the_old_member(self):
         async with Node(1) as a:
@@ -192,7 +192,7 @@
                 await client.call(a.peers.address, ROUND_PATH, message, 5.0)
             await client.close()
             assert caught.value.kind is ErrorKind.BAD_REQUEST
-            assert a.knows() == set()
+            assert a.known_peers() == set()
 
     async def test_malformed_topic_data_is_ignored(self):
         async with Node(1) as a:
@@ -204,7 +204,7 @@
             }
             await client.call(a.peers.address, PUSH_PATH, message, 5.0)
             await client.close()
-            assert a.knows() == {"x"}
+            assert a.known_peers() == {"x"}
             assert list(a.directory.marks) == []
 
     async def test_bytes_are_counted(self):
--- a/tests/unit/directory/test_crash_guard.py
+++ b/tests/unit/directory/test_crash_guard.py
@@ -9,11 +9,11 @@
 from tests.lib.gateway_fakes import view
 from tests.unit.gateway.test_stream_runner import request
 
-FATAL = request()._replace(body_digest="fatal")
+CRASHING = request()._replace(body_digest="fatal")
 OTHER = request()._replace(body_digest="other")
 
 
-class Guarded:
+class GuardFixture:
     """A crash guard over endpoints that crashed, or are alive."""
 
     def __init__(self, gone=True):
@@ -30,7 +30,7 @@
             self.clock._now += 1.0
             await self.guard.record_failure(request, view(f"e{number}"), kind)
 
-    def refused(self, request, ran=False):
+    def check_error(self, request, ran=False):
         try:
             self.guard.check(request, ran)
         except EbonydealError as exc:
@@ -40,50 +40,50 @@
 
 class TestCheck:
     async def test_request_is_quarantined_after_the_third_crash(self):
-        guarded = Guarded()
-        await guarded.fail(FATAL, 2)
-        assert guarded.refused(FATAL) is None
-        await guarded.fail(FATAL, 3)
-        error = guarded.refused(FATAL)
+        fixture = GuardFixture()
+        await fixture.fail(CRASHING, 2)
+        assert fixture.check_error(CRASHING) is None
+        await fixture.fail(CRASHING, 3)
+        error = fixture.check_error(CRASHING)
         assert error.kind is ErrorKind.REQUEST_QUARANTINED
         assert error.outcome is Outcome.NOT_RUN
-        assert guarded.metrics.value("events", "requests_quarantined") == 1
+        assert fixture.metrics.value("events", "requests_quarantined") == 1
 
     async def test_request_that_may_have_run_is_not_reported_as_not_run(self):
-        guarded = Guarded()
-        await guarded.fail(FATAL, 3)
-        assert guarded.refused(FATAL, ran=True).outcome is Outcome.UNKNOWN
+        fixture = GuardFixture()
+        await fixture.fail(CRASHING, 3)
+        assert fixture.check_error(CRASHING, ran=True).outcome is Outcome.UNKNOWN
 
     async def test_same_body_with_another_id_is_quarantined_too(self):
-        guarded = Guarded()
-        await guarded.fail(FATAL, 3)
-        assert guarded.refused(FATAL._replace(request_id="r-0001-02"))
-        assert guarded.refused(FATAL._replace(account="another")) is None
-        assert guarded.refused(OTHER) is None
+        fixture = GuardFixture()
+        await fixture.fail(CRASHING, 3)
+        assert fixture.check_error(CRASHING._replace(request_id="r-0001-02"))
+        assert fixture.check_error(CRASHING._replace(account="another")) is None
+        assert fixture.check_error(OTHER) is None
 
     async def test_failures_of_live_endpoints_do_not_quarantine(self):
-        guarded = Guarded(gone=False)
-        await guarded.fail(FATAL, 5)
-        assert guarded.refused(FATAL) is None
+        fixture = GuardFixture(gone=False)
+        await fixture.fail(CRASHING, 5)
+        assert fixture.check_error(CRASHING) is None
 
     @pytest.mark.parametrize(
         "kind", [ErrorKind.ENDPOINT_STALLED, ErrorKind.CONNECT_FAILED]
     )
     async def test_stalls_and_failed_connects_do_not_quarantine(self, kind):
-        guarded = Guarded()
-        await guarded.fail(FATAL, 5, kind)
-        assert guarded.refused(FATAL) is None
+        fixture = GuardFixture()
+        await fixture.fail(CRASHING, 5, kind)
+        assert fixture.check_error(CRASHING) is None
 
     async def test_success_clears_earlier_crashes(self):
-        guarded = Guarded()
-        await guarded.fail(FATAL, 2)
-        guarded.guard.record_answer(FATAL)
-        await guarded.fail(FATAL, 3)
-        assert guarded.refused(FATAL) is None
+        fixture = GuardFixture()
+        await fixture.fail(CRASHING, 2)
+        fixture.guard.record_answer(CRASHING)
+        await fixture.fail(CRASHING, 3)
+        assert fixture.check_error(CRASHING) is None
 
     async def test_answer_with_an_error_status_does_not_clear(self):
-        guarded = Guarded()
-        await guarded.fail(FATAL, 2)
-        guarded.guard.record_answer(FATAL, 500)
-        await guarded.fail(FATAL, 3)
-        assert guarded.refused(FATAL).kind is ErrorKind.REQUEST_QUARANTINED
+        fixture = GuardFixture()
+        await fixture.fail(CRASHING, 2)
+        fixture.guard.record_answer(CRASHING, 500)
+        await fixture.fail(CRASHING, 3)
+        assert fixture.check_error(CRASHING).kind is ErrorKind.REQUEST_QUARANTINED
--- a/tests/unit/peers/test_membership.py
+++ b/tests/unit/peers/test_membership.py
@@ -36,7 +36,7 @@
 )
 
 
-def live_view(membership: Membership) -> dict:
+def live_states(membership: Membership) -> dict:
     return {m.id: (m.order, m.address) for m in membership.live()}
 
 
@@ -51,7 +51,7 @@
             membership = Membership(member("me"), TIMEOUTS)
             for state in first + received:
                 membership.merge(state, 0.0)
-            views.append((live_view(membership), membership.hashes.root_hash()))
+            views.append((live_states(membership), membership.hashes.root_hash()))
         assert views[0] == views[1]
 
     def test_restart_of_the_same_id_revives_a_dead_member(self):
