--- a/tests/functional/journal/test_crashes.py
+++ b/tests/functional/journal/test_crashes.py
@@ -90,7 +90,7 @@
                 assert states["k-0000-2"].phase is Phase.COMPLETED
         for name, answer in replies.items():
             refused = isinstance(answer, EbonydealError)
-            if refused and answer.answer.outcome is Outcome.NOT_RUN:
+            if refused and answer.response.outcome is Outcome.NOT_RUN:
                 assert ids.get(name, "k-0000-2") not in ran
         for request_id, state in states.items():
             assert state.is_final
--- a/tests/functional/journal/test_dispatch.py
+++ b/tests/functional/journal/test_dispatch.py
@@ -56,7 +56,7 @@
         async def refuses_connections(_address, _seconds):
             return True
 
-        node.dispatcher._attempts._crashes._refuses = refuses_connections
+        node.dispatcher._attempts._crashes._probe = refuses_connections
         for _ in range(20):
             world.engine.fail("e-1", 0, ErrorKind.ENDPOINT_FAILED)
             world.engine.fail("e-2", 0, ErrorKind.ENDPOINT_FAILED)
