--- a/src/ebonydeal/_internal/benchmarks/clockwork.py
+++ b/src/ebonydeal/_internal/benchmarks/event_scheduler.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class Clockwork:
+class EventScheduler:
     """A queue of things to do; `now` is the time of the present one, seconds."""
 
     def __init__(self) -> None:
--- a/src/ebonydeal/_internal/benchmarks/peers/net.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/net.py
@@ -4,7 +4,7 @@
 import random
 from typing import Any
 
-from ebonydeal._internal.benchmarks.clockwork import Clockwork
+from ebonydeal._internal.benchmarks.event_scheduler import EventScheduler
 from ebonydeal._internal.directory.marks import MarkSet
 from ebonydeal._internal.directory.sharing import SharedInstanceList
 from ebonydeal._internal.models.endpoints import LeavingMark
@@ -38,14 +38,14 @@
 class _ModelClock:
     """Shows the model's time to topics."""
 
-    def __init__(self, work: Clockwork) -> None:
-        self._work = work
+    def __init__(self, scheduler: EventScheduler) -> None:
+        self._scheduler = scheduler
 
     def now(self) -> float:
-        return self._work.now
+        return self._scheduler.now
 
     def wall(self) -> float:
-        return self._work.now
+        return self._scheduler.now
 
     async def sleep(self, seconds: float) -> None:
         raise NotImplementedError("the model has no tasks")
@@ -80,7 +80,9 @@
         self.marks = MarkSet()
         self.marked_at: dict[str, float] = {}
         self.exchange = GossipExchange(self.membership)
-        self.exchange.register(MembersTopic(self.membership, _ModelClock(net.work)))
+        self.exchange.register(
+            MembersTopic(self.membership, _ModelClock(net.scheduler))
+        )
         self.exchange.register(MarksTopic(self.marks, self.mark))
         self.exchange.register(EndpointsTopic(SharedInstanceList(), lambda _: None))
         if net.with_demand:
@@ -88,28 +90,32 @@
 
     def mark(self, mark: LeavingMark) -> bool:
         """Take in a mark; push it on if it is news."""
-        news = self.marks.merge(mark, self.net.work.now)
+        news = self.marks.merge(mark, self.net.scheduler.now)
         if news:
-            self.marked_at[mark.endpoint_id or mark.zone] = self.net.work.now
-            self.net.work.at(
-                self.net.work.now + PUSH_BATCH_INTERVAL_S, self._push, mark
+            self.marked_at[mark.endpoint_id or mark.zone] = self.net.scheduler.now
+            self.net.scheduler.at(
+                self.net.scheduler.now + PUSH_BATCH_INTERVAL_S, self._push, mark
             )
         return news
 
     def round(self) -> None:
         """Hold one round, and plan the next one."""
         net = self.net
-        net.work.at(net.work.now + PERIOD_S * self.rng.uniform(*_JITTER), self.round)
-        self.membership.tick(net.work.now)
+        net.scheduler.at(
+            net.scheduler.now + PERIOD_S * self.rng.uniform(*_JITTER), self.round
+        )
+        self.membership.tick(net.scheduler.now)
         target = self.targets.choose(self.membership, self.rng)
         if target is None:
             return
         peer = net.by_address[target.address]
         answer = self._call(peer, self.exchange.build_request(), opening=True)
         if answer is None:
-            self.membership.record_unreachable(target.member_id, net.work.now)
+            self.membership.record_unreachable(target.member_id, net.scheduler.now)
             return
-        closing = self.exchange.handle_response(answer, target.member_id, net.work.now)
+        closing = self.exchange.handle_response(
+            answer, target.member_id, net.scheduler.now
+        )
         if closing is not None:
             self.exchange.apply_payloads(self._call(peer, closing, opening=False) or {})
 
@@ -120,7 +126,7 @@
         self.bytes_out += len(json.dumps(message)) + REQUEST_HEADER_BYTES
         if self.net.is_lost():
             return None
-        now = self.net.work.now
+        now = self.net.scheduler.now
         take = peer.exchange.handle_request if opening else peer.exchange.handle_push
         reply = take(json.loads(json.dumps(message)), now)
         peer.bytes_out += len(json.dumps(reply)) + RESPONSE_HEADER_BYTES
@@ -141,11 +147,11 @@
         peer = self.net.by_address[member.address]
         if self._call(peer, message, opening=False) is None and spare and tries > 1:
             other = self.rng.choice(spare)
-            later = self.net.work.now + CALL_TIMEOUT_S
-            self.net.work.at(later, self._push_to, other, spare, mark, tries - 1)
+            later = self.net.scheduler.now + CALL_TIMEOUT_S
+            self.net.scheduler.at(later, self._push_to, other, spare, mark, tries - 1)
 
     def _report(self) -> DemandReport:
-        now = self.net.work.now
+        now = self.net.scheduler.now
         demand = Demand(123.4 + now % 7, 45_678.0, 321.0, 300.0)
         names = [f"account-{n}" for n in range(ACCOUNTS)]
         seq = int(now * 1000)
@@ -159,7 +165,7 @@
         self, count: int, seed: int, *, loss: float = 0.0, with_demand: bool = True
     ) -> None:
         self.seed = seed
-        self.work = Clockwork()
+        self.scheduler = EventScheduler()
         self.loss = 0.0
         self.with_demand = with_demand
         self.wanted_loss = loss
@@ -168,7 +174,7 @@
         self.nodes = [Node(number, self) for number in range(count)]
         self.by_address = {node.membership.own.address: node for node in self.nodes}
         for node in self.nodes:
-            self.work.at(self.rng.uniform(0.0, PERIOD_S), node.round)
+            self.scheduler.at(self.rng.uniform(0.0, PERIOD_S), node.round)
 
     def is_lost(self) -> bool:
         """Return whether the next message is lost."""
@@ -176,7 +182,7 @@
 
     def settle(self, seconds: float) -> None:
         """Run until the first exchanges are over; then start to lose and count."""
-        self.work.run(until=seconds)
+        self.scheduler.run(until=seconds)
         self.loss = self.wanted_loss
         for node in self.nodes:
             node.bytes_out = 0
--- a/src/ebonydeal/_internal/benchmarks/peers/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/suite.py
@@ -66,7 +66,7 @@
     net = Net(nodes, seed, with_demand=with_demand)
     net.settle(SETTLE_S)
     started = time.process_time()
-    net.work.run(until=SETTLE_S + MEASURE_S)
+    net.scheduler.run(until=SETTLE_S + MEASURE_S)
     used = time.process_time() - started
     sent = net.bytes_per_s(MEASURE_S)
     cpu_us = used * 1e6 / nodes / MEASURE_S
@@ -83,9 +83,9 @@
         net.nodes[seed % nodes].mark(
             LeavingMark("", 0, "zone-9", SETTLE_S + 30.0, "cloud", SETTLE_S)
         )
-        net.work.run(until=SETTLE_S + 3.0)
+        net.scheduler.run(until=SETTLE_S + 3.0)
         costs.append(statistics.fmean(node.bytes_out for node in net.nodes))
-        net.work.run(until=SETTLE_S + SPREAD_S)
+        net.scheduler.run(until=SETTLE_S + SPREAD_S)
         times = sorted(
             node.marked_at["zone-9"] - SETTLE_S
             for node in net.nodes
--- a/src/ebonydeal/_internal/benchmarks/reclaim/engines.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/engines.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ebonydeal._internal.benchmarks.clockwork import Clockwork
+from ebonydeal._internal.benchmarks.event_scheduler import EventScheduler
 from ebonydeal._internal.benchmarks.reclaim.mixes import Job
 from ebonydeal._internal.utils.prefix import BLOCK_TOKENS
 
@@ -62,7 +62,12 @@
     """One replica."""
 
     def __init__(
-        self, engine_id: str, zone: str, slots: int, spec: EngineSpec, work: Clockwork
+        self,
+        engine_id: str,
+        zone: str,
+        slots: int,
+        spec: EngineSpec,
+        scheduler: EventScheduler,
     ) -> None:
         self.engine_id = engine_id
         self.zone = zone
@@ -77,7 +82,7 @@
         self._prefills: deque[Stream] = deque()
         self._prefilling: Stream | None = None
         self._cache: OrderedDict[str, None] = OrderedDict()
-        self._work = work
+        self._scheduler = scheduler
 
     @property
     def outstanding(self) -> int:
@@ -104,7 +109,7 @@
         """Bring a stream's delivered tokens up to now."""
         if stream.decoding_since is None:
             return
-        passed = self._work.now - stream.decoding_since
+        passed = self._scheduler.now - stream.decoding_since
         made = int(passed * self.spec.decode_per_s + 1e-9)
         stream.delivered = min(stream.job.output_tokens, stream.base + made)
         if stream.delivered > stream.base:
@@ -153,8 +158,8 @@
         if stream.cause:
             total = self.recomputed.get(stream.cause, 0) + needed
             self.recomputed[stream.cause] = total
-        end = self._work.now + needed / self.spec.prefill_per_s
-        self._work.at(end, self._prefilled, stream, stream.turn)
+        end = self._scheduler.now + needed / self.spec.prefill_per_s
+        self._scheduler.at(end, self._prefilled, stream, stream.turn)
 
     def _prefilled(self, stream: Stream, turn: int) -> None:
         if stream.turn != turn:
@@ -165,14 +170,14 @@
         self._next_prefill()
 
     def _decode(self, stream: Stream) -> None:
-        now = self._work.now
+        now = self._scheduler.now
         if stream.last_token_at:
             stream.gaps.append(now + 1 / self.spec.decode_per_s - stream.last_token_at)
         stream.decoding_since = now
         stream.base = stream.delivered
         left = stream.job.output_tokens - stream.delivered
         end = now + left / self.spec.decode_per_s
-        self._work.at(end, self._finished, stream, stream.turn)
+        self._scheduler.at(end, self._finished, stream, stream.turn)
 
     def _finished(self, stream: Stream, turn: int) -> None:
         if stream.turn != turn:
--- a/src/ebonydeal/_internal/benchmarks/reclaim/pool.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/pool.py
@@ -7,7 +7,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ebonydeal._internal.benchmarks.clockwork import Clockwork
+from ebonydeal._internal.benchmarks.event_scheduler import EventScheduler
 from ebonydeal._internal.benchmarks.reclaim.engines import (
     EngineModel,
     EngineSpec,
@@ -48,7 +48,7 @@
     def __init__(
         self, mix: Mix, wave: Wave, seed: int, spec: EngineSpec, faults: Faults
     ) -> None:
-        self.work = Clockwork()
+        self.scheduler = EventScheduler()
         self.spec = spec
         self.wave = wave
         self.faults = faults
@@ -57,7 +57,9 @@
         self.tally: Counter[str] = Counter()
         self.broken = 0
         self.engines = [
-            EngineModel(f"i-{zone}-{n}", f"zone-{zone}", mix.slots, spec, self.work)
+            EngineModel(
+                f"i-{zone}-{n}", f"zone-{zone}", mix.slots, spec, self.scheduler
+            )
             for zone, replicas in enumerate(mix.zones)
             for n in range(replicas)
         ]
@@ -75,7 +77,7 @@
         leaves time; ``on_cut(streams)`` with what ran on engines as they died.
         """
         for job in self._jobs:
-            self.work.at(job.arrives, self._arrive, job)
+            self.scheduler.at(job.arrives, self._arrive, job)
         for start, number in self.wave.zones:
             zone = f"zone-{number}"
             noticed = WARM_UP_S + start
@@ -85,9 +87,9 @@
                     engine.dies_at = deadline
             if self.wave.notice > NOTICE_DELAY_S:
                 heard = noticed + NOTICE_DELAY_S
-                self.work.at(heard, self._notice, zone, deadline, on_notice)
-            self.work.at(deadline, self._die, zone, on_cut)
-        self.work.run()
+                self.scheduler.at(heard, self._notice, zone, deadline, on_notice)
+            self.scheduler.at(deadline, self._die, zone, on_cut)
+        self.scheduler.run()
         for engine in self.engines:
             self.tally.update(engine.recomputed)
 
@@ -159,16 +161,16 @@
         source.stop(stream)
         size = stream.context_tokens * self.spec.gb_per_token
         seconds = size / self.spec.export_gb_per_s * (1.0 + self.spec.import_share)
-        start = max(self.work.now, source.export_free_at)
+        start = max(self.scheduler.now, source.export_free_at)
         end = start + seconds + MIN_CALL_S
         source.export_free_at = end
         breaks = self._faults_rng.random() < self.faults.export_breaks
         if end > source.dies_at:
-            self.work.at(source.dies_at, failed, stream, False)
+            self.scheduler.at(source.dies_at, failed, stream, False)
         elif breaks:
-            self.work.at(start + seconds / 2, failed, stream, False)
+            self.scheduler.at(start + seconds / 2, failed, stream, False)
         else:
-            self.work.at(end, self._arrived, stream, target, source, failed)
+            self.scheduler.at(end, self._arrived, stream, target, source, failed)
 
     def _arrived(
         self,
--- a/src/ebonydeal/_internal/benchmarks/reclaim/strategies.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/strategies.py
@@ -98,14 +98,16 @@
     def _export_next(self, zone: str, deadline: float) -> None:
         """Start an export wherever none runs; look again when one ends."""
         pool = self._pool
-        now = pool.work.now
+        now = pool.scheduler.now
         streams = pool.on_zone(zone)
         for engine in pool.engines:
             mine = [it for it in streams if it.engine is engine]
             if mine and engine.export_free_at <= now < deadline:
                 target = min(pool.usable(), key=lambda it: it.outstanding)
                 pool.export(mine[0], target, self._failed)
-                pool.work.at(engine.export_free_at, self._export_next, zone, deadline)
+                pool.scheduler.at(
+                    engine.export_free_at, self._export_next, zone, deadline
+                )
 
     def _failed(self, stream: Stream, handle_left: bool) -> None:
         self._pool.resume(stream, self._pool.route(stream.job), "export broke")
@@ -134,14 +136,14 @@
 
     def on_cut(self, cut: list[Stream]) -> None:
         """Go on by prefill at planned places."""
-        self._carry_out(cut, self._moves(cut, self._pool.work.now), 0.0, "cut")
+        self._carry_out(cut, self._moves(cut, self._pool.scheduler.now), 0.0, "cut")
 
     def _plan(self, streams: list[Stream], deadline: float) -> None:
         moves = self._moves(streams, deadline)
         self._carry_out(streams, moves, deadline, "planned")
 
     def _moves(self, streams: list[Stream], deadline: float) -> list[StreamAction]:
-        now = self._pool.work.now
+        now = self._pool.scheduler.now
         return plan_migrations(
             [self._running(stream) for stream in streams],
             deadline - now,
@@ -169,16 +171,16 @@
             match move:
                 case KeepRunning(review_at=time):
                     self._moving.discard(stream)
-                    self._pool.work.at(time, step)
+                    self._pool.scheduler.at(time, step)
                 case ExportTo(start_at=time, seconds=seconds):
                     self._moving.add(stream)
                     if stream.engine is not None:
                         source = stream.engine.engine_id
                         self._planned_ends[source] = time + seconds
-                    self._pool.work.at(time, step)
+                    self._pool.scheduler.at(time, step)
                 case Recompute(start_at=time):
                     self._moving.add(stream)
-                    self._pool.work.at(time, step)
+                    self._pool.scheduler.at(time, step)
 
     def _step(
         self, stream: Stream, move: StreamAction, deadline: float, cause: str
@@ -204,7 +206,7 @@
     def _review(self, reviewed: Stream, deadline: float) -> None:
         """Plan anew for all that may still be moved off the stream's engine."""
         source = reviewed.engine
-        if source is None or deadline <= self._pool.work.now:
+        if source is None or deadline <= self._pool.scheduler.now:
             return
         streams = [
             stream
@@ -217,7 +219,7 @@
 
     def _failed(self, stream: Stream, handle_left: bool) -> None:
         """Plan anew; a handle that is left is not modelled as fetched again."""
-        now = self._pool.work.now
+        now = self._pool.scheduler.now
         fault = ExportFailure(stream.job.job_id, False)
         moves = replan_failed_exports(
             [self._running(stream)],
@@ -240,7 +242,7 @@
 
     def _busy(self) -> dict[str, float]:
         """Return the seconds that exports, begun and planned, still take."""
-        now = self._pool.work.now
+        now = self._pool.scheduler.now
         ends = {it.engine_id: it.export_free_at for it in self._pool.engines}
         for engine_id, end in self._planned_ends.items():
             ends[engine_id] = max(ends[engine_id], end)
--- a/src/ebonydeal/_internal/benchmarks/routing/engine.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/engine.py
@@ -54,7 +54,7 @@
         """Requests without a slot."""
         return len(self._waiting)
 
-    def arrive(self, job: Job, now: float) -> Started | None:
+    def enqueue(self, job: Job, now: float) -> Started | None:
         """Take a request; return the prefill that begins, if one does."""
         self._waiting.append(job)
         return self.advance(now)
@@ -73,7 +73,7 @@
         seconds = (job.request.prompt_tokens - cached) / self._shape.prefill_rate
         return Started(job, now + seconds, cached, job.request.blocks[hits:])
 
-    def prefilled(self, started: Started) -> float:
+    def finish_prefill(self, started: Started) -> float:
         """End a prefill; return the seconds until the answer's end."""
         self._prefilling = False
         self._store(started.job.request.blocks)
@@ -81,7 +81,7 @@
         tokens = started.job.request.output_tokens
         return tokens * slowdown / self._shape.token_rate
 
-    def ended(self, job: Job) -> None:
+    def finish_answer(self, job: Job) -> None:
         """End an answer: its slot is free, its tokens are cached."""
         self.running -= 1
         self._store(job.request.full_blocks)
--- a/src/ebonydeal/_internal/benchmarks/routing/limits_run.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/limits_run.py
@@ -19,7 +19,7 @@
 _WARM_S = 10
 
 
-class Story(NamedTuple):
+class LimitScenario(NamedTuple):
     """What happens to the gateways; times in seconds, 0 for never.
 
     ``offered`` is the demand as a multiple of the limit.
@@ -39,13 +39,13 @@
 _LIMITS = {"requests_per_s": 100.0, "tokens_per_s": 50_000.0, "concurrency": 60.0}
 
 
-def make_stories(limit: str) -> tuple[Story, ...]:
+def make_scenarios(limit: str) -> tuple[LimitScenario, ...]:
     """Return all stories of one limit."""
     return (
-        Story("uneven demand", limit),
-        Story("largest gateway killed", limit, kill_at=60.0),
-        Story("new gateway joins", limit, join_at=60.0),
-        Story("peers split 5 to 4", limit, split_at=40.0, heal_at=80.0),
+        LimitScenario("uneven demand", limit),
+        LimitScenario("largest gateway killed", limit, kill_at=60.0),
+        LimitScenario("new gateway joins", limit, join_at=60.0),
+        LimitScenario("peers split 5 to 4", limit, split_at=40.0, heal_at=80.0),
     )
 
 
@@ -65,7 +65,7 @@
 class LimitRun:
     """Gateways that admit one account's requests by their own parts of a limit."""
 
-    def __init__(self, story: Story, cfg: AdmissionSettings, seed: int) -> None:
+    def __init__(self, story: LimitScenario, cfg: AdmissionSettings, seed: int) -> None:
         self._story = story
         self._rng = Random(f"limits-{seed}")
         self._names = [f"gw-{number}" for number in range(story.gateways + 1)]
--- a/src/ebonydeal/_internal/benchmarks/routing/loop.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/loop.py
@@ -31,7 +31,7 @@
 }
 
 
-class Conditions(NamedTuple):
+class SignalConditions(NamedTuple):
     """How late and gappy the signals are: seconds, and share lost."""
 
     lag: float = 1.0
@@ -39,7 +39,7 @@
     weights: Weights = Weights(1.0, 1.0)
 
 
-class Outcome(NamedTuple):
+class SimulationResult(NamedTuple):
     """What one run gave.
 
     Times in seconds; tokens recomputed are those that some engine had computed
@@ -56,7 +56,7 @@
     cost_per_1000: float
 
 
-class Run:
+class Simulation:
     """One trace under one policy."""
 
     def __init__(
@@ -64,7 +64,7 @@
         shape: Shape,
         trace: list[TraceRequest],
         make_policy: Callable[[Random], Policy],
-        conditions: Conditions,
+        conditions: SignalConditions,
         seed: int,
     ) -> None:
         self._shape = shape
@@ -90,7 +90,7 @@
         self._left = len(trace)
         self._last_end = _START
 
-    def run(self) -> Outcome:
+    def run(self) -> SimulationResult:
         """Play the whole trace."""
         for request in self._trace:
             self._at(_START + request.at, self._arrive, request)
@@ -102,14 +102,14 @@
             act(*args)
         return self._outcome()
 
-    def _outcome(self) -> Outcome:
+    def _outcome(self) -> SimulationResult:
         hours = (self._last_end - _START) / 3600.0
         spent = sum(view.price_per_hour for view in self._views) * hours
         p50, p95, p99 = (
             self._first.get_value_at_percentile(percent) / _US
             for percent in (50.0, 95.0, 99.0)
         )
-        return Outcome(
+        return SimulationResult(
             answers=self._answers,
             recomputed=self._recomputed,
             computed=self._computed,
@@ -151,7 +151,7 @@
         return _ONE_WAY_S[distance(place, view.place)]
 
     def _reach(self, name: str, job: Job) -> None:
-        self._begin(name, self._engines[name].arrive(job, self._now))
+        self._begin(name, self._engines[name].enqueue(job, self._now))
 
     def _begin(self, name: str, started: Started | None) -> None:
         """Count what a prefill computes, and plan its end."""
@@ -165,7 +165,7 @@
     def _prefilled(self, name: str, started: Started) -> None:
         engine = self._engines[name]
         self._seen.update(started.job.request.blocks)
-        decode = engine.prefilled(started)
+        decode = engine.finish_prefill(started)
         place = self._zones[started.job.gateway % 3]
         self._at(self._now + self._way(place, name), self._first_token, name, started)
         self._at(self._now + decode, self._ended, name, started.job)
@@ -184,7 +184,7 @@
 
     def _ended(self, name: str, job: Job) -> None:
         engine = self._engines[name]
-        engine.ended(job)
+        engine.finish_answer(job)
         self._seen.update(job.request.full_blocks)
         self._answers += 1
         self._left -= 1
--- a/src/ebonydeal/_internal/benchmarks/routing/plot.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/plot.py
@@ -39,7 +39,7 @@
         axis.errorbar(
             [point.value for point in line],
             [point.recomputed.mean for point in line],
-            yerr=[point.recomputed.half for point in line],
+            yerr=[point.recomputed.half_width for point in line],
             label=policy,
             marker="o",
         )
--- a/src/ebonydeal/_internal/benchmarks/routing/report.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/report.py
@@ -9,8 +9,11 @@
     run_queue,
 )
 from ebonydeal._internal.benchmarks.routing.decision_time import ENDPOINTS, measure
-from ebonydeal._internal.benchmarks.routing.limits_run import LimitRun, make_stories
-from ebonydeal._internal.benchmarks.routing.loop import Conditions, Outcome
+from ebonydeal._internal.benchmarks.routing.limits_run import LimitRun, make_scenarios
+from ebonydeal._internal.benchmarks.routing.loop import (
+    SignalConditions,
+    SimulationResult,
+)
 from ebonydeal._internal.benchmarks.routing.retry_run import (
     PHASES,
     run_retries,
@@ -18,9 +21,9 @@
 )
 from ebonydeal._internal.benchmarks.routing.suite import (
     USERS,
-    Figure,
+    Estimate,
     User,
-    figure,
+    estimate,
     policies,
     run_seeds,
 )
@@ -40,7 +43,7 @@
 _OVERLOADS = (0.9, 1.5, 3.0)
 
 
-class Plan(NamedTuple):
+class RunPlan(NamedTuple):
     """How much is run: seeds, seconds of each trace, and load."""
 
     seeds: tuple[int, ...]
@@ -77,17 +80,17 @@
     what: str
     value: float
     policy: str
-    recomputed: Figure
-    p95: Figure
+    recomputed: Estimate
+    p95: Estimate
 
 
-def compare_policies(user: User, plan: Plan) -> Table:
+def compare_policies(user: User, plan: RunPlan) -> Table:
     """Compare the router with all baselines under usual conditions."""
     rows = []
     for name, make in policies(RoutingSettings()).items():
-        runs = run_seeds(user, make, Conditions(), *plan)
+        runs = run_seeds(user, make, SignalConditions(), *plan)
         rows.append((name, *_cells(runs)))
-    conditions = Conditions()
+    conditions = SignalConditions()
     title = (
         f"{user.shape.name}: {sum(user.shape.replicas)} replicas, "
         f"{user.shape.gateways} gateways, lag {conditions.lag:g} s, "
@@ -106,9 +109,9 @@
     return Table(title, header, tuple(rows))
 
 
-def _cells(runs: Sequence[Outcome]) -> tuple[str, ...]:
-    def over(value: Callable[[Outcome], float]) -> str:
-        return str(figure([value(run) for run in runs]))
+def _cells(runs: Sequence[SimulationResult]) -> tuple[str, ...]:
+    def over(value: Callable[[SimulationResult], float]) -> str:
+        return str(estimate([value(run) for run in runs]))
 
     return (
         over(lambda run: run.recomputed / 1000.0),
@@ -120,17 +123,17 @@
     )
 
 
-def sensitivity(user: User, plan: Plan) -> list[Point]:
+def sensitivity(user: User, plan: RunPlan) -> list[Point]:
     """Run router and random of two over report lags and event losses."""
     made = policies(RoutingSettings())
     points = []
-    cases = [("lag", lag, Conditions(lag=lag)) for lag in LAGS]
-    cases += [("loss", loss, Conditions(loss=loss)) for loss in LOSSES]
+    cases = [("lag", lag, SignalConditions(lag=lag)) for lag in LAGS]
+    cases += [("loss", loss, SignalConditions(loss=loss)) for loss in LOSSES]
     for what, value, conditions in cases:
         for name in (ROUTER, BASELINE):
             runs = run_seeds(user, made[name], conditions, *plan)
-            recomputed = figure([run.recomputed / 1000.0 for run in runs])
-            p95 = figure([run.p95 for run in runs])
+            recomputed = estimate([run.recomputed / 1000.0 for run in runs])
+            p95 = estimate([run.p95 for run in runs])
             points.append(Point(user.shape.name, what, value, name, recomputed, p95))
     return points
 
@@ -150,21 +153,21 @@
     return Table(title, ("case", "policy", "recomputed ktok", "p95 s"), rows)
 
 
-def limits_table(plan: Plan) -> Table:
+def limits_table(plan: RunPlan) -> Table:
     """Show limits in total over nine gateways."""
     rows = []
     for limit in _LIMIT_KINDS:
-        for story in make_stories(limit):
+        for story in make_scenarios(limit):
             runs = [
                 LimitRun(story, AdmissionSettings(), seed).run() for seed in plan.seeds
             ]
             rows.append(
                 (
                     f"{limit}: {story.name}",
-                    str(figure([run.mean for run in runs])),
+                    str(estimate([run.mean for run in runs])),
                     f"{min(run.worst_low for run in runs):.3f}",
                     f"{max(run.worst_high for run in runs):.3f}",
-                    str(figure([run.last for run in runs])),
+                    str(estimate([run.last for run in runs])),
                 )
             )
     title = (
@@ -175,7 +178,7 @@
     return Table(title, header, tuple(rows))
 
 
-def admission_table(plan: Plan) -> Table:
+def admission_table(plan: RunPlan) -> Table:
     """Show starts in time and refusals by class under overload."""
     rows = []
     for load in _OVERLOADS:
@@ -189,8 +192,8 @@
                 rows.append(
                     (
                         f"load {load:g}, {name}: {priority.name.lower()}",
-                        str(figure([item.in_time / item.offered for item in own])),
-                        str(figure([item.late / item.offered for item in own])),
+                        str(estimate([item.in_time / item.offered for item in own])),
+                        str(estimate([item.late / item.offered for item in own])),
                         ", ".join(f"{kind} {refused[kind]}" for kind in sorted(refused))
                         or "none",
                     )
@@ -202,7 +205,7 @@
     return Table(title, ("case", "in time", "late", "refused"), tuple(rows))
 
 
-def retries_table(plan: Plan) -> Table:
+def retries_table(plan: RunPlan) -> Table:
     """Show sends per request by phase, with the budget and without."""
     rows = []
     for name, cfg in (("budget", RetrySettings()), ("four tries", without_budget())):
@@ -211,7 +214,11 @@
             ratios = [run[number].ratio for run in runs]
             answered = [run[number].answered / run[number].requests for run in runs]
             rows.append(
-                (f"{name}: {phase.name}", str(figure(ratios)), str(figure(answered)))
+                (
+                    f"{name}: {phase.name}",
+                    str(estimate(ratios)),
+                    str(estimate(answered)),
+                )
             )
     title = "retries: sends per request, and share of requests answered"
     return Table(title, ("case", "sends", "answered"), tuple(rows))
@@ -227,7 +234,7 @@
     return Table(title, ("endpoints", "p50 us", "p99 us"), tuple(rows))
 
 
-def all_tables(plan: Plan) -> tuple[list[Table], list[Point]]:
+def all_tables(plan: RunPlan) -> tuple[list[Table], list[Point]]:
     """Run everything."""
     tables = [compare_policies(user, plan) for user in USERS]
     points: list[Point] = []
--- a/src/ebonydeal/_internal/benchmarks/routing/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/suite.py
@@ -7,7 +7,11 @@
 from statistics import mean, stdev
 from typing import NamedTuple
 
-from ebonydeal._internal.benchmarks.routing.loop import Conditions, Outcome, Run
+from ebonydeal._internal.benchmarks.routing.loop import (
+    SignalConditions,
+    Simulation,
+    SimulationResult,
+)
 from ebonydeal._internal.benchmarks.routing.policies import (
     LeastOutstanding,
     Policy,
@@ -43,23 +47,23 @@
 USERS = (User(PALERMO, palermo_trace), User(CADWALADR, cadwaladr_trace))
 
 
-class Figure(NamedTuple):
+class Estimate(NamedTuple):
     """A mean over seeds with half the width of its 95 % interval."""
 
     mean: float
-    half: float
+    half_width: float
 
     def __str__(self) -> str:
         """Return ``mean ± half`` with three significant digits."""
-        return f"{self.mean:.3g} ± {self.half:.2g}"
+        return f"{self.mean:.3g} ± {self.half_width:.2g}"
 
 
-def figure(values: Sequence[float]) -> Figure:
+def estimate(values: Sequence[float]) -> Estimate:
     """Return mean and confidence of one value a seed."""
     if len(values) < 2:
-        return Figure(values[0], float("nan"))
+        return Estimate(values[0], float("nan"))
     t = _T95[min(len(values) - 2, len(_T95) - 1)]
-    return Figure(mean(values), t * stdev(values) / sqrt(len(values)))
+    return Estimate(mean(values), t * stdev(values) / sqrt(len(values)))
 
 
 def policies(cfg: RoutingSettings) -> dict[str, MakePolicy]:
@@ -78,14 +82,14 @@
 def run_seeds(
     user: User,
     make_policy: MakePolicy,
-    conditions: Conditions,
+    conditions: SignalConditions,
     seeds: Sequence[int],
     seconds: float,
     load: float,
-) -> list[Outcome]:
+) -> list[SimulationResult]:
     """Run one policy on each seed's trace."""
     return [
-        Run(
+        Simulation(
             user.shape,
             user.make_trace(seed, seconds, load),
             make_policy,
--- a/src/ebonydeal/_internal/commands/bench_routing.py
+++ b/src/ebonydeal/_internal/commands/bench_routing.py
@@ -5,7 +5,7 @@
 import click
 
 from ebonydeal._internal.benchmarks.routing.plot import save_plot
-from ebonydeal._internal.benchmarks.routing.report import Plan, all_tables
+from ebonydeal._internal.benchmarks.routing.report import RunPlan, all_tables
 
 
 @click.command("routing")
@@ -42,7 +42,7 @@
     seed: int, seeds: int, seconds: float, load: float, out: Path
 ) -> None:
     """Compare the routing decisions with baselines; print and write tables."""
-    plan = Plan(tuple(range(seed, seed + seeds)), seconds, load)
+    plan = RunPlan(tuple(range(seed, seed + seeds)), seconds, load)
     tables, points = all_tables(plan)
     text = "\n".join(table.text() for table in tables)
     click.echo(text)
--- a/tests/unit/routing/limits/test_account_limits.py
+++ b/tests/unit/routing/limits/test_account_limits.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ebonydeal._internal.benchmarks.routing.limits_run import LimitRun, Story
+from ebonydeal._internal.benchmarks.routing.limits_run import LimitRun, LimitScenario
 from ebonydeal._internal.routing.limits.account_limits import AccountLimits
 from ebonydeal._internal.routing.limits.demand import (
     Demand,
@@ -109,14 +109,16 @@
 class TestTotal:
     @pytest.mark.parametrize("limit", ["requests_per_s", "tokens_per_s"])
     def test_within_a_tenth_when_the_largest_gateway_is_killed(self, limit):
-        story = Story("killed", limit, seconds=60, kill_at=30.0)
+        story = LimitScenario("killed", limit, seconds=60, kill_at=30.0)
         outcome = LimitRun(story, AdmissionSettings(), 1).run()
         assert 0.9 <= outcome.mean <= 1.1
         assert outcome.worst_high <= 1.1
         assert 0.9 <= outcome.last <= 1.1
 
     def test_partitioned_peers_do_not_double_the_limit(self):
-        story = Story("split", "requests_per_s", 60, split_at=20.0, heal_at=50.0)
+        story = LimitScenario(
+            "split", "requests_per_s", 60, split_at=20.0, heal_at=50.0
+        )
         outcome = LimitRun(story, AdmissionSettings(), 1).run()
         assert outcome.worst_high <= 1.1
 
--- a/tests/unit/routing/test_bench.py
+++ b/tests/unit/routing/test_bench.py
@@ -4,11 +4,11 @@
 from ebonydeal._internal.benchmarks.routing import report
 from ebonydeal._internal.benchmarks.routing.admission_run import run_admission
 from ebonydeal._internal.benchmarks.routing.engine import EngineModel, Job
-from ebonydeal._internal.benchmarks.routing.loop import Conditions
+from ebonydeal._internal.benchmarks.routing.loop import SignalConditions
 from ebonydeal._internal.benchmarks.routing.retry_run import PHASES, run_retries
 from ebonydeal._internal.benchmarks.routing.suite import (
     USERS,
-    figure,
+    estimate,
     policies,
     run_seeds,
 )
@@ -22,17 +22,17 @@
     def test_cached_prompt_is_not_prefilled_again(self):
         engine = EngineModel(PALERMO)
         request = palermo_trace(1, 5.0, 1.0)[0]
-        first = engine.arrive(Job(request, 0, 0.0), 0.0)
+        first = engine.enqueue(Job(request, 0, 0.0), 0.0)
         assert first.cached_tokens == 0
-        engine.prefilled(first)
-        engine.ended(first.job)
-        again = engine.arrive(Job(request, 0, 9.0), 9.0)
+        engine.finish_prefill(first)
+        engine.finish_answer(first.job)
+        again = engine.enqueue(Job(request, 0, 9.0), 9.0)
         assert again.cached_tokens == len(request.blocks) * 16
 
     def test_cache_is_bounded_and_evictions_are_reported(self):
         engine = EngineModel(PALERMO._replace(cache_blocks=10))
         request = palermo_trace(1, 5.0, 1.0)[0]
-        engine.prefilled(engine.arrive(Job(request, 0, 0.0), 0.0))
+        engine.finish_prefill(engine.enqueue(Job(request, 0, 0.0), 0.0))
         evicted = [event for event in engine.take_events() if not event.stored]
         assert len(evicted) == len(request.blocks) - 10
 
@@ -47,7 +47,7 @@
     @pytest.mark.parametrize("user", USERS, ids=lambda user: user.shape.name)
     def test_router_recomputes_at_most_six_tenths_at_no_worse_p95(self, user):
         by_name = policies(RoutingSettings())
-        plan = (Conditions(lag=1.0, loss=0.1), (1,), 40.0, 1.0)
+        plan = (SignalConditions(lag=1.0, loss=0.1), (1,), 40.0, 1.0)
         (router,) = run_seeds(user, by_name[report.ROUTER], *plan)
         (baseline,) = run_seeds(user, by_name[report.BASELINE], *plan)
         assert router.answers == baseline.answers
@@ -73,10 +73,10 @@
 
 class TestFigure:
     def test_interval_of_equal_values_is_zero(self):
-        assert figure([2.0, 2.0, 2.0]) == (2.0, 0.0)
+        assert estimate([2.0, 2.0, 2.0]) == (2.0, 0.0)
 
     def test_interval_of_two_values(self):
-        assert figure([1.0, 3.0]).half == pytest.approx(12.71)
+        assert estimate([1.0, 3.0]).half_width == pytest.approx(12.71)
 
 
 class TestCommand:
@@ -99,5 +99,5 @@
     def test_old_reports_do_not_send_all_gateways_to_the_same_endpoints(self):
         user = USERS[0]
         router = policies(RoutingSettings())[report.ROUTER]
-        (run,) = run_seeds(user, router, Conditions(lag=5.0), (2,), 20.0, 1.0)
+        (run,) = run_seeds(user, router, SignalConditions(lag=5.0), (2,), 20.0, 1.0)
         assert run.in_time >= 0.9 * run.answers
