--- a/src/ebonydeal/_internal/benchmarks/event_scheduler.py
+++ b/src/ebonydeal/_internal/benchmarks/event_scheduler.py
@@ -1,4 +1,4 @@
-"""Events in the order of their time, for models without sockets."""
+"""Timed events in order, for simulations without sockets."""
 
 import heapq
 import itertools
@@ -7,7 +7,7 @@
 
 
 class EventScheduler:
-    """A queue of things to do; `now` is the time of the present one, seconds."""
+    """A queue of timed calls; `now` is the simulated time in seconds."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -15,12 +15,12 @@
         self._count = itertools.count()
 
     def at(self, time: float, call: Callable[..., None], *args: Any) -> None:
-        """Do ``call(*args)`` at ``time``, or now if that has passed."""
+        """Schedule ``call(*args)`` for ``time``, or for now if that has passed."""
         entry = (max(self.now, time), next(self._count), call, args)
         heapq.heappush(self._heap, entry)
 
     def run(self, until: float = float("inf")) -> None:
-        """Do everything that is to come up to ``until``, which is now then."""
+        """Make the calls due up to ``until``, then set `now` to a finite ``until``."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._heap)
             call(*args)
--- a/src/ebonydeal/_internal/benchmarks/routing/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions driven against a small engine model and seeded traces."""
+"""Simulations of the routing decisions with an engine model and seeded traces."""
--- a/src/ebonydeal/_internal/benchmarks/routing/decision_time.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/decision_time.py
@@ -1,4 +1,4 @@
-"""Processor time of one routing decision against the number of endpoints."""
+"""Processor time of one routing decision by number of endpoints."""
 
 from random import Random
 from time import perf_counter_ns
@@ -17,48 +17,50 @@
 from ebonydeal._internal.routing.placement.types import RouteRequest
 from ebonydeal._internal.settings.routing import RoutingSettings
 
-ENDPOINTS = (10, 30, 64, 100, 300, 1000, 2000)
+ENDPOINT_COUNTS = (10, 30, 64, 100, 300, 1000, 2000)
 _BLOCKS = 100
 _SESSIONS = 50
-_NOW = 1_000_000.0
-_REPORT_AGE = 0.5
-_REPORT_EVERY = 50
+_START_S = 1_000_000.0
+_REPORT_AGE_S = 0.5
+_DECISIONS_PER_REPORT = 50
 
 
 class DecisionTime(NamedTuple):
-    """Microseconds of one choice with its note of the send."""
+    """Microseconds to choose an endpoint and record the send."""
 
     endpoints: int
     p50: float
     p99: float
 
 
-def measure(endpoints: int, rounds: int, seed: int) -> DecisionTime:
+def measure_decision_time(endpoints: int, rounds: int, seed: int) -> DecisionTime:
     """Time ``rounds`` choices among ``endpoints`` with warm caches."""
     router = Router.from_config(RoutingSettings(), Random(seed))
     views: tuple[EndpointView, ...] = ()
     histogram = HdrHistogram(1, 10_000_000_000, 3)
     rng = Random(seed)
     for number in range(rounds):
-        ask = _make_ask(number, rng.randrange(_SESSIONS))
-        now = _NOW + number * 0.01
-        if number % _REPORT_EVERY == 0:
-            at = now - _REPORT_AGE
+        request = _make_request(number, rng.randrange(_SESSIONS))
+        now = _START_S + number * 0.01
+        if number % _DECISIONS_PER_REPORT == 0:
+            at = now - _REPORT_AGE_S
             views = tuple(_make_view(item, at) for item in range(endpoints))
         start = perf_counter_ns()
-        choice = router.choose(ask, views, now)
+        choice = router.choose(request, views, now)
         assert choice is not None
-        router.record_sent(choice, ask, now)
+        router.record_sent(choice, request, now)
         histogram.record_value(perf_counter_ns() - start)
         name = choice.endpoint.endpoint_id
-        router.record_first_token(ask.request_id, name, 0, ask.prompt_tokens, now + 0.1)
-        router.record_finished(ask.request_id, name, now + 1.0)
+        router.record_first_token(
+            request.request_id, name, 0, request.prompt_tokens, now + 0.1
+        )
+        router.record_finished(request.request_id, name, now + 1.0)
     p50 = histogram.get_value_at_percentile(50.0) / 1000.0
     p99 = histogram.get_value_at_percentile(99.0) / 1000.0
     return DecisionTime(endpoints, p50, p99)
 
 
-def _make_ask(number: int, session: int) -> RouteRequest:
+def _make_request(number: int, session: int) -> RouteRequest:
     return RouteRequest(
         request_id=f"r{number}",
         deployment="pool",
--- a/src/ebonydeal/_internal/benchmarks/routing/engine.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/engine.py
@@ -10,13 +10,13 @@
 _BATCH_SLOWDOWN = 0.5
 
 
-class Started(NamedTuple):
-    """A prefill that began: when it ends, and what the cache held."""
+class StartedPrefill(NamedTuple):
+    """A prefill in progress: its end, and how much of the prompt was cached."""
 
     job: "Job"
     end: float
     cached_tokens: int
-    missed_blocks: tuple[str, ...]
+    uncached_blocks: tuple[str, ...]
 
 
 @dataclass
@@ -28,8 +28,8 @@
     sent_at: float
 
 
-class StoreEvent(NamedTuple):
-    """A block was stored in or dropped from the prefix cache."""
+class CacheEvent(NamedTuple):
+    """A block was stored in or evicted from the prefix cache."""
 
     seq: int
     stored: bool
@@ -43,56 +43,58 @@
         self._shape = shape
         self._cache: OrderedDict[str, None] = OrderedDict()
         self._waiting: deque[Job] = deque()
-        self._to_prefill: deque[Job] = deque()
+        self._prefill_queue: deque[Job] = deque()
         self._prefilling = False
         self.running = 0
         self._seq = 0
-        self.events: list[StoreEvent] = []
+        self.events: list[CacheEvent] = []
 
     @property
     def waiting(self) -> int:
         """Requests without a slot."""
         return len(self._waiting)
 
-    def enqueue(self, job: Job, now: float) -> Started | None:
-        """Take a request; return the prefill that begins, if one does."""
+    def enqueue(self, job: Job, now: float) -> StartedPrefill | None:
+        """Enqueue a request; return the prefill that this starts, if any."""
         self._waiting.append(job)
         return self.advance(now)
 
-    def advance(self, now: float) -> Started | None:
-        """Fill free slots, and begin the next prefill if none is under way."""
+    def advance(self, now: float) -> StartedPrefill | None:
+        """Fill free slots; start and return the next prefill if none is in progress."""
         while self._waiting and self.running < self._shape.slots:
             self.running += 1
-            self._to_prefill.append(self._waiting.popleft())
-        if self._prefilling or not self._to_prefill:
+            self._prefill_queue.append(self._waiting.popleft())
+        if self._prefilling or not self._prefill_queue:
             return None
         self._prefilling = True
-        job = self._to_prefill.popleft()
-        hits = self._match(job.request.blocks)
-        cached = hits * BLOCK_TOKENS
-        seconds = (job.request.prompt_tokens - cached) / self._shape.prefill_rate
-        return Started(job, now + seconds, cached, job.request.blocks[hits:])
-
-    def finish_prefill(self, started: Started) -> float:
-        """End a prefill; return the seconds until the answer's end."""
+        job = self._prefill_queue.popleft()
+        hits = self._count_cached(job.request.blocks)
+        cached_tokens = hits * BLOCK_TOKENS
+        seconds = (job.request.prompt_tokens - cached_tokens) / self._shape.prefill_rate
+        return StartedPrefill(
+            job, now + seconds, cached_tokens, job.request.blocks[hits:]
+        )
+
+    def finish_prefill(self, started: StartedPrefill) -> float:
+        """Finish a prefill; return the decode time of the answer in seconds."""
         self._prefilling = False
-        self._store(started.job.request.blocks)
+        self._store_blocks(started.job.request.blocks)
         slowdown = 1.0 + _BATCH_SLOWDOWN * self.running / self._shape.slots
         tokens = started.job.request.output_tokens
         return tokens * slowdown / self._shape.token_rate
 
     def finish_answer(self, job: Job) -> None:
-        """End an answer: its slot is free, its tokens are cached."""
+        """Free the answer's slot and cache its tokens."""
         self.running -= 1
-        self._store(job.request.full_blocks)
+        self._store_blocks(job.request.full_blocks)
 
-    def take_events(self) -> list[StoreEvent]:
+    def take_events(self) -> list[CacheEvent]:
         """Return cache events since the last call."""
         events, self.events = self.events, []
         return events
 
-    def _match(self, blocks: tuple[str, ...]) -> int:
-        """Return how many blocks are cached, and mark them as used."""
+    def _count_cached(self, blocks: tuple[str, ...]) -> int:
+        """Return how many leading blocks are cached, and mark them as recently used."""
         hits = 0
         for block in blocks:
             if block not in self._cache:
@@ -102,16 +104,16 @@
             self._cache.move_to_end(block)
         return hits
 
-    def _store(self, blocks: tuple[str, ...]) -> None:
+    def _store_blocks(self, blocks: tuple[str, ...]) -> None:
         for block in reversed(blocks):
             if block not in self._cache:
-                self._event(True, block)
+                self._record_cache_event(True, block)
             self._cache[block] = None
             self._cache.move_to_end(block)
         while len(self._cache) > self._shape.cache_blocks:
-            dropped, _ = self._cache.popitem(last=False)
-            self._event(False, dropped)
+            evicted, _ = self._cache.popitem(last=False)
+            self._record_cache_event(False, evicted)
 
-    def _event(self, stored: bool, block: str) -> None:
+    def _record_cache_event(self, stored: bool, block: str) -> None:
         self._seq += 1
-        self.events.append(StoreEvent(self._seq, stored, block))
+        self.events.append(CacheEvent(self._seq, stored, block))
--- a/src/ebonydeal/_internal/benchmarks/routing/loop.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of the bench: gateways choose, engine models serve."""
+"""Event-driven simulation: gateways choose endpoints, engine models serve."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -7,7 +7,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ebonydeal._internal.benchmarks.routing.engine import EngineModel, Job, Started
+from ebonydeal._internal.benchmarks.routing.engine import (
+    EngineModel,
+    Job,
+    StartedPrefill,
+)
 from ebonydeal._internal.benchmarks.routing.policies import Policy
 from ebonydeal._internal.benchmarks.routing.traces import Shape, TraceRequest
 from ebonydeal._internal.models.document import Weights
@@ -21,9 +25,9 @@
 from ebonydeal._internal.routing.placement.types import RouteRequest
 from ebonydeal._internal.utils.prefix import BLOCK_TOKENS
 
-_US = 1_000_000
-_REPORT_PERIOD = 0.25
-_START = 1_000_000.0
+_US_PER_S = 1_000_000
+_REPORT_INTERVAL_S = 0.25
+_START_S = 1_000_000.0
 _ONE_WAY_S = {
     Distance.SAME_ZONE: 0.0002,
     Distance.SAME_REGION: 0.0012,
@@ -32,7 +36,7 @@
 
 
 class SignalConditions(NamedTuple):
-    """How late and gappy the signals are: seconds, and share lost."""
+    """Lag of reports and events in seconds, share of events lost, and weights."""
 
     lag: float = 1.0
     loss: float = 0.1
@@ -40,10 +44,10 @@
 
 
 class SimulationResult(NamedTuple):
-    """What one run gave.
+    """Result of one run; times in seconds.
 
-    Times in seconds; tokens recomputed are those that some engine had computed
-    before, but not the chosen one, or that had been dropped.
+    ``recomputed`` counts tokens that another engine had computed, or that the chosen
+    engine had computed and evicted.
     """
 
     answers: int
@@ -57,7 +61,7 @@
 
 
 class Simulation:
-    """One trace under one policy."""
+    """Simulates one trace under one policy."""
 
     def __init__(
         self,
@@ -78,41 +82,41 @@
         self._views = _make_views(shape, self._zones)
         self._engines = {view.endpoint_id: EngineModel(shape) for view in self._views}
         self._trace = trace
-        self._now = _START
+        self._now = _START_S
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count = 0
-        self._first = HdrHistogram(1, 600 * _US, 3)
-        self._seen: set[str] = set()
-        self._recomputed = 0
-        self._computed = 0
+        self._event_count = 0
+        self._first_token_times = HdrHistogram(1, 600 * _US_PER_S, 3)
+        self._computed_blocks: set[str] = set()
+        self._recomputed_tokens = 0
+        self._computed_tokens = 0
         self._answers = 0
         self._in_time = 0
-        self._left = len(trace)
-        self._last_end = _START
+        self._unanswered = len(trace)
+        self._last_end = _START_S
 
     def run(self) -> SimulationResult:
-        """Play the whole trace."""
+        """Simulate the whole trace."""
         for request in self._trace:
-            self._at(_START + request.at, self._arrive, request)
+            self._schedule(_START_S + request.at, self._on_arrival, request)
         for number, view in enumerate(self._views):
-            offset = _REPORT_PERIOD * number / len(self._views)
-            self._at(_START + offset, self._measure, view.endpoint_id)
-        while self._heap and self._left:
-            self._now, _, act, args = heappop(self._heap)
-            act(*args)
+            offset = _REPORT_INTERVAL_S * number / len(self._views)
+            self._schedule(_START_S + offset, self._measure_load, view.endpoint_id)
+        while self._heap and self._unanswered:
+            self._now, _, action, args = heappop(self._heap)
+            action(*args)
         return self._outcome()
 
     def _outcome(self) -> SimulationResult:
-        hours = (self._last_end - _START) / 3600.0
+        hours = (self._last_end - _START_S) / 3600.0
         spent = sum(view.price_per_hour for view in self._views) * hours
         p50, p95, p99 = (
-            self._first.get_value_at_percentile(percent) / _US
+            self._first_token_times.get_value_at_percentile(percent) / _US_PER_S
             for percent in (50.0, 95.0, 99.0)
         )
         return SimulationResult(
             answers=self._answers,
-            recomputed=self._recomputed,
-            computed=self._computed,
+            recomputed=self._recomputed_tokens,
+            computed=self._computed_tokens,
             p50=p50,
             p95=p95,
             p99=p99,
@@ -121,15 +125,15 @@
         )
 
     # --- events --------------------------------------------------------------
-    def _at(self, time: float, act: Callable[..., None], *args: Any) -> None:
-        self._count += 1
-        heappush(self._heap, (time, self._count, act, args))
+    def _schedule(self, time: float, action: Callable[..., None], *args: Any) -> None:
+        self._event_count += 1
+        heappush(self._heap, (time, self._event_count, action, args))
 
-    def _arrive(self, request: TraceRequest) -> None:
-        """A caller's request comes to a random gateway."""
+    def _on_arrival(self, request: TraceRequest) -> None:
+        """Route a caller's request at a random gateway."""
         gateway = self._rng.randrange(len(self._gateways))
         place = self._zones[gateway % 3]
-        ask = RouteRequest(
+        route_request = RouteRequest(
             request_id=request.request_id,
             deployment="pool",
             model="m",
@@ -141,60 +145,77 @@
             weights=self._conditions.weights,
             first_token_s=self._shape.first_token_s,
         )
-        name = self._gateways[gateway].choose(ask, self._views, self._now)
+        name = self._gateways[gateway].choose(route_request, self._views, self._now)
         job = Job(request, gateway, self._now)
-        self._at(self._now + self._way(place, name), self._reach, name, job)
+        self._schedule(
+            self._now + self._one_way_s(place, name), self._reach_engine, name, job
+        )
 
-    def _way(self, place: Place, endpoint: str) -> float:
-        """Return the one-way time to an endpoint, seconds."""
+    def _one_way_s(self, place: Place, endpoint: str) -> float:
+        """Return the one-way network latency to an endpoint in seconds."""
         view = next(view for view in self._views if view.endpoint_id == endpoint)
         return _ONE_WAY_S[distance(place, view.place)]
 
-    def _reach(self, name: str, job: Job) -> None:
-        self._begin(name, self._engines[name].enqueue(job, self._now))
+    def _reach_engine(self, name: str, job: Job) -> None:
+        self._schedule_prefill_end(name, self._engines[name].enqueue(job, self._now))
 
-    def _begin(self, name: str, started: Started | None) -> None:
-        """Count what a prefill computes, and plan its end."""
+    def _schedule_prefill_end(self, name: str, started: StartedPrefill | None) -> None:
+        """Count the tokens that a prefill computes, and schedule its end."""
         if started is None:
             return
-        again = sum(block in self._seen for block in started.missed_blocks)
-        self._recomputed += again * BLOCK_TOKENS
-        self._computed += started.job.request.prompt_tokens - started.cached_tokens
-        self._at(started.end, self._prefilled, name, started)
+        recomputed_blocks = sum(
+            block in self._computed_blocks for block in started.uncached_blocks
+        )
+        self._recomputed_tokens += recomputed_blocks * BLOCK_TOKENS
+        self._computed_tokens += (
+            started.job.request.prompt_tokens - started.cached_tokens
+        )
+        self._schedule(started.end, self._on_prefill_end, name, started)
 
-    def _prefilled(self, name: str, started: Started) -> None:
+    def _on_prefill_end(self, name: str, started: StartedPrefill) -> None:
         engine = self._engines[name]
-        self._seen.update(started.job.request.blocks)
+        self._computed_blocks.update(started.job.request.blocks)
         decode = engine.finish_prefill(started)
         place = self._zones[started.job.gateway % 3]
-        self._at(self._now + self._way(place, name), self._first_token, name, started)
-        self._at(self._now + decode, self._ended, name, started.job)
-        self._begin(name, engine.advance(self._now))
-        self._publish(name)
+        self._schedule(
+            self._now + self._one_way_s(place, name),
+            self._on_first_token,
+            name,
+            started,
+        )
+        self._schedule(self._now + decode, self._on_answer_end, name, started.job)
+        self._schedule_prefill_end(name, engine.advance(self._now))
+        self._publish_cache_events(name)
 
-    def _first_token(self, name: str, started: Started) -> None:
+    def _on_first_token(self, name: str, started: StartedPrefill) -> None:
         job = started.job
         seconds = self._now - job.sent_at
-        self._first.record_value(max(1, int(seconds * _US)))
+        self._first_token_times.record_value(max(1, int(seconds * _US_PER_S)))
         self._in_time += seconds <= self._shape.first_token_s
-        missed = job.request.prompt_tokens - started.cached_tokens
-        self._gateways[job.gateway].first_token(
-            job.request.request_id, name, started.cached_tokens, missed, self._now
+        uncached_tokens = job.request.prompt_tokens - started.cached_tokens
+        self._gateways[job.gateway].record_first_token(
+            job.request.request_id,
+            name,
+            started.cached_tokens,
+            uncached_tokens,
+            self._now,
         )
 
-    def _ended(self, name: str, job: Job) -> None:
+    def _on_answer_end(self, name: str, job: Job) -> None:
         engine = self._engines[name]
         engine.finish_answer(job)
-        self._seen.update(job.request.full_blocks)
+        self._computed_blocks.update(job.request.full_blocks)
         self._answers += 1
-        self._left -= 1
+        self._unanswered -= 1
         self._last_end = self._now
-        self._gateways[job.gateway].finished(job.request.request_id, name, self._now)
-        self._begin(name, engine.advance(self._now))
-        self._publish(name)
+        self._gateways[job.gateway].record_finished(
+            job.request.request_id, name, self._now
+        )
+        self._schedule_prefill_end(name, engine.advance(self._now))
+        self._publish_cache_events(name)
 
     # --- signals -------------------------------------------------------------
-    def _measure(self, name: str) -> None:
+    def _measure_load(self, name: str) -> None:
         engine = self._engines[name]
         report = LoadReport(
             running=engine.running,
@@ -204,32 +225,34 @@
             tokens_per_s=self._shape.token_rate,
             at=self._now,
         )
-        self._at(self._now + self._conditions.lag, self._report, name, report)
-        self._at(self._now + _REPORT_PERIOD, self._measure, name)
+        self._schedule(
+            self._now + self._conditions.lag, self._deliver_report, name, report
+        )
+        self._schedule(self._now + _REPORT_INTERVAL_S, self._measure_load, name)
 
-    def _report(self, name: str, report: LoadReport) -> None:
+    def _deliver_report(self, name: str, report: LoadReport) -> None:
         self._views = tuple(
             view._replace(load=report) if view.endpoint_id == name else view
             for view in self._views
         )
 
-    def _publish(self, name: str) -> None:
-        """Send cache events on their way; each gateway loses its own."""
+    def _publish_cache_events(self, name: str) -> None:
+        """Schedule the delivery of cache events to the gateways."""
         events = self._engines[name].take_events()
-        if events and self._gateways[0].listens:
-            late = self._now + self._conditions.lag
-            self._at(late, self._deliver, name, events)
+        if events and self._gateways[0].uses_cache_events:
+            delivered_at = self._now + self._conditions.lag
+            self._schedule(delivered_at, self._deliver_cache_events, name, events)
 
-    def _deliver(self, name: str, events: list[Any]) -> None:
+    def _deliver_cache_events(self, name: str, events: list[Any]) -> None:
         loss = self._conditions.loss
-        draw = self._rng.random
+        random = self._rng.random
         for gateway in self._gateways:
-            heard = [event for event in events if draw() >= loss]
-            gateway.cache_events(name, heard, self._now)
+            received = [event for event in events if random() >= loss]
+            gateway.apply_cache_events(name, received, self._now)
 
 
 def _make_views(shape: Shape, zones: list[Place]) -> tuple[EndpointView, ...]:
-    """Return the replicas of a shape, without load yet."""
+    """Return the replicas of a shape, without load reports."""
     views: list[EndpointView] = []
     for zone, count, price in zip(zones, shape.replicas, shape.prices, strict=True):
         for _ in range(count):
--- a/src/ebonydeal/_internal/benchmarks/routing/plot.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/plot.py
@@ -1,4 +1,4 @@
-"""The sensitivity of routing as a picture; needs the extra ``bench``."""
+"""Plot of the sensitivity of routing; needs the extra ``bench``."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -22,7 +22,9 @@
     )
     for row, user in enumerate(users):
         for column, kind in enumerate(kinds):
-            chosen = [item for item in points if (item.user, item.what) == (user, kind)]
+            chosen = [
+                item for item in points if (item.user, item.parameter) == (user, kind)
+            ]
             if not chosen:
                 continue
             _draw(axes[row][column], chosen, f"{user}: {kind}")
@@ -33,7 +35,7 @@
 
 
 def _draw(axis, points: Sequence[Point], title: str) -> None:  # type: ignore[no-untyped-def]
-    """Draw one line a policy with its intervals."""
+    """Draw one line for each policy, with confidence intervals."""
     for policy in sorted({point.policy for point in points}):
         line = [point for point in points if point.policy == policy]
         axis.errorbar(
--- a/src/ebonydeal/_internal/benchmarks/routing/policies.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/policies.py
@@ -1,4 +1,4 @@
-"""The router and the baselines behind one interface."""
+"""The router and the baselines as policies with a common interface."""
 
 from collections.abc import Iterable
 from random import Random
@@ -16,139 +16,156 @@
 
 
 class Policy(Protocol):
-    """One gateway's way to choose."""
+    """Endpoint selection of one gateway."""
 
-    listens: bool
+    uses_cache_events: bool
 
-    def choose(self, ask: RouteRequest, views: Views, now: float) -> str:
-        """Choose an endpoint and note the send."""
+    def choose(self, request: RouteRequest, views: Views, now: float) -> str:
+        """Choose an endpoint and record the send."""
 
-    def first_token(
-        self, request_id: str, endpoint: str, cached: int, missed: int, now: float
+    def record_first_token(
+        self,
+        request_id: str,
+        endpoint: str,
+        cached_tokens: int,
+        uncached_tokens: int,
+        now: float,
     ) -> None:
-        """Note a first token."""
+        """Record a first token."""
 
-    def finished(self, request_id: str, endpoint: str, now: float) -> None:
-        """Note the end of an answer."""
+    def record_finished(self, request_id: str, endpoint: str, now: float) -> None:
+        """Record the end of an answer."""
 
-    def cache_events(
+    def apply_cache_events(
         self, endpoint: str, events: Iterable[CacheEvent], now: float
     ) -> None:
-        """Take cache events."""
+        """Apply cache events."""
 
 
-class _Plain:
-    """A baseline that learns nothing."""
+class _BaselinePolicy:
+    """Base of the baselines; ignores tokens, ends of answers and cache events."""
 
-    listens = False
+    uses_cache_events = False
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
 
-    def first_token(
-        self, request_id: str, endpoint: str, cached: int, missed: int, now: float
+    def record_first_token(
+        self,
+        request_id: str,
+        endpoint: str,
+        cached_tokens: int,
+        uncached_tokens: int,
+        now: float,
     ) -> None:
-        """Note a first token."""
+        """Record a first token."""
 
-    def finished(self, request_id: str, endpoint: str, now: float) -> None:
-        """Note the end of an answer."""
+    def record_finished(self, request_id: str, endpoint: str, now: float) -> None:
+        """Record the end of an answer."""
 
-    def cache_events(
+    def apply_cache_events(
         self, endpoint: str, events: Iterable[CacheEvent], now: float
     ) -> None:
-        """Take cache events."""
+        """Apply cache events."""
 
 
-class RoundRobin(_Plain):
-    """Each endpoint in turn, from a random start."""
+class RoundRobin(_BaselinePolicy):
+    """Chooses each endpoint in turn, from a random start."""
 
     def __init__(self, rng: Random) -> None:
         super().__init__(rng)
         self._next = rng.randrange(1000)
 
-    def choose(self, ask: RouteRequest, views: Views, now: float) -> str:
-        """Choose the next."""
+    def choose(self, request: RouteRequest, views: Views, now: float) -> str:
+        """Choose the next endpoint."""
         self._next += 1
         return views[self._next % len(views)].endpoint_id
 
 
-class LeastOutstanding(_Plain):
-    """The endpoint with the fewest own requests in flight."""
+class LeastOutstanding(_BaselinePolicy):
+    """Chooses the endpoint with the fewest of this gateway's requests in flight."""
 
     def __init__(self, rng: Random) -> None:
         super().__init__(rng)
         self._in_flight: dict[str, int] = {}
 
-    def choose(self, ask: RouteRequest, views: Views, now: float) -> str:
-        """Choose the least used; ties at random."""
+    def choose(self, request: RouteRequest, views: Views, now: float) -> str:
+        """Choose the endpoint with the fewest requests; break ties at random."""
         names = [view.endpoint_id for view in views]
-        least = min(self._in_flight.get(name, 0) for name in names)
-        ties = [name for name in names if self._in_flight.get(name, 0) == least]
+        fewest = min(self._in_flight.get(name, 0) for name in names)
+        ties = [name for name in names if self._in_flight.get(name, 0) == fewest]
         name = self.rng.choice(ties)
-        self._in_flight[name] = least + 1
+        self._in_flight[name] = fewest + 1
         return name
 
-    def finished(self, request_id: str, endpoint: str, now: float) -> None:
-        """Note the end of an answer."""
+    def record_finished(self, request_id: str, endpoint: str, now: float) -> None:
+        """Record the end of an answer."""
         self._in_flight[endpoint] -= 1
 
 
-class RandomOfTwo(_Plain):
-    """The less loaded of two random endpoints, by lagged reports."""
+class RandomOfTwo(_BaselinePolicy):
+    """Chooses the less loaded of two random endpoints, by delayed reports."""
 
-    def choose(self, ask: RouteRequest, views: Views, now: float) -> str:
+    def choose(self, request: RouteRequest, views: Views, now: float) -> str:
         """Choose by reported load."""
-        pair = self.rng.sample(views, 2)
-        return min(pair, key=_reported).endpoint_id
+        candidates = self.rng.sample(views, 2)
+        return min(candidates, key=_reported_load).endpoint_id
 
 
-def _reported(view: EndpointView) -> int:
+def _reported_load(view: EndpointView) -> int:
     if view.load is None:
         return 0
     return view.load.running + view.load.waiting
 
 
-class PrefixHash(_Plain):
-    """Rendezvous hash of the first ``depth`` blocks of the prompt."""
+class PrefixHash(_BaselinePolicy):
+    """Chooses by rendezvous hash of the prompt's first ``depth`` blocks."""
 
     def __init__(self, rng: Random, depth: int) -> None:
         super().__init__(rng)
         self._depth = depth
 
-    def choose(self, ask: RouteRequest, views: Views, now: float) -> str:
-        """Choose by hash alone."""
-        key = ask.blocks[min(len(ask.blocks), self._depth) - 1]
+    def choose(self, request: RouteRequest, views: Views, now: float) -> str:
+        """Choose by the hash alone."""
+        key = request.blocks[min(len(request.blocks), self._depth) - 1]
         names = [view.endpoint_id for view in views]
         return max(names, key=lambda name: xxh3_64_intdigest(f"{key}|{name}".encode()))
 
 
-class Scored:
-    """The router of this project."""
+class RouterPolicy:
+    """Chooses with the real router."""
 
-    listens = True
+    uses_cache_events = True
 
     def __init__(self, rng: Random, cfg: RoutingSettings) -> None:
         self.router = Router.from_config(cfg, rng)
 
-    def choose(self, ask: RouteRequest, views: Views, now: float) -> str:
-        """Choose by score."""
-        choice = self.router.choose(ask, views, now)
+    def choose(self, request: RouteRequest, views: Views, now: float) -> str:
+        """Choose by the router's score."""
+        choice = self.router.choose(request, views, now)
         assert choice is not None
-        self.router.record_sent(choice, ask, now)
+        self.router.record_sent(choice, request, now)
         return choice.endpoint.endpoint_id
 
-    def first_token(
-        self, request_id: str, endpoint: str, cached: int, missed: int, now: float
+    def record_first_token(
+        self,
+        request_id: str,
+        endpoint: str,
+        cached_tokens: int,
+        uncached_tokens: int,
+        now: float,
     ) -> None:
-        """Note a first token."""
-        self.router.record_first_token(request_id, endpoint, cached, missed, now)
+        """Record a first token."""
+        self.router.record_first_token(
+            request_id, endpoint, cached_tokens, uncached_tokens, now
+        )
 
-    def finished(self, request_id: str, endpoint: str, now: float) -> None:
-        """Note the end of an answer."""
+    def record_finished(self, request_id: str, endpoint: str, now: float) -> None:
+        """Record the end of an answer."""
         self.router.record_finished(request_id, endpoint, now)
 
-    def cache_events(
+    def apply_cache_events(
         self, endpoint: str, events: Iterable[CacheEvent], now: float
     ) -> None:
-        """Take cache events."""
+        """Apply cache events."""
         self.router.apply_cache_events(endpoint, events, now)
--- a/src/ebonydeal/_internal/benchmarks/routing/report.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/report.py
@@ -1,4 +1,4 @@
-"""The routing bench as text tables."""
+"""Results of the routing benchmark as text tables."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -8,7 +8,10 @@
     run_admission,
     run_queue,
 )
-from ebonydeal._internal.benchmarks.routing.decision_time import ENDPOINTS, measure
+from ebonydeal._internal.benchmarks.routing.decision_time import (
+    ENDPOINT_COUNTS,
+    measure_decision_time,
+)
 from ebonydeal._internal.benchmarks.routing.limits_run import LimitRun, make_scenarios
 from ebonydeal._internal.benchmarks.routing.loop import (
     SignalConditions,
@@ -39,12 +42,12 @@
 ROUTER = "router"
 BASELINE = "random of two"
 _LIMIT_KINDS = ("requests_per_s", "tokens_per_s", "concurrency")
-_FEW_ROUNDS = 300
+_DECISION_COUNT = 300
 _OVERLOADS = (0.9, 1.5, 3.0)
 
 
 class RunPlan(NamedTuple):
-    """How much is run: seeds, seconds of each trace, and load."""
+    """Extent of a benchmark run: seeds, seconds of each trace, and load."""
 
     seeds: tuple[int, ...]
     seconds: float
@@ -52,32 +55,32 @@
 
 
 class Table(NamedTuple):
-    """A titled table of text cells."""
+    """A table of text cells with a title."""
 
     title: str
     header: tuple[str, ...]
     rows: tuple[tuple[str, ...], ...]
 
     def text(self) -> str:
-        """Return aligned lines."""
+        """Return the table with aligned columns."""
         lines = [self.header, *self.rows]
         widths = [max(len(line[i]) for line in lines) for i in range(len(self.header))]
-        shown = [self.title, ""]
+        output = [self.title, ""]
         for line in lines:
             cells = [line[0].ljust(widths[0])]
             cells += [
                 cell.rjust(width)
                 for cell, width in zip(line[1:], widths[1:], strict=True)
             ]
-            shown.append("  ".join(cells).rstrip())
-        return "\n".join(shown) + "\n"
+            output.append("  ".join(cells).rstrip())
+        return "\n".join(output) + "\n"
 
 
 class Point(NamedTuple):
     """One point of the sensitivity plot."""
 
     user: str
-    what: str
+    parameter: str
     value: float
     policy: str
     recomputed: Estimate
@@ -85,7 +88,7 @@
 
 
 def compare_policies(user: User, plan: RunPlan) -> Table:
-    """Compare the router with all baselines under usual conditions."""
+    """Compare the router with all baselines under the default conditions."""
     rows = []
     for name, make in policies(RoutingSettings()).items():
         runs = run_seeds(user, make, SignalConditions(), *plan)
@@ -124,25 +127,27 @@
 
 
 def sensitivity(user: User, plan: RunPlan) -> list[Point]:
-    """Run router and random of two over report lags and event losses."""
-    made = policies(RoutingSettings())
+    """Run the router and the baseline at each report lag and event loss."""
+    by_name = policies(RoutingSettings())
     points = []
     cases = [("lag", lag, SignalConditions(lag=lag)) for lag in LAGS]
     cases += [("loss", loss, SignalConditions(loss=loss)) for loss in LOSSES]
-    for what, value, conditions in cases:
+    for parameter, value, conditions in cases:
         for name in (ROUTER, BASELINE):
-            runs = run_seeds(user, made[name], conditions, *plan)
+            runs = run_seeds(user, by_name[name], conditions, *plan)
             recomputed = estimate([run.recomputed / 1000.0 for run in runs])
             p95 = estimate([run.p95 for run in runs])
-            points.append(Point(user.shape.name, what, value, name, recomputed, p95))
+            points.append(
+                Point(user.shape.name, parameter, value, name, recomputed, p95)
+            )
     return points
 
 
 def sensitivity_table(points: Sequence[Point]) -> Table:
-    """Show the points of one user."""
+    """Return the points of one user as a table."""
     rows = tuple(
         (
-            f"{point.what} {point.value:g}",
+            f"{point.parameter} {point.value:g}",
             point.policy,
             str(point.recomputed),
             str(point.p95),
@@ -154,16 +159,17 @@
 
 
 def limits_table(plan: RunPlan) -> Table:
-    """Show limits in total over nine gateways."""
+    """Return the usage of limits summed over nine gateways."""
     rows = []
     for limit in _LIMIT_KINDS:
-        for story in make_scenarios(limit):
+        for scenario in make_scenarios(limit):
             runs = [
-                LimitRun(story, AdmissionSettings(), seed).run() for seed in plan.seeds
+                LimitRun(scenario, AdmissionSettings(), seed).run()
+                for seed in plan.seeds
             ]
             rows.append(
                 (
-                    f"{limit}: {story.name}",
+                    f"{limit}: {scenario.name}",
                     str(estimate([run.mean for run in runs])),
                     f"{min(run.worst_low for run in runs):.3f}",
                     f"{max(run.worst_high for run in runs):.3f}",
@@ -179,7 +185,7 @@
 
 
 def admission_table(plan: RunPlan) -> Table:
-    """Show starts in time and refusals by class under overload."""
+    """Return timely starts and refusals by priority class under overload."""
     rows = []
     for load in _OVERLOADS:
         for name, run in (("admission", run_admission), ("one queue", run_queue)):
@@ -206,7 +212,7 @@
 
 
 def retries_table(plan: RunPlan) -> Table:
-    """Show sends per request by phase, with the budget and without."""
+    """Return sends per request by phase, with and without the retry budget."""
     rows = []
     for name, cfg in (("budget", RetrySettings()), ("four tries", without_budget())):
         runs = [run_retries(cfg, seed) for seed in plan.seeds]
@@ -225,17 +231,17 @@
 
 
 def decision_table(seed: int) -> Table:
-    """Show processor time of one decision against the number of endpoints."""
+    """Return the time of one decision by number of endpoints."""
     rows = []
-    for endpoints in ENDPOINTS:
-        time = measure(endpoints, _FEW_ROUNDS, seed)
+    for endpoints in ENDPOINT_COUNTS:
+        time = measure_decision_time(endpoints, _DECISION_COUNT, seed)
         rows.append((str(endpoints), f"{time.p50:.0f}", f"{time.p99:.0f}"))
     title = "decision time, prompt of 100 blocks (wall time on this machine)"
     return Table(title, ("endpoints", "p50 us", "p99 us"), tuple(rows))
 
 
 def all_tables(plan: RunPlan) -> tuple[list[Table], list[Point]]:
-    """Run everything."""
+    """Run all simulations; return all tables and the points of the plot."""
     tables = [compare_policies(user, plan) for user in USERS]
     points: list[Point] = []
     for user in USERS:
--- a/src/ebonydeal/_internal/benchmarks/routing/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/suite.py
@@ -1,4 +1,4 @@
-"""All policies over all seeds, with confidence."""
+"""Runs of all policies over all seeds, with confidence intervals."""
 
 from collections.abc import Callable, Sequence
 from functools import partial
@@ -18,7 +18,7 @@
     PrefixHash,
     RandomOfTwo,
     RoundRobin,
-    Scored,
+    RouterPolicy,
 )
 from ebonydeal._internal.benchmarks.routing.traces import (
     CADWALADR,
@@ -38,7 +38,7 @@
 
 
 class User(NamedTuple):
-    """One user's shape and traffic."""
+    """One user's cluster shape and traffic."""
 
     shape: Shape
     make_trace: Callable[[int, float, float], list[TraceRequest]]
@@ -48,7 +48,7 @@
 
 
 class Estimate(NamedTuple):
-    """A mean over seeds with half the width of its 95 % interval."""
+    """A mean over seeds with half the width of its 95 % confidence interval."""
 
     mean: float
     half_width: float
@@ -59,7 +59,7 @@
 
 
 def estimate(values: Sequence[float]) -> Estimate:
-    """Return mean and confidence of one value a seed."""
+    """Return the mean and confidence interval of one value per seed."""
     if len(values) < 2:
         return Estimate(values[0], float("nan"))
     t = _T95[min(len(values) - 2, len(_T95) - 1)]
@@ -68,15 +68,15 @@
 
 def policies(cfg: RoutingSettings) -> dict[str, MakePolicy]:
     """Return the router and all baselines by name."""
-    made: dict[str, MakePolicy] = {
-        "router": lambda rng: Scored(rng, cfg),
+    by_name: dict[str, MakePolicy] = {
+        "router": lambda rng: RouterPolicy(rng, cfg),
         "round robin": RoundRobin,
         "least outstanding": LeastOutstanding,
         "random of two": RandomOfTwo,
     }
     for depth in _HASH_DEPTHS:
-        made[f"prefix hash {depth}"] = partial(PrefixHash, depth=depth)
-    return made
+        by_name[f"prefix hash {depth}"] = partial(PrefixHash, depth=depth)
+    return by_name
 
 
 def run_seeds(
@@ -87,7 +87,7 @@
     seconds: float,
     load: float,
 ) -> list[SimulationResult]:
-    """Run one policy on each seed's trace."""
+    """Run one policy on the trace of each seed."""
     return [
         Simulation(
             user.shape,
--- a/src/ebonydeal/_internal/benchmarks/routing/traces.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/traces.py
@@ -5,15 +5,15 @@
 
 from ebonydeal._internal.utils.prefix import BLOCK_TOKENS
 
-_INNS = 40
-_SKEW = 0.7
+_INN_COUNT = 40
+_INN_SKEW = 0.7
 
 
 class TraceRequest(NamedTuple):
     """One request of a trace.
 
-    ``blocks`` stand for the prompt; ``full_blocks`` for prompt and answer, which
-    the engine caches in the end. ``at`` in seconds from the start.
+    ``blocks`` represent the prompt; ``full_blocks`` the prompt and the answer, which
+    the engine has cached at the end. ``at`` is in seconds from the start.
     """
 
     at: float
@@ -27,7 +27,7 @@
 
 
 class Shape(NamedTuple):
-    """A user's places and engines: replicas per zone, and gateways."""
+    """A user's cluster: region, replicas per zone, gateways and engine parameters."""
 
     name: str
     region: str
@@ -70,8 +70,8 @@
 )
 
 
-class _Builder:
-    """Makes requests with ids in a row."""
+class _TraceBuilder:
+    """Builds a trace; numbers its requests consecutively."""
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
@@ -79,7 +79,7 @@
         self._count = 0
 
     def blocks(self, tokens: int) -> tuple[str, ...]:
-        """Return new blocks that no other prompt has."""
+        """Return new blocks that no other prompt contains."""
         first = self._count
         self._count += max(1, tokens // BLOCK_TOKENS)
         return tuple(f"{number:x}" for number in range(first, self._count))
@@ -97,74 +97,76 @@
         return full
 
     def trace(self, seconds: float) -> list[TraceRequest]:
-        """Return all requests in order of time."""
+        """Return the requests within ``seconds``, ordered by time."""
         return sorted(item for item in self.items if item.at < seconds)
 
 
 def palermo_trace(seed: int, seconds: float, load: float) -> list[TraceRequest]:
-    """Return delivery streams, look-ups and claims that wait.
+    """Return delivery streams, look-ups and deferred claims.
 
     ``load`` scales the rates; 1.0 keeps the engines about two thirds busy under
     random choice.
     """
-    build = _Builder(Random(f"palermo-{seed}"))
-    rng = build.rng
-    stream_prompts = [build.blocks(1200) for _ in range(3)]
-    lookup_prompts = [build.blocks(400) for _ in range(4)]
-    claim_prompt = build.blocks(800)
-    # Sessions that began before the trace's start are under way at once.
+    builder = _TraceBuilder(Random(f"palermo-{seed}"))
+    rng = builder.rng
+    stream_prompts = [builder.blocks(1200) for _ in range(3)]
+    lookup_prompts = [builder.blocks(400) for _ in range(4)]
+    claim_prompt = builder.blocks(800)
+    # Sessions that began before the trace's start are in progress at its start.
     at = -60.0
     while at < seconds:
         at += rng.expovariate(4.0 * load)
-        _palermo_session(build, at, rng.choice(stream_prompts))
+        _palermo_session(builder, at, rng.choice(stream_prompts))
     at = 0.0
     while at < seconds:
         at += rng.expovariate(20.0 * load)
-        prompt = rng.choice(lookup_prompts) + build.blocks(64)
-        build.add(at, "", prompt, rng.randint(8, 24))
+        prompt = rng.choice(lookup_prompts) + builder.blocks(64)
+        builder.add(at, "", prompt, rng.randint(8, 24))
     at = 0.0
     while at < seconds:
         at += rng.expovariate(1.0 * load)
-        build.add(at, "", claim_prompt + build.blocks(2400), rng.randint(200, 400))
-    return build.trace(seconds)
+        builder.add(at, "", claim_prompt + builder.blocks(2400), rng.randint(200, 400))
+    return builder.trace(seconds)
 
 
-def _palermo_session(build: _Builder, at: float, prompt: tuple[str, ...]) -> None:
+def _palermo_session(
+    builder: _TraceBuilder, at: float, prompt: tuple[str, ...]
+) -> None:
     """Add the turns of one van's streamed delivery updates."""
-    rng = build.rng
+    rng = builder.rng
     session = f"s{at:.6f}"
-    text = prompt + build.blocks(rng.randint(300, 1200))
+    text = prompt + builder.blocks(rng.randint(300, 1200))
     for _ in range(rng.randint(3, 8)):
         output = rng.randint(60, 200)
         if at >= 0.0:
-            full = build.add(at, session, text, output)
+            full = builder.add(at, session, text, output)
         else:
-            full = text + build.blocks(output)
-        text = full + build.blocks(rng.randint(48, 160))
+            full = text + builder.blocks(output)
+        text = full + builder.blocks(rng.randint(48, 160))
         at += rng.uniform(6.0, 20.0)
 
 
 def cadwaladr_trace(seed: int, seconds: float, load: float) -> list[TraceRequest]:
     """Return the nightly batch over manifests, then the dawn spike.
 
-    The spike takes the last third: kitchens ask short questions about the
-    manifests that the batch worked on.
+    The spike is the last third: kitchens send short questions about the manifests
+    that the batch processed.
     """
-    build = _Builder(Random(f"cadwaladr-{seed}"))
-    rng = build.rng
-    system = build.blocks(600)
-    inns = [system + build.blocks(rng.randint(2000, 4000)) for _ in range(_INNS)]
-    # A few inns are large and ask most often.
-    shares = [1.0 / (number + 1) ** _SKEW for number in range(_INNS)]
+    builder = _TraceBuilder(Random(f"cadwaladr-{seed}"))
+    rng = builder.rng
+    system = builder.blocks(600)
+    inns = [system + builder.blocks(rng.randint(2000, 4000)) for _ in range(_INN_COUNT)]
+    # A few large inns send most of the requests.
+    weights = [1.0 / (number + 1) ** _INN_SKEW for number in range(_INN_COUNT)]
     dawn = seconds * 2.0 / 3.0
     at = 0.0
     while at < dawn:
         at += rng.expovariate(6.0 * load)
-        prompt = rng.choices(inns, shares)[0] + build.blocks(120)
-        build.add(at, "", prompt, rng.randint(80, 250))
+        prompt = rng.choices(inns, weights)[0] + builder.blocks(120)
+        builder.add(at, "", prompt, rng.randint(80, 250))
     at = dawn
     while at < seconds:
         at += rng.expovariate(16.0 * load)
-        prompt = rng.choices(inns, shares)[0] + build.blocks(48)
-        build.add(at, "", prompt, rng.randint(16, 60))
-    return build.trace(seconds)
+        prompt = rng.choices(inns, weights)[0] + builder.blocks(48)
+        builder.add(at, "", prompt, rng.randint(16, 60))
+    return builder.trace(seconds)
--- a/tests/unit/routing/test_bench.py
+++ b/tests/unit/routing/test_bench.py
@@ -56,7 +56,7 @@
 
     def test_complete_failure_causes_at_most_eleven_tenths_of_the_sends(self):
         outcomes = run_retries(RetrySettings(), 1)
-        assert PHASES[2].failing == 1.0
+        assert PHASES[2].failure_share == 1.0
         assert outcomes[2].answered == 0
         assert outcomes[2].sends <= 1.1 * outcomes[2].requests
 
@@ -81,7 +81,7 @@
 
 class TestCommand:
     def test_prints_and_writes_the_same_tables(self, tmp_path, monkeypatch):
-        monkeypatch.setattr(report, "ENDPOINTS", (5,))
+        monkeypatch.setattr(report, "ENDPOINT_COUNTS", (5,))
         monkeypatch.setattr(report, "_LIMIT_KINDS", ())
         monkeypatch.setattr(report, "_OVERLOADS", (3.0,))
         monkeypatch.setattr(report, "LAGS", (1.0,))
