--- a/src/ebonydeal/_internal/benchmarks/routing/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/routing/suite.py
@@ -1,4 +1,4 @@
-"""All policies over all seeds, with confidence."""
+"""Runs of all policies over all seeds, with confidence intervals."""
 
 from collections.abc import Callable, Sequence
 from functools import partial
@@ -7,14 +7,18 @@
 from statistics import mean, stdev
 from typing import NamedTuple
 
-from ebonydeal._internal.benchmarks.routing.loop import Conditions, Outcome, Run
+from ebonydeal._internal.benchmarks.routing.loop import (
+    SignalConditions,
+    Simulation,
+    SimulationResult,
+)
 from ebonydeal._internal.benchmarks.routing.policies import (
     LeastOutstanding,
     Policy,
     PrefixHash,
     RandomOfTwo,
     RoundRobin,
-    Scored,
+    RouterPolicy,
 )
 from ebonydeal._internal.benchmarks.routing.traces import (
     CADWALADR,
@@ -34,7 +38,7 @@
 
 
 class User(NamedTuple):
-    """One user's shape and traffic."""
+    """One user's cluster shape and traffic."""
 
     shape: Shape
     make_trace: Callable[[int, float, float], list[TraceRequest]]
@@ -43,49 +47,49 @@
 USERS = (User(PALERMO, palermo_trace), User(CADWALADR, cadwaladr_trace))
 
 
-class Figure(NamedTuple):
-    """A mean over seeds with half the width of its 95 % interval."""
+class Estimate(NamedTuple):
+    """A mean over seeds with half the width of its 95 % confidence interval."""
 
     mean: float
-    half: float
+    half_width: float
 
     def __str__(self) -> str:
         """Return ``mean ± half`` with three significant digits."""
-        return f"{self.mean:.3g} ± {self.half:.2g}"
+        return f"{self.mean:.3g} ± {self.half_width:.2g}"
 
 
-def figure(values: Sequence[float]) -> Figure:
-    """Return mean and confidence of one value a seed."""
+def estimate(values: Sequence[float]) -> Estimate:
+    """Return the mean and confidence interval of one value per seed."""
     if len(values) < 2:
-        return Figure(values[0], float("nan"))
+        return Estimate(values[0], float("nan"))
     t = _T95[min(len(values) - 2, len(_T95) - 1)]
-    return Figure(mean(values), t * stdev(values) / sqrt(len(values)))
+    return Estimate(mean(values), t * stdev(values) / sqrt(len(values)))
 
 
 def policies(cfg: RoutingSettings) -> dict[str, MakePolicy]:
     """Return the router and all baselines by name."""
-    made: dict[str, MakePolicy] = {
-        "router": lambda rng: Scored(rng, cfg),
+    by_name: dict[str, MakePolicy] = {
+        "router": lambda rng: RouterPolicy(rng, cfg),
         "round robin": RoundRobin,
         "least outstanding": LeastOutstanding,
         "random of two": RandomOfTwo,
     }
     for depth in _HASH_DEPTHS:
-        made[f"prefix hash {depth}"] = partial(PrefixHash, depth=depth)
-    return made
+        by_name[f"prefix hash {depth}"] = partial(PrefixHash, depth=depth)
+    return by_name
 
 
 def run_seeds(
     user: User,
     make_policy: MakePolicy,
-    conditions: Conditions,
+    conditions: SignalConditions,
     seeds: Sequence[int],
     seconds: float,
     load: float,
-) -> list[Outcome]:
-    """Run one policy on each seed's trace."""
+) -> list[SimulationResult]:
+    """Run one policy on the trace of each seed."""
     return [
-        Run(
+        Simulation(
             user.shape,
             user.make_trace(seed, seconds, load),
             make_policy,
