--- a/tests/functional/matrix/test_matrix.py
+++ b/tests/functional/matrix/test_matrix.py
@@ -14,26 +14,26 @@
 
 @pytest.fixture(autouse=True)
 def quiet():
-    former = structlog.get_config()
+    previous = structlog.get_config()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     yield
-    structlog.configure(**former)
+    structlog.configure(**previous)
 
 
 class TestTable:
-    def test_each_cell_runs_or_says_why_not(self):
+    def test_each_cell_has_strikes_or_a_reason(self):
         for item in cells():
             assert bool(item.strikes) != bool(item.reason), item
 
-    def test_no_strike_stands_twice(self):
+    def test_strikes_are_unique(self):
         strikes = [strike for item in cells() for strike in item.strikes]
         assert len(set(strikes)) == len(strikes)
 
-    def test_pairs_hold_the_same_fault_twice(self):
+    def test_pairs_include_the_same_fault_twice(self):
         same = {first.row for first, second in PAIRS if first.row is second.row}
         assert {Row.CRASH, Row.TABLE_DOWN} & same
 
-    def test_page_is_fresh(self):
+    def test_page_is_up_to_date(self):
         assert PAGE.read_text(encoding="utf-8") == page()
 
 
@@ -45,7 +45,7 @@
         broken = {}
         for strike in item.strikes:
             verdict = run_strikes((strike,))
-            if verdict.broken or verdict.due:
+            if verdict.broken or verdict.pending:
                 broken[str(strike)] = verdict
         assert broken == {}
 
@@ -58,6 +58,6 @@
 
 class TestVerdicts:
     @pytest.mark.parametrize("item", CELLS[::40], ids=str)
-    def test_same_twice(self, item):
+    def test_verdicts_are_deterministic(self, item):
         first = [run_strikes((strike,)) for strike in item.strikes]
         assert [run_strikes((strike,)) for strike in item.strikes] == first
--- a/tests/lib/matrix.py
+++ b/tests/lib/matrix.py
@@ -1,4 +1,4 @@
-"""Rows and columns of the fault matrix, and one process behind a gate."""
+"""Rows and columns of the fault matrix, and gates that pause or kill a process."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
@@ -15,7 +15,7 @@
 
 
 class Row(StrEnum):
-    """A fault of the outside world."""
+    """A fault outside the process."""
 
     CRASH = "crash"
     NOTICE = "reclaim notice"
@@ -57,7 +57,7 @@
 
 
 class Channel(StrEnum):
-    """Where a step meets the outside world."""
+    """The external system that a step calls."""
 
     TABLE = "table"
     OBJECTS = "objects"
@@ -67,14 +67,14 @@
 
 
 class When(StrEnum):
-    """Before the operation takes effect, or after it and before its answer."""
+    """Before the operation takes effect, or after that and before its reply."""
 
     BEFORE = "before"
     AFTER = "after"
 
 
 class Strike(NamedTuple):
-    """One fault at one step of one channel; ``victim`` is a request, or any."""
+    """One fault at one step of one channel; an empty ``victim`` is any request."""
 
     row: Row
     column: Column
@@ -91,11 +91,11 @@
 
 
 def spawn(coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-    """Start a task that is kept until it ends, or until the cell does.
+    """Start a task and keep a reference until it or the cell ends.
 
-    The loop itself holds tasks weakly: one that waits for a dead process would
-    vanish without a trace. It starts with no actor: what a strike sets off is
-    not done by the process that was struck.
+    The loop has only weak references: a task that waits for a dead process would
+    be garbage-collected. The task has no actor, since the effects of a strike are
+    not operations of the affected process.
     """
     task = asyncio.get_running_loop().create_task(coro, context=Context())
     _SPAWNED.add(task)
@@ -104,10 +104,10 @@
 
 
 def run_cell(coro: Coroutine[Any, Any, Any]) -> Any:
-    """Run a cell to its end in a loop of its own, and drop what still waits.
+    """Run a cell in a separate event loop and cancel the remaining tasks.
 
-    Dead processes never end by themselves; their tasks are cancelled, and not
-    waited for.
+    Tasks of dead processes never end by themselves; they are cancelled without
+    waiting for them.
     """
     loop = asyncio.new_event_loop()
     loop.set_exception_handler(lambda _loop, _context: None)
@@ -123,20 +123,19 @@
 
 
 class MatrixClock(ManualClock):
-    """A manual clock that lets tasks run for fewer rounds at each step.
+    """A manual clock that runs tasks for fewer rounds at each step.
 
-    What doesn't come to rest in that time does so a step later: a process may
-    always be slow.
+    A task that isn't idle by then continues in the next step, like a slow process.
     """
 
     async def advance(self, seconds: float) -> None:
         end = self._now + seconds
         while True:
             await settle(SETTLING_ROUNDS)
-            due = [item for item in self._sleepers if item[0] <= end]
-            if not due:
+            pending = [item for item in self._sleepers if item[0] <= end]
+            if not pending:
                 break
-            first = min(due, key=lambda item: item[0])
+            first = min(pending, key=lambda item: item[0])
             self._sleepers.remove(first)
             self._now = max(self._now, first[0])
             if not first[1].done():
@@ -146,7 +145,7 @@
 
 
 class Gate:
-    """Holds a process up while it is paused, and for ever once it is dead."""
+    """Blocks a process while it is paused, and forever once it is dead."""
 
     def __init__(self) -> None:
         self.running = asyncio.Event()
@@ -158,23 +157,23 @@
         return self.died.is_set()
 
     def kill(self) -> None:
-        """End as a crash does: nothing more is sent and nothing is received."""
+        """Crash: nothing more is sent or received."""
         self.died.set()
 
-    async def passed(self) -> None:
-        """Return when the process runs."""
+    async def wait_until_running(self) -> None:
+        """Return when the process is running."""
         await self.running.wait()
         if self.dead:
             await asyncio.Event().wait()
 
 
-# The process that does an operation; the column that a caller is at.
+# The process that performs an operation; the column of a caller's current step.
 ACTOR: ContextVar[Any] = ContextVar("actor", default=None)
-ASKING: ContextVar[Column] = ContextVar("asking", default=Column.ACCEPT)
+CALLER_COLUMN: ContextVar[Column] = ContextVar("asking", default=Column.ACCEPT)
 
 
-class Behind:
-    """Passes calls on to ``inner``, through a process's gate both ways."""
+class GatedClient:
+    """Forwards calls to ``inner``; calls and results pass the process's gate."""
 
     def __init__(self, inner: Any, process: Any) -> None:
         self._inner = inner
@@ -184,34 +183,34 @@
         method = getattr(self._inner, name)
 
         async def gated(*args: Any, **kwargs: Any) -> Any:
-            await self._process.gate.passed()
+            await self._process.gate.wait_until_running()
             ACTOR.set(self._process)
             try:
                 result = await method(*args, **kwargs)
             except EbonydealError:
-                await self._process.gate.passed()
+                await self._process.gate.wait_until_running()
                 raise
-            await self._process.gate.passed()
+            await self._process.gate.wait_until_running()
             return result
 
         return gated
 
 
-class BehindEngine(Behind):
-    """The same for an engine, whose streams are iterated."""
+class GatedEngine(GatedClient):
+    """A gated client for engines, which also gates their streams."""
 
     async def stream(self, *args: Any, **kwargs: Any) -> AsyncIterator[Any]:
         gate = self._process.gate
-        await gate.passed()
+        await gate.wait_until_running()
         ACTOR.set(self._process)
         async for item in self._inner.stream(*args, **kwargs):
-            await gate.passed()
+            await gate.wait_until_running()
             yield item
-        await gate.passed()
+        await gate.wait_until_running()
 
 
-class BehindClock:
-    """A process's clock: sleeps don't end while it is paused."""
+class GatedClock:
+    """A process's clock, whose sleeps don't end while the process is paused."""
 
     def __init__(self, inner: Clock, gate: Gate) -> None:
         self._inner = inner
@@ -221,4 +220,4 @@
 
     async def sleep(self, seconds: float) -> None:
         await self._inner.sleep(seconds)
-        await self._gate.passed()
+        await self._gate.wait_until_running()
--- a/tests/lib/matrix_callers.py
+++ b/tests/lib/matrix_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the fault matrix: their requests, and what they were told."""
+"""Callers of the fault matrix: their requests and the replies they got."""
 
 import json
 from dataclasses import dataclass, field
@@ -12,13 +12,13 @@
 
 @dataclass
 class Caller:
-    """A client account's view of one request: what it was told, in order."""
+    """A client account's view of one request, with its error replies in order."""
 
     request: Request
     tag: str
-    patient: bool = True
+    retries: bool = True
     accepted: bool = False
-    told: list[tuple[str, int]] = field(default_factory=list)
+    replies: list[tuple[str, int]] = field(default_factory=list)
     status: JournalStatus | None = None
     gave_up: bool = False
     lost: bool = False
--- a/tests/lib/matrix_config.py
+++ b/tests/lib/matrix_config.py
@@ -1,7 +1,7 @@
-"""Commit and spread of configuration versions under one or more faults.
+"""Commit and propagation of configuration versions under one or more faults.
 
-Real stores and followers; the table, the clock and the way between peers are in
-memory. A place is what an instance and its replacements are to its users.
+Stores and followers are real; the table, the clock and the connections of peers are
+in memory. A place is an instance with its replacements, as its users see it.
 """
 
 import asyncio
@@ -22,11 +22,11 @@
 from ebonydeal._internal.standin.memory import MemoryTables
 from tests.lib.matrix import (
     ACTOR,
-    Behind,
-    BehindClock,
     Channel,
     Column,
     Gate,
+    GatedClient,
+    GatedClock,
     MatrixClock,
     Row,
     Strike,
@@ -43,7 +43,7 @@
 LATE_S = 15.0
 SPREAD_S = 20.0
 STEP_S = 0.5
-LONGEST_S = 300.0
+MAX_RUN_S = 300.0
 VERSIONS = 4
 
 _FAULTS = {
@@ -55,9 +55,9 @@
 }
 
 
-def edited(most: int) -> dict[str, Any]:
+def edited(max_replicas: int) -> dict[str, Any]:
     document = example_document("cadwaladr")
-    document["deployments"][0]["replicas"]["max"] = most
+    document["deployments"][0]["replicas"]["max"] = max_replicas
     return document
 
 
@@ -66,26 +66,26 @@
 
     def __init__(self, world: "ConfigWorld", seed: str) -> None:
         self.gate = Gate()
-        clock = BehindClock(world.clock, self.gate)
-        tables = Behind(world.tables, self)
+        clock = GatedClock(world.clock, self.gate)
+        tables = GatedClient(world.tables, self)
         rng = random.Random(seed)
         self.follower = ConfigFollower(tables, Metrics(), clock, rng, lambda: 200)
         self.store = ConfigStore(tables, clock, rng)
 
 
 class ConfigWorld:
-    """Everything outside the processes, and the strikes that are due."""
+    """Everything outside the processes, and the pending strikes."""
 
     def __init__(self, strikes: tuple[Strike, ...]) -> None:
-        self.due = list(strikes)
+        self.pending = list(strikes)
         self.clock = MatrixClock()
         self.tables = MemoryTables(self.clock)
         self.tables.faults.before = self._before
         self.tables.faults.after = self._after
         self.places: list[Place] = []
         self.proposals: list[Proposal] = []
-        self.twist = ""
-        self.held: dict[str, Any] | None = None
+        self.disturbance = ""
+        self.held_payload: dict[str, Any] | None = None
         self.unreachable: set[str] = set()
         self._number = 0
 
@@ -95,33 +95,33 @@
             place = Place(f"g-{number}", Instance(self, f"g-{number}"))
             self.places.append(place)
             await self._start(place)
-            spawn(self._rounds(place))
+            spawn(self._run_peer_rounds(place))
 
     async def _start(self, place: Place) -> None:
         instance, start = place.instance, place.starts
 
         def changed(document: Any) -> None:
-            place.seen.append((self.clock.now(), start, document.version))
+            place.versions_seen.append((self.clock.now(), start, document.version))
 
         instance.follower.on_change(changed)
         await instance.follower.start()
 
     async def replace(self, place: Place) -> None:
-        """End an instance; a fresh one starts in its place."""
+        """End an instance and start its replacement."""
         place.instance.gate.kill()
         place.starts += 1
         place.instance = Instance(self, f"{place.name} {place.starts}")
         await self._start(place)
 
-    async def _rounds(self, place: Place) -> None:
-        """Exchange configuration with a peer now and then, as peer rounds do."""
+    async def _run_peer_rounds(self, place: Place) -> None:
+        """Exchange configuration with random peers at intervals, like peer rounds."""
         rng = random.Random(f"rounds {place.name}")
         while True:
             await self.clock.sleep(ROUND_S * rng.uniform(0.8, 1.2))
             gate = place.instance.gate
             other = rng.choice([item for item in self.places if item is not place])
-            apart = {place.name, other.name} & self.unreachable
-            if apart or not gate.running.is_set():
+            unreachable = {place.name, other.name} & self.unreachable
+            if unreachable or not gate.running.is_set():
                 continue
             if not other.instance.gate.running.is_set():
                 continue
@@ -131,28 +131,28 @@
                 await self._deliver(place, _copy(payload))
 
     async def _deliver(self, place: Place, payload: dict[str, Any]) -> None:
-        await self._reach(Column.CONFIG_SPREAD, Channel.PEER, When.BEFORE, place)
+        await self._on_step(Column.CONFIG_SPREAD, Channel.PEER, When.BEFORE, place)
         topic = place.instance.follower.topic
-        twist, self.twist = self.twist, ""
-        if twist == Row.LATE:
+        disturbance, self.disturbance = self.disturbance, ""
+        if disturbance == Row.LATE:
             self._later(LATE_S, lambda: topic.receive(payload))
             return
-        if twist == Row.REORDERED:
-            self.held = payload
+        if disturbance == Row.REORDERED:
+            self.held_payload = payload
             return
         topic.receive(payload)
-        if twist == Row.DUPLICATED:
+        if disturbance == Row.DUPLICATED:
             topic.receive(payload)
             self._later(LATE_S, lambda: topic.receive(payload))
-        if self.held is not None:
-            topic.receive(self.held)
-            self.held = None
-        await self._reach(Column.CONFIG_SPREAD, Channel.PEER, When.AFTER, place)
+        if self.held_payload is not None:
+            topic.receive(self.held_payload)
+            self.held_payload = None
+        await self._on_step(Column.CONFIG_SPREAD, Channel.PEER, When.AFTER, place)
 
     # --- operators -------------------------------------------------------------
-    def propose(self, operator: str, most: int, base: int) -> Proposal:
+    def propose(self, operator: str, max_replicas: int, base: int) -> Proposal:
         self._number += 1
-        proposal = Proposal(operator, most, f"p-{self._number}")
+        proposal = Proposal(operator, max_replicas, f"p-{self._number}")
         self.proposals.append(proposal)
         spawn(self._submit(proposal, base))
         return proposal
@@ -161,13 +161,13 @@
         """Submit through consoles until the outcome is known."""
         while not proposal.version and not proposal.refused:
             console = Instance(self, f"{proposal.id} {self.clock.now()}")
-            task = spawn(self._try(console, proposal, base))
+            task = spawn(self._propose(console, proposal, base))
             died = asyncio.ensure_future(console.gate.died.wait())
             await asyncio.wait({task, died}, return_when=asyncio.FIRST_COMPLETED)
             await self.clock.sleep(2.0)
 
-    async def _try(self, console: Instance, proposal: Proposal, base: int) -> None:
-        document = edited(proposal.most)
+    async def _propose(self, console: Instance, proposal: Proposal, base: int) -> None:
+        document = edited(proposal.max_replicas)
         try:
             result = await console.store.propose(
                 document, base, proposal.operator, "", proposal=proposal.id
@@ -182,17 +182,17 @@
 
     # --- strikes -----------------------------------------------------------------
     async def _before(self, operation: Operation) -> None:
-        await self._reach(_column(operation), Channel.TABLE, When.BEFORE, operation)
+        await self._on_step(_column(operation), Channel.TABLE, When.BEFORE, operation)
 
     async def _after(self, operation: Operation) -> None:
-        await self._reach(_column(operation), Channel.TABLE, When.AFTER, operation)
+        await self._on_step(_column(operation), Channel.TABLE, When.AFTER, operation)
 
-    async def _reach(
+    async def _on_step(
         self, column: Column | None, channel: Channel, when: When, what: Any
     ) -> None:
-        for strike in list(self.due):
+        for strike in list(self.pending):
             if (strike.column, strike.channel, strike.when) == (column, channel, when):
-                self.due.remove(strike)
+                self.pending.remove(strike)
                 await self._strike(strike, what)
 
     def _later(self, seconds: float, act: Any) -> None:
@@ -228,30 +228,30 @@
                 faults.plan[what.number] = _FAULTS[row]
                 self._later(LATE_S, self.tables.land_late)
             case row:
-                self.twist = row
+                self.disturbance = row
 
     async def _stop(self, row: Row, what: Any) -> None:
-        """Kill or pause the process that is at this step."""
+        """Kill or pause the process at this step."""
         actor = what.instance if isinstance(what, Place) else ACTOR.get()
         if row is Row.PAUSED:
             actor.gate.running.clear()
             self._later(PAUSE_S, actor.gate.running.set)
-            await actor.gate.passed()
+            await actor.gate.wait_until_running()
             return
         for place in self.places:
             if place.instance is actor:
                 await self.replace(place)
         actor.gate.kill()
         if not isinstance(what, Place):
-            await actor.gate.passed()
+            await actor.gate.wait_until_running()
 
     def _head(self) -> int:
         row = self.tables.rows.get(HEAD_KEY)
         return 0 if row is None else int(row.value["version"])
 
     # --- the run and the promises ----------------------------------------------------
-    async def until(self, condition: Any) -> bool:
-        end = self.clock.now() + LONGEST_S
+    async def advance_until(self, condition: Any) -> bool:
+        end = self.clock.now() + MAX_RUN_S
         while not condition():
             if self.clock.now() >= end:
                 return False
@@ -266,7 +266,7 @@
         )
 
     async def broken_promises(self) -> list[str]:
-        broken = [self._reverts(place) for place in self.places]
+        broken = [self._version_reverts(place) for place in self.places]
         history = {info.version: info for info in await self._reader().history()}
         for item in self.proposals:
             own = [
@@ -275,11 +275,13 @@
                 if info.proposal.startswith(f"{item.id}.")
             ]
             if own != ([item.version] if item.version else []):
-                broken.append(f"{item.id} told {item.version}, history {own}")
+                broken.append(
+                    f"{item.id} was reported as {item.version}, history {own}"
+                )
         content = await self._reader().load()
         for place in self.places:
             if place.instance.follower.topic.content != content:
-                broken.append(f"{place.name} has not the content in force")
+                broken.append(f"{place.name} does not have the content in force")
         if content.items != split(edited(self._winner(content.version))):
             broken.append("the content in force isn't what its operator sent")
         return [text for text in broken if text]
@@ -288,19 +290,21 @@
         return ConfigStore(self.tables, self.clock, random.Random(1))
 
     def _winner(self, version: int) -> int:
-        return next(item.most for item in self.proposals if item.version == version)
+        return next(
+            item.max_replicas for item in self.proposals if item.version == version
+        )
 
-    def _reverts(self, place: Place) -> str:
-        """A process never goes back; nor does any place, once a version has spread."""
-        for index, (_, start, version) in enumerate(place.seen):
-            for _, other_start, other in place.seen[:index]:
+    def _version_reverts(self, place: Place) -> str:
+        """Return a revert of a process, or of a place after a version has spread."""
+        for index, (_, start, version) in enumerate(place.versions_seen):
+            for _, other_start, other in place.versions_seen[:index]:
                 if start == other_start and other >= version:
                     return f"{place.name} went from {other} to {version}"
         first = {}
         for other_place in self.places:
-            for at, _, version in other_place.seen:
+            for at, _, version in other_place.versions_seen:
                 first[version] = min(at, first.get(version, at))
-        for at, _, version in place.seen:
+        for at, _, version in place.versions_seen:
             for other, other_at in first.items():
                 if other > version and at > other_at + SPREAD_S + OUTAGE_S:
                     return f"{place.name} took {version} long after {other}"
@@ -321,17 +325,17 @@
 
 
 async def run_config(strikes: tuple[Strike, ...]) -> tuple[list[str], list[Strike]]:
-    """Commit some versions while places follow; return broken promises."""
+    """Commit versions while places follow them; return broken promises."""
     world = ConfigWorld(())
     world.propose("nia", 90, 0)
-    await world.until(lambda: world.proposals[0].version == 1)
+    await world.advance_until(lambda: world.proposals[0].version == 1)
     await world.start_places()
-    await world.until(world.settled)
-    world.due = list(strikes)
+    await world.advance_until(world.settled)
+    world.pending = list(strikes)
     for number in range(VERSIONS):
         world.propose("nia", 80 - number, world._head())
         await world.clock.advance(4.0)
-    finished = await world.until(world.settled)
+    finished = await world.advance_until(world.settled)
     world.tables.faults.down = False
     world.tables.faults.delay = 0.0
     world.tables.land_late()
@@ -339,4 +343,4 @@
     broken = await world.broken_promises()
     if not finished:
         broken.append("the last version is not in force everywhere")
-    return broken, world.due
+    return broken, world.pending
--- a/tests/lib/matrix_endpoints.py
+++ b/tests/lib/matrix_endpoints.py
@@ -1,7 +1,7 @@
-"""Engines and plain services that keep a log, for the fault matrix.
+"""Engines and plain services that log their runs, for the fault matrix.
 
-The answer follows from the request's own content, so that a foreign answer
-shows. The log is what the promises are checked against.
+The answer is derived from the request's content, so that a foreign answer is
+detected. The promises are checked against the log.
 """
 
 import json
@@ -35,7 +35,7 @@
 
 @dataclass
 class Run:
-    """One attempt at one endpoint; times are those of the world's clock."""
+    """One attempt at one endpoint; ``started`` is on the world's clock."""
 
     endpoint_id: str
     attempt_id: str
@@ -47,7 +47,7 @@
 
 @dataclass
 class Directory:
-    """All endpoints, the marks on them, and those that are gone."""
+    """All endpoints, when they were marked as leaving, and those that are gone."""
 
     clock: ManualClock
     endpoints: list[EndpointView]
@@ -65,7 +65,7 @@
         return view.endpoint_id in self.marked
 
     def mark(self, mark: LeavingMark) -> list[str]:
-        """Take a mark in; return the endpoints it covers."""
+        """Apply a leaving mark; return the endpoints that it covers."""
         covered = [
             view.endpoint_id
             for view in self.endpoints
@@ -86,14 +86,14 @@
 
 
 class LoggingEngines:
-    """All engines; ``reach`` is awaited at each step and may strike."""
+    """All engines; ``on_step`` is awaited at each step and may inject a fault."""
 
-    def __init__(self, directory: Directory, clock: ManualClock, reach: Any) -> None:
+    def __init__(self, directory: Directory, clock: ManualClock, on_step: Any) -> None:
         self.runs: list[Run] = []
         self._directory = directory
         self._clock = clock
-        self._reach = reach
-        self.twist: dict[str, str] = {}
+        self._on_step = on_step
+        self.disturbance: dict[str, str] = {}
 
     async def stream(
         self,
@@ -106,11 +106,11 @@
         name = endpoint.endpoint_id
         self._directory.check_reached(name)
         run = Run(name, attempt_id, tag_of(body), self._clock.now(), bool(resume))
-        await self._reach(Column.DISPATCH, Channel.ENDPOINT, When.BEFORE, run)
+        await self._on_step(Column.DISPATCH, Channel.ENDPOINT, When.BEFORE, run)
         self._directory.check_reached(name)
         run.started = self._clock.now()
         self.runs.append(run)
-        await self._reach(Column.DISPATCH, Channel.ENDPOINT, When.AFTER, run)
+        await self._on_step(Column.DISPATCH, Channel.ENDPOINT, When.AFTER, run)
         start = len(resume.delivered) if resume else 0
         async for chunk in self._generate(run, start):
             if run.state == "running":
@@ -122,24 +122,24 @@
             await self._clock.sleep(TOKEN_S)
             column = Column.COMPLETE if position == TOKENS - 1 else Column.STREAM
             if position > 1:
-                await self._reach(column, Channel.ENDPOINT, When.BEFORE, run)
+                await self._on_step(column, Channel.ENDPOINT, When.BEFORE, run)
             self._directory.check_alive(run.endpoint_id)
             finish = "stop" if position == TOKENS - 1 else ""
             prefilled = 7 if position == start else 0
             chunk = Chunk(position, texts[position], finish, 0, prefilled)
-            for twisted in self._twisted(run, chunk):
-                yield twisted
+            for disturbed in self._disturbed(run, chunk):
+                yield disturbed
             if position > 1:
-                await self._reach(column, Channel.ENDPOINT, When.AFTER, run)
+                await self._on_step(column, Channel.ENDPOINT, When.AFTER, run)
         if run.state == "running":
             run.state = "finished"
 
-    def _twisted(self, run: Run, chunk: Chunk) -> list[Chunk]:
-        """Return what arrives in the place of a chunk."""
-        twist = self.twist.pop(run.attempt_id, "")
-        if twist == "duplicated":
+    def _disturbed(self, run: Run, chunk: Chunk) -> list[Chunk]:
+        """Return the chunks that arrive instead of ``chunk``."""
+        disturbance = self.disturbance.pop(run.attempt_id, "")
+        if disturbance == "duplicated":
             return [chunk, chunk]
-        if twist == "reordered":
+        if disturbance == "reordered":
             after = chunk._replace(position=chunk.position + 1, text="x", finish="")
             return [after, chunk]
         return [chunk]
@@ -157,11 +157,11 @@
 class LoggingServices:
     """All plain services."""
 
-    def __init__(self, directory: Directory, clock: ManualClock, reach: Any) -> None:
+    def __init__(self, directory: Directory, clock: ManualClock, on_step: Any) -> None:
         self.runs: list[Run] = []
         self._directory = directory
         self._clock = clock
-        self._reach = reach
+        self._on_step = on_step
 
     async def call(  # type: ignore[no-untyped-def]
         self, endpoint, method, path, headers, body, attempt_id, timeout
@@ -169,11 +169,11 @@
         name = endpoint.endpoint_id
         self._directory.check_reached(name)
         run = Run(name, attempt_id, json.loads(body)["tag"], self._clock.now())
-        await self._reach(Column.DISPATCH, Channel.ENDPOINT, When.BEFORE, run)
+        await self._on_step(Column.DISPATCH, Channel.ENDPOINT, When.BEFORE, run)
         self._directory.check_reached(name)
         run.started = self._clock.now()
         self.runs.append(run)
-        await self._reach(Column.DISPATCH, Channel.ENDPOINT, When.AFTER, run)
+        await self._on_step(Column.DISPATCH, Channel.ENDPOINT, When.AFTER, run)
         try:
             return await self._work(run)
         finally:
@@ -182,9 +182,9 @@
 
     async def _work(self, run: Run) -> ServiceAnswer:
         await self._clock.sleep(SERVICE_S)
-        await self._reach(Column.COMPLETE, Channel.ENDPOINT, When.BEFORE, run)
+        await self._on_step(Column.COMPLETE, Channel.ENDPOINT, When.BEFORE, run)
         self._directory.check_alive(run.endpoint_id)
         run.state = "finished"
-        await self._reach(Column.COMPLETE, Channel.ENDPOINT, When.AFTER, run)
+        await self._on_step(Column.COMPLETE, Channel.ENDPOINT, When.AFTER, run)
         self._directory.check_alive(run.endpoint_id)
         return ServiceAnswer(200, "text/plain", f"done {run.tag}".encode())
--- a/tests/lib/matrix_journal.py
+++ b/tests/lib/matrix_journal.py
@@ -1,7 +1,7 @@
-"""The path of accepted requests under one or more faults, from accept to answer.
+"""Runs the path of accepted requests, from accept to answer, under faults.
 
-Real journal processes, clients, routing and records; in memory are only the
-platform's stores, the endpoints, the network and the clock.
+Journal processes, clients, routing and records are real; only the platform's
+stores, the endpoints, the network and the clock are in memory.
 """
 
 import asyncio
@@ -21,7 +21,15 @@
 from ebonydeal._internal.standin.memory import MemoryObjects, MemoryTables
 from tests.lib.clock import settle
 from tests.lib.endpoints import make_view
-from tests.lib.matrix import ASKING, Channel, Column, MatrixClock, Strike, When, spawn
+from tests.lib.matrix import (
+    CALLER_COLUMN,
+    Channel,
+    Column,
+    MatrixClock,
+    Strike,
+    When,
+    spawn,
+)
 from tests.lib.matrix_callers import ACCOUNT, Caller, make_chat, make_note
 from tests.lib.matrix_endpoints import (
     Directory,
@@ -32,33 +40,33 @@
 )
 from tests.lib.matrix_processes import CFG, Network, Process
 from tests.lib.matrix_steps import object_column, table_column
-from tests.lib.matrix_strikes import SCAN_S, Striker
+from tests.lib.matrix_strikes import SCAN_S, FaultInjector
 
 WAIT_S = 5.0
 POLL_S = 2.0
-REPLACED_S = 5.0
-LONGEST_S = 400.0
+REPLACEMENT_DELAY_S = 5.0
+MAX_RUN_S = 400.0
 AFTER_MARK_S = 3.0
-MORE = 4
+MORE_REQUESTS = 4
 
 
 class JournalWorld:
-    """Everything outside the processes, and the strikes that are due."""
+    """Everything outside the processes, and the pending strikes."""
 
     def __init__(self, strikes: tuple[Strike, ...]) -> None:
         self.clock = MatrixClock()
         self.tables = MemoryTables(self.clock)
         self.objects = MemoryObjects(self.clock)
-        self.striker = Striker(self, strikes)
-        reach = self.striker.reach
+        self.injector = FaultInjector(self, strikes)
+        on_step = self.injector.on_step
         self.directory = Directory(self.clock, _endpoints())
-        self.engines = LoggingEngines(self.directory, self.clock, reach)
-        self.services = LoggingServices(self.directory, self.clock, reach)
-        self.network = Network(self.clock, reach)
+        self.engines = LoggingEngines(self.directory, self.clock, on_step)
+        self.services = LoggingServices(self.directory, self.clock, on_step)
+        self.network = Network(self.clock, on_step)
         self.processes: list[Process] = []
         self.callers: list[Caller] = []
         self.digests: set[str] = set()
-        self.quiet = self.client()
+        self.stale_client = self.client()
         self._hook(self.tables, Channel.TABLE, table_column)
         self._hook(self.objects, Channel.OBJECTS, self._object_column)
 
@@ -67,15 +75,15 @@
 
     def _hook(self, store: Any, channel: Channel, column_of: Any) -> None:
         async def before(operation: Any) -> None:
-            slow = self.clock.now() < self.striker.slow_scans_until
+            slow = self.clock.now() < self.injector.slow_scans_until
             if operation.name == "scan" and slow:
                 await self.clock.sleep(SCAN_S)
-            await self.striker.reach(
+            await self.injector.on_step(
                 column_of(operation), channel, When.BEFORE, operation
             )
 
         async def after(operation: Any) -> None:
-            await self.striker.reach(
+            await self.injector.on_step(
                 column_of(operation), channel, When.AFTER, operation
             )
 
@@ -91,13 +99,13 @@
         return process
 
     async def replace(self) -> None:
-        """Start another instance in the place of one that died."""
-        await self.clock.sleep(REPLACED_S)
+        """Start a replacement for an instance that died."""
+        await self.clock.sleep(REPLACEMENT_DELAY_S)
         await self.start(f"n-{len(self.processes) + 1}")
 
     def owner(self) -> Process | None:
         for process in self.processes:
-            if process.serves:
+            if process.is_serving:
                 return process
         return None
 
@@ -112,7 +120,7 @@
             metrics=Metrics(),
         )
 
-    async def until(self, condition: Any, limit: float = LONGEST_S) -> bool:
+    async def advance_until(self, condition: Any, limit: float = MAX_RUN_S) -> bool:
         end = self.clock.now() + limit
         while not condition():
             if self.clock.now() >= end:
@@ -121,26 +129,26 @@
         return True
 
     # --- callers -----------------------------------------------------------------
-    def ask_quietly(self) -> None:
-        """Submit through a gateway that last asked before all faults."""
+    def submit_with_stale_client(self) -> None:
+        """Submit through a gateway whose last call was before all faults."""
         number = len(self.callers)
-        self.submit(make_note(f"quiet{number}"), client=self.quiet)
+        self.submit(make_note(f"quiet{number}"), client=self.stale_client)
 
-    def ask_for_more(self) -> None:
-        """Submit new work of each kind."""
+    def submit_more(self) -> None:
+        """Submit new requests of each kind."""
         number = len(self.callers)
-        for count in range(MORE):
+        for count in range(MORE_REQUESTS):
             self.submit(make_chat(f"more{number}.{count}", idempotent=True))
             self.submit(make_note(f"morenote{number}.{count}"))
 
     def submit(
         self,
         request: Request,
-        patient: bool = True,
+        retries: bool = True,
         client: JournalClient | None = None,
     ) -> Caller:
         tag = request.request_id.removeprefix("r-0000-")
-        caller = Caller(request, tag, patient)
+        caller = Caller(request, tag, retries)
         self.digests.add(xxh3_128_hexdigest(request.body.encode()))
         self.callers.append(caller)
         task = spawn(self._call(caller, client or self.client()))
@@ -149,9 +157,9 @@
 
     @staticmethod
     def note_failure(caller: Caller, task: asyncio.Task[None]) -> None:
-        """Keep what ended a caller otherwise than by an answer."""
+        """Record an unexpected exception of a caller."""
         if not task.cancelled() and task.exception() is not None:
-            caller.told.append((repr(task.exception()), 0))
+            caller.replies.append((repr(task.exception()), 0))
 
     async def _call(self, caller: Caller, client: JournalClient) -> None:
         """Submit until accepted, then poll through another gateway."""
@@ -163,20 +171,20 @@
                     await client.accept(caller.request)
                 caller.accepted = True
             except EbonydealError as exc:
-                self._tell(caller, exc)
-                if not caller.patient:
+                self._record_error(caller, exc)
+                if not caller.retries:
                     caller.gave_up = True
                     return
                 await self.clock.sleep(POLL_S)
         await self.poll(caller)
 
-    def _tell(self, caller: Caller, exc: EbonydealError) -> None:
+    def _record_error(self, caller: Caller, exc: EbonydealError) -> None:
         runs = len(self.runs(caller.tag))
-        caller.told.append((str(exc.outcome), runs))
+        caller.replies.append((str(exc.outcome), runs))
 
     async def poll(self, caller: Caller) -> None:
         client = self.client()
-        ASKING.set(Column.ANSWER)
+        CALLER_COLUMN.set(Column.ANSWER)
         while caller.status is None or not caller.status.is_final:
             try:
                 caller.status = await client.status(caller.request.request_id, ACCOUNT)
@@ -194,29 +202,29 @@
         broken = [self._late_starts()]
         for caller in self.callers:
             broken += [
-                self._unanswered(caller, announced_only),
-                self._foreign(caller),
+                self._missing_end(caller, announced_only),
+                self._foreign_answer(caller),
                 self._false_not_run(caller),
-                self._run_again(caller),
+                self._repeated_run(caller),
             ]
         return [text for text in broken if text]
 
-    def _unanswered(self, caller: Caller, announced_only: bool) -> str:
+    def _missing_end(self, caller: Caller, announced_only: bool) -> str:
         if caller.lost:
             return f"{caller.tag} was accepted and is lost"
         if not caller.done:
-            return f"{caller.tag} has no end, told {caller.told[-2:]}"
+            return f"{caller.tag} is not final, last replies {caller.replies[-2:]}"
         status = caller.status
         if status is None:
             return ""
-        unknown_is_fair = not caller.request.idempotent and not announced_only
+        unknown_allowed = not caller.request.idempotent and not announced_only
         if status.state == "completed" or (
-            status.state == "unknown" and unknown_is_fair
+            status.state == "unknown" and unknown_allowed
         ):
             return ""
         return f"{caller.tag} ended as {status.state}"
 
-    def _foreign(self, caller: Caller) -> str:
+    def _foreign_answer(self, caller: Caller) -> str:
         status = caller.status
         if status is None or status.answer is None:
             return ""
@@ -228,19 +236,19 @@
         return "" if own else f"{caller.tag} got {status.answer.body!r}"
 
     def _false_not_run(self, caller: Caller) -> str:
-        for outcome, runs in caller.told:
+        for outcome, runs in caller.replies:
             if outcome == Outcome.NOT_RUN and runs:
-                return f"{caller.tag} was told not run, but ran"
-        last = caller.told[-1][0] if caller.told else ""
+                return f"{caller.tag} was reported as not run, but ran"
+        last = caller.replies[-1][0] if caller.replies else ""
         if caller.gave_up and last == Outcome.NOT_RUN and self.runs(caller.tag):
-            return f"{caller.tag} was told not run, and ran later"
+            return f"{caller.tag} was reported as not run, and ran later"
         return ""
 
-    def _run_again(self, caller: Caller) -> str:
+    def _repeated_run(self, caller: Caller) -> str:
         if caller.request.idempotent:
             return ""
         runs = self.runs(caller.tag)
-        # A run whose source confirmed its stop goes on elsewhere as the same run.
+        # A run that its engine confirmed as stopped continues elsewhere as the same.
         open_runs = [run for run in runs if run.state != "stopped"]
         if len(open_runs) > 1:
             return f"{caller.tag} ran {len(runs)} times"
@@ -274,36 +282,36 @@
 
 
 async def run_journal(strikes: tuple[Strike, ...]) -> tuple[list[str], list[Strike]]:
-    """Walk the whole path; return broken promises and strikes that never came."""
+    """Run the whole path; return broken promises and strikes that never occurred."""
     world = JournalWorld(strikes)
     await world.start("n-1")
-    await world.until(lambda: world.owner() is not None)
+    await world.advance_until(lambda: world.owner() is not None)
     await world.start("n-2")
-    world.ask_quietly()
-    await world.until(lambda: world.callers[0].done)
-    world.striker.armed = True
+    world.submit_with_stale_client()
+    await world.advance_until(lambda: world.callers[0].done)
+    world.injector.armed = True
     await _first_requests(world)
     await _planned_stop(world)
     changed = await _last_owner(world)
-    broken = world.broken_promises(world.striker.announced_only)
-    return broken + changed, world.striker.due
+    broken = world.broken_promises(world.injector.announced_only)
+    return broken + changed, world.injector.pending
 
 
 async def _first_requests(world: JournalWorld) -> None:
-    """Accept one of each kind, and let them end; rows enough for a snapshot."""
+    """Run one request of each kind, with enough rows for a snapshot."""
     world.submit(make_chat("covers1", idempotent=True))
     world.submit(make_note("note1"))
     world.submit(make_chat("draft1", idempotent=False))
-    world.submit(make_note("once1"), patient=False)
+    world.submit(make_note("once1"), retries=False)
     plain = make_chat("plain1", idempotent=True)._replace(key="")
-    world.submit(plain, patient=False)
-    await world.until(lambda: all(caller.done for caller in world.callers))
+    world.submit(plain, retries=False)
+    await world.advance_until(lambda: all(caller.done for caller in world.callers))
     await world.clock.advance(3.0)
 
 
 async def _planned_stop(world: JournalWorld) -> None:
     """Stop the owner gracefully while requests run at endpoints."""
-    await world.until(lambda: world.owner() is not None)
+    await world.advance_until(lambda: world.owner() is not None)
     world.submit(make_chat("covers2", idempotent=True))
     world.submit(make_note("note2"))
     world.submit(make_chat("draft2", idempotent=False))
@@ -312,15 +320,15 @@
     await world.start("n-standby")
     if owner is not None:
         spawn(owner.node.leave())
-    await world.until(lambda: all(caller.done for caller in world.callers))
+    await world.advance_until(lambda: all(caller.done for caller in world.callers))
 
 
 async def _last_owner(world: JournalWorld) -> list[str]:
-    """Let all late writes land, kill what owns, and ask a new owner for all."""
-    await world.until(lambda: world.clock.now() > world.striker.over)
+    """Apply all late writes, kill all processes and poll a new owner."""
+    await world.advance_until(lambda: world.clock.now() > world.injector.last_fault_end)
     await world.clock.advance(SCAN_S)
-    await world.until(lambda: all(caller.done for caller in world.callers))
-    world.striker.lift()
+    await world.advance_until(lambda: all(caller.done for caller in world.callers))
+    world.injector.end_faults()
     world.tables.land_late()
     world.objects.land_late()
     await world.clock.advance(1.0)
@@ -328,18 +336,18 @@
         process.gate.running.set()
         process.gate.kill()
     await world.start("n-last")
-    await world.until(lambda: world.owner() is not None)
+    await world.advance_until(lambda: world.owner() is not None)
     before = [caller.status for caller in world.callers]
-    for caller, former in zip(world.callers, before, strict=True):
-        if former is not None:
+    for caller, previous in zip(world.callers, before, strict=True):
+        if previous is not None:
             caller.status = None
             task = spawn(world.poll(caller))
             task.add_done_callback(partial(world.note_failure, caller))
-    await world.until(lambda: all(caller.done for caller in world.callers))
+    await world.advance_until(lambda: all(caller.done for caller in world.callers))
     await settle()
     return [
         f"{caller.tag} has changed"
-        for caller, former in zip(world.callers, before, strict=True)
-        if former is not None and former.is_final
-        if caller.status is not None and caller.status[:3] != former[:3]
+        for caller, previous in zip(world.callers, before, strict=True)
+        if previous is not None and previous.is_final
+        if caller.status is not None and caller.status[:3] != previous[:3]
     ]
--- a/tests/lib/matrix_orders.py
+++ b/tests/lib/matrix_orders.py
@@ -1,7 +1,7 @@
-"""Orders and starts of a controller under one or more faults.
+"""Orders and instance starts of a controller under one or more faults.
 
-Two real controllers lead one deployment in turn, over a cloud, engines and a
-table in memory. The first one is struck; the other must take up from there.
+Two real controllers lead one deployment in turn, with a cloud, engines and a table
+in memory. The faults hit the first one; the second must continue from its state.
 """
 
 import asyncio
@@ -24,22 +24,22 @@
 ENGINE = ("order", "order_state", "load")
 DOWN = EbonydealError(ErrorKind.STORE_UNAVAILABLE, "down")
 LOST = EbonydealError(ErrorKind.STORE_IN_DOUBT, "lost")
-AWAY = EbonydealError(ErrorKind.CONNECT_FAILED, "away")
+UNREACHABLE = EbonydealError(ErrorKind.CONNECT_FAILED, "away")
 LOAD_LOST = EbonydealError(ErrorKind.ENDPOINT_STALLED, "no report")
 
 
 class OrderWorld:
-    """A site, its two controllers, and the strikes that are due."""
+    """A site, its two controllers, and the pending strikes."""
 
     def __init__(self, strikes: tuple[Strike, ...], checks_fence: bool) -> None:
-        self.due = list(strikes)
+        self.pending = list(strikes)
         self.site = ControllerCluster(checks_fence=checks_fence, times=TIMES)
         self.site.document = self._document(())
         self.site.world.nodes = [("n1", "n1:1"), ("n2", "n2:1")]
         self.armed = False
         self.stopped: asyncio.Event | None = None
-        self.until: dict[str, float] = {}
-        self.table_next: EbonydealError | None = None
+        self.fault_until: dict[str, float] = {}
+        self.next_table_error: EbonydealError | None = None
         self.doubled: EngineOrder | None = None
         self.first = self.site.controller("n1", self._hook)
         self.second = self.site.controller("n2")
@@ -53,37 +53,37 @@
     async def _hook(self, when: str, operation: str) -> None:
         if self.stopped is not None:
             await self.stopped.wait()
-        await self._lasting(when, operation)
+        await self._apply_outages(when, operation)
         if not self.armed or operation != "order":
             return
-        for strike in list(self.due):
+        for strike in list(self.pending):
             if strike.when == (When.BEFORE if when == BEFORE else When.AFTER):
-                self.due.remove(strike)
+                self.pending.remove(strike)
                 await self._strike(strike)
 
-    async def _lasting(self, when: str, operation: str) -> None:
+    async def _apply_outages(self, when: str, operation: str) -> None:
         now = self.site.clock.now()
         if operation in TABLE:
             await self._table(when, now)
         if when == BEFORE and operation in ENGINE:
-            if now < self.until.get("away", 0.0):
-                raise AWAY
-            if operation == "load" and now < self.until.get("load", 0.0):
+            if now < self.fault_until.get("away", 0.0):
+                raise UNREACHABLE
+            if operation == "load" and now < self.fault_until.get("load", 0.0):
                 raise LOAD_LOST
 
     async def _table(self, when: str, now: float) -> None:
-        if when == BEFORE and now < self.until.get("down", 0.0):
+        if when == BEFORE and now < self.fault_until.get("down", 0.0):
             raise DOWN
-        if when == BEFORE and now < self.until.get("slow", 0.0):
+        if when == BEFORE and now < self.fault_until.get("slow", 0.0):
             await self.site.clock.sleep(SLOW_S)
-        failure = self.table_next
+        failure = self.next_table_error
         side = BEFORE if failure is DOWN else AFTER
         if failure is not None and when == side:
-            self.table_next = None
+            self.next_table_error = None
             raise failure
 
-    def _lasts(self, name: str) -> None:
-        self.until[name] = self.site.clock.now() + OUTAGE_ROUNDS * ROUND_S
+    def _start_outage(self, name: str) -> None:
+        self.fault_until[name] = self.site.clock.now() + OUTAGE_ROUNDS * ROUND_S
 
     async def _strike(self, strike: Strike) -> None:
         world = self.site.world
@@ -99,24 +99,24 @@
             case Row.START_REFUSED:
                 world.full.update({("z1", True), ("z1", False), ("z2", True)})
             case Row.TABLE_DOWN:
-                self._lasts("down")
+                self._start_outage("down")
             case Row.TABLE_SLOW:
-                self._lasts("slow")
+                self._start_outage("slow")
             case Row.TABLE_LOST:
-                self.table_next = LOST
+                self.next_table_error = LOST
             case Row.TABLE_REFUSED:
-                self.table_next = DOWN
+                self.next_table_error = DOWN
             case Row.TWO_OPERATORS:
                 self.site.document = self._document(("welsh", "breakfast"))
             case Row.LOAD:
-                self._lasts("load")
+                self._start_outage("load")
             case Row.UNREACHABLE:
-                self._lasts("away")
+                self._start_outage("away")
             case Row.DUPLICATED | Row.REORDERED:
-                spawn(self._land_again(strike.row))
+                spawn(self._deliver_again(strike.row))
 
-    async def _land_again(self, row: Row) -> None:
-        """Let the last order land a second time, after others."""
+    async def _deliver_again(self, row: Row) -> None:
+        """Deliver the first order again, after others."""
         await self.site.clock.sleep(ROUND_S * (2 if row is Row.DUPLICATED else 5))
         world = self.site.world
         if not world.orders:
@@ -129,7 +129,7 @@
 
     # --- the run ---------------------------------------------------------------
     async def rounds(self, controller: Any, number: int) -> bool:
-        """Do rounds while time goes on; return whether all came to an end."""
+        """Run rounds while time passes; return whether all of them ended."""
         for _ in range(number):
             task = spawn(self.site.rounds(controller, 1, 0.0))
             for _ in range(4):
@@ -147,10 +147,10 @@
     def broken_promises(self) -> list[str]:
         world = self.site.world
         broken = []
-        wanted = set(self.site.document.deployments["kitchen"].models)
-        wanted |= set(self.site.document.deployments["kitchen"].adapters)
+        expected = set(self.site.document.deployments["kitchen"].models)
+        expected |= set(self.site.document.deployments["kitchen"].adapters)
         for machine in world.live():
-            if set(machine.order.models) != wanted:
+            if set(machine.order.models) != expected:
                 broken.append(f"{machine.instance_id} has {machine.order.models}")
         recorded = {row["token"] for row in self.site.instance_rows()}
         started = {machine.token for machine in world.live()}
@@ -162,7 +162,7 @@
         return broken + self._late_orders()
 
     def _late_orders(self) -> list[str]:
-        """Return where an older holder's order came after a newer one's."""
+        """Return orders of an older holder that arrived after those of a newer one."""
         if not self.site.world.checks_fence:
             return []
         fences: dict[str, int] = {}
@@ -177,7 +177,7 @@
 async def run_order(
     strikes: tuple[Strike, ...], checks_fence: bool
 ) -> tuple[list[str], list[Strike]]:
-    """Bring a deployment up, change it under the strikes, and change the leader."""
+    """Start a deployment, change it under the strikes, and change the leader."""
     world = OrderWorld(strikes, checks_fence)
     await world.rounds(world.first, 6)
     world.armed = True
@@ -194,4 +194,4 @@
         await settle(100)
         await world.rounds(world.first, 2)
     await world.rounds(world.second, ROUNDS)
-    return world.broken_promises(), world.due
+    return world.broken_promises(), world.pending
--- a/tests/lib/matrix_page.py
+++ b/tests/lib/matrix_page.py
@@ -1,6 +1,6 @@
 """Writes docs/FAULT-MATRIX.md from the table that the tests run.
 
-``python -m tests.lib.matrix_page`` writes it anew.
+``python -m tests.lib.matrix_page`` rewrites it.
 """
 
 from pathlib import Path
--- a/tests/lib/matrix_places.py
+++ b/tests/lib/matrix_places.py
@@ -1,4 +1,4 @@
-"""What operators and the users of a place see of the configuration."""
+"""The configuration as operators and the users of a place observe it."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,20 +6,20 @@
 
 @dataclass
 class Place:
-    """What its users see: the versions in force, with their times."""
+    """An instance and its replacements, with the versions in force and their times."""
 
     name: str
     instance: Any
-    seen: list[tuple[float, int, int]] = field(default_factory=list)
+    versions_seen: list[tuple[float, int, int]] = field(default_factory=list)
     starts: int = 0
 
 
 @dataclass
 class Proposal:
-    """One operator's change, and what the operator was told last."""
+    """One operator's change and its last reported outcome."""
 
     operator: str
-    most: int
+    max_replicas: int
     id: str
     version: int = 0
     refused: bool = False
--- a/tests/lib/matrix_processes.py
+++ b/tests/lib/matrix_processes.py
@@ -21,12 +21,12 @@
 from ebonydeal._internal.settings.routing import RoutingSettings
 from tests.lib.clock import ManualClock
 from tests.lib.matrix import (
-    Behind,
-    BehindClock,
-    BehindEngine,
     Channel,
     Column,
     Gate,
+    GatedClient,
+    GatedClock,
+    GatedEngine,
     When,
     spawn,
 )
@@ -52,22 +52,22 @@
         self.name = name
         self.address = f"{name}:1"
         self.gate = Gate()
-        clock = BehindClock(world.clock, self.gate)
+        clock = GatedClock(world.clock, self.gate)
         metrics = Metrics()
         self.router = Router.from_config(RoutingSettings(), random.Random(name))
         picker = RoutedPicker(world.directory, self.router, PLACE, clock)
         self.dispatcher = Dispatcher(
             picker,
-            BehindEngine(world.engines, self),
-            Behind(world.services, self),
+            GatedEngine(world.engines, self),
+            GatedClient(world.services, self),
             cfg=CFG,
             clock=clock,
             metrics=metrics,
         )
         budget = Budget(CFG.writes_per_s, CFG.urgent_writes_per_s)
         parts = OwnerParts(
-            Behind(world.tables, self),
-            Behind(world.objects, self),
+            GatedClient(world.tables, self),
+            GatedClient(world.objects, self),
             self.dispatcher,
             Pacer(budget, clock.now()),
             CFG,
@@ -83,13 +83,13 @@
         await self.node.start()
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         alive = not self.gate.dead and self.gate.running.is_set()
         return alive and any(owner.serving for owner in self.node.owners.values())
 
-    async def answer(self, path: str, message: dict[str, Any]) -> dict[str, Any]:
+    async def handle(self, path: str, message: dict[str, Any]) -> dict[str, Any]:
         """Handle a call as the journal's listener does."""
-        await self.gate.passed()
+        await self.gate.wait_until_running()
         name = path.removeprefix(PATH_PREFIX)
         if name in ("accept", "call"):
             request = Request.from_message(message["request"])
@@ -108,12 +108,12 @@
 class Network:
     """Calls between gateways and journal processes; a `PeerClient`."""
 
-    def __init__(self, clock: ManualClock, reach: Any) -> None:
+    def __init__(self, clock: ManualClock, on_step: Any) -> None:
         self.processes: dict[str, Process] = {}
         self.unreachable: set[str] = set()
-        self.twists: list[str] = []
+        self.disturbances: list[str] = []
         self._clock = clock
-        self._reach = reach
+        self._on_step = on_step
         self._held: asyncio.Event | None = None
 
     async def call(
@@ -121,15 +121,15 @@
     ) -> dict[str, Any]:
         column = Column.ACCEPT if path.endswith(("accept", "call")) else Column.ANSWER
         process = self.processes.get(address)
-        await self._reach(column, Channel.PEER, When.BEFORE, process)
+        await self._on_step(column, Channel.PEER, When.BEFORE, process)
         if process is None or process.gate.dead or address in self.unreachable:
-            raise EbonydealError(ErrorKind.CONNECT_FAILED, f"{address} is away")
-        twist = self.twists.pop(0) if self.twists else ""
+            raise EbonydealError(ErrorKind.CONNECT_FAILED, f"{address} is unreachable")
+        disturbance = self.disturbances.pop(0) if self.disturbances else ""
         message = json.loads(json.dumps(message))
-        if twist == "duplicated":
+        if disturbance == "duplicated":
             spawn(self._reply(process, path, message))
-        reply = await self._race(process, path, message, timeout, twist)
-        await self._reach(column, Channel.PEER, When.AFTER, process)
+        reply = await self._race(process, path, message, timeout, disturbance)
+        await self._on_step(column, Channel.PEER, When.AFTER, process)
         if process.gate.dead:
             raise EbonydealError(ErrorKind.STORE_IN_DOUBT, "the connection broke")
         if "error" in reply and "request_id" not in reply:
@@ -140,31 +140,36 @@
         self, process: Process, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
         try:
-            reply = await process.answer(path, message)
+            reply = await process.handle(path, message)
         except EbonydealError as exc:
             reply = dict(exc.to_body())
         return json.loads(json.dumps(reply))
 
     async def _race(
-        self, process: Process, path: str, message: dict, timeout: float, twist: str
+        self,
+        process: Process,
+        path: str,
+        message: dict,
+        timeout: float,
+        disturbance: str,
     ) -> dict[str, Any]:
-        """Wait for the answer, the process's death or the timeout."""
-        answer = spawn(self._reply(process, path, message))
+        """Wait for the reply, the process's death or the timeout."""
+        reply = spawn(self._reply(process, path, message))
         died = asyncio.ensure_future(process.gate.died.wait())
         timer = asyncio.ensure_future(self._clock.sleep(timeout))
-        waits = {died, timer} if twist == "late" else {answer, died, timer}
-        if twist == "reordered":
+        waits = {died, timer} if disturbance == "late" else {reply, died, timer}
+        if disturbance == "reordered":
             self._held = asyncio.Event()
             await asyncio.wait(
                 {timer, asyncio.ensure_future(self._held.wait())},
                 return_when=asyncio.FIRST_COMPLETED,
             )
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        if not answer.done() or twist == "late":
-            raise EbonydealError(ErrorKind.STORE_IN_DOUBT, "no answer")
-        if self._held is not None and twist != "reordered":
+        if not reply.done() or disturbance == "late":
+            raise EbonydealError(ErrorKind.STORE_IN_DOUBT, "no reply")
+        if self._held is not None and disturbance != "reordered":
             self._held.set()
-        return answer.result()
+        return reply.result()
 
     async def close(self) -> None:
         pass
--- a/tests/lib/matrix_run.py
+++ b/tests/lib/matrix_run.py
@@ -1,4 +1,4 @@
-"""Runs strikes on the path that they belong to."""
+"""Runs strikes on their path."""
 
 import random
 from typing import NamedTuple
@@ -17,14 +17,14 @@
 
 
 class Verdict(NamedTuple):
-    """What strikes came to: broken promises, and strikes that never came."""
+    """Result of strikes: broken promises, and strikes whose step never occurred."""
 
     broken: list[str]
-    due: list[Strike]
+    pending: list[Strike]
 
 
 def run_strikes(strikes: tuple[Strike, ...]) -> Verdict:
-    """Run the path of the strikes, which all are on the same one."""
+    """Run the path of the strikes, which must all be on the same path."""
     column = strikes[0].column
     if column in JOURNAL_COLUMNS:
         return Verdict(*run_cell(run_journal(strikes)))
@@ -35,7 +35,7 @@
 
 
 def sampled_pairs() -> list[tuple[Strike, Strike]]:
-    """Return pairs of strikes on one path; a share is the same fault twice."""
+    """Return pairs of strikes on one path; some pairs have the same fault twice."""
     rng = random.Random(SEED)
     single = [strike for cell in cells() for strike in cell.strikes]
     journal = [item for item in single if item.column in JOURNAL_COLUMNS]
--- a/tests/lib/matrix_steps.py
+++ b/tests/lib/matrix_steps.py
@@ -2,7 +2,7 @@
 
 from ebonydeal._internal.outside.interfaces import Delete, Put
 from ebonydeal._internal.standin.faults import Operation
-from tests.lib.matrix import ACTOR, ASKING, Column
+from tests.lib.matrix import ACTOR, CALLER_COLUMN, Column
 
 _RECORDS = {
     "accepted": Column.COMMIT,
@@ -15,9 +15,9 @@
 def table_column(operation: Operation) -> Column | None:
     """Return the column of an operation on the table service."""
     if operation.name != "transact":
-        # A gateway looks for a request's owner.
+        # A gateway looks up the owner of a request.
         asked = operation.key.startswith("shards/") and ACTOR.get() is None
-        return ASKING.get() if asked else None
+        return CALLER_COLUMN.get() if asked else None
     for write in operation.detail[1]:
         match write:
             case Put(key, value) if key.startswith("journal/"):
@@ -41,7 +41,7 @@
 def object_column(operation: Operation, requests: set[str]) -> Column | None:
     """Return the column of an operation on the object store.
 
-    ``requests`` holds the digests of request bodies; others are of answers.
+    ``requests`` has the digests of request bodies; other bodies are answers.
     """
     if operation.key.startswith("snapshots/"):
         return {
--- a/tests/lib/matrix_strikes.py
+++ b/tests/lib/matrix_strikes.py
@@ -11,7 +11,7 @@
 SLOW_S = 3.0
 NOTICE_S = 12.0
 ZONE_NOTICE_S = 5.0
-NEW_WORK_S = 4.0
+NEW_REQUESTS_AFTER_S = 4.0
 PAUSE_S = 16.0
 SCAN_S = 3.0
 LATE_S = 35.0
@@ -29,42 +29,42 @@
 _ANNOUNCED = (Row.NOTICE, Row.ZONE_WAVE, Row.LOAD, Row.CACHE)
 
 
-class Striker:
-    """Strikes once at each step asked for, and knows what is still due."""
+class FaultInjector:
+    """Injects each strike once at its step, and tracks the pending ones."""
 
     def __init__(self, world: Any, strikes: tuple[Strike, ...]) -> None:
-        self.due = list(strikes)
+        self.pending = list(strikes)
         self.announced_only = all(item.row in _ANNOUNCED for item in strikes)
         self.armed = False
         self.slow_scans_until = 0.0
-        self.over = 0.0
+        self.last_fault_end = 0.0
         self._world = world
-        self._landing_next = False
+        self._apply_next = False
 
-    async def reach(
+    async def on_step(
         self, column: Column | None, channel: Channel, when: When, what: Any
     ) -> None:
-        """Come to a step; every operation of every process passes here."""
+        """Handle a step; called for every operation of every process."""
         if not self.armed:
             return
-        self._land_reordered(channel, when, what)
-        for strike in list(self.due):
+        self._apply_reordered(channel, when, what)
+        for strike in list(self.pending):
             meets = strike.channel
             if meets is Channel.HOST:
                 meets = Channel.ENDPOINT
             here = (strike.column, meets, strike.when)
-            if here == (column, channel, when) and _hits(strike, what):
-                self.due.remove(strike)
+            if here == (column, channel, when) and _matches_victim(strike, what):
+                self.pending.remove(strike)
                 await self._strike(strike, what)
 
-    def _land_reordered(self, channel: Channel, when: When, what: Any) -> None:
-        """Let a write that was overtaken land right after the next one."""
+    def _apply_reordered(self, channel: Channel, when: When, what: Any) -> None:
+        """Apply a reordered write right after the next write."""
         write = channel is Channel.TABLE and when is When.AFTER and what.is_write
-        if self._landing_next and write:
-            self._landing_next = False
+        if self._apply_next and write:
+            self._apply_next = False
             self._world.tables.land_late()
 
-    def lift(self) -> None:
+    def end_faults(self) -> None:
         """End all lasting faults."""
         world = self._world
         for store in (world.tables, world.objects):
@@ -73,7 +73,9 @@
         world.network.unreachable.clear()
 
     def _later(self, seconds: float, act: Any) -> None:
-        self.over = max(self.over, self._world.clock.now() + seconds)
+        self.last_fault_end = max(
+            self.last_fault_end, self._world.clock.now() + seconds
+        )
 
         async def wait() -> None:
             await self._world.clock.sleep(seconds)
@@ -107,10 +109,10 @@
                 if process is not None:
                     address = process.address
                     world.network.unreachable.add(address)
-                    away = world.network.unreachable
-                    self._later(OUTAGE_S, lambda: away.discard(address))
+                    unreachable = world.network.unreachable
+                    self._later(OUTAGE_S, lambda: unreachable.discard(address))
             case Row.LOAD:
-                self._report_badly()
+                self._send_bad_load_reports()
             case Row.CACHE:
                 self._send_cache_events()
             case row:
@@ -121,29 +123,29 @@
         return self._world.tables if is_table else self._world.objects
 
     async def _stop(self, what: Any, act: Any) -> None:
-        """Kill or pause the process at this step; its operation stays there."""
+        """Kill or pause the process at this step, which blocks its operation."""
         process = ACTOR.get() or self._world.owner()
         if process is not None:
             act(process)
             if ACTOR.get() is not None:
-                await process.gate.passed()
+                await process.gate.wait_until_running()
 
     def _pause(self, process: Any) -> None:
-        """Pause; a gateway that knows nothing of it asks right after."""
+        """Pause; right after the pause, a gateway with stale owners sends a request."""
         process.gate.running.clear()
 
         def resume() -> None:
-            # What it had begun goes on before it looks at who owns the shard.
+            # Its operations in flight continue before it reads who owns the shard.
             self.slow_scans_until = self._world.clock.now() + SCAN_S
             process.gate.running.set()
-            self._world.ask_quietly()
+            self._world.submit_with_stale_client()
 
         self._later(PAUSE_S, resume)
-        # The next owner has work of its own by then.
-        self._later(PAUSE_S - SCAN_S, self._world.ask_for_more)
+        # The next owner has its own requests by then.
+        self._later(PAUSE_S - SCAN_S, self._world.submit_more)
 
     def _announce(self, strike: Strike, what: Any) -> None:
-        """Give notice of one endpoint or of a zone, and carry it out later."""
+        """Announce the reclaim of an endpoint or a zone, and reclaim it later."""
         world = self._world
         wall = world.clock.wall()
         name = what.endpoint_id if isinstance(what, Run) else "e-1"
@@ -156,10 +158,10 @@
             process.dispatcher.on_endpoint_leaving(mark)
         self._later(notice, lambda: world.directory.gone.update(covered))
         if strike.row is Row.NOTICE:
-            self._later(NEW_WORK_S, world.ask_for_more)
+            self._later(NEW_REQUESTS_AFTER_S, world.submit_more)
 
-    def _report_badly(self) -> None:
-        """One engine's report is missing, one old and wrong, one from the future."""
+    def _send_bad_load_reports(self) -> None:
+        """Make one report missing, one old and wrong, and one from the future."""
         world = self._world
         views = world.directory.endpoints
         report = [None, _load(world, -60.0, 8), _load(world, 5.0, 0)]
@@ -167,7 +169,7 @@
             views[number] = views[number]._replace(load=load)
 
     def _send_cache_events(self) -> None:
-        """Late, doubled, out of order, with gaps, and of blocks nobody knows."""
+        """Send late, duplicate, unordered and unknown cache events, with gaps."""
         now = self._world.clock.wall()
         events = [(9, True, "b9"), (3, False, "b3"), (3, False, "b3"), (40, True, "b")]
         for process in self._world.processes:
@@ -175,31 +177,31 @@
                 process.router.apply_cache_events(endpoint, events, now)
 
     async def _disturb(self, row: Row, channel: Channel, what: Any) -> None:
-        """Lose, delay, double or reorder one message."""
+        """Lose, delay, duplicate or reorder one message."""
         world = self._world
         if channel is Channel.PEER:
-            world.network.twists.append(_twist(row))
+            world.network.disturbances.append(_disturbance(row))
         elif isinstance(what, Operation):
             store = world.tables if channel is Channel.TABLE else world.objects
             store.faults.plan[what.number] = _WRITE_FAULTS[row]
             if row is Row.REORDERED:
-                self._landing_next = True
+                self._apply_next = True
             elif row in (Row.LATE, Row.DUPLICATED):
                 self._later(LATE_WRITE_S, store.land_late)
         elif row is Row.LATE:
             await world.clock.sleep(LATE_S)
         elif isinstance(what, Run):
-            world.engines.twist[what.attempt_id] = _twist(row)
+            world.engines.disturbance[what.attempt_id] = _disturbance(row)
 
 
-def _hits(strike: Strike, what: Any) -> bool:
+def _matches_victim(strike: Strike, what: Any) -> bool:
     match what:
         case Run(tag=name) | Operation(name=name):
             return strike.victim in ("", name)
     return not strike.victim
 
 
-def _twist(row: Row) -> str:
+def _disturbance(row: Row) -> str:
     return {Row.LATE: "late", Row.DUPLICATED: "duplicated"}.get(row, "reordered")
 
 
--- a/tests/lib/matrix_table.py
+++ b/tests/lib/matrix_table.py
@@ -1,4 +1,4 @@
-"""What each cell of the fault matrix runs, or why it can't happen."""
+"""The strikes of each cell of the fault matrix, or why it can't happen."""
 
 from typing import NamedTuple
 
@@ -43,7 +43,7 @@
     (Column.HAND_OVER, _O): ("get", "names"),
     (Column.ORDER, _E): (CHECKS_FENCE, IGNORES_FENCE),
 }
-# Columns whose table operations are reads alone.
+# Columns whose table operations are only reads.
 _READS = (Column.ACCEPT, Column.ANSWER, Column.CONFIG_SPREAD)
 _STOPS = (Row.CRASH, Row.PAUSED)
 _LASTING = (
@@ -105,7 +105,7 @@
 
 
 class Cell(NamedTuple):
-    """One cell: strikes that each are run alone, or a reason for none."""
+    """One cell: strikes that are run one at a time, or the reason for none."""
 
     row: Row
     column: Column
@@ -114,7 +114,7 @@
 
 
 def cell(row: Row, column: Column) -> Cell:
-    """Return what a cell runs."""
+    """Return a cell with its strikes or the reason for none."""
     reason = _REASONS.get((row, column), "")
     strikes: tuple[Strike, ...] = ()
     if not reason:
@@ -123,7 +123,7 @@
 
 
 def cells() -> list[Cell]:
-    """Return the whole table, by rows."""
+    """Return all cells, row by row."""
     return [cell(row, column) for row in Row for column in Column]
 
 
@@ -137,7 +137,7 @@
 
 
 def _whens(row: Row, column: Column, channel: Channel) -> tuple[When, ...]:
-    """Return at which sides of a channel's operation a fault can strike."""
+    """Return whether a fault can occur before or after a channel's operation."""
     if channel is Channel.HOST and row is not Row.CRASH:
         return ()
     if row in _STOPS or column is Column.ORDER:
@@ -154,7 +154,7 @@
 
 
 def _can_disturb(row: Row, column: Column, channel: Channel) -> bool:
-    """Tell whether a message of this channel can be late, doubled or overtaken."""
+    """Return whether a message of this channel can be late, duplicated or reordered."""
     match channel:
         case Channel.PEER:
             return True
