--- a/src/ebonydeal/_internal/journal/attempts.py
+++ b/src/ebonydeal/_internal/journal/attempts.py
@@ -53,7 +53,8 @@
 MAX_BACKOFF_S = 15.0
 BODY_RETRY_DELAY_S = 1.0
 MIN_SERVER_ERROR_STATUS = 500
-MAX_SERVER_ERROR_RETRIES = 3
+# Failures of any kind after which an answer with a server error is final.
+MAX_FAILURES_FOR_RETRY = 3
 
 
 @dataclass(frozen=True)
@@ -258,7 +259,7 @@
         self._crashes.record_answer(job.request, answer.status)
         if (
             answer.status >= MIN_SERVER_ERROR_STATUS
-            and job.failures < MAX_SERVER_ERROR_RETRIES
+            and job.failures < MAX_FAILURES_FOR_RETRY
         ):
             return self._retry_elsewhere(job, view, RetryReason.ENDPOINT_FAILED)
         return await self._record_completed(job, answer)
