--- a/src/ebonydeal/_internal/console/__init__.py
+++ b/src/ebonydeal/_internal/console/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' forms and status pages."""
+"""Web console of operators: configuration forms and status pages."""
--- a/src/ebonydeal/_internal/console/api.py
+++ b/src/ebonydeal/_internal/console/api.py
@@ -1,4 +1,4 @@
-"""JSON API of the console, for the command line and for scripts."""
+"""JSON API of the console for the command line and scripts."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -11,7 +11,11 @@
 from ebonydeal._internal.config.rows import VersionInfo
 from ebonydeal._internal.config.store import Conflict
 from ebonydeal._internal.config.validate import validate
-from ebonydeal._internal.console.parts import MAX_NOTE, MAX_PROPOSAL, ConsoleParts
+from ebonydeal._internal.console.parts import (
+    MAX_NOTE_CHARS,
+    MAX_PROPOSAL_ID_CHARS,
+    ConsoleParts,
+)
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.models.endpoints import EndpointView
 from ebonydeal._internal.utils.web import error_response, read_json
@@ -19,11 +23,11 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 OPERATOR = web.RequestKey("operator", str)
-_HISTORY = 100
+_DEFAULT_HISTORY_ROWS = 100
 
 
 class Api:
-    """Handlers under ``/api/``; each call carries an operator's bearer token."""
+    """Handlers under ``/api/``; each call needs an operator's bearer token."""
 
     def __init__(self, parts: ConsoleParts) -> None:
         self._parts = parts
@@ -31,20 +35,20 @@
     def routes(self) -> list[web.RouteDef]:
         """Return the routes."""
         return [
-            web.get("/api/document", self._signed(self._show)),
-            web.post("/api/document", self._signed(self._propose)),
-            web.post("/api/check", self._signed(self._check)),
-            web.get("/api/history", self._signed(self._history)),
-            web.get("/api/diff", self._signed(self._diff)),
-            web.get("/api/status", self._signed(self._status)),
-            web.get("/api/endpoints", self._signed(self._endpoints)),
-            web.get("/api/explain/{id}", self._signed(self._explain)),
+            web.get("/api/document", self._authenticated(self._show)),
+            web.post("/api/document", self._authenticated(self._propose)),
+            web.post("/api/check", self._authenticated(self._check)),
+            web.get("/api/history", self._authenticated(self._history)),
+            web.get("/api/diff", self._authenticated(self._diff)),
+            web.get("/api/status", self._authenticated(self._status)),
+            web.get("/api/endpoints", self._authenticated(self._endpoints)),
+            web.get("/api/explain/{id}", self._authenticated(self._explain)),
         ]
 
-    def _signed(self, handler: Handler) -> Handler:
-        """Return ``handler`` behind the bearer token's check."""
+    def _authenticated(self, handler: Handler) -> Handler:
+        """Return ``handler`` wrapped in a check of the bearer token."""
 
-        async def signed(req: web.Request) -> web.StreamResponse:
+        async def authenticated(req: web.Request) -> web.StreamResponse:
             scheme, _, token = req.headers.get("Authorization", "").partition(" ")
             operator = None
             if scheme.lower() == "bearer":
@@ -56,20 +60,20 @@
             req[OPERATOR] = operator.name
             return await handler(req)
 
-        return signed
+        return authenticated
 
     async def _show(self, req: web.Request) -> web.Response:
         """``GET /api/document[?version=N]``."""
-        version = _number(req, "version", None)
+        version = _query_int(req, "version", None)
         content = await self._parts.store.load(version)
         return web.json_response(
             {"version": content.version, "document": join(content.items)}
         )
 
     async def _propose(self, req: web.Request) -> web.Response:
-        """``POST /api/document``: accepted whole, or every reason."""
+        """``POST /api/document``: accept the whole document, or return all problems."""
         body = await read_json(req)
-        base, note, proposal = _proposal(body)
+        base, note, proposal = _read_proposal(body)
         result = await self._parts.store.propose(
             body.get("document"),
             base,
@@ -84,14 +88,16 @@
                 return web.json_response({"version": version})
             case Failure(Conflict() as conflict):
                 self._parts.metrics.count_refusal(ErrorKind.CONFIG_CONFLICT)
-                return _conflicted(conflict)
+                return _conflict_response(conflict)
             case Failure(problems):
                 self._parts.metrics.count_refusal(ErrorKind.BAD_DOCUMENT)
-                return _refused(problems)
-        raise EbonydealError(ErrorKind.INTERNAL, "no outcome")
+                return _problems_response(problems)
+        raise EbonydealError(
+            ErrorKind.INTERNAL, "the configuration store returned an unexpected result"
+        )
 
     async def _check(self, req: web.Request) -> web.Response:
-        """``POST /api/check``: validation with present prices, nothing written."""
+        """``POST /api/check``: validate with current prices, without writing."""
         body = await read_json(req)
         offers = await self._parts.try_offers()
         checked = validate(body.get("document"), offers)
@@ -105,16 +111,20 @@
 
     async def _history(self, req: web.Request) -> web.Response:
         """``GET /api/history[?limit=N]``, newest first."""
-        infos = await self._parts.store.history(_number(req, "limit", _HISTORY))
-        return web.json_response({"versions": [_version(info) for info in infos]})
+        infos = await self._parts.store.history(
+            _query_int(req, "limit", _DEFAULT_HISTORY_ROWS)
+        )
+        return web.json_response(
+            {"versions": [_version_message(info) for info in infos]}
+        )
 
     async def _diff(self, req: web.Request) -> web.Response:
         """``GET /api/diff?a=N&b=M``; ``b`` is the head by default."""
-        a = _number(req, "a", None)
+        a = _query_int(req, "a", None)
         if a is None:
             raise EbonydealError(ErrorKind.BAD_REQUEST, "'a' is missing")
         old = await self._parts.store.load(a)
-        new = await self._parts.store.load(_number(req, "b", None))
+        new = await self._parts.store.load(_query_int(req, "b", None))
         lines = differences(old.items, new.items)
         return web.json_response(
             {
@@ -131,18 +141,22 @@
     async def _endpoints(self, _req: web.Request) -> web.Response:
         """``GET /api/endpoints``."""
         views = await self._parts.status.endpoints()
-        return web.json_response({"endpoints": [_endpoint(view) for view in views]})
+        return web.json_response(
+            {"endpoints": [_endpoint_message(view) for view in views]}
+        )
 
     async def _explain(self, req: web.Request) -> web.Response:
         """``GET /api/explain/{id}``."""
         steps = await self._parts.status.explain(req.match_info["id"])
         if steps is None:
-            raise EbonydealError(ErrorKind.NOT_FOUND, "no gateway knows this request")
+            raise EbonydealError(
+                ErrorKind.NOT_FOUND, "no gateway has a record of this request"
+            )
         return web.json_response({"steps": steps})
 
 
-def _number(req: web.Request, name: str, default: Any) -> Any:
-    """Return a whole number of the query; raises BAD_REQUEST."""
+def _query_int(req: web.Request, name: str, default: Any) -> Any:
+    """Return an integer query parameter; raises BAD_REQUEST."""
     text = req.query.get(name)
     if text is None:
         return default
@@ -154,7 +168,7 @@
         ) from exc
 
 
-def _proposal(body: dict[str, Any]) -> tuple[int, str, str]:
+def _read_proposal(body: dict[str, Any]) -> tuple[int, str, str]:
     """Return base version, note and proposal id; raises BAD_REQUEST."""
     match body:
         case {"base_version": bool()}:
@@ -162,7 +176,7 @@
         case {"document": _, "base_version": int(base)}:
             note, proposal = body.get("note", ""), body.get("proposal", "")
             if _is_text(note) and _is_text(proposal):
-                return base, note[:MAX_NOTE], proposal[:MAX_PROPOSAL]
+                return base, note[:MAX_NOTE_CHARS], proposal[:MAX_PROPOSAL_ID_CHARS]
     raise EbonydealError(
         ErrorKind.BAD_REQUEST,
         "the body must have 'document' and 'base_version' (a whole number), and may "
@@ -171,15 +185,15 @@
 
 
 def _is_text(value: Any) -> bool:
-    """Return whether a value is text that the table can keep."""
+    """Return whether a value is text that the table can store."""
     try:
         return isinstance(value, str) and value.encode() is not None
     except UnicodeEncodeError:
         return False
 
 
-def _refused(problems: list[Problem]) -> web.Response:
-    """Return the answer to an unsound document."""
+def _problems_response(problems: list[Problem]) -> web.Response:
+    """Return the response to an invalid document."""
     error = EbonydealError(
         ErrorKind.BAD_DOCUMENT, f"the document has {len(problems)} problem(s)."
     )
@@ -188,8 +202,8 @@
     return web.json_response(body, status=error.response.status)
 
 
-def _conflicted(conflict: Conflict) -> web.Response:
-    """Return the answer to a proposal that came too late."""
+def _conflict_response(conflict: Conflict) -> web.Response:
+    """Return the response to a proposal whose base version is no longer current."""
     error = EbonydealError(
         ErrorKind.CONFIG_CONFLICT,
         f"version {conflict.head} is in force, not {conflict.base}.",
@@ -199,14 +213,14 @@
     body["conflict"] = {
         "base": conflict.base,
         "head": conflict.head,
-        "versions": [_version(info) for info in conflict.versions],
+        "versions": [_version_message(info) for info in conflict.versions],
         "differences": [str(line) for line in conflict.differences],
     }
     return web.json_response(body, status=resp.status)
 
 
-def _version(info: VersionInfo) -> dict[str, Any]:
-    """Return the wire shape of a history entry."""
+def _version_message(info: VersionInfo) -> dict[str, Any]:
+    """Return the JSON object of a history entry."""
     return {
         "version": info.version,
         "by": info.by,
@@ -217,8 +231,8 @@
     }
 
 
-def _endpoint(view: EndpointView) -> dict[str, Any]:
-    """Return the wire shape of an endpoint."""
+def _endpoint_message(view: EndpointView) -> dict[str, Any]:
+    """Return the JSON object of an endpoint."""
     return {
         "endpoint_id": view.endpoint_id,
         "deployment": view.deployment,
--- a/src/ebonydeal/_internal/console/edits.py
+++ b/src/ebonydeal/_internal/console/edits.py
@@ -1,4 +1,4 @@
-"""What an operator asks to change, and the document that it makes; pure."""
+"""Edits of the configuration document and the documents they produce; no I/O."""
 
 import json
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True)
 class PutItem:
-    """Set an account or deployment.
+    """Add or replace an account or deployment.
 
-    ``original`` is the name it had, or empty for a new one; ``value`` the item's
-    JSON object.
+    ``original_name`` is the item's name before the edit, or empty for a new
+    item; ``value`` is the item's JSON object.
     """
 
     section: str
-    original: str
+    original_name: str
     value: dict[str, Any]
 
 
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class PutDocument:
-    """Set the whole document, as text."""
+    """Replace the whole document with the given JSON text."""
 
     text: str
 
 
 @dataclass(frozen=True)
 class RollForward:
-    """Set an older version's content."""
+    """Replace the document with the content of an older version."""
 
     old: Content
 
@@ -47,60 +47,60 @@
 Edit = PutItem | RemoveItem | PutDocument | RollForward
 
 
-def edited(content: Content, edit: Edit) -> Any:
-    """Return the whole document after ``edit``; unchecked.
+def apply_edit(content: Content, edit: Edit) -> Any:
+    """Return the whole document after ``edit``, without validating it.
 
-    A new item is appended beside one of the same name, so that validation
-    refuses it instead of replacing the other. Raises ValueError where a text
-    is no JSON.
+    A new item is appended even if its name is taken: validation then refuses
+    it, instead of the old item being replaced. Raises ValueError if the text
+    is not JSON.
     """
     document = join(content.items)
     match edit:
-        case PutItem(section=section, original=original, value=value):
-            document[section] = _replaced(document[section], original, value)
+        case PutItem(section=section, original_name=original_name, value=value):
+            document[section] = _replace_item(document[section], original_name, value)
         case RemoveItem(section=section, name=name):
             kept = [item for item in document[section] if item["name"] != name]
             document[section] = kept
         case PutDocument(text=text):
-            return _parsed(text)
+            return _parse_json(text)
         case RollForward(old=old):
             return join(old.items)
     return document
 
 
-def _replaced(
-    items: list[dict[str, Any]], original: str, value: dict[str, Any]
+def _replace_item(
+    items: list[dict[str, Any]], original_name: str, value: dict[str, Any]
 ) -> list[dict[str, Any]]:
-    """Return items with ``value`` in the place of ``original``, else at the end."""
+    """Return items with ``value`` replacing ``original_name``, or appended."""
     names = [item["name"] for item in items]
-    if original and original in names:
-        index = names.index(original)
+    if original_name and original_name in names:
+        index = names.index(original_name)
         return [*items[:index], value, *items[index + 1 :]]
     return [*items, value]
 
 
-def _parsed(text: str) -> Any:
-    """Return the JSON of a text; raises ValueError with a place."""
+def _parse_json(text: str) -> Any:
+    """Parse JSON; raises ValueError with line and column."""
     try:
         return json.loads(text)
     except json.JSONDecodeError as exc:
         raise ValueError(f"line {exc.lineno}, column {exc.colno}: {exc.msg}") from exc
     except RecursionError as exc:
-        raise ValueError("nests too deep") from exc
+        raise ValueError("nested too deeply") from exc
 
 
-def index_of(document: dict[str, Any], edit: PutItem) -> int:
-    """Return where the edited item stands in the document that `edited` made."""
+def edited_item_index(document: dict[str, Any], edit: PutItem) -> int:
+    """Return the index of the edited item in the document from `apply_edit`."""
     for index, item in enumerate(document[edit.section]):
         if item is edit.value:
             return index
     return -1
 
 
-def own_problems(
+def split_problems(
     problems: list[Problem], section: str, index: int
 ) -> tuple[list[Problem], list[Problem]]:
-    """Split problems into those of one item (path inside it) and the others."""
+    """Split problems into those of one item (paths relative to it) and the others."""
     own: list[Problem] = []
     others: list[Problem] = []
     for problem in problems:
@@ -111,13 +111,13 @@
     return own, others
 
 
-def edit_words(edit: Edit) -> str:
-    """Say what an edit does, for headings and the history."""
+def describe_edit(edit: Edit) -> str:
+    """Describe an edit, for headings and the history."""
     match edit:
-        case PutItem(section=section, original="", value=value):
+        case PutItem(section=section, original_name="", value=value):
             return f"Add {section[:-1]} {value.get('name', '')}"
-        case PutItem(section=section, original=original):
-            return f"Change {section[:-1]} {original}"
+        case PutItem(section=section, original_name=original_name):
+            return f"Change {section[:-1]} {original_name}"
         case RemoveItem(section=section, name=name):
             return f"Remove {section[:-1]} {name}"
         case RollForward(old=old):
--- a/src/ebonydeal/_internal/console/fields.py
+++ b/src/ebonydeal/_internal/console/fields.py
@@ -1,4 +1,4 @@
-"""Form fields that read what operators type: lists by line, local numbers."""
+"""Form fields for lists, one entry per line, and for localized numbers."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 
 
 class NumberField(FloatField):
-    """A number with a point or, as in Italian, a comma; empty means default."""
+    """A number with a decimal point or, as in Italian, a comma; empty means default."""
 
     def _value(self) -> str:
-        """Return the text to show: what was typed, or the shortest form."""
+        """Return the text to show: the posted text or the shortest number."""
         if self.raw_data:
             return str(self.raw_data[0])
         return "" if self.data is None else f"{self.data:.12g}"
@@ -44,7 +44,7 @@
 
 
 class LinesField(TextAreaField):
-    """A list, one entry a line."""
+    """A list, one entry per line."""
 
     data: Any
 
@@ -53,13 +53,13 @@
         return "\n".join(self.data or ())
 
     def process_formdata(self, valuelist: list[str]) -> None:
-        """Read the posted text; empty lines don't count."""
+        """Read the posted text; empty lines are ignored."""
         text = valuelist[0] if valuelist else ""
         self.data = [line.strip() for line in text.splitlines() if line.strip()]
 
 
 class AdaptersField(LinesField):
-    """Adapters, one ``name = model`` a line."""
+    """Adapters, one ``name = model`` per line."""
 
     def _value(self) -> str:
         """Return the text to show."""
@@ -81,9 +81,9 @@
 
 
 class CallsField(LinesField):
-    """Rules of calls, one ``METHOD /path repeat|once`` a line."""
+    """Call rules, one ``METHOD /path repeat|once`` per line."""
 
-    _WORDS = {"repeat": True, "once": False}
+    _IDEMPOTENT_BY_WORD = {"repeat": True, "once": False}
 
     def _value(self) -> str:
         """Return the text to show."""
@@ -102,18 +102,18 @@
 
     def _call(self, line: str) -> dict[str, Any]:
         words = line.split()
-        if len(words) != 3 or words[2] not in self._WORDS:
+        if len(words) != 3 or words[2] not in self._IDEMPOTENT_BY_WORD:
             raise ValueError(f"'{line}' is not 'METHOD /path repeat' or '... once'")
         method, path, word = words
         return {
             "method": method.upper(),
             "path": path,
-            "idempotent": self._WORDS[word],
+            "idempotent": self._IDEMPOTENT_BY_WORD[word],
         }
 
 
 class ChecksField(SelectMultipleField):
-    """Several of a list, as check boxes; what is gone meanwhile stays visible."""
+    """Check boxes; checked names that no longer exist stay visible."""
 
     widget = ListWidget(prefix_label=False)
     option_widget = CheckboxInput()
@@ -121,9 +121,9 @@
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, validate_choice=False, choices=[], **kwargs)
 
-    def offer(self, names: list[str]) -> None:
-        """Show these names, and those that are checked but no longer there."""
-        gone = [name for name in self.data or () if name not in names]
+    def set_choices(self, names: list[str]) -> None:
+        """Show these names, and checked names that no longer exist."""
+        removed = [name for name in self.data or () if name not in names]
         self.choices = [SelectChoice(name) for name in names] + [
-            SelectChoice(name, f"{name} (no longer there)") for name in gone
+            SelectChoice(name, f"{name} (no longer there)") for name in removed
         ]
--- a/src/ebonydeal/_internal/console/forms.py
+++ b/src/ebonydeal/_internal/console/forms.py
@@ -1,4 +1,4 @@
-"""Forms of accounts and deployments, and the items that they make."""
+"""Forms of accounts and deployments, and their conversion to items."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -48,50 +48,50 @@
 
 
 class ItemForm(Form):
-    """What the forms of both kinds of item share.
+    """Base of the forms of accounts and deployments.
 
-    ``fields_of`` maps a field's name to its path in the item.
+    ``field_paths`` maps a field's name to its path in the item.
     """
 
-    fields_of: dict[str, tuple[str, ...]] = {}
+    field_paths: dict[str, tuple[str, ...]] = {}
     defaults: Item = {}
 
     @classmethod
-    def show(cls, item: Item) -> "ItemForm":
-        """Return a form that shows an item, or the defaults for a new one."""
-        full = _merged(cls.defaults, item)
-        data = {name: _at(full, path) for name, path in cls.fields_of.items()}
+    def from_item(cls, item: Item) -> "ItemForm":
+        """Return a form filled with an item, or with the defaults if it is empty."""
+        full = _with_defaults(cls.defaults, item)
+        data = {name: _value_at(full, path) for name, path in cls.field_paths.items()}
         return cls(
             data={key: value for key, value in data.items() if value is not None}
         )
 
-    def item(self, original: Item) -> Item:
-        """Return the item that was typed; fields in error are left out.
+    def to_item(self, original: Item) -> Item:
+        """Return the item that was entered, without fields that have errors.
 
-        What the original left at its default and still is there stays out, so
-        that an unchanged form changes nothing.
+        A value that the original omits and that still equals its default is
+        omitted too, so that posting an unchanged form changes nothing.
         """
-        made: Item = {}
-        for name, path in self.fields_of.items():
+        built: Item = {}
+        for name, path in self.field_paths.items():
             field = self[name]
-            if not field.errors and not _unset(field.data):
-                _put(made, path, field.data)
-        return _tidied(made, original, self.defaults)
+            if not field.errors and not _is_empty(field.data):
+                _set_value_at(built, path, field.data)
+        return _drop_implicit_defaults(built, original, self.defaults)
 
-    def blame(self, problems: list[Problem]) -> list[Problem]:
-        """Put each problem beside its field; return those without one."""
+    def assign_problems(self, problems: list[Problem]) -> list[Problem]:
+        """Add each problem to the errors of its field; return those without a field."""
         left = []
         for problem in problems:
-            field = self._field_at(problem.path)
+            field = self._field_for_path(problem.path)
             if field is None:
                 left.append(problem)
             elif not (self[field].errors and problem.message == "is missing"):
                 self[field].errors = [*self[field].errors, problem.message]
         return left
 
-    def _field_at(self, path: Path) -> str | None:
-        """Return the field whose path leads to ``path``."""
-        for name, own in self.fields_of.items():
+    def _field_for_path(self, path: Path) -> str | None:
+        """Return the name of the field whose path contains or lies within ``path``."""
+        for name, own in self.field_paths.items():
             if path[: len(own)] == own or (path and own[: len(path)] == path):
                 return name
         return None
@@ -118,7 +118,7 @@
         "Highest priority", choices=_PRIORITIES, validate_choice=False
     )
 
-    fields_of = {
+    field_paths = {
         "name": ("name",),
         "title": ("title",),
         "key_hashes": ("key_hashes",),
@@ -129,8 +129,8 @@
     }
     defaults = ACCOUNT_DEFAULTS
 
-    def keep_new_key(self) -> None:
-        """Replace a typed key by its hash, so that no page carries the key."""
+    def hash_new_key(self) -> None:
+        """Replace an entered key by its hash, so that no page contains the key."""
         if self.new_key.data:
             hashes = [*(self.key_hashes.data or ()), hash_key(self.new_key.data)]
             self.key_hashes.data = hashes
@@ -176,7 +176,7 @@
         "Its engines refuse orders with an old fencing number"
     )
 
-    fields_of = {
+    field_paths = {
         "name": ("name",),
         "title": ("title",),
         "kind": ("kind",),
@@ -198,10 +198,10 @@
     }
     defaults = DEPLOYMENT_DEFAULTS
 
-    def offer(self, document: Mapping[str, Any]) -> None:
-        """Offer the document's accounts and zones."""
-        self.accounts.offer([item["name"] for item in document["accounts"]])
-        self.zones.offer(
+    def set_choices(self, document: Mapping[str, Any]) -> None:
+        """Set the choices to the document's accounts and zones."""
+        self.accounts.set_choices([item["name"] for item in document["accounts"]])
+        self.zones.set_choices(
             [zone for region in document["regions"] for zone in region["zones"]]
         )
 
@@ -212,12 +212,12 @@
 }
 
 
-def _unset(value: Any) -> bool:
-    """Return whether a field was left empty, so that the default holds."""
+def _is_empty(value: Any) -> bool:
+    """Return whether a field was left empty, so that the default applies."""
     return value is None or value == ""
 
 
-def _at(item: Item, path: tuple[str, ...]) -> Any:
+def _value_at(item: Item, path: tuple[str, ...]) -> Any:
     """Return the value at a path, or None."""
     value: Any = item
     for key in path:
@@ -225,15 +225,15 @@
     return value
 
 
-def _put(item: Item, path: tuple[str, ...], value: Any) -> None:
-    """Set the value at a path, making objects on the way."""
+def _set_value_at(item: Item, path: tuple[str, ...], value: Any) -> None:
+    """Set the value at a path, creating missing objects."""
     for key in path[:-1]:
         item = item.setdefault(key, {})
     item[path[-1]] = value
 
 
-def _merged(defaults: Item, item: Item) -> Item:
-    """Return ``item`` with defaults where it is silent."""
+def _with_defaults(defaults: Item, item: Item) -> Item:
+    """Return ``item`` with defaults for its missing keys."""
     merged = {**defaults, **item}
     for key, value in defaults.items():
         if isinstance(value, dict):
@@ -241,26 +241,26 @@
     return merged
 
 
-def _tidied(made: Item, original: Item, defaults: Item) -> Item:
-    """Return ``made`` without what the original leaves at its default."""
+def _drop_implicit_defaults(built: Item, original: Item, defaults: Item) -> Item:
+    """Return ``built`` without default values that the original omits."""
     kept: Item = {}
-    for key, value in made.items():
+    for key, value in built.items():
         before = original.get(key)
         default = defaults.get(key)
         if isinstance(value, dict):
-            value = _tidied(value, before or {}, default or {})
+            value = _drop_implicit_defaults(value, before or {}, default or {})
             if not value and key not in original:
                 continue
         elif key not in original and value == default:
             continue
-        elif _same_names(value, before):
+        elif _is_reordered(value, before):
             value = before
         kept[key] = value
     return kept
 
 
-def _same_names(value: Any, before: Any) -> bool:
-    """Return whether two lists name the same things in another order."""
+def _is_reordered(value: Any, before: Any) -> bool:
+    """Return whether two lists hold the same strings in any order."""
     if not (isinstance(value, list) and isinstance(before, list)):
         return False
     texts = all(isinstance(item, str) for item in [*value, *before])
--- a/src/ebonydeal/_internal/console/merge.py
+++ b/src/ebonydeal/_internal/console/merge.py
@@ -1,4 +1,4 @@
-"""Three-way merge of one item after another operator was faster; pure."""
+"""Three-way merge of one item after a conflicting edit; no I/O."""
 
 from typing import Any, NamedTuple
 
@@ -6,32 +6,32 @@
 _ABSENT = object()
 
 
-class Merged(NamedTuple):
+class MergeResult(NamedTuple):
     """A merged item.
 
-    ``clashes`` are dotted paths that both operators changed; there the own
-    input is kept.
+    ``clashes`` are dotted paths that both operators changed; ``item`` has the
+    own values there.
     """
 
     item: Item
     clashes: tuple[str, ...]
 
 
-def merge(base: Item, mine: Item, theirs: Item) -> Merged:
-    """Keep what I changed, and take over what only the other changed."""
+def merge(base: Item, mine: Item, theirs: Item) -> MergeResult:
+    """Keep the changes of ``mine``; elsewhere take those of ``theirs``."""
     clashes: list[str] = []
-    item = _objects(base, mine, theirs, "", clashes)
-    return Merged(item, tuple(clashes))
+    item = _merge_objects(base, mine, theirs, "", clashes)
+    return MergeResult(item, tuple(clashes))
 
 
-def _objects(
+def _merge_objects(
     base: Item, mine: Item, theirs: Item, path: str, clashes: list[str]
 ) -> Item:
     """Merge two objects key by key."""
     merged: Item = {}
     for key in dict.fromkeys([*mine, *theirs]):
         where = f"{path}.{key}" if path else key
-        value = _values(
+        value = _merge_values(
             base.get(key, _ABSENT),
             mine.get(key, _ABSENT),
             theirs.get(key, _ABSENT),
@@ -43,14 +43,16 @@
     return merged
 
 
-def _values(base: Any, mine: Any, theirs: Any, path: str, clashes: list[str]) -> Any:
-    """Merge one value; objects go deeper, lists are taken whole."""
+def _merge_values(
+    base: Any, mine: Any, theirs: Any, path: str, clashes: list[str]
+) -> Any:
+    """Merge one value; objects are merged recursively, lists as a whole."""
     if mine == theirs or theirs == base:
         return mine
     if mine == base:
         return theirs
     if isinstance(mine, dict) and isinstance(theirs, dict):
         before = base if isinstance(base, dict) else {}
-        return _objects(before, mine, theirs, path, clashes)
+        return _merge_objects(before, mine, theirs, path, clashes)
     clashes.append(path)
     return mine
--- a/src/ebonydeal/_internal/console/operators.py
+++ b/src/ebonydeal/_internal/console/operators.py
@@ -1,4 +1,4 @@
-"""Operators: who may sign in, by the salted hash of a token."""
+"""Operators who may sign in, identified by the salted hashes of their tokens."""
 
 from hashlib import sha256
 from typing import NamedTuple
@@ -6,19 +6,19 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.utils.keys import key_matches
 
-_STAMP_LENGTH = 16
+_FINGERPRINT_LENGTH = 16
 
 
 class Operator(NamedTuple):
-    """One operator; ``hashed`` is the salted hash of the token."""
+    """One operator; ``token_hash`` is salted."""
 
     name: str
-    hashed: str
+    token_hash: str
 
     @property
-    def stamp(self) -> str:
-        """Changes with the token, so that old sessions end with it."""
-        return sha256(self.hashed.encode()).hexdigest()[:_STAMP_LENGTH]
+    def token_fingerprint(self) -> str:
+        """A digest that changes with the token, which invalidates old sessions."""
+        return sha256(self.token_hash.encode()).hexdigest()[:_FINGERPRINT_LENGTH]
 
 
 class Operators:
@@ -38,24 +38,24 @@
         """Build from ``name:hash, name:hash``; raises BAD_SETTINGS."""
         operators = []
         for part in filter(None, (part.strip() for part in text.split(","))):
-            name, sep, hashed = part.partition(":")
-            if not (name.strip() and sep and "$" in hashed):
+            name, sep, token_hash = part.partition(":")
+            if not (name.strip() and sep and "$" in token_hash):
                 raise EbonydealError(
                     ErrorKind.BAD_SETTINGS,
                     "[console] operators must be name:hash, comma separated, with "
                     "hashes from 'ebonydeal key new'.",
                 )
-            operators.append(Operator(name.strip(), hashed.strip()))
+            operators.append(Operator(name.strip(), token_hash.strip()))
         return cls(tuple(operators))
 
     def by_token(self, token: str) -> Operator | None:
-        """Return whose token this is; all hashes are tried, whatever matches."""
+        """Return the token's operator; tries all hashes, even after a match."""
         found = None
         for operator in self._by_name.values():
-            if key_matches(token, operator.hashed):
+            if key_matches(token, operator.token_hash):
                 found = operator
         return found
 
     def by_name(self, name: str) -> Operator | None:
-        """Return an operator who still may sign in, or None."""
+        """Return an operator who may still sign in, or None."""
         return self._by_name.get(name)
--- a/src/ebonydeal/_internal/console/parts.py
+++ b/src/ebonydeal/_internal/console/parts.py
@@ -1,4 +1,4 @@
-"""What the console's handlers share."""
+"""Dependencies that the console's handlers share."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -18,11 +18,10 @@
 from ebonydeal._internal.outside.interfaces import Offer
 from ebonydeal._internal.utils.clock import Clock
 
-# Most characters of a note and of a proposal id.
-MAX_NOTE = 500
-MAX_PROPOSAL = 64
+MAX_NOTE_CHARS = 500
+MAX_PROPOSAL_ID_CHARS = 64
 
-Offers = Callable[[], Awaitable[list[Offer]]]
+ReadOffers = Callable[[], Awaitable[list[Offer]]]
 
 
 class ConsoleParts(NamedTuple):
@@ -34,23 +33,23 @@
     operators: Operators
     sessions: Sessions
     render: Renderer
-    offers: Offers
+    offers: ReadOffers
     metrics: Metrics
     clock: Clock
     rng: random.Random
 
-    async def current(self) -> Content:
-        """Return the newest content; while the table is out, the last good."""
+    async def current_content(self) -> Content:
+        """Return the newest content, or the last known if the table is unavailable."""
         await self.follower.try_refresh()
         return self.follower.topic.content
 
-    async def at(self, version: int) -> Content:
+    async def content_at(self, version: int) -> Content:
         """Return the content of a version; raises NOT_FOUND."""
         known = self.follower.topic.content
         return known if known.version == version else await self.store.load(version)
 
     async def try_offers(self) -> list[Offer] | None:
-        """Return present offers; None where the cloud can't be asked."""
+        """Return current offers, or None if the cloud is unavailable."""
         try:
             return await self.offers()
         except EbonydealError:
--- a/src/ebonydeal/_internal/console/posted.py
+++ b/src/ebonydeal/_internal/console/posted.py
@@ -1,22 +1,22 @@
-"""What browsers post, read with care."""
+"""Parsing of posted forms; invalid input is refused."""
 
 from typing import NamedTuple
 
 from aiohttp import web
 from multidict import MultiDict, MultiDictProxy
 
-from ebonydeal._internal.console.parts import MAX_NOTE, MAX_PROPOSAL
+from ebonydeal._internal.console.parts import MAX_NOTE_CHARS, MAX_PROPOSAL_ID_CHARS
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 
 FormData = MultiDictProxy[str]
 
-_NOT_CARRIED = ("csrf", "action", "base", "proposal", "note")
+_CONTROL_FIELDS = ("csrf", "action", "base", "proposal", "note")
 
 
 async def read_form(req: web.Request) -> FormData:
     """Return the text fields of a posted form; raises BAD_REQUEST.
 
-    Files are left out: no form of the console has any.
+    Uploaded files are ignored: no form of the console has a file field.
     """
     try:
         data = await req.post()
@@ -26,8 +26,8 @@
     return MultiDictProxy(MultiDict(texts))
 
 
-class Posted(NamedTuple):
-    """What every form of the console posts beside its own fields."""
+class PostedForm(NamedTuple):
+    """A posted form: all fields, and those that every form of the console has."""
 
     data: FormData
     action: str
@@ -36,7 +36,7 @@
     note: str
 
     @classmethod
-    async def read(cls, req: web.Request) -> "Posted":
+    async def read(cls, req: web.Request) -> "PostedForm":
         """Read a posted form; raises BAD_REQUEST."""
         data = await read_form(req)
         try:
@@ -49,19 +49,19 @@
             data=data,
             action=data.get("action", "preview"),
             base=base,
-            proposal=data.get("proposal", "")[:MAX_PROPOSAL],
-            note=data.get("note", "")[:MAX_NOTE],
+            proposal=data.get("proposal", "")[:MAX_PROPOSAL_ID_CHARS],
+            note=data.get("note", "")[:MAX_NOTE_CHARS],
         )
 
-    def carried(self) -> list[tuple[str, str]]:
-        """Return the form's own fields, for hidden inputs."""
+    def hidden_fields(self) -> list[tuple[str, str]]:
+        """Return the fields specific to this form, for hidden inputs."""
         return [
             (name, value)
             for name, value in self.data.items()
-            if name not in _NOT_CARRIED
+            if name not in _CONTROL_FIELDS
         ]
 
     @classmethod
-    def blank(cls, base: int, note: str = "") -> "Posted":
-        """Return what stands for a form that nobody has posted yet."""
+    def blank(cls, base: int, note: str = "") -> "PostedForm":
+        """Return an empty form, as a placeholder before the first post."""
         return cls(MultiDictProxy(MultiDict()), "preview", base, "", note)
--- a/src/ebonydeal/_internal/console/program.py
+++ b/src/ebonydeal/_internal/console/program.py
@@ -52,7 +52,7 @@
 
 
 def console_app(parts: ConsoleParts) -> web.Application:
-    """Return the application of all pages and of the JSON API."""
+    """Return the web application with all pages and the JSON API."""
     app = new_app(parts.metrics)
     app.middlewares.append(page_middleware(parts))
     app.add_routes(Api(parts).routes())
@@ -64,7 +64,7 @@
 
 
 class ConsoleProgram(Service):
-    """Everything of one console process.
+    """All services of one console process.
 
     Children, in the order of their start: TLS, peers, follower, listener.
 
@@ -73,7 +73,7 @@
     children : tuple of Service
         In the order of their start; the listener last.
     clients : tuple
-        Closed at the end.
+        Closed on shutdown.
     server : HttpServer
         The operators' listener.
     follower : ConfigFollower
@@ -89,7 +89,7 @@
     ) -> None:
         super().__init__()
         self.follower = follower
-        self._children_wanted = children
+        self._children_to_start = children
         self._clients = clients
         self._server = server
 
@@ -103,14 +103,14 @@
     ) -> "ConsoleProgram":
         """Build the tree from typed settings sections (see `SECTIONS`)."""
         cfg: ConsoleSettings = settings["console"]
-        own: NodeSettings = settings["node"]
+        node: NodeSettings = settings["node"]
         tls = TlsContexts.from_config(settings["tls"], clock)
         tables = HttpTables.from_config(settings["platform"])
         instances = HttpInstanceList.from_config(settings["platform"])
         cloud = HttpCloud.from_config(settings["platform"])
         client = PeerClient(settings["peers"].credential, tls.client)
         peers = PeerService.from_config(
-            own,
+            node,
             settings["peers"],
             metrics,
             clock,
@@ -144,10 +144,10 @@
         )
         server = HttpServer(
             console_app(parts),
-            own.host,
+            node.host,
             cfg.port,
             ssl_context=tls.server,
-            drain_seconds=own.drain_seconds,
+            drain_seconds=node.drain_seconds,
         )
         children = (tls, peers, follower, server)
         clients = (tables, instances, cloud, client)
@@ -155,12 +155,12 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` of the operators' listener; after the start."""
+        """``host:port`` of the operators' listener; available after the start."""
         return self._server.address
 
     async def on_start(self) -> None:
-        """Start the children, the listener last."""
-        for child in self._children_wanted:
+        """Start the children in order."""
+        for child in self._children_to_start:
             await self.add_runtime_dependency(child)
 
     async def on_shutdown(self) -> None:
--- a/src/ebonydeal/_internal/console/proposing.py
+++ b/src/ebonydeal/_internal/console/proposing.py
@@ -1,4 +1,4 @@
-"""From a sound edit to its preview, and from there to acceptance."""
+"""Preview and acceptance of a valid edit."""
 
 from typing import Any, NamedTuple
 
@@ -10,39 +10,40 @@
 from ebonydeal._internal.config.rows import Content
 from ebonydeal._internal.config.store import Conflict
 from ebonydeal._internal.config.validate import validate
-from ebonydeal._internal.console.edits import Edit, PutDocument, PutItem, edit_words
+from ebonydeal._internal.console.edits import Edit, PutDocument, PutItem, describe_edit
 from ebonydeal._internal.console.parts import ConsoleParts, operator_of
-from ebonydeal._internal.console.posted import Posted
+from ebonydeal._internal.console.posted import PostedForm
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import Offer
 
 
-class Step(NamedTuple):
-    """One sound edit on its way from the form to acceptance."""
+class PendingEdit(NamedTuple):
+    """A valid edit that has not been accepted yet."""
 
     req: web.Request
     base: Content
     edit: Edit
     document: Any
     offers: list[Offer] | None
-    posted: Posted
-    carried: list[tuple[str, str]]
+    posted: PostedForm
+    hidden_fields: list[tuple[str, str]]
 
 
-def problems_of(
+def find_problems(
     document: Any, offers: list[Offer] | None, action: str = "preview"
 ) -> list[Problem]:
     """Return every problem of a document.
 
-    Prices are left to the store at acceptance: it first looks whether the
-    proposal has already taken effect, which must never be told as refused.
+    At acceptance the store checks prices, not this function: the store first
+    checks whether the proposal has already taken effect, and such a proposal
+    must never be reported as refused.
     """
     checked = validate(document, None if action == "accept" else offers)
     return checked.failure() if isinstance(checked, Failure) else []
 
 
 class Proposer:
-    """Shows what an edit would change, and proposes it.
+    """Shows previews of edits and proposes them to the store.
 
     Parameters
     ----------
@@ -54,46 +55,48 @@
         self._parts = parts
 
     async def preview_or_accept(
-        self, step: Step
+        self, pending: PendingEdit
     ) -> web.Response | Conflict | list[Problem]:
-        """Do what the posted button says."""
-        if step.posted.action == "accept":
-            return await self._accept(step)
-        return self.preview(step, None)
-
-    def preview(self, step: Step, conflict: Conflict | None) -> web.Response:
-        """Show the document and the diff that acceptance would bring."""
-        lines = differences(step.base.items, split(step.document))
+        """Perform the action of the button that was pressed."""
+        if pending.posted.action == "accept":
+            return await self._accept(pending)
+        return self.preview(pending, None)
+
+    def preview(self, pending: PendingEdit, conflict: Conflict | None) -> web.Response:
+        """Show the resulting document and its differences from the base version."""
+        lines = differences(pending.base.items, split(pending.document))
         return self._parts.render.page(
-            step.req,
+            pending.req,
             "preview",
             status=409 if conflict else 200,
-            base=step.base.version,
+            base=pending.base.version,
             lines=lines,
-            document=step.document,
-            carried=step.carried,
+            document=pending.document,
+            carried=pending.hidden_fields,
             proposal=self._parts.store.new_proposal(),
-            note=step.posted.note,
+            note=pending.posted.note,
             conflict=conflict,
-            prices_checked=step.offers is not None,
-            edit=edit_words(step.edit),
-            can_go_back=isinstance(step.edit, PutItem | PutDocument),
+            prices_checked=pending.offers is not None,
+            edit=describe_edit(pending.edit),
+            can_go_back=isinstance(pending.edit, PutItem | PutDocument),
         )
 
-    async def _accept(self, step: Step) -> web.Response | Conflict | list[Problem]:
-        """Propose the document."""
-        posted = step.posted
+    async def _accept(
+        self, pending: PendingEdit
+    ) -> web.Response | Conflict | list[Problem]:
+        """Propose the document to the store."""
+        posted = pending.posted
         try:
             result = await self._parts.store.propose(
-                step.document,
+                pending.document,
                 posted.base,
-                operator_of(step.req),
-                posted.note or edit_words(step.edit),
-                offers=step.offers,
+                operator_of(pending.req),
+                posted.note or describe_edit(pending.edit),
+                offers=pending.offers,
                 proposal=posted.proposal or None,
             )
         except EbonydealError as exc:
-            return self._no_word(step, exc)
+            return self._show_store_error(pending, exc)
         match result:
             case Success(version):
                 await self._parts.follower.try_refresh()
@@ -101,19 +104,23 @@
                 return web.Response(status=303, headers={"Location": location})
             case Failure(refusal):
                 return refusal
-        raise EbonydealError(ErrorKind.INTERNAL, "no outcome")
+        raise EbonydealError(
+            ErrorKind.INTERNAL, "the configuration store returned an unexpected result"
+        )
 
-    def _no_word(self, step: Step, exc: EbonydealError) -> web.Response:
-        """Say what is known, and offer to ask again under the same id."""
+    def _show_store_error(
+        self, pending: PendingEdit, exc: EbonydealError
+    ) -> web.Response:
+        """Show the store's error and offer a retry with the same proposal id."""
         self._parts.metrics.count_refusal(exc.kind)
         return self._parts.render.page(
-            step.req,
+            pending.req,
             "no_word",
             status=exc.response.status,
             in_doubt=exc.kind == ErrorKind.STORE_IN_DOUBT,
             detail=exc.detail,
-            base=step.posted.base,
-            carried=step.carried,
-            proposal=step.posted.proposal,
-            note=step.posted.note,
+            base=pending.posted.base,
+            carried=pending.hidden_fields,
+            proposal=pending.posted.proposal,
+            note=pending.posted.note,
         )
--- a/src/ebonydeal/_internal/console/render.py
+++ b/src/ebonydeal/_internal/console/render.py
@@ -1,4 +1,4 @@
-"""Pages from templates, escaped by default."""
+"""Rendering of pages from templates, with automatic escaping."""
 
 import json
 from datetime import UTC, datetime
@@ -12,8 +12,8 @@
 from ebonydeal._internal.console.sessions import SESSION
 
 
-def _when(seconds: float) -> str:
-    """Return wall clock seconds as a UTC time for people; "?" for what is none."""
+def _format_time(seconds: float) -> str:
+    """Format seconds since 1970 as UTC; "?" if it is no valid time."""
     try:
         at = datetime.fromtimestamp(float(seconds), UTC)
     except PARSE_ERRORS + (OSError,):
@@ -21,13 +21,13 @@
     return at.strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
-def _as_json(value: Any) -> str:
-    """Return a value as readable JSON."""
+def _format_json(value: Any) -> str:
+    """Format a value as indented JSON."""
     return json.dumps(value, indent=2, ensure_ascii=False)
 
 
-def _money(value: Any) -> str:
-    """Return an amount with two decimals; a dash for what is none."""
+def _format_money(value: Any) -> str:
+    """Format an amount with two decimals; a dash if it is no number."""
     return f"{value:,.2f}" if isinstance(value, int | float) else "–"
 
 
@@ -40,15 +40,15 @@
         trim_blocks=True,
         lstrip_blocks=True,
     )
-    env.filters["when"] = _when
-    env.filters["money"] = _money
-    env.filters["as_json"] = _as_json
+    env.filters["when"] = _format_time
+    env.filters["money"] = _format_money
+    env.filters["as_json"] = _format_json
     env.globals["product_version"] = __version__
     return env
 
 
 class Renderer:
-    """Renders pages with what every page shows."""
+    """Renders pages, with the values that every page needs."""
 
     def __init__(self) -> None:
         self._env = _environment()
@@ -56,18 +56,18 @@
     def page(
         self, req: web.Request, name: str, *, status: int = 200, **values: Any
     ) -> web.Response:
-        """Return a page.
+        """Render a page.
 
         Parameters
         ----------
         req : web.Request
-            Gives the session and the path.
+            Supplies the session and the path.
         name : str
-            Template without its ending.
+            Template name without its extension.
         status : int
-            HTTP status.
+            HTTP status code.
         values
-            For the template.
+            Variables of the template.
         """
         text = self._env.get_template(f"{name}.html").render(
             session=req.get(SESSION), path=req.path, **values
--- a/src/ebonydeal/_internal/console/simple_pages.py
+++ b/src/ebonydeal/_internal/console/simple_pages.py
@@ -1,4 +1,4 @@
-"""Removal, whole document and roll forward: edits without a form of fields."""
+"""Pages of edits without form fields: remove, replace document, roll forward."""
 
 from typing import Any
 
@@ -13,17 +13,17 @@
     PutDocument,
     RemoveItem,
     RollForward,
-    edit_words,
-    edited,
+    apply_edit,
+    describe_edit,
 )
 from ebonydeal._internal.console.parts import ConsoleParts
-from ebonydeal._internal.console.posted import Posted
-from ebonydeal._internal.console.proposing import Proposer, Step, problems_of
+from ebonydeal._internal.console.posted import PostedForm
+from ebonydeal._internal.console.proposing import PendingEdit, Proposer, find_problems
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 
 
 class SimplePages:
-    """Handlers of edits that go straight to their preview."""
+    """Handlers of edits that need no item form before their preview."""
 
     def __init__(self, parts: ConsoleParts) -> None:
         self._parts = parts
@@ -37,42 +37,44 @@
             web.post(f"/remove/{section}/{{name}}", self._post_remove),
             web.get("/document/edit", self._document_page),
             web.post("/document/edit", self._post_document),
-            web.get("/roll-forward/{version}", self._roll_page),
-            web.post("/roll-forward/{version}", self._post_roll),
+            web.get("/roll-forward/{version}", self._roll_forward_page),
+            web.post("/roll-forward/{version}", self._post_roll_forward),
         ]
 
     async def _remove_page(self, req: web.Request) -> web.Response:
         """Preview a removal."""
-        content = await self._parts.current()
+        content = await self._parts.current_content()
         edit = RemoveItem(req.match_info["section"], req.match_info["name"])
         if ItemKey(edit.section, edit.name) not in content.items:
-            raise EbonydealError(ErrorKind.NOT_FOUND, f"No {edit.name} is there.")
-        return await self._show_simple(req, content, edit)
+            raise EbonydealError(
+                ErrorKind.NOT_FOUND, f"There is no item named '{edit.name}'."
+            )
+        return await self._show_preview(req, content, edit)
 
     async def _post_remove(self, req: web.Request) -> web.Response:
         edit = RemoveItem(req.match_info["section"], req.match_info["name"])
-        return await self._post_simple(req, edit)
+        return await self._post_edit(req, edit)
 
-    async def _roll_page(self, req: web.Request) -> web.Response:
-        """Preview an older content as a new version."""
-        edit = RollForward(await self._parts.store.load(version_of(req)))
-        return await self._show_simple(req, await self._parts.current(), edit)
+    async def _roll_forward_page(self, req: web.Request) -> web.Response:
+        """Preview the content of an older version as a new version."""
+        edit = RollForward(await self._parts.store.load(version_from_path(req)))
+        return await self._show_preview(req, await self._parts.current_content(), edit)
 
-    async def _post_roll(self, req: web.Request) -> web.Response:
-        edit = RollForward(await self._parts.store.load(version_of(req)))
-        return await self._post_simple(req, edit)
+    async def _post_roll_forward(self, req: web.Request) -> web.Response:
+        edit = RollForward(await self._parts.store.load(version_from_path(req)))
+        return await self._post_edit(req, edit)
 
     async def _document_page(self, req: web.Request) -> web.Response:
-        """Show the whole document as text to change."""
-        content = await self._parts.current()
+        """Show the whole document as editable text."""
+        content = await self._parts.current_content()
         return self._document_form(req, content.version, join(content.items), [])
 
     async def _post_document(self, req: web.Request) -> web.Response:
-        posted = await Posted.read(req)
+        posted = await PostedForm.read(req)
         text = posted.data.get("text", "")
         if posted.action == "back":
             return self._document_form(req, posted.base, text, [])
-        return await self._post_simple(req, PutDocument(text))
+        return await self._post_edit(req, PutDocument(text))
 
     def _document_form(
         self, req: web.Request, base: int, shown: Any, problems: list[Problem]
@@ -86,62 +88,64 @@
             problems=problems,
         )
 
-    async def _show_simple(
+    async def _show_preview(
         self,
         req: web.Request,
         base: Content,
         edit: Edit,
         conflict: Conflict | None = None,
-        posted: Posted | None = None,
+        posted: PostedForm | None = None,
     ) -> web.Response:
-        """Show the preview of an edit that has no form of its own."""
-        document = edited(base, edit)
+        """Preview an edit that has no item form."""
+        document = apply_edit(base, edit)
         offers = await self._parts.try_offers()
-        problems = problems_of(document, offers)
+        problems = find_problems(document, offers)
         if problems:
-            return self._refused(req, base, edit, problems)
+            return self._show_problems(req, base, edit, problems)
         note = posted.note if posted else ""
-        carried = posted.carried() if posted else []
-        blank = Posted.blank(base.version, note)
-        step = Step(req, base, edit, document, offers, blank, carried)
-        return self._proposer.preview(step, conflict)
-
-    async def _post_simple(self, req: web.Request, edit: Edit) -> web.Response:
-        """Preview or accept an edit that has no form of its own."""
-        posted = await Posted.read(req)
-        base = await self._parts.at(posted.base)
+        hidden_fields = posted.hidden_fields() if posted else []
+        blank = PostedForm.blank(base.version, note)
+        pending = PendingEdit(req, base, edit, document, offers, blank, hidden_fields)
+        return self._proposer.preview(pending, conflict)
+
+    async def _post_edit(self, req: web.Request, edit: Edit) -> web.Response:
+        """Preview or accept a posted edit that has no item form."""
+        posted = await PostedForm.read(req)
+        base = await self._parts.content_at(posted.base)
         try:
-            document = edited(base, edit)
+            document = apply_edit(base, edit)
         except ValueError as exc:
             problem = Problem((), f"The text is not JSON: {exc}.")
-            return self._refused(req, base, edit, [problem])
+            return self._show_problems(req, base, edit, [problem])
         offers = await self._parts.try_offers()
-        problems = problems_of(document, offers, posted.action)
+        problems = find_problems(document, offers, posted.action)
         if problems:
-            return self._refused(req, base, edit, problems)
-        step = Step(req, base, edit, document, offers, posted, posted.carried())
-        outcome = await self._proposer.preview_or_accept(step)
+            return self._show_problems(req, base, edit, problems)
+        pending = PendingEdit(
+            req, base, edit, document, offers, posted, posted.hidden_fields()
+        )
+        outcome = await self._proposer.preview_or_accept(pending)
         match outcome:
             case Conflict():
-                head = await self._parts.at(outcome.head)
-                return await self._show_simple(req, head, edit, outcome, posted)
+                head = await self._parts.content_at(outcome.head)
+                return await self._show_preview(req, head, edit, outcome, posted)
             case list():
-                return self._refused(req, base, edit, outcome)
+                return self._show_problems(req, base, edit, outcome)
         return outcome
 
-    def _refused(
+    def _show_problems(
         self, req: web.Request, base: Content, edit: Edit, problems: list[Problem]
     ) -> web.Response:
-        """Show why an edit without a form of its own can't be."""
+        """Show why an edit that has no item form was refused."""
         if isinstance(edit, PutDocument):
             return self._document_form(req, base.version, edit.text, problems)
         return self._parts.render.page(
-            req, "refused", status=422, problems=problems, edit=edit_words(edit)
+            req, "refused", status=422, problems=problems, edit=describe_edit(edit)
         )
 
 
-def version_of(req: web.Request) -> int:
-    """Return the version that the path names; raises NOT_FOUND."""
+def version_from_path(req: web.Request) -> int:
+    """Return the version number in the path; raises NOT_FOUND."""
     try:
         return int(req.match_info["version"])
     except ValueError as exc:
--- a/src/ebonydeal/_internal/console/status.py
+++ b/src/ebonydeal/_internal/console/status.py
@@ -1,4 +1,4 @@
-"""What the status pages show, gathered from wherever it can still be had."""
+"""Data of the status pages, collected from all sources that are available."""
 
 import asyncio
 from collections import Counter
@@ -25,10 +25,10 @@
 
 SPEND_PREFIX = "spend/"
 TRAIL_PREFIX = "trail/"
-MOST_ASKED = 64
-_CALL_S = 1.0
-_TRAIL_SHOWN = 50
-_PAGE = 1000
+MAX_POLLED_PROCESSES = 64
+_CALL_TIMEOUT_S = 1.0
+_MAX_TRAIL_ROWS = 50
+_SCAN_PAGE_ROWS = 1000
 
 
 class ZoneCount(NamedTuple):
@@ -41,10 +41,10 @@
 
 
 class DeploymentStatus(NamedTuple):
-    """One deployment as it stands.
+    """Current state of one deployment.
 
-    Prices in the document's currency an hour; ``spend`` is the controller's
-    row, empty where there is none.
+    Prices are per hour in the document's currency; ``spend`` is the
+    controller's row, or empty if there is none.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 
 class ProcessStatus(NamedTuple):
-    """One own process; ``version`` is None where it can't be asked."""
+    """One ebonydeal process; ``version`` is None if it did not answer."""
 
     id: str
     address: str
@@ -70,7 +70,7 @@
 
 
 class Status(NamedTuple):
-    """Everything at once; ``missing`` says what couldn't be read, and why."""
+    """The whole status; ``missing`` lists what could not be read, and why."""
 
     version: int
     currency: str
@@ -84,7 +84,7 @@
     missing: list[str]
 
     def to_message(self) -> dict[str, Any]:
-        """Return the wire shape."""
+        """Return the JSON object."""
         message: dict[str, Any] = self._asdict()
         message["deployments"] = [
             {**item._asdict(), "zones": [zone._asdict() for zone in item.zones]}
@@ -95,20 +95,20 @@
 
 
 class StatusReader:
-    """Reads status; a part that is out is named, and the rest is shown.
+    """Collects the status, even if some sources are unavailable.
 
     Parameters
     ----------
     follower : ConfigFollower
-        The configuration in force here.
+        The configuration in force in this process.
     tables, instances : Tables, InstanceList
         The platform.
     peers : PeerService
-        Other own processes.
+        The other ebonydeal processes.
     client : PeerClient
-        Asks them.
+        Calls the other processes.
     metrics : Metrics
-        Own counters.
+        Counters of this process.
     """
 
     def __init__(
@@ -128,18 +128,18 @@
         self._metrics = metrics
 
     async def read(self) -> Status:
-        """Gather everything."""
+        """Collect the whole status."""
         missing: list[str] = []
         views, spend, trail, answers = await asyncio.gather(
-            self._attempt("instance list", self.endpoints(), missing),
-            self._attempt("spend", self._rows(SPEND_PREFIX), missing),
-            self._attempt("event trail", self._rows(TRAIL_PREFIX), missing),
-            self._ask_all(),
+            self._read_or_note("instance list", self.endpoints(), missing),
+            self._read_or_note("spend", self._rows(SPEND_PREFIX), missing),
+            self._read_or_note("event trail", self._rows(TRAIL_PREFIX), missing),
+            self._poll_processes(),
         )
         document = self._follower.document
         by_name = {str(row.get("deployment")): row for row in spend}
         own = own_status_message(self._follower, self._metrics)
-        told = [own, *(answer for _, answer in answers if answer is not None)]
+        reports = [own, *(answer for _, answer in answers if answer is not None)]
         return Status(
             version=document.version,
             currency=self.currency,
@@ -147,12 +147,12 @@
                 deployment_status(item, views, by_name.get(item.name, {}))
                 for item in document.deployments.values()
             ],
-            processes=[_process(member, answer) for member, answer in answers],
+            processes=[_process_status(member, answer) for member, answer in answers],
             processes_known=len(self._peers.members()),
-            refusals=summed(item["refusals"] for item in told),
-            retries=summed(item["retries"] for item in told),
-            events=summed(item["events"] for item in told),
-            trail=newest(trail, _TRAIL_SHOWN),
+            refusals=sum_counts(item["refusals"] for item in reports),
+            retries=sum_counts(item["retries"] for item in reports),
+            events=sum_counts(item["events"] for item in reports),
+            trail=newest_rows(trail, _MAX_TRAIL_ROWS),
             missing=missing,
         )
 
@@ -166,19 +166,19 @@
 
     @property
     def document(self) -> Document:
-        """The configuration in force here."""
+        """The configuration in force in this process."""
         return self._follower.document
 
     async def endpoints(self) -> list[EndpointView]:
-        """Return the instance list; raises if it is out."""
+        """Return the instance list; raises if it is unavailable."""
         return await self._instances.endpoints()
 
     async def explain(self, request_id: str) -> list[dict[str, Any]] | None:
-        """Return what was decided for a request, from whichever gateway knows."""
+        """Return the decisions for a request from all gateways that have any."""
         gateways = [m for m in self._peers.members() if "gateway" in m.roles]
         body = {"request_id": request_id}
         found = await asyncio.gather(
-            *(self._ask(member, EXPLAIN_PATH, body) for member in gateways)
+            *(self._call(member, EXPLAIN_PATH, body) for member in gateways)
         )
         steps = [
             step
@@ -188,10 +188,10 @@
         ]
         return sorted(steps, key=lambda step: step.get("at", 0)) or None
 
-    async def _attempt(
+    async def _read_or_note(
         self, name: str, read: Awaitable[list[T]], missing: list[str]
     ) -> list[T]:
-        """Return what ``read`` gives, or nothing after noting why."""
+        """Return the result of ``read``, or [] and add the error to ``missing``."""
         try:
             return await read
         except EbonydealError as exc:
@@ -199,41 +199,43 @@
             return []
 
     async def _rows(self, prefix: str) -> list[dict[str, Any]]:
-        """Return the values of all rows of a prefix."""
+        """Return the values of all rows whose keys have a prefix."""
         values: list[dict[str, Any]] = []
         start = ""
         while True:
-            rows = await self._tables.scan(prefix, start, _PAGE)
+            rows = await self._tables.scan(prefix, start, _SCAN_PAGE_ROWS)
             values.extend(row.value for row in rows)
-            if len(rows) < _PAGE:
+            if len(rows) < _SCAN_PAGE_ROWS:
                 return values
             start = rows[-1].key + "\0"
 
-    async def _ask_all(self) -> list[tuple[Member, Any]]:
-        """Return the status of up to ``MOST_ASKED`` other processes."""
+    async def _poll_processes(self) -> list[tuple[Member, Any]]:
+        """Return the status of up to ``MAX_POLLED_PROCESSES`` other processes."""
         members = sorted(self._peers.members(), key=lambda member: member.id)
-        asked = members[:MOST_ASKED]
+        polled = members[:MAX_POLLED_PROCESSES]
         answers = await asyncio.gather(
-            *(self._ask(member, STATUS_PATH, {}) for member in asked)
+            *(self._call(member, STATUS_PATH, {}) for member in polled)
         )
         return [
-            (member, answer if _sound(answer) else None)
-            for member, answer in zip(asked, answers, strict=True)
+            (member, answer if _is_status_message(answer) else None)
+            for member, answer in zip(polled, answers, strict=True)
         ]
 
-    async def _ask(
+    async def _call(
         self, member: Member, path: str, body: dict[str, Any]
     ) -> dict[str, Any] | None:
         """Return a process's answer, or None."""
         try:
-            answer = await self._client.call(member.address, path, body, _CALL_S)
+            answer = await self._client.call(
+                member.address, path, body, _CALL_TIMEOUT_S
+            )
         except EbonydealError:
             return None
         return answer if isinstance(answer, dict) else None
 
 
-def _sound(answer: Any) -> bool:
-    """Return whether a process's answer has the wire shape."""
+def _is_status_message(answer: Any) -> bool:
+    """Return whether a process's answer has the expected fields."""
     match answer:
         case {
             "version": int(),
@@ -245,8 +247,8 @@
     return False
 
 
-def _process(member: Member, answer: Any) -> ProcessStatus:
-    """Return a process's line."""
+def _process_status(member: Member, answer: Any) -> ProcessStatus:
+    """Return a process's row of the status page."""
     return ProcessStatus(
         id=member.id,
         address=member.address,
@@ -260,7 +262,7 @@
 def deployment_status(
     item: Deployment, views: list[EndpointView], spend: dict[str, Any]
 ) -> DeploymentStatus:
-    """Return how a deployment stands by what the instance list says."""
+    """Return a deployment's status according to the instance list."""
     own = [view for view in views if view.deployment == item.name]
     zones = []
     for place in item.zones:
@@ -286,7 +288,7 @@
     )
 
 
-def summed(counts: Iterable[dict[str, int]]) -> dict[str, int]:
+def sum_counts(counts: Iterable[dict[str, int]]) -> dict[str, int]:
     """Return counts added up by name, largest first."""
     total: Counter[str] = Counter()
     for item in counts:
@@ -294,7 +296,7 @@
     return dict(total.most_common())
 
 
-def newest(rows: list[dict[str, Any]], limit: int) -> list[dict[str, Any]]:
+def newest_rows(rows: list[dict[str, Any]], limit: int) -> list[dict[str, Any]]:
     """Return the newest rows by time, newest first; rows without a time last."""
 
     def at(row: dict[str, Any]) -> float:
--- a/src/ebonydeal/_internal/console/view_pages.py
+++ b/src/ebonydeal/_internal/console/view_pages.py
@@ -1,4 +1,4 @@
-"""Pages that change nothing: status, lists, document, history, login."""
+"""Read-only pages: status, lists, document, history, login."""
 
 import random
 
@@ -7,15 +7,15 @@
 from ebonydeal._internal.config.delta import apply, differences, join
 from ebonydeal._internal.console.parts import ConsoleParts
 from ebonydeal._internal.console.posted import read_form
-from ebonydeal._internal.console.simple_pages import version_of
+from ebonydeal._internal.console.simple_pages import version_from_path
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 
-_FAILED_LOGIN_S = 1.0
-_HISTORY_SHOWN = 200
+_FAILED_LOGIN_DELAY_S = 1.0
+_MAX_HISTORY_ROWS = 200
 
 
 class ViewPages:
-    """Handlers of the pages that only show."""
+    """Handlers of the read-only pages."""
 
     def __init__(self, parts: ConsoleParts) -> None:
         self._parts = parts
@@ -45,8 +45,10 @@
         operator = self._parts.operators.by_token(token)
         if operator is None:
             self._parts.metrics.count_refusal(ErrorKind.UNAUTHORIZED)
-            # Slows guessing down; the spread hides nothing, it avoids bursts.
-            await self._parts.clock.sleep(_FAILED_LOGIN_S * _spread(self._parts.rng))
+            # The delay slows down guessing; the jitter only prevents bursts.
+            await self._parts.clock.sleep(
+                _FAILED_LOGIN_DELAY_S * _jitter(self._parts.rng)
+            )
             return self._parts.render.page(req, "login", status=401, failed=True)
         resp = web.Response(status=303, headers={"Location": "/"})
         self._parts.sessions.open(resp, operator)
@@ -83,7 +85,7 @@
 
     # --- configuration -------------------------------------------------------------
     async def _items(self, req: web.Request) -> web.Response:
-        content = await self._parts.current()
+        content = await self._parts.current_content()
         section = req.match_info["section"]
         return self._parts.render.page(
             req,
@@ -95,17 +97,17 @@
         )
 
     async def _document(self, req: web.Request) -> web.Response:
-        content = await self._parts.current()
+        content = await self._parts.current_content()
         return self._parts.render.page(
             req, "document", version=content.version, document=join(content.items)
         )
 
     async def _history(self, req: web.Request) -> web.Response:
-        infos = await self._parts.store.history(_HISTORY_SHOWN)
+        infos = await self._parts.store.history(_MAX_HISTORY_ROWS)
         return self._parts.render.page(req, "history", infos=infos)
 
     async def _version(self, req: web.Request) -> web.Response:
-        version = version_of(req)
+        version = version_from_path(req)
         info = await self._parts.store.version(version)
         before = (await self._parts.store.load(version - 1)).items
         return self._parts.render.page(
@@ -113,11 +115,11 @@
             "version",
             info=info,
             lines=differences(before, apply(before, info.delta)),
-            head=(await self._parts.current()).version,
+            head=(await self._parts.current_content()).version,
             accepted="accepted" in req.query,
         )
 
 
-def _spread(rng: random.Random) -> float:
-    """Return a factor around one."""
+def _jitter(rng: random.Random) -> float:
+    """Return a random factor around one."""
     return rng.uniform(0.5, 1.5)
--- a/tests/functional/console/conftest.py
+++ b/tests/functional/console/conftest.py
@@ -1,4 +1,4 @@
-"""A console for each test."""
+"""Fixtures: an empty console, and one with a document."""
 
 import pytest
 
--- a/tests/functional/console/test_access.py
+++ b/tests/functional/console/test_access.py
@@ -1,11 +1,11 @@
-"""Who gets in, and what a page may do."""
+"""Sign-in, CSRF and origin checks, security headers, malformed posts."""
 
 import pytest
 from aiohttp import FormData
 
 from ebonydeal._internal.errors import ErrorKind
 from tests.lib.console import TOKENS
-from tests.lib.html_forms import changed
+from tests.lib.html_forms import with_fields
 
 PAGES = ["/", "/deployments", "/accounts", "/document", "/history", "/add/accounts"]
 
@@ -17,14 +17,14 @@
         await browser.get(path)
         assert browser.path == "/login"
 
-    async def test_wrong_token_says_what_to_do(self, filled):
+    async def test_wrong_token_is_refused_with_a_hint(self, filled):
         browser = await filled.browser()
         page = await browser.post("/login", {"token": "guess"})
         assert browser.status == 401
         assert "This token is not known" in page.text
         assert filled.metrics.value("refusals", ErrorKind.UNAUTHORIZED) == 1
 
-    async def test_cookie_is_closed_to_scripts_and_other_sites(self, filled):
+    async def test_cookie_is_inaccessible_to_scripts_and_other_sites(self, filled):
         browser = await filled.browser()
         resp = await browser.client.post(
             "/login", data={"token": TOKENS["nia"]}, allow_redirects=False
@@ -33,7 +33,7 @@
         assert "HttpOnly" in cookie
         assert "SameSite=Strict" in cookie
 
-    async def test_sign_out(self, filled):
+    async def test_sign_out_ends_the_session(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/")
         csrf = dict(browser.page.forms[0])["csrf"]
@@ -41,7 +41,7 @@
         await browser.get("/")
         assert browser.path == "/login"
 
-    async def test_forged_cookie(self, filled):
+    async def test_forged_cookie_is_refused(self, filled):
         browser = await filled.browser()
         browser.client.session.cookie_jar.update_cookies(
             {"ebonydeal_session": "WyJuaWEiLCJ4IiwieSJd.aaaa.bbbb"}
@@ -51,7 +51,7 @@
 
 
 class TestForms:
-    async def test_post_without_the_token_is_refused(self, filled):
+    async def test_post_without_csrf_token_is_refused(self, filled):
         browser = await filled.browser("nia")
         page = await browser.get("/remove/deployments/paperwork")
         form = [pair for pair in page.main_form() if pair[0] != "csrf"]
@@ -61,7 +61,7 @@
         assert browser.status == 403
         assert filled.tables.rows["config/head"].value == {"version": 1}
 
-    async def test_another_sites_form_is_refused(self, filled):
+    async def test_form_from_another_site_is_refused(self, filled):
         browser = await filled.browser("nia")
         page = await browser.get("/remove/deployments/paperwork")
         resp = await browser.client.post(
@@ -88,7 +88,7 @@
     @pytest.mark.parametrize(
         "path", ["/nowhere", "/edit/accounts/nobody", "/history/99", "/history/x"]
     )
-    async def test_missing_pages_are_pages(self, filled, path):
+    async def test_not_found_is_shown_as_a_page(self, filled, path):
         browser = await filled.browser("nia")
         page = await browser.get(path)
         assert browser.status == 404
@@ -118,25 +118,25 @@
         assert page.labels <= set(page.ids)
 
 
-class TestBrokenPosts:
+class TestMalformedPosts:
     async def post(self, filled, **options):
         browser = await filled.browser("nia")
         resp = await browser.client.post("/add/deployments", **options)
         return resp.status
 
-    async def test_multipart_without_boundary(self, filled):
+    async def test_multipart_without_boundary_is_refused(self, filled):
         headers = {"Content-Type": "multipart/form-data"}
         assert await self.post(filled, data=b"x", headers=headers) == 400
 
-    async def test_unknown_charset(self, filled):
+    async def test_unknown_charset_is_refused(self, filled):
         headers = {"Content-Type": "application/x-www-form-urlencoded; charset=welsh"}
         assert await self.post(filled, data=b"csrf=x", headers=headers) == 400
 
-    async def test_bytes_that_are_no_text(self, filled):
+    async def test_invalid_utf8_is_refused(self, filled):
         headers = {"Content-Type": "application/x-www-form-urlencoded"}
         assert await self.post(filled, data=b"csrf=\xff", headers=headers) == 400
 
-    async def test_file_in_the_place_of_a_field(self, filled):
+    async def test_file_instead_of_a_text_field_is_refused(self, filled):
         browser = await filled.browser("nia")
         page = await browser.get("/add/deployments")
         data = FormData()
@@ -148,8 +148,8 @@
         assert resp.status == 422
 
     @pytest.mark.parametrize("base", ["", "x", "-1", "99"])
-    async def test_base_that_is_none(self, filled, base):
+    async def test_invalid_base_version_is_refused(self, filled, base):
         browser = await filled.browser("nia")
         page = await browser.get("/add/accounts")
-        await browser.post("/add/accounts", changed(page.main_form(), base=base))
+        await browser.post("/add/accounts", with_fields(page.main_form(), base=base))
         assert browser.status in (400, 404)
--- a/tests/functional/console/test_api.py
+++ b/tests/functional/console/test_api.py
@@ -1,4 +1,4 @@
-"""The JSON API, and the command line against it."""
+"""The JSON API, and the commands that call it."""
 
 import asyncio
 import json
@@ -17,9 +17,9 @@
 HEADERS = {"Authorization": f"Bearer {TOKENS['nia']}"}
 
 
-def edited(most):
+def make_document(max_replicas):
     document = example_document("cadwaladr")
-    document["deployments"][0]["replicas"]["max"] = most
+    document["deployments"][0]["replicas"]["max"] = max_replicas
     return document
 
 
@@ -32,7 +32,7 @@
     @pytest.mark.parametrize(
         "headers", [{}, {"Authorization": "Bearer x"}, {"Authorization": "Basic bmlh"}]
     )
-    async def test_needs_a_token(self, filled, headers):
+    async def test_missing_or_wrong_token_is_refused(self, filled, headers):
         status, body = await self.post(filled, {}, headers)
         assert (status, body["error"]["code"]) == (401, "unauthorized")
 
@@ -41,14 +41,14 @@
         resp = await browser.client.get("/api/document")
         assert resp.status == 401
 
-    async def test_accepted(self, filled):
-        body = {"document": edited(80), "base_version": 1, "note": "n"}
+    async def test_valid_document_is_accepted(self, filled):
+        body = {"document": make_document(80), "base_version": 1, "note": "n"}
         assert await self.post(filled, body) == (200, {"version": 2})
         info = await filled.store.version(2)
         assert (info.by, info.note) == ("nia", "n")
 
-    async def test_refused_with_every_reason(self, filled):
-        document = edited(3)
+    async def test_invalid_document_is_refused_with_all_problems(self, filled):
+        document = make_document(3)
         document["deployments"][0]["price_ceiling_per_hour"] = 0.5
         status, body = await self.post(
             filled, {"document": document, "base_version": 1}
@@ -59,9 +59,9 @@
             "deployments[0].replicas.min",
         ]
 
-    async def test_conflict_tells_what_changed(self, filled):
-        await filled.store.propose(edited(80), 1, "rhys", "fewer")
-        body = {"document": edited(70), "base_version": 1}
+    async def test_conflict_lists_the_changes(self, filled):
+        await filled.store.propose(make_document(80), 1, "rhys", "fewer")
+        body = {"document": make_document(70), "base_version": 1}
         status, body = await self.post(filled, body)
         assert (status, body["error"]["code"]) == (409, "config_conflict")
         assert body["conflict"]["head"] == 2
@@ -82,12 +82,12 @@
             {"document": {}, "base_version": 1, "note": "\ud800"},
         ],
     )
-    async def test_garbage(self, filled, body):
+    async def test_malformed_body_is_refused(self, filled, body):
         status, answer = await self.post(filled, body)
         assert (status, answer["error"]["code"]) == (400, "bad_request")
 
     @pytest.mark.parametrize("document", [None, [], "x", {}, {"accounts": {}}])
-    async def test_documents_that_are_none(self, filled, document):
+    async def test_value_that_is_no_document_is_refused(self, filled, document):
         body = {"document": document, "base_version": 1}
         status, answer = await self.post(filled, body)
         assert status == 422
@@ -96,14 +96,14 @@
     @pytest.mark.parametrize(
         "path", ["/api/diff", "/api/diff?a=x", "/api/document?version=1.5"]
     )
-    async def test_bad_numbers(self, filled, path):
+    async def test_invalid_query_number_is_refused(self, filled, path):
         browser = await filled.browser()
         resp = await browser.client.get(path, headers=HEADERS)
         assert resp.status == 400
 
 
 class ServerThread:
-    """Runs the fixture's server in a loop of its own, as a process would."""
+    """Runs the fixture's server in a separate thread and event loop."""
 
     def __init__(self, console):
         self.console = console
@@ -128,7 +128,7 @@
 @pytest.fixture
 def online():
     console = ConsoleFixture()
-    # The server's logs would mix with the command's output in this process.
+    # Captured because the server's logs would mix with the command's output.
     with capture_logs(), ServerThread(console):
         url = str(console.server.make_url("/"))
         env = {"EBONYDEAL_CONSOLE": url, "EBONYDEAL_TOKEN": TOKENS["nia"]}
@@ -152,9 +152,9 @@
 
 class TestDocumentCommand:
     def test_apply_show_diff_history(self, online, write):
-        first = online("document", "apply", write(edited(90)), "--note", "first")
+        first = online("document", "apply", write(make_document(90)), "--note", "first")
         assert (first.exit_code, first.stdout) == (0, "version 1 is in force\n")
-        assert online("document", "apply", write(edited(80))).exit_code == 0
+        assert online("document", "apply", write(make_document(80))).exit_code == 0
         shown = online("document", "show", "--version", "1")
         assert json.loads(shown.stdout)["deployments"][0]["replicas"]["max"] == 90
         assert online("document", "diff", "1").stdout == (
@@ -164,47 +164,51 @@
         assert [line.split()[0] for line in lines] == ["version", "2", "1"]
         assert lines[2].endswith("first")
 
-    def test_conflict(self, online, write):
-        online("document", "apply", write(edited(90)))
-        online("document", "apply", write(edited(80)), "--base", "1")
-        late = online("document", "apply", write(edited(70)), "--base", "1")
+    def test_conflict_fails_with_the_differences(self, online, write):
+        online("document", "apply", write(make_document(90)))
+        online("document", "apply", write(make_document(80)), "--base", "1")
+        late = online("document", "apply", write(make_document(70)), "--base", "1")
         assert late.exit_code == 4
         assert "version 2 by nia" in late.stderr
         assert "replicas.max: 90 -> 80" in late.stderr
 
-    def test_refused(self, online, write):
-        document = edited(3)
+    def test_invalid_document_fails_with_all_problems(self, online, write):
+        document = make_document(3)
         document["deployments"][0]["zones"] = ["nowhere"]
         refused = online("document", "apply", write(document))
         assert refused.exit_code == 3
         assert "deployments[0].zones[0]: no zone is named 'nowhere'" in refused.stderr
         assert "deployments[0].replicas.min" in refused.stderr
 
-    def test_in_doubt_then_the_same_proposal(self, online, write):
+    def test_retry_with_the_same_proposal_after_an_unknown_outcome(self, online, write):
         online.console.tables.write_faults = ["lost", *["down"] * 30]
-        doubt = online("document", "apply", write(edited(90)), "--proposal", "p-7")
+        doubt = online(
+            "document", "apply", write(make_document(90)), "--proposal", "p-7"
+        )
         assert doubt.exit_code == 6
         online.console.tables.write_faults = []
-        args = ("document", "apply", write(edited(90)), "--proposal", "p-7")
+        args = ("document", "apply", write(make_document(90)), "--proposal", "p-7")
         again = online(*args, "--base", "0")
         assert (again.exit_code, again.stdout) == (0, "version 1 is in force\n")
 
-    def test_wrong_token(self, online, write):
-        result = online("document", "apply", write(edited(90)), EBONYDEAL_TOKEN="x")
+    def test_wrong_token_fails_with_a_hint(self, online, write):
+        result = online(
+            "document", "apply", write(make_document(90)), EBONYDEAL_TOKEN="x"
+        )
         assert result.exit_code == 7
         assert "EBONYDEAL_TOKEN" in result.stderr
 
-    def test_no_console(self, write):
+    def test_unreachable_console_fails_with_a_hint(self, write):
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             url = f"http://127.0.0.1:{taken.getsockname()[1]}"
-            args = ["document", "apply", write(edited(90)), "--console", url]
+            args = ["document", "apply", write(make_document(90)), "--console", url]
             result = CliRunner().invoke(main, [*args, "--base", "0"])
         assert result.exit_code == 5
         assert "Check --console" in result.stderr
 
-    def test_online_check_knows_prices(self, online, write):
-        document = edited(90)
+    def test_online_check_includes_prices(self, online, write):
+        document = make_document(90)
         document["deployments"][0]["price_ceiling_per_hour"] = 0.5
         assert online("document", "check", write(document)).exit_code == 0
         checked = online("document", "check", write(document), "--online")
@@ -217,18 +221,18 @@
         ("content", "code"),
         [("{", 2), ("[1, 2", 2), ("[" * 200_000, 2), ("[]", 3), ("{}", 3), ("NaN", 3)],
     )
-    def test_bad_files(self, write, content, code):
+    def test_invalid_files_fail_without_a_traceback(self, write, content, code):
         result = CliRunner().invoke(main, ["document", "check", write(content)])
         assert result.exit_code == code
         assert isinstance(result.exception, SystemExit)
         assert result.stderr
 
-    def test_json_output(self, write):
+    def test_json_output_lists_problems(self, write):
         result = CliRunner().invoke(main, ["document", "check", "--json", write("{}")])
         wheres = [item["where"] for item in json.loads(result.stdout)["problems"]]
         assert wheres == ["accounts", "currency", "deployments", "regions"]
 
-    def test_examples_are_sound(self, write):
+    def test_examples_are_valid(self, write):
         for name in ("cadwaladr", "palermo"):
             text = CliRunner().invoke(main, ["document", "example", name]).stdout
             result = CliRunner().invoke(main, ["document", "check", write(text)])
@@ -237,7 +241,7 @@
 
 class TestStatusCommands:
     def test_status(self, online, write):
-        online("document", "apply", write(edited(90)))
+        online("document", "apply", write(make_document(90)))
         online.console.instances.views = [view(1, "de-cymru-1")]
         shown = online("status").stdout
         assert "document version 1" in shown
@@ -251,7 +255,7 @@
         listed = json.loads(online("endpoints", "--json").stdout)["endpoints"]
         assert [item["endpoint_id"] for item in listed] == ["e1", "e2"]
 
-    def test_instance_list_out(self, online):
+    def test_unavailable_instance_list_is_reported(self, online):
         online.console.instances.down = True
         assert online("endpoints").exit_code == 5
         status = online("status")
--- a/tests/functional/console/test_editing.py
+++ b/tests/functional/console/test_editing.py
@@ -1,4 +1,4 @@
-"""Forms from start to acceptance, or to every reason."""
+"""Editing with forms, up to acceptance or refusal with all problems."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 class TestCreate:
-    async def test_deployment(self, filled):
+    async def test_deployment_is_added(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/add/deployments")
         page = await browser.submit(
@@ -47,7 +47,7 @@
         info = await filled.store.version(2)
         assert (info.by, info.note) == ("nia", "for the feast")
 
-    async def test_account_with_a_new_key(self, filled):
+    async def test_new_account_key_is_stored_as_a_hash(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/add/accounts")
         page = await browser.submit("preview", name="rota", new_key="very-secret-key")
@@ -56,7 +56,7 @@
         (hashed,) = (await item(filled, "accounts", "rota"))["key_hashes"]
         assert key_matches("very-secret-key", hashed)
 
-    async def test_first_document_as_text(self, console):
+    async def test_first_document_is_entered_as_text(self, console):
         from ebonydeal._internal.config.examples import example_document
 
         browser = await console.browser("rhys")
@@ -77,7 +77,7 @@
         page = await browser.submit("preview")
         assert "Nothing differs." in page.text
 
-    async def test_one_field(self, filled):
+    async def test_one_field_is_changed(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/edit/deployments/kitchen")
         page = await browser.submit("preview", replicas_max="80")
@@ -92,7 +92,7 @@
         page = await browser.submit("back")
         assert dict(page.main_form())["replicas_max"] == "80"
 
-    async def test_remove(self, filled):
+    async def test_item_is_removed(self, filled):
         browser = await filled.browser("nia")
         page = await browser.get("/remove/deployments/paperwork")
         assert "- deployments/paperwork" in page.text
@@ -100,13 +100,13 @@
         content = await filled.store.load()
         assert ItemKey("deployments", "paperwork") not in content.items
 
-    async def test_remove_what_others_need_is_refused(self, filled):
+    async def test_removing_a_referenced_item_is_refused(self, filled):
         browser = await filled.browser("nia")
         page = await browser.get("/remove/accounts/stores")
         assert browser.status == 422
         assert "no account is named 'stores'" in page.text
 
-    async def test_roll_forward(self, filled):
+    async def test_roll_forward_restores_an_older_version(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/edit/deployments/kitchen")
         await browser.submit("preview", replicas_max="80")
@@ -118,8 +118,8 @@
         assert (await item(filled, "deployments", "kitchen"))["replicas"]["max"] == 90
 
 
-class TestReasons:
-    async def test_stand_beside_the_fields_all_at_once(self, filled):
+class TestProblems:
+    async def test_all_problems_are_shown_at_their_fields(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/add/deployments")
         page = await browser.submit(
@@ -148,7 +148,7 @@
         assert dict(page.main_form())["price_ceiling_per_hour"] == "lots"
         assert filled.tables.rows["config/head"].value == {"version": 1}
 
-    async def test_references_and_ranges(self, filled):
+    async def test_invalid_references_and_ranges_are_refused(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/add/deployments")
         page = await browser.submit(
@@ -174,7 +174,7 @@
             assert reason in page.text
         assert "gone (no longer there)" in page.text
 
-    async def test_text_that_is_no_json(self, filled):
+    async def test_invalid_json_is_refused_with_its_position(self, filled):
         browser = await filled.browser("nia")
         await browser.get("/document/edit")
         page = await browser.submit("preview", text='{"currency": ')
@@ -182,8 +182,8 @@
         assert "The text is not JSON: line 1, column 14" in page.text
         assert dict(page.main_form())["text"] == '{"currency": '
 
-    async def test_prices_that_cannot_be_checked_are_named(self, filled):
-        filled.prices = None
+    async def test_unchecked_prices_are_stated(self, filled):
+        filled.current_offers = None
         browser = await filled.browser("nia")
         await browser.get("/edit/deployments/kitchen")
         page = await browser.submit("preview", replicas_max="80")
@@ -201,7 +201,7 @@
         await nia.submit("accept", note="fewer")
         return rhys
 
-    async def test_second_sees_what_changed_and_keeps_its_input(self, filled):
+    async def test_second_operator_sees_the_changes_and_keeps_the_input(self, filled):
         rhys = await self.start(filled, price_ceiling_per_hour="300")
         page = await rhys.submit("accept")
         assert rhys.status == 409
@@ -213,7 +213,7 @@
         assert (form["replicas_max"], form["title"]) == ("80", "Cegin newydd")
         assert form["base"] == "2"
 
-    async def test_second_goes_on_from_there(self, filled):
+    async def test_second_operator_can_accept_the_merged_form(self, filled):
         rhys = await self.start(filled, price_ceiling_per_hour="300")
         await rhys.submit("accept")
         page = await rhys.submit("preview")
@@ -225,13 +225,13 @@
         assert kitchen["replicas"]["max"] == 80
         assert kitchen["price_ceiling_per_hour"] == 300
 
-    async def test_both_changed_one_field(self, filled):
+    async def test_field_changed_by_both_is_named(self, filled):
         rhys = await self.start(filled, replicas_max="70")
         page = await rhys.submit("accept")
         assert "You both changed replicas.max" in page.text
         assert dict(page.main_form())["replicas_max"] == "70"
 
-    async def test_removal_too_late(self, filled):
+    async def test_outdated_removal_is_previewed_again(self, filled):
         rhys = await filled.browser("rhys")
         await rhys.get("/remove/deployments/paperwork")
         nia = await filled.browser("nia")
@@ -252,13 +252,13 @@
         await browser.submit("preview", replicas_max="80")
         return browser
 
-    async def test_lost_answer_is_accepted_once(self, filled):
+    async def test_edit_is_accepted_once_if_the_answer_is_lost(self, filled):
         browser = await self.preview(filled)
         filled.tables.write_faults = ["lost"]
         await browser.submit("accept")
         assert browser.path == "/history/2"
 
-    async def test_in_doubt_then_ask_again(self, filled):
+    async def test_retry_after_an_unknown_outcome_takes_effect_once(self, filled):
         browser = await self.preview(filled)
         filled.tables.write_faults = ["lost", *["down"] * 30]
         page = await browser.submit("accept")
@@ -269,28 +269,28 @@
         assert browser.path == "/history/2"
         assert [info.version for info in await filled.store.history()] == [2, 1]
 
-    async def test_prices_that_rose_meanwhile_do_not_unsay_it(self, filled):
+    async def test_higher_prices_do_not_refuse_an_edit_already_accepted(self, filled):
         browser = await self.preview(filled)
         filled.tables.write_faults = ["lost", *["down"] * 30]
         await browser.submit("accept")
         filled.tables.write_faults = []
-        filled.prices = [
-            offer._replace(price_per_hour=900.0) for offer in filled.prices
+        filled.current_offers = [
+            offer._replace(price_per_hour=900.0) for offer in filled.current_offers
         ]
         await browser.submit("accept")
         assert browser.path == "/history/2"
 
-    async def test_prices_that_rose_before_acceptance_refuse_it(self, filled):
+    async def test_higher_prices_before_acceptance_refuse_the_edit(self, filled):
         browser = await self.preview(filled)
-        filled.prices = [
-            offer._replace(price_per_hour=900.0) for offer in filled.prices
+        filled.current_offers = [
+            offer._replace(price_per_hour=900.0) for offer in filled.current_offers
         ]
         page = await browser.submit("accept")
         assert browser.status == 422
         assert "is under every offer; the cheapest is 900" in page.text
         assert filled.tables.rows["config/head"].value == {"version": 1}
 
-    async def test_table_down_keeps_the_input(self, filled):
+    async def test_input_survives_an_unavailable_table(self, filled):
         browser = await self.preview(filled)
         filled.tables.down = True
         page = await browser.submit("accept")
@@ -300,7 +300,9 @@
         await browser.submit("accept")
         assert browser.path == "/history/2"
 
-    async def test_pages_show_the_last_good_while_the_table_is_down(self, filled):
+    async def test_pages_show_the_last_known_content_while_the_table_is_down(
+        self, filled
+    ):
         browser = await filled.browser("nia")
         await browser.get("/deployments")
         filled.tables.down = True
--- a/tests/functional/console/test_program.py
+++ b/tests/functional/console/test_program.py
@@ -1,4 +1,4 @@
-"""The console program over the stand-in platform."""
+"""The console program with a simulated platform."""
 
 import asyncio
 import random
@@ -36,20 +36,20 @@
     )
 
 
-def reached(one, version):
-    """Return an event that is set once a program has this version."""
+def version_reached(one, version):
+    """Return an event that is set once a program has a version."""
     event = asyncio.Event()
 
-    def look(document):
+    def check_version(document):
         if document.version >= version:
             event.set()
 
-    one.follower.on_change(look)
+    one.follower.on_change(check_version)
     return event
 
 
 class TestTwoConsoles:
-    async def test_accepted_on_one_is_in_force_on_the_other(self):
+    async def test_document_accepted_on_one_console_takes_effect_on_the_other(self):
         document = example_document("cadwaladr")
         spec = WorldSpec.from_document(
             document, {"kitchen": 1, "paperwork": 1}, list_lag=0.05
@@ -61,12 +61,12 @@
             running(program(world, "c2")) as second,
             ClientSession(headers=headers) as session,
         ):
-            there = reached(second, 1)
+            version_adopted = version_reached(second, 1)
             url = f"http://{first.address}/api/document"
             body = {"document": document, "base_version": 0}
             async with session.post(url, json=body) as resp:
                 assert (resp.status, await resp.json()) == (200, {"version": 1})
-            await asyncio.wait_for(there.wait(), 20)
+            await asyncio.wait_for(version_adopted.wait(), 20)
             async with asyncio.timeout(20):
                 status = await self.status(session, second)
                 while not all(item["ready"] for item in status["deployments"]):
@@ -79,7 +79,7 @@
         async with session.get(f"http://{console.address}/api/status") as resp:
             return await resp.json()
 
-    async def test_session_holds_on_both(self):
+    async def test_session_is_valid_on_both_consoles(self):
         spec = WorldSpec.from_document(example_document("cadwaladr"), {})
         async with (
             running(StandinWorld(spec)) as world,
--- a/tests/functional/console/test_status.py
+++ b/tests/functional/console/test_status.py
@@ -1,4 +1,4 @@
-"""Status pages: what stands, what is out, and why."""
+"""Status pages: state of deployments, and sources that are unavailable."""
 
 from ebonydeal._internal.config.peer_routes import EXPLAIN_PATH, STATUS_PATH
 from ebonydeal._internal.models.endpoints import (
@@ -33,7 +33,7 @@
     )
 
 
-def told(version, **counts):
+def status_message(version, **counts):
     return {
         "version": version,
         "spread_s": 1.5,
@@ -63,10 +63,14 @@
 
     async def test_counters_are_added_up_over_processes(self, filled):
         await filled.follower.refresh()
-        filled.peers.known = [member("g1"), member("g2"), member("g3")]
+        filled.peers.known_members = [member("g1"), member("g2"), member("g3")]
         filled.client.answers = {
-            ("g1:1", STATUS_PATH): told(1, refusals={"shed": 3, "queue_full": 1}),
-            ("g2:1", STATUS_PATH): told(0, refusals={"shed": 2}, retries={"hedge": 7}),
+            ("g1:1", STATUS_PATH): status_message(
+                1, refusals={"shed": 3, "queue_full": 1}
+            ),
+            ("g2:1", STATUS_PATH): status_message(
+                0, refusals={"shed": 2}, retries={"hedge": 7}
+            ),
         }
         status = await filled.parts.status.read()
         assert status.refusals == {"shed": 5, "queue_full": 1}
@@ -77,13 +81,13 @@
             ("g3", None),
         ]
 
-    async def test_garbage_of_a_process_is_no_answer(self, filled):
-        filled.peers.known = [member("g1")]
+    async def test_malformed_answer_counts_as_no_answer(self, filled):
+        filled.peers.known_members = [member("g1")]
         filled.client.answers = {("g1:1", STATUS_PATH): {"version": "x"}}
         status = await filled.parts.status.read()
         assert [p.version for p in status.processes] == [None]
 
-    async def test_page_names_what_is_out(self, filled):
+    async def test_page_names_unavailable_sources(self, filled):
         filled.instances.down = True
         browser = await filled.browser("nia")
         page = await browser.get("/")
@@ -106,7 +110,7 @@
         page = await browser.get("/")
         assert page.text.index("w300.0") < page.text.index("w100.0")
 
-    async def test_spend_and_rows_that_are_garbage(self, filled):
+    async def test_malformed_rows_do_not_break_the_page(self, filled):
         rows = [
             Put("spend/kitchen", {"deployment": "kitchen", "total": 1234.5}),
             Put("spend/paperwork", {"deployment": "paperwork", "total": "much"}),
@@ -121,8 +125,12 @@
 
 
 class TestExplain:
-    async def test_steps_of_whichever_gateway_knows(self, filled):
-        filled.peers.known = [member("g1"), member("g2"), member("j1", "journal")]
+    async def test_shows_steps_of_the_gateway_that_has_them(self, filled):
+        filled.peers.known_members = [
+            member("g1"),
+            member("g2"),
+            member("j1", "journal"),
+        ]
         steps = [
             {"at": 2.0, "step": "answered", "what": {}},
             {"at": 1.0, "step": "scored", "what": {"endpoint": "e1"}},
@@ -132,7 +140,7 @@
         page = await browser.get("/explain?id=r-0001-2")
         assert page.text.index("scored") < page.text.index("answered")
 
-    async def test_unknown_request(self, filled):
+    async def test_unknown_request_is_reported(self, filled):
         browser = await filled.browser("nia")
         page = await browser.get("/explain?id=r-0001-2")
         assert "No gateway knows this request any more" in page.text
--- a/tests/lib/console.py
+++ b/tests/lib/console.py
@@ -1,4 +1,4 @@
-"""A console over tables in memory, and operators who use it."""
+"""A console with in-memory tables, and browsers of its operators."""
 
 import random
 
@@ -18,7 +18,7 @@
 from ebonydeal._internal.outside.interfaces import Offer
 from ebonydeal._internal.utils.keys import hash_key
 from tests.lib.config_fakes import AutoAdvancingClock, FakeTables
-from tests.lib.html_forms import FormReader, changed
+from tests.lib.html_forms import FormReader, with_fields
 
 TOKENS = {"nia": "nia-token", "rhys": "rhys-token"}
 ZONES = ["de-cymru-1", "de-cymru-2", "de-cymru-3"]
@@ -26,10 +26,10 @@
 
 class FakePeers:
     def __init__(self):
-        self.known = []
+        self.known_members = []
 
     def members(self):
-        return tuple(self.known)
+        return tuple(self.known_members)
 
 
 class FakeInstances:
@@ -44,7 +44,7 @@
 
 
 class FakeClient:
-    """Answers by address; an address without an answer can't be reached."""
+    """Returns answers set by address; other addresses are unreachable."""
 
     def __init__(self):
         self.answers = {}
@@ -57,7 +57,7 @@
 
 
 class ConsoleFixture:
-    """One console; several operators' browsers."""
+    """One console and the browsers of several operators."""
 
     def __init__(self) -> None:
         self.tables = FakeTables()
@@ -66,7 +66,7 @@
         self.peers = FakePeers()
         self.instances = FakeInstances()
         self.client = FakeClient()
-        self.prices = [Offer(zone, "m1", True, 1.0, 0.1, 8) for zone in ZONES]
+        self.current_offers = [Offer(zone, "m1", True, 1.0, 0.1, 8) for zone in ZONES]
         rng = random.Random(1)
         self.store = ConfigStore(self.tables, self.clock, rng)
         self.follower = ConfigFollower(self.tables, self.metrics, self.clock, rng)
@@ -95,9 +95,9 @@
         self.browsers = []
 
     async def offers(self):
-        if self.prices is None:
+        if self.current_offers is None:
             raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, "no cloud")
-        return self.prices
+        return self.current_offers
 
     async def browser(self, name: str | None = None) -> "Browser":
         jar = CookieJar(unsafe=True)
@@ -130,7 +130,7 @@
 
     async def submit(self, action: str, **values) -> FormReader:
         """Post the page's main form with some fields changed."""
-        form = changed(self.page.main_form(), action=action, **values)
+        form = with_fields(self.page.main_form(), action=action, **values)
         return await self.post(self.path, form)
 
     async def _read(self, resp) -> FormReader:
--- a/tests/lib/html_forms.py
+++ b/tests/lib/html_forms.py
@@ -1,10 +1,10 @@
-"""Reads the forms of a page as a browser would post them."""
+"""Parses the forms of a page as a browser would post them."""
 
 from html.parser import HTMLParser
 
 
 class FormReader(HTMLParser):
-    """Collects each form's fields, and each page's text."""
+    """Collects the fields of each form and the text of the page."""
 
     def __init__(self, text: str) -> None:
         super().__init__()
@@ -12,9 +12,9 @@
         self.labels: set[str] = set()
         self.ids: list[str] = []
         self.tags: list[str] = []
-        self.words: list[str] = []
-        self._area: str | None = None
-        self._select: str | None = None
+        self.text_parts: list[str] = []
+        self._textarea_name: str | None = None
+        self._select_name: str | None = None
         self.feed(text)
 
     def handle_starttag(self, tag, attrs):
@@ -30,12 +30,12 @@
             case "input" if self.forms and "name" in attributes:
                 self._input(attributes)
             case "textarea":
-                self._area = attributes["name"]
-                self.forms[-1].append((self._area, ""))
+                self._textarea_name = attributes["name"]
+                self.forms[-1].append((self._textarea_name, ""))
             case "select":
-                self._select = attributes["name"]
+                self._select_name = attributes["name"]
             case "option" if "selected" in attributes:
-                self.forms[-1].append((self._select, attributes["value"]))
+                self.forms[-1].append((self._select_name, attributes["value"]))
 
     def _input(self, attributes):
         kind = attributes.get("type", "text")
@@ -49,30 +49,30 @@
             name, value = self.forms[-1].pop()
             # A browser drops the newline that follows the opening tag.
             self.forms[-1].append((name, value.removeprefix("\r\n").removeprefix("\n")))
-            self._area = None
+            self._textarea_name = None
 
     def handle_data(self, data):
-        if self._area is not None:
+        if self._textarea_name is not None:
             name, value = self.forms[-1].pop()
             self.forms[-1].append((name, value + data))
         else:
-            self.words.append(data)
+            self.text_parts.append(data)
 
     @property
     def text(self) -> str:
-        return " ".join(" ".join(self.words).split())
+        return " ".join(" ".join(self.text_parts).split())
 
     def main_form(self) -> list[tuple[str, str]]:
-        """Return the last form of the page: the one below the menu."""
+        """Return the page's last form, which follows the menu's."""
         return self.forms[-1]
 
 
-def changed(form, **values):
-    """Return a form's fields with some set; None removes, a list sets several."""
-    kept = [pair for pair in form if pair[0] not in values]
+def with_fields(form, **values):
+    """Return form fields with some replaced; None removes, a list sets several."""
+    fields = [pair for pair in form if pair[0] not in values]
     for name, value in values.items():
         if value is None:
             continue
-        many = value if isinstance(value, list) else [value]
-        kept.extend((name, str(item)) for item in many)
-    return kept
+        items = value if isinstance(value, list) else [value]
+        fields.extend((name, str(item)) for item in items)
+    return fields
--- a/tests/unit/console/test_forms.py
+++ b/tests/unit/console/test_forms.py
@@ -1,4 +1,4 @@
-"""Forms: any input is read or refused, never a traceback."""
+"""Forms accept or refuse any input, and never raise an exception."""
 
 import json
 
@@ -14,9 +14,9 @@
 from ebonydeal._internal.console.edits import (
     PutItem,
     RemoveItem,
-    edited,
-    index_of,
-    own_problems,
+    apply_edit,
+    edited_item_index,
+    split_problems,
 )
 from ebonydeal._internal.console.forms import FORMS, AccountForm, DeploymentForm
 from ebonydeal._internal.utils.keys import key_matches
@@ -47,33 +47,33 @@
 
 
 def posts(form):
-    names = [*form.fields_of, "new_key"]
+    names = [*form.field_paths, "new_key"]
     pairs = st.tuples(st.sampled_from(names), inputs)
     return st.lists(pairs, max_size=12).map(MultiDict)
 
 
-def outcome(section, data):
-    """Do what the page does with a post; return all reasons and the document."""
+def submit_form(section, data):
+    """Process a post as the page does; return form, other problems, document."""
     form = FORMS[section](data)
     form.validate()
-    edit = PutItem(section, "", form.item({}))
-    document = edited(BASE, edit)
+    edit = PutItem(section, "", form.to_item({}))
+    document = apply_edit(BASE, edit)
     checked = validate(document)
     problems = checked.failure() if isinstance(checked, Failure) else []
-    own, others = own_problems(problems, section, index_of(document, edit))
-    return form, [*form.blame(own), *others], document
+    own, others = split_problems(problems, section, edited_item_index(document, edit))
+    return form, [*form.assign_problems(own), *others], document
 
 
 class TestAnyInput:
     @given(posts(DeploymentForm))
     def test_deployment(self, data):
-        form, others, document = outcome("deployments", data)
+        form, others, document = submit_form("deployments", data)
         if not form.errors and not others:
             assert validate(document) == Success(document)
 
     @given(posts(AccountForm))
     def test_account(self, data):
-        form, others, document = outcome("accounts", data)
+        form, others, document = submit_form("accounts", data)
         if not form.errors and not others:
             assert validate(document) == Success(document)
 
@@ -82,7 +82,7 @@
         from ebonydeal._internal.console.edits import PutDocument
 
         try:
-            document = edited(BASE, PutDocument(text))
+            document = apply_edit(BASE, PutDocument(text))
         except ValueError as exc:
             assert str(exc)
         else:
@@ -90,23 +90,23 @@
 
 
 class TestEdits:
-    def test_removing_what_is_not_there_changes_nothing(self):
-        document = edited(BASE, RemoveItem("accounts", "nobody"))
+    def test_removing_an_unknown_item_changes_nothing(self):
+        document = apply_edit(BASE, RemoveItem("accounts", "nobody"))
         assert split(document) == BASE.items
 
-    def test_change_keeps_the_place(self):
+    def test_replacing_an_item_keeps_its_position(self):
         value = {**BASE.items[("accounts", "claims")], "title": "nuovo"}
-        document = edited(BASE, PutItem("accounts", "claims", value))
+        document = apply_edit(BASE, PutItem("accounts", "claims", value))
         names = [item["name"] for item in document["accounts"]]
         assert names == sorted(names)
         assert value in document["accounts"]
 
 
 class TestAccountForm:
-    def test_typed_key_becomes_a_hash(self):
+    def test_entered_key_is_replaced_by_its_hash(self):
         form = AccountForm(MultiDict(name="a", new_key="hush", key_hashes="x\r\n y \n"))
         form.validate()
-        form.keep_new_key()
+        form.hash_new_key()
         first, second, hashed = form.key_hashes.data
         assert (first, second) == ("x", "y")
         assert key_matches("hush", hashed)
--- a/tests/unit/console/test_operators.py
+++ b/tests/unit/console/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators: names, hashed tokens, mistakes in the settings."""
+"""Operators: lookup by name and token, invalid settings."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class TestOperators:
-    def test_token_names_its_operator(self):
+    def test_token_identifies_its_operator(self):
         text = f"Nia Llŷr:{hash_key('a')}, rhys:{hash_key('b')}"
         operators = Operators.from_config(text)
         assert operators.by_token("a").name == "Nia Llŷr"
@@ -16,16 +16,16 @@
         assert operators.by_token("c") is None
         assert operators.by_name("rhys").name == "rhys"
 
-    def test_nobody(self):
+    def test_no_operators_match_no_token(self):
         assert Operators.from_config("").by_token("") is None
 
-    def test_a_new_token_ends_old_sessions(self):
+    def test_a_new_token_invalidates_old_sessions(self):
         old = Operators.from_config(f"rhys:{hash_key('a')}").by_name("rhys")
         new = Operators.from_config(f"rhys:{hash_key('b')}").by_name("rhys")
-        assert old.stamp != new.stamp
+        assert old.token_fingerprint != new.token_fingerprint
 
     @pytest.mark.parametrize("text", ["rhys", "rhys:", ":a$b", "rhys:plain", "a:b,c"])
-    def test_mistakes(self, text):
+    def test_invalid_settings_are_refused(self, text):
         with pytest.raises(EbonydealError) as caught:
             Operators.from_config(text)
         assert caught.value.kind == ErrorKind.BAD_SETTINGS
