--- a/src/ebonydeal/_internal/commands/bench_load.py
+++ b/src/ebonydeal/_internal/commands/bench_load.py
@@ -71,7 +71,7 @@
         commits_per_s=commits,
         max_tokens=max_tokens,
         max_open=max_open,
-        patience=patience,
+        timeout_s=patience,
         seed=seed,
     )
     result = asyncio.run(run_load(spec, tuple(url.rstrip("/") for url in urls)))
--- a/src/ebonydeal/_internal/commands/quickstart.py
+++ b/src/ebonydeal/_internal/commands/quickstart.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.commands.quickstart_system import ACCOUNT, OPERATOR, build
 from ebonydeal._internal.observe.logs import configure_logs
 from ebonydeal._internal.settings.sections import LogSettings
-from ebonydeal._internal.standin.admin import WorldAdmin
+from ebonydeal._internal.standin.admin import PlatformAdmin
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.run import run_program
 
@@ -25,7 +25,7 @@
     def __init__(self, seed: int, gateways: int) -> None:
         super().__init__()
         self._system = build(seed, gateways, SystemClock(), click.echo)
-        self._admin = WorldAdmin(self._system.tree.world)
+        self._admin = PlatformAdmin(self._system.tree.world)
         self.add_dependency(self._system.tree)
         self.add_dependency(self._admin)
 
--- a/src/ebonydeal/_internal/commands/quickstart_run.py
+++ b/src/ebonydeal/_internal/commands/quickstart_run.py
@@ -112,7 +112,7 @@
             reclaim.cancel()
     finally:
         await balancer.stop()
-    whole = sum(record.is_whole for record in records)
+    whole = sum(record.is_complete for record in records)
     tell(f"load: {whole} of {len(records)} requests were answered")
     return records
 
--- a/src/ebonydeal/_internal/commands/quickstart_system.py
+++ b/src/ebonydeal/_internal/commands/quickstart_system.py
@@ -19,8 +19,8 @@
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.standin.attempts import EngineSpec
 from ebonydeal._internal.standin.balancer import Balancer
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.keys import hash_key
 
@@ -110,7 +110,7 @@
     rng = random.Random(seed)
     document, key = demo_document()
     token = f"operator-{secrets.token_hex(_KEY_BYTES)}"
-    spec = WorldSpec.from_document(
+    spec = PlatformSpec.from_document(
         document,
         {},
         seed=seed,
@@ -119,18 +119,18 @@
         engine=EngineSpec(load_seconds=_LOAD_SECONDS),
     )
     nodes = node_specs(spec.places, gateways, token)
-    world = StandinWorld(spec, clock=clock)
+    world = StandinPlatform(spec, clock=clock)
     tree = Quickstart(world, nodes, document, clock, rng, tell)
     return System(tree, document, key, token)
 
 
-def owned_shards(world: StandinWorld) -> int:
+def owned_shards(world: StandinPlatform) -> int:
     """Return how many journal shards have an owner."""
     rows = world.tables.tables.rows.scan("shards/", "", _MOST_SHARDS)
     return sum(1 for row in rows if row.value.get("address"))
 
 
-def cold_deployments(world: StandinWorld, document: dict[str, Any]) -> list[str]:
+def cold_deployments(world: StandinPlatform, document: dict[str, Any]) -> list[str]:
     """Return the deployments that have too few warm endpoints listed."""
     cold = []
     for item in document["deployments"]:
--- a/src/ebonydeal/_internal/commands/quickstart_tree.py
+++ b/src/ebonydeal/_internal/commands/quickstart_tree.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.tables import HttpTables
 from ebonydeal._internal.settings.sections import PlatformSettings
-from ebonydeal._internal.standin.world import StandinWorld
+from ebonydeal._internal.standin.platform import StandinPlatform
 from ebonydeal._internal.utils.clock import Clock
 
 Sections = dict[str, Any]
@@ -98,7 +98,7 @@
 
     Parameters
     ----------
-    world : StandinWorld
+    world : StandinPlatform
         The platform.
     nodes : sequence of NodeSpec
         Own processes, started in this order.
@@ -114,7 +114,7 @@
 
     def __init__(
         self,
-        world: StandinWorld,
+        world: StandinPlatform,
         nodes: tuple[NodeSpec, ...],
         document: dict[str, Any],
         clock: Clock,
--- a/src/ebonydeal/_internal/commands/standin.py
+++ b/src/ebonydeal/_internal/commands/standin.py
@@ -16,16 +16,16 @@
 from ebonydeal._internal.outside.instances import endpoint_from_message
 from ebonydeal._internal.outside.interfaces import CloudInstance, Offer, WeightCopy
 from ebonydeal._internal.settings.sections import LogSettings
-from ebonydeal._internal.standin.admin import WorldAdmin
+from ebonydeal._internal.standin.admin import PlatformAdmin
 from ebonydeal._internal.standin.attempts import EngineSpec
 from ebonydeal._internal.standin.cloud import CloudServer
 from ebonydeal._internal.standin.engine import StandinEngine
 from ebonydeal._internal.standin.listing import InstanceListServer
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.standin.service import ServiceSpec, StandinService
 from ebonydeal._internal.standin.stores import ObjectsServer, TablesServer
 from ebonydeal._internal.standin.weights import WeightStoreServer
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
 from ebonydeal._internal.utils.run import run_program
 
 PORTS = {
@@ -158,7 +158,7 @@
     seed: int,
 ) -> None:
     """Run a model engine whose answers are a function of the prompt."""
-    spec = EngineSpec(checks_fence=check_fence).faster(speed)
+    spec = EngineSpec(checks_fence=check_fence).at_speed(speed)
     rng = random.Random(seed)
     _run(lambda: StandinEngine(endpoint_id, models, spec, rng, port=port))
 
@@ -169,7 +169,7 @@
 @click.option("--speed", type=click.FloatRange(0.01, 1000), default=1.0)
 def service(port: int, endpoint_id: str, speed: float) -> None:
     """Run a plain service that writes down every call it ran."""
-    spec = ServiceSpec().faster(speed)
+    spec = ServiceSpec().at_speed(speed)
     _run(lambda: StandinService(endpoint_id, spec, port=port))
 
 
@@ -217,7 +217,7 @@
     The printed address serves /log, /endpoints, /reclaim, /kill and /faults.
     """
     content = read_document(document)
-    spec = WorldSpec.from_document(
+    spec = PlatformSpec.from_document(
         content,
         read_replicas(replicas, content, 3),
         speed=speed,
@@ -231,10 +231,10 @@
 class _WholeWorld(Service):
     """A world and its admin pages."""
 
-    def __init__(self, spec: WorldSpec, ports: dict[str, int], port: int) -> None:
+    def __init__(self, spec: PlatformSpec, ports: dict[str, int], port: int) -> None:
         super().__init__()
-        world = StandinWorld(spec, ports=ports)
-        admin = WorldAdmin(world, port)
+        world = StandinPlatform(spec, ports=ports)
+        admin = PlatformAdmin(world, port)
         self.server = admin.server
         self.add_dependency(world)
         self.add_dependency(admin)
--- a/src/ebonydeal/_internal/standin/admin.py
+++ b/src/ebonydeal/_internal/standin/admin.py
@@ -8,8 +8,8 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.standin.faults import Fault, Faults
 from ebonydeal._internal.standin.listing import endpoint_to_message
+from ebonydeal._internal.standin.platform import StandinPlatform
 from ebonydeal._internal.standin.server import StandinServer, standin_app
-from ebonydeal._internal.standin.world import StandinWorld
 from ebonydeal._internal.utils.web import read_json
 
 
@@ -20,18 +20,18 @@
     faults.writes.extend(Fault(name) for name in message.get("writes", ()))
 
 
-class WorldAdmin(Service):
+class PlatformAdmin(Service):
     """Serves ``/log``, ``/endpoints``, ``/reclaim``, ``/kill`` and ``/faults``.
 
     Parameters
     ----------
-    world : StandinWorld
+    world : StandinPlatform
         What is steered.
     port : int
         0 picks a free one.
     """
 
-    def __init__(self, world: StandinWorld, port: int = 0) -> None:
+    def __init__(self, world: StandinPlatform, port: int = 0) -> None:
         super().__init__()
         self._world = world
         app = standin_app()
--- a/src/ebonydeal/_internal/standin/attempts.py
+++ b/src/ebonydeal/_internal/standin/attempts.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
-from ebonydeal._internal.standin.text import (
+from ebonydeal._internal.standin.expected_answers import (
     expected_tokens,
     finish_reason,
     max_tokens_of,
@@ -57,7 +57,7 @@
     load_seconds: float = 2.0
     checks_fence: bool = True
 
-    def faster(self, factor: float) -> "EngineSpec":
+    def at_speed(self, factor: float) -> "EngineSpec":
         """Return the same engine at ``factor`` times the speed."""
         return self._replace(
             tokens_per_s=self.tokens_per_s * factor,
--- a/src/ebonydeal/_internal/standin/balancer.py
+++ b/src/ebonydeal/_internal/standin/balancer.py
@@ -39,7 +39,7 @@
         """Hand out one more gateway, once it is ready."""
         self._urls.append(url)
 
-    def drop(self, url: str) -> None:
+    def remove(self, url: str) -> None:
         """Hand out a gateway no more."""
         self._ready.discard(url)
 
--- a/src/ebonydeal/_internal/standin/caller.py
+++ b/src/ebonydeal/_internal/standin/caller.py
@@ -91,13 +91,13 @@
         balancer: Balancer,
         api_key: str,
         clock: Clock,
-        patience: float,
+        timeout_s: float,
     ) -> None:
         self._session = session
         self._balancer = balancer
         self._api_key = api_key
         self._clock = clock
-        self._patience = patience
+        self._timeout_s = timeout_s
 
     async def send(self, call: Call) -> CallRecord:
         """Send a request, again and again if need be; return its log."""
@@ -107,12 +107,12 @@
 
     async def resume(self, record: CallRecord) -> None:
         """Go on with a request until its end, or until patience is over."""
-        until = record.started + self._patience
+        until = record.started + self._timeout_s
         state = _TryState()
         pause = _FIRST_PAUSE_S
         while record.outcome is None:
             state.url = self._balancer.pick()
-            record.tries += 1
+            record.attempts += 1
             last = await self._try(record, state)
             if record.outcome is not None:
                 break
@@ -147,7 +147,9 @@
         except (ClientError, HttpProcessingError, TimeoutError, OSError, ValueError):
             record.refusals[_LOST] += 1
             record.in_doubt = True
-            record.breaks += record.call.kind is CallKind.STREAM and record.accepted
+            record.broken_streams += (
+                record.call.kind is CallKind.STREAM and record.accepted
+            )
             return Outcome.UNKNOWN
         except (KeyError, IndexError, TypeError, AttributeError):
             record.refusals[_GARBAGE] += 1
@@ -187,7 +189,7 @@
             method,
             f"{state.url}{path}",
             headers=headers,
-            timeout=ClientTimeout(total=self._patience),
+            timeout=ClientTimeout(total=self._timeout_s),
             **options,
         )
 
@@ -202,7 +204,7 @@
                 raise _Refused("still_running", Outcome.UNKNOWN)
             if resp.status != 200:
                 await _raise_refusal(resp)
-            record.got = [await resp.text()]
+            record.received = [await resp.text()]
         record.first = self._clock.now()
         record.outcome = Outcome.ANSWERED
 
@@ -217,7 +219,7 @@
                     await _raise_refusal(resp)
                 state.request_id = str((await resp.json())["id"])
             record.accepted = True
-        until = record.started + self._patience
+        until = record.started + self._timeout_s
         path = f"{call.path}/{state.request_id}/answer"
         while self._clock.now() < until:
             async with self._request(call, state, "GET", path) as resp:
@@ -232,7 +234,7 @@
     def _take_whole(self, record: CallRecord, body: Any) -> None:
         """Take the tokens out of a whole answer."""
         text = body["choices"][0]["message"]["content"]
-        record.got = [f"{word} " for word in text.split()]
+        record.received = [f"{word} " for word in text.split()]
         record.first = self._clock.now()
         record.outcome = Outcome.ANSWERED
 
@@ -260,14 +262,14 @@
             return True
         message = json.loads(data)
         if "error" in message:
-            record.breaks += 1
+            record.broken_streams += 1
             raise _refusal(message, 200)
         for choice in message.get("choices", ()):
             text = choice.get("delta", {}).get("content") or ""
             if text:
                 record.accepted = True
                 record.first = record.first or self._clock.now()
-                record.got.append(text)
+                record.received.append(text)
         state.event_id = state.next_id
         return False
 
--- a/src/ebonydeal/_internal/standin/calls.py
+++ b/src/ebonydeal/_internal/standin/calls.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from ebonydeal._internal.errors import Outcome
-from ebonydeal._internal.standin.text import (
+from ebonydeal._internal.standin.expected_answers import (
     call_digest,
     expected_answer,
     expected_tokens,
@@ -80,19 +80,19 @@
     """
 
     call: Call
-    got: list[str] = field(default_factory=list)
+    received: list[str] = field(default_factory=list)
     outcome: Outcome | None = None
     accepted: bool = False
     in_doubt: bool = False
-    tries: int = 0
-    breaks: int = 0
+    attempts: int = 0
+    broken_streams: int = 0
     refusals: Counter[str] = field(default_factory=Counter)
     started: float = 0.0
     first: float = 0.0
     finished: float = 0.0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the caller was told that it has its whole answer."""
         return self.outcome is Outcome.ANSWERED
 
--- a/src/ebonydeal/_internal/standin/check.py
+++ b/src/ebonydeal/_internal/standin/check.py
@@ -49,7 +49,7 @@
     detail: str
 
 
-class Verdict(NamedTuple):
+class CheckResult(NamedTuple):
     """What the check found.
 
     Attributes
@@ -89,7 +89,7 @@
 
 
 def judge_content(
-    got: Sequence[str], expected: Sequence[str], others: set[tuple[str, ...]]
+    received: Sequence[str], expected: Sequence[str], others: set[tuple[str, ...]]
 ) -> Violation | None:
     """Return what is wrong with an answer, or None.
 
@@ -100,14 +100,14 @@
     others : set of tuple of str
         Expected answers of all requests.
     """
-    if tuple(got) == tuple(expected):
+    if tuple(received) == tuple(expected):
         return None
-    if tuple(got) in others:
+    if tuple(received) in others:
         return Violation.FOREIGN
-    if len(got) < len(expected) and _is_subsequence(got, expected):
+    if len(received) < len(expected) and _is_subsequence(received, expected):
         return Violation.TOKENS_MISSING
-    if len(got) > len(expected) and _is_subsequence(expected, got):
-        if set(got) == set(expected):
+    if len(received) > len(expected) and _is_subsequence(expected, received):
+        if set(received) == set(expected):
             return Violation.TOKENS_DOUBLED
     return Violation.WRONG
 
@@ -162,16 +162,16 @@
     def add(violation: Violation, detail: str) -> None:
         found.append(Finding(violation, call.call_id, detail))
 
-    if record.is_whole:
-        wrong = judge_content(record.got, call.expected, others)
+    if record.is_complete:
+        wrong = judge_content(record.received, call.expected, others)
         if wrong is not None:
-            add(wrong, f"{len(record.got)} pieces for {len(call.expected)}")
+            add(wrong, f"{len(record.received)} pieces for {len(call.expected)}")
         if call.kind is CallKind.COMMIT and runs == 0:
             add(Violation.NEVER_RAN, "answered without a run")
     elif record.outcome is Outcome.UNKNOWN:
-        add(Violation.UNKNOWN, f"after {record.tries} tries")
+        add(Violation.UNKNOWN, f"after {record.attempts} tries")
     elif record.accepted or record.outcome is None:
-        add(Violation.LOST, f"{len(record.got)} pieces of {len(call.expected)}")
+        add(Violation.LOST, f"{len(record.received)} pieces of {len(call.expected)}")
     elif runs:
         add(Violation.RAN, f"ran {runs} times")
     if call.kind is CallKind.COMMIT and runs is not None and runs > 1:
@@ -206,7 +206,9 @@
     return runs[digest] + len(attempts.get(digest, ()))
 
 
-def check(records: Sequence[CallRecord], logs: Sequence[EndpointLog] | None) -> Verdict:
+def check(
+    records: Sequence[CallRecord], logs: Sequence[EndpointLog] | None
+) -> CheckResult:
     """Judge a run.
 
     Parameters
@@ -234,9 +236,9 @@
         refused += record.refusals
         counts = by_kind[str(record.call.kind)]
         counts["sent"] += 1
-        counts["completed"] += record.is_whole and not found
+        counts["completed"] += record.is_complete and not found
         not_run += record.outcome is Outcome.NOT_RUN and not found
-    return Verdict(
+    return CheckResult(
         sent=len(records),
         completed=sum(counts["completed"] for counts in by_kind.values()),
         by_kind=by_kind,
--- a/src/ebonydeal/_internal/standin/cloud.py
+++ b/src/ebonydeal/_internal/standin/cloud.py
@@ -7,7 +7,11 @@
 from mode import Service
 
 from ebonydeal._internal.outside.interfaces import CloudInstance, Offer, ReclaimNotice
-from ebonydeal._internal.standin.server import StandinServer, drop, standin_app
+from ebonydeal._internal.standin.server import (
+    StandinServer,
+    abort_connection,
+    standin_app,
+)
 from ebonydeal._internal.utils.clock import Clock, SystemClock
 from ebonydeal._internal.utils.web import read_json
 
@@ -56,9 +60,9 @@
     ) -> None:
         super().__init__()
         self.offers = list(offers)
-        self.refusing: set[tuple[str, str]] = set()
+        self.no_capacity: set[tuple[str, str]] = set()
         self.down = False
-        self.lose_starts = 0
+        self.lost_start_answers = 0
         self.instances: dict[str, CloudInstance] = {}
         self.notices: list[ReclaimNotice] = []
         self._tokens: dict[str, str] = {}
@@ -81,7 +85,7 @@
 
     def refusal(self, zone: str, machine_class: str, reclaimable: bool) -> str:
         """Return why such an instance can't be started, or an empty text."""
-        if (zone, machine_class) in self.refusing or (zone, "") in self.refusing:
+        if (zone, machine_class) in self.no_capacity or (zone, "") in self.no_capacity:
             return "no capacity"
         for offer in self.offers:
             wanted = (zone, machine_class, reclaimable)
@@ -127,7 +131,9 @@
         self.instances[instance_id] = instance._replace(state=STOPPED)
         await self._terminate(instance_id)
 
-    def give_notice(self, zone: str, instance_id: str, seconds: float) -> ReclaimNotice:
+    def announce_reclaim(
+        self, zone: str, instance_id: str, seconds: float
+    ) -> ReclaimNotice:
         """Tell that an instance, or with an empty id a zone, is taken back."""
         deadline = self._clock.wall() + seconds
         notice = ReclaimNotice(len(self.notices) + 1, instance_id, zone, deadline)
@@ -174,9 +180,9 @@
         instance = await self.start_instance(
             token, zone, machine_class, reclaimable, tags
         )
-        if self.lose_starts > 0:
-            self.lose_starts -= 1
-            return drop(req)
+        if self.lost_start_answers > 0:
+            self.lost_start_answers -= 1
+            return abort_connection(req)
         return web.json_response(instance._asdict())
 
     async def _serve_stop(self, req: web.Request) -> web.Response:
--- a/src/ebonydeal/_internal/standin/endpoint.py
+++ b/src/ebonydeal/_internal/standin/endpoint.py
@@ -53,16 +53,16 @@
         Faults of the next attempts, one each.
     always : PlannedFault, optional
         Fault of every attempt that has none planned.
-    slow : float
+    time_factor : float
         Factor on all times.
-    rest : float
+    retry_after_s : float
         Seconds of rest that a refusal asks for; 0 for none.
     """
 
     next: deque[PlannedFault] = field(default_factory=deque)
     always: PlannedFault | None = None
-    slow: float = 1.0
-    rest: float = 0.0
+    time_factor: float = 1.0
+    retry_after_s: float = 0.0
 
     def take(self) -> PlannedFault:
         """Return the fault of the next attempt, using it up."""
@@ -78,8 +78,8 @@
         if "always" in message:
             fault = EndpointFault(message["always"])
             self.always = PlannedFault(fault, int(message.get("after", 0)))
-        self.slow = float(message.get("slow", self.slow))
-        self.rest = float(message.get("rest", self.rest))
+        self.time_factor = float(message.get("slow", self.time_factor))
+        self.retry_after_s = float(message.get("rest", self.retry_after_s))
 
 
 def not_run(reason: str, headers: dict[str, str]) -> web.Response:
@@ -123,7 +123,7 @@
         self.slots = Slots(slots)
         self.faults = EndpointFaults()
         self.refuses_when_leaving = False
-        self.leaving_at: float | None = None
+        self.leaving_since: float | None = None
         self.entries: list[dict[str, Any]] = []
         self._load_lag = load_lag
         self._load: tuple[float, LoadReport] | None = None
@@ -147,9 +147,9 @@
     @property
     def is_leaving(self) -> bool:
         """Whether its instance is being taken back."""
-        return self.leaving_at is not None
+        return self.leaving_since is not None
 
-    def measure(self) -> LoadReport:
+    def measure_load(self) -> LoadReport:
         """Return the load as it is now."""
         raise NotImplementedError
 
@@ -157,7 +157,7 @@
         """Return the load as it was measured some time ago."""
         now = self.clock.now()
         if self._load is None or now - self._load[0] >= self._load_lag:
-            self._load = (now, self.measure())
+            self._load = (now, self.measure_load())
         return self._load[1]
 
     def load_headers(self) -> dict[str, str]:
@@ -167,24 +167,24 @@
     def refusal_headers(self) -> dict[str, str]:
         """Return the headers of a refusal before running."""
         headers = self.load_headers()
-        if self.faults.rest > 0.0:
-            headers["Retry-After"] = f"{self.faults.rest:g}"
+        if self.faults.retry_after_s > 0.0:
+            headers["Retry-After"] = f"{self.faults.retry_after_s:g}"
         return headers
 
-    async def nap(self, seconds: float) -> None:
+    async def simulate_work(self, seconds: float) -> None:
         """Wait as long as work of ``seconds`` takes at present."""
-        await self.clock.sleep(seconds * self.faults.slow)
+        await self.clock.sleep(seconds * self.faults.time_factor)
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Note that the instance is being taken back."""
-        if self.leaving_at is None:
-            self.leaving_at = self.clock.now()
+        if self.leaving_since is None:
+            self.leaving_since = self.clock.now()
 
     async def kill(self) -> None:
         """Die at once: every connection is reset."""
         await self.server.kill()
 
-    def history(self) -> dict[str, Any]:
+    def attempt_log(self) -> dict[str, Any]:
         """Return every attempt that came here."""
         return {
             "endpoint_id": self.endpoint_id,
@@ -196,7 +196,7 @@
         return web.json_response(self.load().to_message())
 
     async def _serve_log(self, _req: web.Request) -> web.Response:
-        return web.json_response(self.history())
+        return web.json_response(self.attempt_log())
 
     async def _serve_faults(self, req: web.Request) -> web.Response:
         self.faults.change(await req.json())
--- a/src/ebonydeal/_internal/standin/engine.py
+++ b/src/ebonydeal/_internal/standin/engine.py
@@ -20,7 +20,7 @@
 from ebonydeal._internal.standin.generation import Generation
 from ebonydeal._internal.standin.kv import KvStore
 from ebonydeal._internal.standin.orders import Orders
-from ebonydeal._internal.standin.server import drop
+from ebonydeal._internal.standin.server import abort_connection
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.web import read_json
 
@@ -86,10 +86,10 @@
         """Load what is ordered, one model after another."""
         while not self.should_stop:
             model = await self.orders.wait_missing()
-            await self.nap(self.spec.load_seconds)
+            await self.simulate_work(self.spec.load_seconds)
             self.orders.set_loaded(model)
 
-    def measure(self) -> LoadReport:
+    def measure_load(self) -> LoadReport:
         """Return the load as it is now."""
         share = min(1.0, self.slots.running / self.slots.count)
         return LoadReport(
@@ -114,16 +114,16 @@
         if fault.fault is EndpointFault.ERROR:
             return web.json_response({}, status=500)
         if fault.fault is EndpointFault.BREAK_BEFORE:
-            return drop(req)
+            return abort_connection(req)
         if not await self._take_slot(attempt):
             return not_run("cancelled", self.load_headers())
         try:
             run = Generation(self, self.spec, self.cache, self.kv, attempt, fault)
             return await run.run(req)
         except ConnectionError:
-            return drop(req)
+            return abort_connection(req)
         finally:
-            self.slots.give_back()
+            self.slots.release()
 
     def _refusal(self, attempt: Attempt, fault: EndpointFault) -> str:
         """Return why an attempt is not taken, or an empty text."""
@@ -136,8 +136,8 @@
     def _note_arrival(self, attempt: Attempt, refused: str) -> None:
         """Begin the log entry of an attempt."""
         since = None
-        if self.leaving_at is not None:
-            since = self.clock.now() - self.leaving_at
+        if self.leaving_since is not None:
+            since = self.clock.now() - self.leaving_since
         if refused:
             attempt.state = AttemptState.NOT_STARTED
         else:
@@ -148,13 +148,13 @@
 
     async def _take_slot(self, attempt: Attempt) -> bool:
         """Wait for a slot; return False where the attempt was cancelled first."""
-        waiter = asyncio.ensure_future(self.slots.take(attempt.priority))
+        waiter = asyncio.ensure_future(self.slots.acquire(attempt.priority))
         attempt.waiter = waiter
         try:
             await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                self.slots.give_back()
+                self.slots.release()
             was_asked = attempt.state is AttemptState.NOT_STARTED
             attempt.state = AttemptState.NOT_STARTED
             attempt.note()
@@ -162,7 +162,7 @@
                 return False
             raise
         if attempt.state is AttemptState.STOPPED:
-            self.slots.give_back()
+            self.slots.release()
             return False
         return True
 
@@ -199,7 +199,7 @@
         attempt = self._running((await read_json(req)).get("attempt_id"))
         attempt.state = AttemptState.STOPPED
         copy = self.kv.export(attempt)
-        await self.nap(copy.tokens / self.spec.kv_tokens_per_s)
+        await self.simulate_work(copy.tokens / self.spec.kv_tokens_per_s)
         size = copy.tokens * self.spec.kv_gb_per_token
         return web.json_response(
             {"handle": copy.handle, "tokens": copy.tokens, "gb": size}
@@ -208,7 +208,7 @@
     async def _serve_import(self, req: web.Request) -> web.Response:
         body = await read_json(req)
         copy = await self.kv.fetch(str(body.get("handle")), str(body.get("source")))
-        await self.nap(copy.tokens / self.spec.kv_tokens_per_s)
+        await self.simulate_work(copy.tokens / self.spec.kv_tokens_per_s)
         return web.json_response({"tokens": copy.tokens})
 
     async def _serve_kv(self, req: web.Request) -> web.Response:
@@ -220,7 +220,7 @@
         return web.json_response({"events": [item._asdict() for item in events]})
 
     async def _serve_order(self, req: web.Request) -> web.Response:
-        self.orders.give(await read_json(req))
+        self.orders.apply(await read_json(req))
         return web.json_response({})
 
     async def _serve_order_state(self, _req: web.Request) -> web.Response:
--- a/src/ebonydeal/_internal/standin/faults.py
+++ b/src/ebonydeal/_internal/standin/faults.py
@@ -21,9 +21,9 @@
     LOST_ANSWER = "lost_answer"
     """Takes effect, and the answer is lost (STORE_IN_DOUBT)."""
     LATE = "late"
-    """No answer; takes effect only when `land_late` is called."""
+    """No answer; takes effect only when `apply_late_writes` is called."""
     DUPLICATE = "duplicate"
-    """Takes effect, is answered, and lands again at `land_late`."""
+    """Takes effect, is answered, and lands again at `apply_late_writes`."""
     DUPLICATE_LOST = "duplicate_lost"
     """As DUPLICATE, and the answer is lost (STORE_IN_DOUBT)."""
 
--- a/src/ebonydeal/_internal/standin/generation.py
+++ b/src/ebonydeal/_internal/standin/generation.py
@@ -100,7 +100,7 @@
         attempt.cached = min(attempt.size(), max(cached, self._kv.tokens_for(attempt)))
         attempt.prefilled = attempt.size() - attempt.cached
         attempt.note()
-        await self._engine.nap(attempt.prefilled / self._spec.prefill_per_s)
+        await self._engine.simulate_work(attempt.prefilled / self._spec.prefill_per_s)
 
     def _token_seconds(self) -> float:
         """Return the time of one token in the present batch."""
@@ -112,7 +112,7 @@
         attempt = self._attempt
         first = True
         while attempt.position < len(attempt.tokens):
-            await self._engine.nap(self._token_seconds())
+            await self._engine.simulate_work(self._token_seconds())
             if attempt.state is AttemptState.STOPPED:
                 return
             if self._fault_due() and await self._fail(req, resp):
--- a/src/ebonydeal/_internal/standin/load.py
+++ b/src/ebonydeal/_internal/standin/load.py
@@ -56,7 +56,7 @@
     commits_per_s: float = 3.0
     max_tokens: int = 60
     max_open: int = 400
-    patience: float = 30.0
+    timeout_s: float = 30.0
     seed: int = 1
 
     @classmethod
@@ -146,7 +146,7 @@
                 self._balancer,
                 self._spec.api_key,
                 self._clock,
-                self._spec.patience,
+                self._spec.timeout_s,
             )
             await asyncio.gather(*(self._arrivals(kind, caller) for kind in CallKind))
         return self.records
--- a/src/ebonydeal/_internal/standin/memory.py
+++ b/src/ebonydeal/_internal/standin/memory.py
@@ -17,7 +17,7 @@
     Write,
 )
 from ebonydeal._internal.standin.faults import Faults
-from ebonydeal._internal.standin.gate import OperationGate
+from ebonydeal._internal.standin.operation_runner import OperationRunner
 from ebonydeal._internal.utils.clock import Clock, SystemClock
 
 
@@ -111,7 +111,7 @@
     ) -> None:
         self.rows = RowStore()
         self.faults = faults or Faults()
-        self.gate = OperationGate(clock or SystemClock(), self.faults)
+        self.runner = OperationRunner(clock or SystemClock(), self.faults)
 
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
@@ -121,7 +121,7 @@
         key = writes[0].key if writes else ""
         # Encoded now: a late landing must not see what the caller changes later.
         frozen = tuple(_copy(item) for item in writes)
-        return await self.gate.run(
+        return await self.runner.run(
             "transact",
             key,
             True,
@@ -131,27 +131,29 @@
 
     async def get(self, key: str) -> Row | None:
         """Return a row, or None."""
-        return await self.gate.run("get", key, False, lambda: self.rows.get(key), None)
+        return await self.runner.run(
+            "get", key, False, lambda: self.rows.get(key), None
+        )
 
     async def scan(self, prefix: str, start: str = "", limit: int = 1000) -> list[Row]:
         """Return rows whose key has ``prefix`` and is >= ``start``, by key."""
-        return await self.gate.run(
+        return await self.runner.run(
             "scan", prefix, False, lambda: self.rows.scan(prefix, start, limit), None
         )
 
-    def land_late(self) -> list[Any]:
+    def apply_late_writes(self) -> list[Any]:
         """Let every late write land now; return whether each applied."""
-        return self.gate.land_late()
+        return self.runner.apply_late_writes()
 
     @property
     def reads(self) -> int:
         """How many reads were asked for."""
-        return self.gate.reads
+        return self.runner.reads
 
     @property
     def writes(self) -> int:
         """How many transactions were asked for."""
-        return self.gate.writes
+        return self.runner.writes
 
     async def close(self) -> None:
         """Do nothing; here for the adapters' sake."""
@@ -171,49 +173,49 @@
     ) -> None:
         self.data: dict[str, bytes] = {}
         self.faults = faults or Faults()
-        self.gate = OperationGate(clock or SystemClock(), self.faults)
+        self.runner = OperationRunner(clock or SystemClock(), self.faults)
 
     async def put(self, name: str, data: bytes) -> None:
         """Store an object, replacing one of the same name."""
         frozen = bytes(data)
-        await self.gate.run(
+        await self.runner.run(
             "put", name, True, lambda: self.data.__setitem__(name, frozen), None
         )
 
     async def get(self, name: str) -> bytes | None:
         """Return an object, or None."""
-        return await self.gate.run(
+        return await self.runner.run(
             "get", name, False, lambda: self.data.get(name), None
         )
 
     async def delete(self, name: str) -> None:
         """Remove an object if it is there."""
-        await self.gate.run(
+        await self.runner.run(
             "delete", name, True, lambda: self.data.pop(name, None), None
         )
 
     async def names(self, prefix: str) -> list[str]:
         """Return the names that start with ``prefix``, sorted."""
-        return await self.gate.run(
+        return await self.runner.run(
             "names", prefix, False, lambda: self._names(prefix), None
         )
 
     def _names(self, prefix: str) -> list[str]:
         return sorted(name for name in self.data if name.startswith(prefix))
 
-    def land_late(self) -> list[Any]:
+    def apply_late_writes(self) -> list[Any]:
         """Let every late write land now."""
-        return self.gate.land_late()
+        return self.runner.apply_late_writes()
 
     @property
     def reads(self) -> int:
         """How many reads were asked for."""
-        return self.gate.reads
+        return self.runner.reads
 
     @property
     def writes(self) -> int:
         """How many writes were asked for."""
-        return self.gate.writes
+        return self.runner.writes
 
     async def close(self) -> None:
         """Do nothing; here for the adapters' sake."""
--- a/src/ebonydeal/_internal/standin/gate.py
+++ b/src/ebonydeal/_internal/standin/operation_runner.py
@@ -12,7 +12,7 @@
 _TWICE = (Fault.DUPLICATE, Fault.DUPLICATE_LOST)
 
 
-class OperationGate:
+class OperationRunner:
     """Runs operations one at a time under the faults asked for.
 
     Attributes
@@ -73,7 +73,7 @@
         """How many writes will still land."""
         return len(self._late)
 
-    def land_late(self) -> list[Any]:
+    def apply_late_writes(self) -> list[Any]:
         """Let every late write land now; return what each did."""
         late, self._late = self._late, []
         return [effect() for effect in late]
--- a/src/ebonydeal/_internal/standin/orders.py
+++ b/src/ebonydeal/_internal/standin/orders.py
@@ -32,7 +32,7 @@
         self.on_change: Callable[[], None] | None = None
         self._changed = asyncio.Event()
 
-    def give(self, message: dict[str, Any]) -> None:
+    def apply(self, message: dict[str, Any]) -> None:
         """Take an order; raises STALE_ORDER or BAD_REQUEST."""
         try:
             order = EngineOrder(
--- a/src/ebonydeal/_internal/standin/world.py
+++ b/src/ebonydeal/_internal/standin/platform.py
@@ -18,10 +18,14 @@
 from ebonydeal._internal.standin.endpoint import StandinEndpoint
 from ebonydeal._internal.standin.engine import StandinEngine
 from ebonydeal._internal.standin.listing import InstanceListServer
+from ebonydeal._internal.standin.platform_spec import (
+    MACHINE_CLASS,
+    DeploymentSpec,
+    PlatformSpec,
+)
 from ebonydeal._internal.standin.service import StandinService
 from ebonydeal._internal.standin.stores import ObjectsServer, TablesServer
 from ebonydeal._internal.standin.weights import WeightStoreServer
-from ebonydeal._internal.standin.worldspec import MACHINE_CLASS, FleetSpec, WorldSpec
 from ebonydeal._internal.utils.clock import Clock, SystemClock
 
 logger = get_logger("standin")
@@ -31,12 +35,12 @@
 _INITIAL = "initial-"
 
 
-class StandinWorld(Service):
+class StandinPlatform(Service):
     """Tables, objects, list, cloud, weights, engines and services together.
 
     Parameters
     ----------
-    spec : WorldSpec
+    spec : PlatformSpec
         What there is.
     clock : Clock, optional
         What all waiting goes by.
@@ -47,7 +51,7 @@
 
     def __init__(
         self,
-        spec: WorldSpec,
+        spec: PlatformSpec,
         *,
         clock: Clock | None = None,
         ports: dict[str, int] | None = None,
@@ -56,7 +60,7 @@
         self.spec = spec
         self.clock = clock or SystemClock()
         self._rng = random.Random(spec.seed)
-        self._fleets = {fleet.name: fleet for fleet in spec.fleets}
+        self._fleets = {fleet.name: fleet for fleet in spec.deployments}
         self._places = {place.zone: place for place in spec.places}
         self._live: dict[str, StandinEndpoint] = {}
         self.all_endpoints: list[StandinEndpoint] = []
@@ -80,7 +84,7 @@
             clock=self.clock,
             port=ports.get("cloud", 0),
         )
-        models = sorted({name for fleet in spec.fleets for name in fleet.models})
+        models = sorted({name for fleet in spec.deployments for name in fleet.models})
         copies = tuple(
             WeightCopy("store", model, _MODEL_GB, spec.places[0].zone)
             for model in models
@@ -98,7 +102,7 @@
 
     async def on_started(self) -> None:
         """Start the endpoints that are there from the start."""
-        for fleet in self.spec.fleets:
+        for fleet in self.spec.deployments:
             for number in range(fleet.replicas):
                 place = self.spec.places[number % len(self.spec.places)]
                 await self.add_endpoint(fleet.name, place.zone)
@@ -128,7 +132,7 @@
 
     def logs(self) -> list[dict[str, Any]]:
         """Return the log of each endpoint that ever lived."""
-        return [endpoint.history() for endpoint in self.all_endpoints]
+        return [endpoint.attempt_log() for endpoint in self.all_endpoints]
 
     async def add_endpoint(
         self, deployment: str, zone: str, *, reclaimable: bool = True
@@ -158,12 +162,12 @@
         return endpoint.address
 
     def _make_endpoint(
-        self, fleet: FleetSpec, instance: CloudInstance
+        self, fleet: DeploymentSpec, instance: CloudInstance
     ) -> StandinEndpoint:
         if fleet.kind == EndpointKind.SERVICE:
-            service = self.spec.service.faster(self.spec.speed)
+            service = self.spec.service.at_speed(self.spec.speed)
             return StandinService(instance.instance_id, service, clock=self.clock)
-        engine = self.spec.engine.faster(self.spec.speed)
+        engine = self.spec.engine.at_speed(self.spec.speed)
         made = StandinEngine(
             instance.instance_id,
             fleet.models if _is_initial(instance) else (),
@@ -181,7 +185,7 @@
                 self.listing.set_endpoint(view._replace(models=_loaded(engine)))
 
     def _view(
-        self, fleet: FleetSpec, instance: CloudInstance, endpoint: StandinEndpoint
+        self, fleet: DeploymentSpec, instance: CloudInstance, endpoint: StandinEndpoint
     ) -> EndpointView:
         """Return what the list will say of a new endpoint."""
         price, evict = 0.0, 0.0
@@ -225,10 +229,10 @@
     def reclaim_zone(self, zone: str, notice_seconds: float) -> None:
         """Take back a whole availability zone, after a notice.
 
-        Starts in it are refused from now on; see `open_zone`.
+        Starts in it are refused from now on; see `restore_zone`.
         """
-        self.cloud.refusing.add((zone, ""))
-        self.cloud.give_notice(zone, "", notice_seconds)
+        self.cloud.no_capacity.add((zone, ""))
+        self.cloud.announce_reclaim(zone, "", notice_seconds)
         leaving = [view for view in self.views() if view.place.zone == zone]
         for view in leaving:
             self._mark_leaving(view)
@@ -238,16 +242,16 @@
     def reclaim_endpoint(self, endpoint_id: str, notice_seconds: float) -> None:
         """Take back one instance, after a notice."""
         view = next(v for v in self.views() if v.endpoint_id == endpoint_id)
-        self.cloud.give_notice(view.place.zone, endpoint_id, notice_seconds)
+        self.cloud.announce_reclaim(view.place.zone, endpoint_id, notice_seconds)
         self._mark_leaving(view)
         self.add_future(self._take_endpoint(endpoint_id, notice_seconds))
 
-    def open_zone(self, zone: str) -> None:
+    def restore_zone(self, zone: str) -> None:
         """Let instances be started in a zone again."""
-        self.cloud.refusing.discard((zone, ""))
+        self.cloud.no_capacity.discard((zone, ""))
 
     def _mark_leaving(self, view: EndpointView) -> None:
-        self._live[view.endpoint_id].leave()
+        self._live[view.endpoint_id].start_leaving()
         self.listing.set_endpoint(view._replace(state=EndpointState.LEAVING))
 
     async def _take_zone(self, zone: str, seconds: float) -> None:
--- a/src/ebonydeal/_internal/standin/worldspec.py
+++ b/src/ebonydeal/_internal/standin/platform_spec.py
@@ -13,7 +13,7 @@
 _EVICT_PER_HOUR = 0.5
 
 
-class FleetSpec(NamedTuple):
+class DeploymentSpec(NamedTuple):
     """Endpoints of one deployment at the start.
 
     Attributes
@@ -37,7 +37,7 @@
     checks_fence: bool = True
 
 
-class WorldSpec(NamedTuple):
+class PlatformSpec(NamedTuple):
     """A whole stand-in world.
 
     Attributes
@@ -63,7 +63,7 @@
     """
 
     places: tuple[Place, ...]
-    fleets: tuple[FleetSpec, ...]
+    deployments: tuple[DeploymentSpec, ...]
     offers: tuple[Offer, ...]
     engine: EngineSpec = EngineSpec()
     service: ServiceSpec = ServiceSpec()
@@ -77,7 +77,7 @@
     @classmethod
     def from_document(
         cls, document: dict[str, Any], replicas: dict[str, int], **options: Any
-    ) -> "WorldSpec":
+    ) -> "PlatformSpec":
         """Build a world that fits a configuration document.
 
         Parameters
@@ -92,14 +92,14 @@
             for region in document["regions"]
             for zone in region["zones"]
         )
-        fleets = tuple(_fleet(item, replicas) for item in document["deployments"])
-        return cls(places, fleets, default_offers(places), **options)
+        deployments = tuple(_fleet(item, replicas) for item in document["deployments"])
+        return cls(places, deployments, default_offers(places), **options)
 
 
-def _fleet(item: dict[str, Any], replicas: dict[str, int]) -> FleetSpec:
+def _fleet(item: dict[str, Any], replicas: dict[str, int]) -> DeploymentSpec:
     """Return the fleet of one deployment of a document."""
     adapters = [adapter["name"] for adapter in item.get("adapters", ())]
-    return FleetSpec(
+    return DeploymentSpec(
         name=item["name"],
         kind=item["kind"],
         models=(*item.get("models", ()), *adapters),
--- a/src/ebonydeal/_internal/standin/report.py
+++ b/src/ebonydeal/_internal/standin/report.py
@@ -6,7 +6,7 @@
 from hdrh.histogram import HdrHistogram
 
 from ebonydeal._internal.standin.calls import CallKind, CallRecord
-from ebonydeal._internal.standin.check import Verdict, Violation
+from ebonydeal._internal.standin.check import CheckResult, Violation
 
 _US = 1_000_000
 _HIGHEST_US = 3_600 * _US
@@ -43,7 +43,7 @@
 
 
 def summary(
-    records: Sequence[CallRecord], verdict: Verdict, *, checked_runs: bool = True
+    records: Sequence[CallRecord], result: CheckResult, *, checked_runs: bool = True
 ) -> dict[str, Any]:
     """Return the figures of a run as one JSON object.
 
@@ -57,23 +57,23 @@
         Whether the endpoints' logs were there; without them, nothing can be
         said of runs, so that the fields about them are None.
     """
-    findings = verdict.findings
-    counts = {violation: verdict.count(violation) for violation in Violation}
+    findings = result.findings
+    counts = {violation: result.count(violation) for violation in Violation}
     return {
         "ok": not findings,
-        "sent": verdict.sent,
-        "completed": verdict.completed,
-        "not_run": verdict.not_run,
+        "sent": result.sent,
+        "completed": result.completed,
+        "not_run": result.not_run,
         "lost": counts[Violation.LOST],
         "duplicated": counts[Violation.DUPLICATED] if checked_runs else None,
         "unknown": counts[Violation.UNKNOWN],
         "wrong_content": sum(counts[item] for item in _CONTENT),
         "ran_though_not_run": counts[Violation.RAN] if checked_runs else None,
         "late_work": counts[Violation.LATE_WORK] if checked_runs else None,
-        "recomputed_tokens": verdict.recomputed_tokens if checked_runs else None,
-        "reconnects": sum(record.breaks for record in records),
-        "refused": verdict.refused,
-        "by_kind": verdict.by_kind,
+        "recomputed_tokens": result.recomputed_tokens if checked_runs else None,
+        "reconnects": sum(record.broken_streams for record in records),
+        "refused": result.refused,
+        "by_kind": result.by_kind,
         "first_answer": {
             str(kind): percentiles(_times(records, kind)) for kind in CallKind
         },
--- a/src/ebonydeal/_internal/standin/server.py
+++ b/src/ebonydeal/_internal/standin/server.py
@@ -51,7 +51,7 @@
             conn.transport.abort()
 
 
-def drop(req: web.Request) -> web.Response:
+def abort_connection(req: web.Request) -> web.Response:
     """Reset the connection of ``req``, so that its answer is lost."""
     if req.transport is not None:
         req.transport.abort()
--- a/src/ebonydeal/_internal/standin/service.py
+++ b/src/ebonydeal/_internal/standin/service.py
@@ -12,8 +12,8 @@
     StandinEndpoint,
     not_run,
 )
-from ebonydeal._internal.standin.server import drop
-from ebonydeal._internal.standin.text import call_digest, expected_answer
+from ebonydeal._internal.standin.expected_answers import call_digest, expected_answer
+from ebonydeal._internal.standin.server import abort_connection
 from ebonydeal._internal.utils.clock import Clock
 
 KEY_HEADER = "Idempotency-Key"
@@ -36,7 +36,7 @@
     work_seconds: float = 0.02
     load_lag: float = 0.5
 
-    def faster(self, factor: float) -> "ServiceSpec":
+    def at_speed(self, factor: float) -> "ServiceSpec":
         """Return the same service at ``factor`` times the speed."""
         return self._replace(
             work_seconds=self.work_seconds / factor, load_lag=self.load_lag / factor
@@ -76,7 +76,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.app.router.add_route("*", "/{path:.*}", self._serve_call)
 
-    def measure(self) -> LoadReport:
+    def measure_load(self) -> LoadReport:
         """Return the load as it is now."""
         return LoadReport(
             running=self.slots.running,
@@ -112,7 +112,7 @@
         if fault is EndpointFault.ERROR:
             return web.json_response({}, status=500)
         if fault is EndpointFault.BREAK_BEFORE:
-            return drop(req)
+            return abort_connection(req)
         task = asyncio.ensure_future(self._work(entry))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -124,8 +124,8 @@
     ) -> dict[str, Any]:
         """Begin the log entry of a call."""
         since = None
-        if self.leaving_at is not None:
-            since = self.clock.now() - self.leaving_at
+        if self.leaving_since is not None:
+            since = self.clock.now() - self.leaving_since
         entry = {
             "attempt_id": req.headers.get(ATTEMPT_HEADER, ""),
             "key": req.headers.get(KEY_HEADER, ""),
@@ -140,13 +140,13 @@
 
     async def _work(self, entry: dict[str, Any]) -> None:
         """Do the work; the effect is in the middle of it."""
-        await self.slots.take(1)
+        await self.slots.acquire(1)
         try:
-            await self.nap(self.spec.work_seconds / 2)
+            await self.simulate_work(self.spec.work_seconds / 2)
             entry["ran"] = True
-            await self.nap(self.spec.work_seconds / 2)
+            await self.simulate_work(self.spec.work_seconds / 2)
         finally:
-            self.slots.give_back()
+            self.slots.release()
 
     async def _answer(
         self, req: web.Request, body: bytes, fault: EndpointFault
@@ -157,11 +157,11 @@
             case EndpointFault.STALL:
                 await asyncio.Event().wait()
             case EndpointFault.BREAK:
-                return drop(req)
+                return abort_connection(req)
             case EndpointFault.GARBAGE:
                 if req.transport is not None:
                     req.transport.write(b"\x00\xffnonsense\r\n\r\n")
-                return drop_after(req)
+                return close_after_send(req)
             case EndpointFault.TRUNCATE:
                 return await self._half_answer(req, text)
         return web.Response(
@@ -174,10 +174,10 @@
         resp.content_length = len(text)
         await resp.prepare(req)
         await resp.write(text[: len(text) // 2].encode())
-        return drop_after(req, resp)
+        return close_after_send(req, resp)
 
 
-def drop_after(
+def close_after_send(
     req: web.Request, resp: web.StreamResponse | None = None
 ) -> web.StreamResponse:
     """Close the connection once what was written is sent."""
--- a/src/ebonydeal/_internal/standin/slots.py
+++ b/src/ebonydeal/_internal/standin/slots.py
@@ -24,7 +24,7 @@
         """How many wait."""
         return sum(1 for _, _, fut in self._waiters if not fut.done())
 
-    async def take(self, priority: int) -> None:
+    async def acquire(self, priority: int) -> None:
         """Wait for a slot; a lower number is served first."""
         if self.running < self.count:
             self.running += 1
@@ -36,10 +36,10 @@
             await fut
         except asyncio.CancelledError:
             if fut.done() and not fut.cancelled():
-                self.give_back()
+                self.release()
             raise
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Free a slot, or pass it on to the first waiter."""
         while self._waiters:
             fut = heappop(self._waiters)[2]
--- a/src/ebonydeal/_internal/standin/stores.py
+++ b/src/ebonydeal/_internal/standin/stores.py
@@ -18,7 +18,11 @@
     Write,
 )
 from ebonydeal._internal.standin.memory import MemoryObjects, MemoryTables
-from ebonydeal._internal.standin.server import StandinServer, drop, standin_app
+from ebonydeal._internal.standin.server import (
+    StandinServer,
+    abort_connection,
+    standin_app,
+)
 from ebonydeal._internal.utils.web import Handler, read_json
 
 
@@ -58,7 +62,7 @@
             return await handler(req)
         except EbonydealError as exc:
             if exc.kind is ErrorKind.STORE_IN_DOUBT:
-                return drop(req)
+                return abort_connection(req)
             raise
 
     return wrapped
--- a/tests/functional/commands/test_endpoint_faults.py
+++ b/tests/functional/commands/test_endpoint_faults.py
@@ -65,7 +65,7 @@
     async def test_what_runs_at_the_notice_is_finished(self):
         async def reclaim(tree):
             for service in endpoints(tree, "service"):
-                service.faults.slow = 25.0
+                service.faults.time_factor = 25.0
             zone = tree.world.spec.places[0].zone
             busy = []
             for _ in range(300):
--- a/tests/functional/commands/test_faults_together.py
+++ b/tests/functional/commands/test_faults_together.py
@@ -19,8 +19,8 @@
     world.reclaim_zone(second, 0.5)
     await asyncio.sleep(1.0)
     tables.faults.down = False
-    tables.land_late()
-    world.open_zone(first)
+    tables.apply_late_writes()
+    world.restore_zone(first)
 
 
 async def lose_processes(tree):
--- a/tests/functional/commands/test_quickstart.py
+++ b/tests/functional/commands/test_quickstart.py
@@ -38,7 +38,7 @@
         records, verdict, _tree = await run_with_fault(kill)
         assert verdict.findings == ()
         assert verdict.completed == len(records) > 0
-        assert sum(record.breaks for record in records) > 0
+        assert sum(record.broken_streams for record in records) > 0
 
     async def test_engine_dies_in_the_middle_of_a_stream(self):
         async def kill(tree):
@@ -59,7 +59,7 @@
         records, verdict, _tree = await run_with_fault(stop)
         assert verdict.findings == ()
         assert verdict.completed == len(records) > 0
-        assert sum(record.breaks for record in records) == 0
+        assert sum(record.broken_streams for record in records) == 0
 
     async def test_journal_is_stopped_as_planned_under_load(self):
         async def stop(tree):
@@ -86,7 +86,7 @@
             faults = tree.world.tables.tables.faults
             faults.writes.extend([Fault.LOST_ANSWER, Fault.NONE, Fault.DUPLICATE] * 4)
             await asyncio.sleep(1.0)
-            tree.world.tables.tables.land_late()
+            tree.world.tables.tables.apply_late_writes()
 
         records, verdict, _tree = await run_with_fault(lose)
         assert verdict.findings == ()
--- a/tests/functional/config/test_store_faults.py
+++ b/tests/functional/config/test_store_faults.py
@@ -34,7 +34,7 @@
         await store.propose(document(75), 0, "nia", "")
         tables.faults.writes.extend([first, second])
         assert (await store.propose(document(80), 1, "nia", "")).unwrap() == 2
-        tables.land_late()
+        tables.apply_late_writes()
         assert (await store.load()).version == 2
         assert (await store.load()) == (await store.load(2))
 
@@ -48,7 +48,7 @@
         tables.faults.writes.clear()
         await store.propose(document(85), 2, "nia", "")
         await store.propose(document(75), 3, "nia", "")
-        tables.land_late()
+        tables.apply_late_writes()
         content = await store.load()
         assert content == await store.load(4)
         assert [info.version for info in await store.history()] == [4, 3, 2, 1]
--- a/tests/functional/console/test_program.py
+++ b/tests/functional/console/test_program.py
@@ -9,8 +9,8 @@
 from ebonydeal._internal.console.program import SECTIONS, ConsoleProgram
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.settings.console import ConsoleSettings
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.keys import hash_key
 from tests.lib.fakes_endpoints import running
@@ -51,12 +51,12 @@
 class TestTwoConsoles:
     async def test_document_accepted_on_one_console_takes_effect_on_the_other(self):
         document = example_document("cadwaladr")
-        spec = WorldSpec.from_document(
+        spec = PlatformSpec.from_document(
             document, {"kitchen": 1, "paperwork": 1}, list_lag=0.05
         )
         headers = {"Authorization": f"Bearer {TOKEN}"}
         async with (
-            running(StandinWorld(spec)) as world,
+            running(StandinPlatform(spec)) as world,
             running(program(world, "c1")) as first,
             running(program(world, "c2")) as second,
             ClientSession(headers=headers) as session,
@@ -80,9 +80,9 @@
             return await resp.json()
 
     async def test_session_is_valid_on_both_consoles(self):
-        spec = WorldSpec.from_document(example_document("cadwaladr"), {})
+        spec = PlatformSpec.from_document(example_document("cadwaladr"), {})
         async with (
-            running(StandinWorld(spec)) as world,
+            running(StandinPlatform(spec)) as world,
             running(program(world, "c1")) as first,
             running(program(world, "c2")) as second,
             ClientSession(cookie_jar=CookieJar(unsafe=True)) as session,
--- a/tests/functional/controller/test_program.py
+++ b/tests/functional/controller/test_program.py
@@ -12,8 +12,8 @@
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.observe.counters import Event, Metrics
 from ebonydeal._internal.outside.tables import HttpTables
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.peerclient import PeerClient
 from ebonydeal._internal.utils.tls import TlsContexts
@@ -28,7 +28,7 @@
 }
 
 
-def settings(world: StandinWorld) -> dict:
+def settings(world: StandinPlatform) -> dict:
     sections = {name: cls() for name, cls in SECTIONS.items()}
     sections["platform"] = world.platform_settings()
     sections["peers"] = sections["peers"]._replace(port=0)
@@ -45,8 +45,8 @@
 class TestPeers:
     async def test_status_reports_configuration_and_counters(self):
         document = example_document("cadwaladr")
-        spec = WorldSpec.from_document(document, {}, speed=50.0)
-        async with running(StandinWorld(spec)) as world:
+        spec = PlatformSpec.from_document(document, {}, speed=50.0)
+        async with running(StandinPlatform(spec)) as world:
             metrics = Metrics()
             program = ControllerProgram.from_config(
                 settings(world), metrics, SystemClock(), random.Random(2)
@@ -65,9 +65,9 @@
             }
 
     async def test_plain_connections_are_refused_with_tls(self, tmp_path):
-        spec = WorldSpec.from_document(example_document("cadwaladr"), {}, speed=50.0)
+        spec = PlatformSpec.from_document(example_document("cadwaladr"), {}, speed=50.0)
         sections, issue = tls_settings(tmp_path)
-        async with running(StandinWorld(spec)) as world:
+        async with running(StandinPlatform(spec)) as world:
             program = ControllerProgram.from_config(
                 {**settings(world), "tls": sections},
                 Metrics(),
@@ -98,8 +98,8 @@
     async def test_instances_are_taken_over_and_a_reclaimed_zone_is_replaced(self):
         document = example_document("cadwaladr")
         initial = {"kitchen": 3, "paperwork": 3}
-        spec = WorldSpec.from_document(document, initial, speed=50.0, list_lag=0.05)
-        async with running(StandinWorld(spec)) as world:
+        spec = PlatformSpec.from_document(document, initial, speed=50.0, list_lag=0.05)
+        async with running(StandinPlatform(spec)) as world:
             tables = HttpTables.from_config(world.platform_settings())
             store = ConfigStore(tables, SystemClock(), random.Random(1))
             assert (await store.propose(document, 0, "test", "first")).unwrap() == 1
--- a/tests/functional/gateway/test_program.py
+++ b/tests/functional/gateway/test_program.py
@@ -14,9 +14,9 @@
 from ebonydeal._internal.gateway.wiring import SECTIONS
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.tables import HttpTables
-from ebonydeal._internal.standin.text import expected_tokens, finish_reason
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.expected_answers import expected_tokens, finish_reason
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.keys import hash_key
 from ebonydeal._internal.utils.prefix import prompt_text
@@ -42,8 +42,8 @@
         self.engines = next(
             item for item in self.document["deployments"] if item["kind"] == "engine"
         )
-        spec = WorldSpec.from_document(self.document, {self.engines["name"]: 6})
-        self.world = StandinWorld(spec)
+        spec = PlatformSpec.from_document(self.document, {self.engines["name"]: 6})
+        self.world = StandinPlatform(spec)
         self.metrics = Metrics()
 
     @property
--- a/tests/functional/journal/test_program.py
+++ b/tests/functional/journal/test_program.py
@@ -12,8 +12,8 @@
 from ebonydeal._internal.observe.counters import Metrics
 from ebonydeal._internal.outside.tables import HttpTables
 from ebonydeal._internal.peers.journal_client import JournalClient
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.peerclient import PeerClient
 from ebonydeal._internal.utils.tls import TlsContexts
@@ -22,12 +22,12 @@
 from tests.lib.tls_nodes import fetch_serial, tls_settings, wait_until_renewed
 
 
-def new_world() -> StandinWorld:
+def new_world() -> StandinPlatform:
     document = example_document("cadwaladr")
-    return StandinWorld(WorldSpec.from_document(document, {}, speed=50.0))
+    return StandinPlatform(PlatformSpec.from_document(document, {}, speed=50.0))
 
 
-def settings(world: StandinWorld) -> dict:
+def settings(world: StandinPlatform) -> dict:
     sections = {name: cls() for name, cls in SECTIONS.items()}
     sections["platform"] = world.platform_settings()
     sections["peers"] = sections["peers"]._replace(port=0)
--- a/tests/functional/outside/test_engines.py
+++ b/tests/functional/outside/test_engines.py
@@ -7,8 +7,8 @@
 from ebonydeal._internal.outside.engines import HttpEngine
 from ebonydeal._internal.outside.interfaces import CancelResult, EngineOrder, Resume
 from ebonydeal._internal.standin.endpoint import EndpointFault, PlannedFault
+from ebonydeal._internal.standin.expected_answers import expected_tokens
 from ebonydeal._internal.standin.server import StandinServer
-from ebonydeal._internal.standin.text import expected_tokens
 from ebonydeal._internal.utils.prefix import split_tokens
 from tests.lib.fakes_endpoints import FAST, MODEL, engine, running, view_of
 
--- a/tests/functional/outside/test_services.py
+++ b/tests/functional/outside/test_services.py
@@ -7,8 +7,8 @@
 from ebonydeal._internal.outside.backoff import RETRY_AFTER_HEADER, report_backoff
 from ebonydeal._internal.outside.services import HttpPlainServices
 from ebonydeal._internal.standin.endpoint import EndpointFault, PlannedFault
+from ebonydeal._internal.standin.expected_answers import expected_answer
 from ebonydeal._internal.standin.service import ServiceSpec
-from ebonydeal._internal.standin.text import expected_answer
 from tests.lib.fakes_endpoints import running, service, view_of
 
 HEADERS = {"Idempotency-Key": "k-1", "Host": "elsewhere", "Content-Length": "999"}
@@ -90,7 +90,7 @@
         async with running(service()) as server:
             client = HttpPlainServices(2.0)
             server.refuses_when_leaving = True
-            server.leave()
+            server.start_leaving()
             with pytest.raises(EbonydealError) as caught:
                 await call(client, server)
             assert caught.value.kind is ErrorKind.ENDPOINT_REFUSED
@@ -113,7 +113,7 @@
         async with running(service()) as server:
             client, calls = HttpPlainServices(2.0), []
             client.on_backoff = lambda name, seconds: calls.append((name, seconds))
-            server.faults.rest = backoff
+            server.faults.retry_after_s = backoff
             server.faults.next.append(PlannedFault(EndpointFault.REFUSE))
             with pytest.raises(EbonydealError):
                 await call(client, server)
--- a/tests/functional/processes/test_whole_path.py
+++ b/tests/functional/processes/test_whole_path.py
@@ -4,8 +4,8 @@
 import json
 
 from ebonydeal._internal.outside.interfaces import Row
+from ebonydeal._internal.standin.expected_answers import expected_tokens
 from ebonydeal._internal.standin.faults import Fault
-from ebonydeal._internal.standin.text import expected_tokens
 from ebonydeal._internal.utils.prefix import prompt_text
 from tests.lib.cluster import MODEL, Cluster
 
--- a/tests/functional/standin/test_load.py
+++ b/tests/functional/standin/test_load.py
@@ -12,7 +12,7 @@
 from ebonydeal._internal.standin.calls import CallKind, chat_call, service_call
 from ebonydeal._internal.standin.check import Violation, check
 from ebonydeal._internal.standin.load import LoadRun, LoadSpec
-from ebonydeal._internal.standin.server import StandinServer, drop
+from ebonydeal._internal.standin.server import StandinServer, abort_connection
 from ebonydeal._internal.utils.web import error_response, new_app
 from tests.lib.fakes_endpoints import running
 
@@ -88,12 +88,12 @@
         return step(req)
 
 
-async def send(call, *script, patience=20.0):
+async def send(call, *script, timeout_s=20.0):
     gateway = ScriptedGateway(*script)
     async with running(gateway.server), ClientSession() as session:
         balancer = Balancer((f"http://{gateway.server.address}",))
         async with running(balancer):
-            caller = Caller(session, balancer, "key", InstantClock(), patience)
+            caller = Caller(session, balancer, "key", InstantClock(), timeout_s)
             return await caller.send(call), gateway
 
 
@@ -102,9 +102,9 @@
         busy = refuse(ErrorKind.QUEUE_FULL)
         record, gateway = await send(LOOKUP, busy, busy, whole(LOOKUP))
         assert record.outcome is Outcome.ANSWERED
-        assert tuple(record.got) == LOOKUP.expected
+        assert tuple(record.received) == LOOKUP.expected
         assert record.refusals == {"queue_full": 2}
-        assert (record.tries, record.in_doubt) == (3, False)
+        assert (record.attempts, record.in_doubt) == (3, False)
         assert gateway.requests[0][2]["Authorization"] == "Bearer key"
 
     async def test_always_refused_before_running_is_not_run(self):
@@ -114,7 +114,9 @@
         assert keys == {"c-1"}
 
     async def test_lost_once_is_never_not_run(self):
-        record, _gateway = await send(COMMIT, drop, refuse(ErrorKind.QUEUE_FULL))
+        record, _gateway = await send(
+            COMMIT, abort_connection, refuse(ErrorKind.QUEUE_FULL)
+        )
         assert record.outcome is Outcome.UNKNOWN
         assert record.refusals["connection_lost"] == 1
 
@@ -128,7 +130,7 @@
     async def test_accepted_and_asked_until_it_is_there(self):
         record, gateway = await send(LATER, accepted, accepted, chat_answer)
         assert record.outcome is Outcome.ANSWERED
-        assert tuple(record.got) == LATER.expected
+        assert tuple(record.received) == LATER.expected
         assert [request[:2] for request in gateway.requests] == [
             ("POST", "/v1/deferred"),
             ("GET", "/v1/deferred/r-1/answer"),
@@ -148,8 +150,8 @@
             STREAM, events(0, 2, done=False), events(2, 6, done=True)
         )
         assert record.outcome is Outcome.ANSWERED
-        assert tuple(record.got) == STREAM.expected
-        assert record.breaks == 1
+        assert tuple(record.received) == STREAM.expected
+        assert record.broken_streams == 1
         assert "Last-Event-ID" not in gateway.requests[0][2]
         assert gateway.requests[1][2]["Last-Event-ID"] == "e-1"
 
@@ -183,7 +185,7 @@
 class TestLoadRun:
     async def test_same_seed_sends_the_same_requests_of_each_kind(self):
         # Longer than a call takes on a busy machine: nothing here is about time.
-        spec = LoadSpec("key", "covers", "paperwork", seconds=60.0, patience=60.0)
+        spec = LoadSpec("key", "covers", "paperwork", seconds=60.0, timeout_s=60.0)
         runs = []
         for _ in range(2):
             gateway = ScriptedGateway(refuse(ErrorKind.UNAUTHORIZED))
--- a/tests/functional/standin/test_world.py
+++ b/tests/functional/standin/test_platform.py
@@ -8,20 +8,20 @@
 from ebonydeal._internal.outside.instances import HttpInstanceList
 from ebonydeal._internal.outside.interfaces import Offer
 from ebonydeal._internal.outside.weights import HttpWeightStore
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import (
-    FleetSpec,
-    WorldSpec,
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import (
+    DeploymentSpec,
+    PlatformSpec,
     default_offers,
 )
 from tests.lib.fakes_endpoints import running
 
 PLACES = (Place("wales", "wales-1"), Place("wales", "wales-2"))
 FLEETS = (
-    FleetSpec("covers", "engine", ("covers-7b",), 3),
-    FleetSpec("paperwork", "service", (), 2),
+    DeploymentSpec("covers", "engine", ("covers-7b",), 3),
+    DeploymentSpec("paperwork", "service", (), 2),
 )
-SPEC = WorldSpec(
+SPEC = PlatformSpec(
     PLACES, FLEETS, default_offers(PLACES), list_lag=0.0, start_seconds=0.0
 )
 TAGS = {"deployment": "covers"}
@@ -34,7 +34,7 @@
 
 class TestWorld:
     async def test_list_shows_the_fleets(self):
-        async with running(StandinWorld(SPEC)) as world:
+        async with running(StandinPlatform(SPEC)) as world:
             client = HttpInstanceList.from_config(world.platform_settings())
             views = await client.endpoints()
             assert views == world.views()
@@ -51,11 +51,11 @@
             await client.close()
 
     async def test_same_token_starts_one_instance(self):
-        async with running(StandinWorld(SPEC)) as world:
+        async with running(StandinPlatform(SPEC)) as world:
             cloud = HttpCloud.from_config(world.platform_settings())
             offer = (await cloud.offers())[0]
             assert offer == SPEC.offers[0]
-            world.cloud.lose_starts = 1
+            world.cloud.lost_start_answers = 1
             with pytest.raises(EbonydealError) as caught:
                 await cloud.start("t-1", offer, TAGS)
             assert caught.value.kind is ErrorKind.STORE_IN_DOUBT
@@ -70,7 +70,7 @@
             await cloud.close()
 
     async def test_started_engine_is_bare_until_it_is_ordered_to_load(self):
-        async with running(StandinWorld(SPEC._replace(speed=100.0))) as world:
+        async with running(StandinPlatform(SPEC._replace(speed=100.0))) as world:
             cloud = HttpCloud.from_config(world.platform_settings())
             new = (await cloud.start("t-1", SPEC.offers[0], TAGS)).instance_id
 
@@ -80,14 +80,14 @@
             await until(lambda: new in listed())
             assert listed()[new] == ()
             order = {"fence": 1, "models": ["covers-7b"], "role": "serve"}
-            world.endpoint(new).orders.give(order)
+            world.endpoint(new).orders.apply(order)
             await until(lambda: listed()[new] == ("covers-7b",))
             await cloud.close()
 
     async def test_refused_and_unknown_offers(self):
-        async with running(StandinWorld(SPEC)) as world:
+        async with running(StandinPlatform(SPEC)) as world:
             cloud = HttpCloud.from_config(world.platform_settings())
-            world.cloud.refusing.add(("wales-1", "standard"))
+            world.cloud.no_capacity.add(("wales-1", "standard"))
             unknown = Offer("wales-2", "huge", True, 1.0, 0.0, 1)
             for offer in (SPEC.offers[0], unknown):
                 with pytest.raises(EbonydealError) as caught:
@@ -97,7 +97,7 @@
             await cloud.close()
 
     async def test_reclaimed_zone_is_told_and_then_dies(self):
-        async with running(StandinWorld(SPEC)) as world:
+        async with running(StandinPlatform(SPEC)) as world:
             cloud = HttpCloud.from_config(world.platform_settings())
             world.reclaim_zone("wales-1", 0.3)
             notices = await cloud.notices(0)
@@ -118,7 +118,7 @@
             await cloud.close()
 
     async def test_one_instance_is_reclaimed(self):
-        async with running(StandinWorld(SPEC)) as world:
+        async with running(StandinPlatform(SPEC)) as world:
             gone = world.views()[0].endpoint_id
             world.reclaim_endpoint(gone, 0.05)
             assert world.cloud.notices[0].instance_id == gone
@@ -126,7 +126,7 @@
             assert gone not in {view.endpoint_id for view in world.views()}
 
     async def test_weights(self):
-        async with running(StandinWorld(SPEC)) as world:
+        async with running(StandinPlatform(SPEC)) as world:
             weights = HttpWeightStore.from_config(world.platform_settings())
             copies = await weights.copies("covers-7b")
             assert [copy.model for copy in copies] == ["covers-7b"]
--- a/tests/lib/cluster.py
+++ b/tests/lib/cluster.py
@@ -10,8 +10,8 @@
 from ebonydeal._internal.config.store import ConfigStore
 from ebonydeal._internal.outside.tables import HttpTables
 from ebonydeal._internal.soak.ports import reserve_port
-from ebonydeal._internal.standin.world import StandinWorld
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.platform import StandinPlatform
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 from ebonydeal._internal.utils.clock import SystemClock
 from tests.lib.processes import RunningProgram, launch, wait_until_up
 
@@ -27,8 +27,8 @@
     ) -> None:
         document = example_document("cadwaladr")
         replicas = {item["name"]: 3 for item in document["deployments"]}
-        spec = WorldSpec.from_document(document, replicas, speed=speed, list_lag=0.2)
-        self.world = StandinWorld(spec)
+        spec = PlatformSpec.from_document(document, replicas, speed=speed, list_lag=0.2)
+        self.world = StandinPlatform(spec)
         self.document = document
         self.gateways: list[RunningProgram] = []
         self.journals: list[RunningProgram] = []
--- a/tests/lib/fakes_endpoints.py
+++ b/tests/lib/fakes_endpoints.py
@@ -14,7 +14,7 @@
 from ebonydeal._internal.standin.service import ServiceSpec, StandinService
 
 MODEL = "covers-7b"
-FAST = EngineSpec(event_lag=0.0, event_loss=0.0, load_lag=0.0).faster(100.0)
+FAST = EngineSpec(event_lag=0.0, event_loss=0.0, load_lag=0.0).at_speed(100.0)
 
 
 def view_of(endpoint) -> EndpointView:
--- a/tests/lib/fakes_quickstart.py
+++ b/tests/lib/fakes_quickstart.py
@@ -23,8 +23,8 @@
 
 def is_busy(load):
     """Return whether an answer is under way, or several were given."""
-    begun = any(record.got and not record.is_whole for record in load.records)
-    return begun or sum(record.is_whole for record in load.records) > 3
+    begun = any(record.received and not record.is_complete for record in load.records)
+    return begun or sum(record.is_complete for record in load.records) > 3
 
 
 async def run_with_fault(fault, seconds=2.0, **changes):
--- a/tests/lib/matrix_config.py
+++ b/tests/lib/matrix_config.py
@@ -226,7 +226,7 @@
                 self.propose("palermo", 40, self._head())
             case row if isinstance(what, Operation):
                 faults.plan[what.number] = _FAULTS[row]
-                self._later(LATE_S, self.tables.land_late)
+                self._later(LATE_S, self.tables.apply_late_writes)
             case row:
                 self.twist = row
 
@@ -334,7 +334,7 @@
     finished = await world.until(world.settled)
     world.tables.faults.down = False
     world.tables.faults.delay = 0.0
-    world.tables.land_late()
+    world.tables.apply_late_writes()
     await world.clock.advance(LATE_S + 5.0)
     broken = await world.broken_promises()
     if not finished:
--- a/tests/lib/matrix_journal.py
+++ b/tests/lib/matrix_journal.py
@@ -321,8 +321,8 @@
     await world.clock.advance(SCAN_S)
     await world.until(lambda: all(caller.done for caller in world.callers))
     world.striker.lift()
-    world.tables.land_late()
-    world.objects.land_late()
+    world.tables.apply_late_writes()
+    world.objects.apply_late_writes()
     await world.clock.advance(1.0)
     for process in world.processes:
         process.gate.running.set()
--- a/tests/lib/matrix_strikes.py
+++ b/tests/lib/matrix_strikes.py
@@ -62,7 +62,7 @@
         write = channel is Channel.TABLE and when is When.AFTER and what.is_write
         if self._landing_next and write:
             self._landing_next = False
-            self._world.tables.land_late()
+            self._world.tables.apply_late_writes()
 
     def lift(self) -> None:
         """End all lasting faults."""
@@ -185,7 +185,7 @@
             if row is Row.REORDERED:
                 self._landing_next = True
             elif row in (Row.LATE, Row.DUPLICATED):
-                self._later(LATE_WRITE_S, store.land_late)
+                self._later(LATE_WRITE_S, store.apply_late_writes)
         elif row is Row.LATE:
             await world.clock.sleep(LATE_S)
         elif isinstance(what, Run):
--- a/tests/unit/commands/test_standin.py
+++ b/tests/unit/commands/test_standin.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.config.examples import example_document
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.standin.load import LoadSpec
-from ebonydeal._internal.standin.worldspec import WorldSpec
+from ebonydeal._internal.standin.platform_spec import PlatformSpec
 
 
 def run(*words):
@@ -48,13 +48,15 @@
 
     def test_places_fleets_and_offers(self):
         document = example_document("cadwaladr")
-        spec = WorldSpec.from_document(document, {"kitchen": 4}, seed=9)
+        spec = PlatformSpec.from_document(document, {"kitchen": 4}, seed=9)
         assert spec.places[0] == Place("de-cymru", "de-cymru-1")
-        assert [(fleet.name, fleet.replicas) for fleet in spec.fleets] == [
+        assert [
+            (deployment.name, deployment.replicas) for deployment in spec.deployments
+        ] == [
             ("kitchen", 4),
             ("paperwork", 0),
         ]
-        assert "covers-13b" in spec.fleets[0].models
+        assert "covers-13b" in spec.deployments[0].models
         assert len(spec.offers) == 2 * len(spec.places)
         assert spec.seed == 9
 
--- a/tests/unit/journal/test_protocol.py
+++ b/tests/unit/journal/test_protocol.py
@@ -124,7 +124,7 @@
         second = writer.append(2)
         await world.clock.advance(1.0)
         assert first.done() and second.done()
-        world.tables.land_late()
+        world.tables.apply_late_writes()
         assert writer.rows == [(0, 1), (1, 1)]
         assert await keys(world) == [journal_key(0, 0), journal_key(0, 1)]
 
@@ -132,7 +132,7 @@
         world.tables.faults.writes.append(Fault.LATE)
         append = writer.append(1)
         await settle()
-        world.tables.land_late()
+        world.tables.apply_late_writes()
         await world.clock.advance(1.0)
         assert append.done() and append.exception() is None
         assert writer.rows == [(0, 1)]
@@ -220,7 +220,7 @@
         await trim(world.tables, claimed, seq)
         await writer.append(4)
         before = await replay(world.tables, world.objects, 0)
-        assert world.tables.land_late() == [True]
+        assert world.tables.apply_late_writes() == [True]
         after = await replay(world.tables, world.objects, 0)
         assert (after.states, after.seq) == (before.states, before.seq)
         assert after.rows == 1
@@ -236,7 +236,7 @@
         seq, done = await self.save(world, claimed)
         assert done
         await trim(world.tables, claimed, seq)
-        assert world.tables.land_late() == [False]
+        assert world.tables.apply_late_writes() == [False]
         found = await replay(world.tables, world.objects, 0)
         assert len(found.states) == 5
 
@@ -292,7 +292,7 @@
         await world.clock.advance(5.0)
         assert await task is None
         third = await claim(world, "n-3")
-        assert world.tables.land_late() == [False]
+        assert world.tables.apply_late_writes() == [False]
         assert (first.epoch, third.epoch) == (1, 2)
 
     async def test_a_released_shard_has_no_owner(self, world):
--- a/tests/unit/journal/test_shard_machine.py
+++ b/tests/unit/journal/test_shard_machine.py
@@ -109,7 +109,7 @@
 
     @rule()
     def late_writes_land(self) -> None:
-        self.world.tables.land_late()
+        self.world.tables.apply_late_writes()
         self.run_tasks()
 
     @rule(kind=FAILURES)
@@ -209,7 +209,7 @@
             world.services.held = None
         for node in world.nodes:
             node.running.set()
-        world.tables.land_late()
+        world.tables.apply_late_writes()
         self.do(world.node("n-last"))
         for _ in range(10):
             self.run_tasks(10.0)
--- a/tests/unit/standin/test_check.py
+++ b/tests/unit/standin/test_check.py
@@ -16,10 +16,10 @@
 LOOKUP = service_call(CallKind.LOOKUP, "l-1", "paperwork", "GET", "/labels/1", b"")
 
 
-def record(call, outcome=Outcome.ANSWERED, got=None, **fields):
-    if got is None:
-        got = call.expected if outcome is Outcome.ANSWERED else ()
-    return CallRecord(call, got=list(got), outcome=outcome, **fields)
+def record(call, outcome=Outcome.ANSWERED, received=None, **fields):
+    if received is None:
+        received = call.expected if outcome is Outcome.ANSWERED else ()
+    return CallRecord(call, received=list(received), outcome=outcome, **fields)
 
 
 def attempt(call, start=0, position=5, prefilled=10, state="finished", at=1.0, **more):
@@ -80,15 +80,23 @@
             (record(COMMIT), [run(COMMIT, ran=False)], Violation.NEVER_RAN),
             (record(COMMIT, Outcome.NOT_RUN), [run(COMMIT)], Violation.RAN),
             (record(STREAM, Outcome.NOT_RUN), [attempt(STREAM)], Violation.RAN),
-            (record(STREAM, got=STREAM.expected[:4]), [], Violation.TOKENS_MISSING),
-            (record(STREAM, got=STREAM.expected[1:]), [], Violation.TOKENS_MISSING),
             (
-                record(STREAM, got=STREAM.expected[:3] + STREAM.expected[2:]),
+                record(STREAM, received=STREAM.expected[:4]),
+                [],
+                Violation.TOKENS_MISSING,
+            ),
+            (
+                record(STREAM, received=STREAM.expected[1:]),
+                [],
+                Violation.TOKENS_MISSING,
+            ),
+            (
+                record(STREAM, received=STREAM.expected[:3] + STREAM.expected[2:]),
                 [],
                 Violation.TOKENS_DOUBLED,
             ),
-            (record(STREAM, got=STREAM.expected[::-1]), [], Violation.WRONG),
-            (record(LOOKUP, got=["{}"]), [], Violation.WRONG),
+            (record(STREAM, received=STREAM.expected[::-1]), [], Violation.WRONG),
+            (record(LOOKUP, received=["{}"]), [], Violation.WRONG),
         ],
     )
     def test_each_is_found_alone(self, bad, logs, violation):
@@ -96,7 +104,7 @@
         assert found == [(violation, bad.call.call_id)]
 
     def test_answer_of_another_request(self):
-        records = [record(STREAM, got=OTHER.expected), record(OTHER)]
+        records = [record(STREAM, received=OTHER.expected), record(OTHER)]
         assert violations(records, []) == [(Violation.FOREIGN, "s-1")]
         assert check(records, []).completed == 1
 
@@ -131,5 +139,5 @@
         assert judge_content(["a ", "a "], ["a ", "a "], set()) is None
 
     def test_extra_foreign_tokens_are_wrong(self):
-        got = ["a ", "b ", "x "]
-        assert judge_content(got, ["a ", "b "], set()) is Violation.WRONG
+        received = ["a ", "b ", "x "]
+        assert judge_content(received, ["a ", "b "], set()) is Violation.WRONG
--- a/tests/unit/standin/test_memory.py
+++ b/tests/unit/standin/test_memory.py
@@ -93,7 +93,7 @@
         tables.faults.writes.append(Fault.LOST_REQUEST)
         kind = await self.fails(tables.transact([], [Put("a", {})]))
         assert kind is ErrorKind.STORE_IN_DOUBT
-        assert tables.land_late() == []
+        assert tables.apply_late_writes() == []
         assert await tables.get("a") is None
 
     async def test_late_write_checks_its_conditions_when_it_lands(self):
@@ -102,7 +102,7 @@
         await self.fails(tables.transact([RowAbsent("a")], [Put("a", {"by": 1})]))
         await self.fails(tables.transact([RowAbsent("a")], [Put("a", {"by": 2})]))
         assert await tables.get("a") is None
-        assert tables.land_late() == [True, False]
+        assert tables.apply_late_writes() == [True, False]
         assert await tables.get("a") == Row("a", {"by": 1}, 1)
 
     async def test_duplicate_lands_again(self):
@@ -110,7 +110,7 @@
         tables.faults.writes.append(Fault.DUPLICATE)
         assert await tables.transact([], [Put("a", {"by": 1})]) is True
         await tables.transact([], [Put("a", {"by": 2})])
-        assert tables.land_late() == [True]
+        assert tables.apply_late_writes() == [True]
         assert await tables.get("a") == Row("a", {"by": 1}, 3)
 
     async def test_down_refuses_reads_and_writes_and_counts_them(self):
--- a/tests/unit/standin/test_parts.py
+++ b/tests/unit/standin/test_parts.py
@@ -13,15 +13,15 @@
 )
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.standin.cache import PrefixCache
-from ebonydeal._internal.standin.listing import InstanceListServer
-from ebonydeal._internal.standin.orders import Orders
-from ebonydeal._internal.standin.slots import Slots
-from ebonydeal._internal.standin.text import (
+from ebonydeal._internal.standin.expected_answers import (
     expected_length,
     expected_tokens,
     finish_reason,
     max_tokens_of,
 )
+from ebonydeal._internal.standin.listing import InstanceListServer
+from ebonydeal._internal.standin.orders import Orders
+from ebonydeal._internal.standin.slots import Slots
 from tests.lib.clock import ManualClock, settle
 
 VIEW = EndpointView(
@@ -88,28 +88,28 @@
         slots, order = Slots(1), []
 
         async def work(name, priority):
-            await slots.take(priority)
+            await slots.acquire(priority)
             order.append(name)
 
-        await slots.take(1)
+        await slots.acquire(1)
         names = [("batch", 2), ("first", 1), ("second", 1), ("urgent", 0)]
         tasks = [asyncio.ensure_future(work(*item)) for item in names]
         await settle()
         assert (slots.running, slots.waiting) == (1, 4)
         for _ in names:
-            slots.give_back()
+            slots.release()
             await settle()
         assert order == ["urgent", "first", "second", "batch"]
-        slots.give_back()
+        slots.release()
         assert slots.running == 0
         await asyncio.gather(*tasks)
 
     async def test_waiter_cancelled_after_it_got_the_slot_gives_it_back(self):
         slots = Slots(1)
-        await slots.take(1)
-        task = asyncio.ensure_future(slots.take(1))
+        await slots.acquire(1)
+        task = asyncio.ensure_future(slots.acquire(1))
         await settle()
-        slots.give_back()
+        slots.release()
         task.cancel()
         await settle()
         assert (slots.running, slots.waiting) == (0, 0)
@@ -118,7 +118,7 @@
 class TestOrders:
     def test_models_no_longer_ordered_are_dropped_and_new_ones_missing(self):
         orders = Orders(("a", "b"), True)
-        orders.give({"fence": 1, "models": ["b", "c"], "role": "serve"})
+        orders.apply({"fence": 1, "models": ["b", "c"], "role": "serve"})
         assert orders.loaded == {"b"}
         assert orders.missing() == "c"
         orders.set_loaded("c")
@@ -130,7 +130,7 @@
     def test_garbage_changes_nothing(self, message):
         orders = Orders(("a",), True)
         with pytest.raises(EbonydealError) as caught:
-            orders.give(message)
+            orders.apply(message)
         assert caught.value.kind is ErrorKind.BAD_REQUEST
         assert orders.to_message() == {"fence": 0, "models": ["a"], "role": "serve"}
 
