--- a/src/ebonydeal/_internal/standin/__init__.py
+++ b/src/ebonydeal/_internal/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, with fault switches."""
+"""Simulated outside systems with fault injection."""
--- a/src/ebonydeal/_internal/standin/admin.py
+++ b/src/ebonydeal/_internal/standin/admin.py
@@ -1,4 +1,4 @@
-"""Pages by which a user steers a stand-in world: logs, reclaims, faults."""
+"""HTTP API to control the simulated platform: logs, reclaims, faults."""
 
 from typing import Any
 
@@ -13,8 +13,8 @@
 from ebonydeal._internal.utils.web import read_json
 
 
-def change_faults(faults: Faults, message: dict[str, Any]) -> None:
-    """Set a store's switches; raises KeyError, TypeError or ValueError."""
+def apply_faults(faults: Faults, message: dict[str, Any]) -> None:
+    """Change a store's faults; raises KeyError, TypeError or ValueError."""
     faults.down = bool(message.get("down", faults.down))
     faults.delay = float(message.get("delay", faults.delay))
     faults.writes.extend(Fault(name) for name in message.get("writes", ()))
@@ -25,15 +25,15 @@
 
     Parameters
     ----------
-    world : StandinPlatform
-        What is steered.
+    platform : StandinPlatform
+        The platform to control.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     """
 
-    def __init__(self, world: StandinPlatform, port: int = 0) -> None:
+    def __init__(self, platform: StandinPlatform, port: int = 0) -> None:
         super().__init__()
-        self._world = world
+        self._platform = platform
         app = standin_app()
         app.router.add_get("/log", self._serve_log)
         app.router.add_get("/endpoints", self._serve_endpoints)
@@ -45,14 +45,14 @@
 
     @property
     def url(self) -> str:
-        """Base URL once started."""
+        """Base URL; available after the start."""
         return f"http://{self.server.address}"
 
     async def _serve_log(self, _req: web.Request) -> web.Response:
-        return web.json_response({"logs": self._world.logs()})
+        return web.json_response({"logs": self._platform.logs()})
 
     async def _serve_endpoints(self, _req: web.Request) -> web.Response:
-        views = [endpoint_to_message(view) for view in self._world.views()]
+        views = [endpoint_to_message(view) for view in self._platform.views()]
         return web.json_response({"endpoints": views})
 
     async def _serve_reclaim(self, req: web.Request) -> web.Response:
@@ -60,45 +60,49 @@
         body = await read_json(req)
         seconds = float(body.get("notice_seconds", 10.0))
         if "endpoint_id" in body:
-            self._known(body["endpoint_id"])
-            self._world.reclaim_endpoint(body["endpoint_id"], seconds)
+            self._check_exists(body["endpoint_id"])
+            self._platform.reclaim_endpoint(body["endpoint_id"], seconds)
         else:
             zone = str(body.get("zone"))
-            if zone not in {place.zone for place in self._world.spec.places}:
+            if zone not in {place.zone for place in self._platform.spec.places}:
                 raise EbonydealError(ErrorKind.NOT_FOUND, f"no zone '{zone}'")
-            self._world.reclaim_zone(zone, seconds)
+            self._platform.reclaim_zone(zone, seconds)
         return web.json_response({})
 
     async def _serve_kill(self, req: web.Request) -> web.Response:
         """``{"endpoint_id"}``."""
         endpoint_id = (await read_json(req)).get("endpoint_id")
-        self._known(endpoint_id)
-        await self._world.kill_endpoint(str(endpoint_id))
+        self._check_exists(endpoint_id)
+        await self._platform.kill_endpoint(str(endpoint_id))
         return web.json_response({})
 
-    def _known(self, endpoint_id: Any) -> None:
-        ids = {endpoint.endpoint_id for endpoint in self._world.endpoints()}
+    def _check_exists(self, endpoint_id: Any) -> None:
+        ids = {endpoint.endpoint_id for endpoint in self._platform.endpoints()}
         if endpoint_id not in ids:
             raise EbonydealError(ErrorKind.NOT_FOUND, f"no endpoint '{endpoint_id}'")
 
     async def _serve_faults(self, req: web.Request) -> web.Response:
         """``{"target": "tables" | "objects" | "cloud" | ..., "down": bool, ...}``."""
         body = await read_json(req)
-        world = self._world
+        platform = self._platform
         try:
             match body.get("target"):
                 case "tables":
-                    change_faults(world.tables.tables.faults, body)
+                    apply_faults(platform.tables.tables.faults, body)
                 case "objects":
-                    change_faults(world.objects.objects.faults, body)
+                    apply_faults(platform.objects.objects.faults, body)
                 case "cloud":
-                    world.cloud.down = bool(body["down"])
+                    platform.cloud.down = bool(body["down"])
                 case "instances":
-                    world.listing.down = bool(body["down"])
+                    platform.listing.down = bool(body["down"])
                 case "weights":
-                    world.weights.down = bool(body["down"])
+                    platform.weights.down = bool(body["down"])
                 case other:
-                    raise EbonydealError(ErrorKind.BAD_REQUEST, f"target {other!r}?")
+                    raise EbonydealError(
+                        ErrorKind.BAD_REQUEST, f"unknown target {other!r}"
+                    )
         except (KeyError, TypeError, ValueError) as exc:
-            raise EbonydealError(ErrorKind.BAD_REQUEST, f"faults: {exc!r}") from exc
+            raise EbonydealError(
+                ErrorKind.BAD_REQUEST, f"invalid faults: {exc!r}"
+            ) from exc
         return web.json_response({})
--- a/src/ebonydeal/_internal/standin/attempts.py
+++ b/src/ebonydeal/_internal/standin/attempts.py
@@ -1,4 +1,4 @@
-"""Values of a stand-in engine: what it can do, and what it was asked."""
+"""Capabilities of a simulated engine, and the attempts it runs."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,32 +16,32 @@
 
 
 class EngineSpec(NamedTuple):
-    """What a stand-in engine can do.
+    """Capabilities of a simulated engine.
 
     Attributes
     ----------
     slots : int
-        Streams in one batch.
+        Maximum number of streams in one batch.
     tokens_per_s : float
-        Of one stream alone in the batch.
+        Token rate of a stream that is alone in the batch.
     batch_slowdown : float
-        Share of its rate that a stream loses in a full batch.
+        Fraction of its rate that a stream loses in a full batch.
     prefill_per_s : float
-        Prompt tokens computed a second.
+        Prompt tokens prefilled per second.
     cache_blocks : int
-        Blocks of `utils.prefix.BLOCK_TOKENS` tokens that the prefix cache holds.
+        Capacity of the prefix cache, in blocks of `utils.prefix.BLOCK_TOKENS` tokens.
     event_lag, event_loss : float
-        Seconds until a cache event is told; share of events never told.
+        Seconds until a cache event is reported; fraction of events never reported.
     load_lag : float
-        Seconds for which a load report is told again.
+        Seconds for which a load report is reused.
     kv_tokens_per_s : float
-        KV cache moved a second, on export and on import.
+        Tokens of KV cache transferred per second, on export and on import.
     kv_gb_per_token : float
-        Size of the KV cache of one token.
+        Size of one token's KV cache.
     load_seconds : float
         Time to load one model.
     checks_fence : bool
-        Whether an order with an old fencing number is refused.
+        Whether an order with an outdated fencing token is refused.
     """
 
     slots: int = 8
@@ -58,7 +58,7 @@
     checks_fence: bool = True
 
     def at_speed(self, factor: float) -> "EngineSpec":
-        """Return the same engine at ``factor`` times the speed."""
+        """Return the same engine, running ``factor`` times as fast."""
         return self._replace(
             tokens_per_s=self.tokens_per_s * factor,
             prefill_per_s=self.prefill_per_s * factor,
@@ -70,7 +70,7 @@
 
 
 class AttemptState(StrEnum):
-    """Life of an attempt at an engine."""
+    """State of an attempt at an engine."""
 
     QUEUED = "queued"
     NOT_STARTED = "not_started"
@@ -82,7 +82,7 @@
 
 @dataclass
 class Attempt:
-    """One attempt, from arrival to its end."""
+    """One attempt at a request, and its log entry."""
 
     attempt_id: str
     path: str
@@ -110,9 +110,13 @@
         model, prompt = body.get("model"), prompt_text(body)
         resume = body.get("resume") or {}
         if not isinstance(model, str) or not prompt:
-            raise EbonydealError(ErrorKind.BAD_REQUEST, "a model and a prompt, please")
+            raise EbonydealError(
+                ErrorKind.BAD_REQUEST, "a model and a prompt are required"
+            )
         if body.get("stream") is not True:
-            raise EbonydealError(ErrorKind.BAD_REQUEST, "only streams are served")
+            raise EbonydealError(
+                ErrorKind.BAD_REQUEST, "only streaming requests are supported"
+            )
         delivered = tuple(resume.get("delivered", ()))
         limit = max_tokens_of(body)
         tokens = expected_tokens(model, prompt, limit)
@@ -132,19 +136,19 @@
         )
 
     def text(self) -> str:
-        """Return the prompt and what is written so far."""
+        """Return the prompt and the tokens generated so far."""
         return f"{self.prompt} {''.join(self.tokens[: self.position])}"
 
     def blocks(self) -> tuple[str, ...]:
-        """Return the blocks of `text`."""
+        """Return the prefix blocks of `text`."""
         return prefix_blocks(self.model, self.text())
 
     def size(self) -> int:
-        """Return the tokens of `text`."""
+        """Return the number of tokens of `text`."""
         return len(split_tokens(self.prompt)) + self.position
 
-    def note(self) -> None:
-        """Bring the log entry up to date."""
+    def update_entry(self) -> None:
+        """Update the log entry."""
         self.entry.update(
             attempt_id=self.attempt_id,
             model=self.model,
--- a/src/ebonydeal/_internal/standin/caller.py
+++ b/src/ebonydeal/_internal/standin/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends a request until it has its answer, and keeps its own log."""
+"""A client that retries each request until it is answered, and logs its outcome."""
 
 import json
 from typing import Any
@@ -13,12 +13,12 @@
 from ebonydeal._internal.utils.clock import Clock
 
 _DONE = "[DONE]"
-_POLL_S = 0.1
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 1.0
-_LOST = "connection_lost"
-_GARBAGE = "garbage_answer"
-_FINAL = frozenset(
+_POLL_INTERVAL_S = 0.1
+_MIN_RETRY_DELAY_S = 0.05
+_MAX_RETRY_DELAY_S = 1.0
+_CONNECTION_LOST = "connection_lost"
+_MALFORMED_ANSWER = "garbage_answer"
+_FINAL_ERRORS = frozenset(
     str(kind)
     for kind in (
         ErrorKind.BAD_REQUEST,
@@ -34,15 +34,15 @@
 )
 
 
-class _Refused(Exception):
+class _RefusedError(Exception):
     """The gateway answered with an error.
 
     Attributes
     ----------
     code : str
-        Error kind, or the status where the body named none.
+        Error kind, or the HTTP status if the body has no error kind.
     outcome : str
-        What it said of the run.
+        Outcome of the run according to the gateway.
     """
 
     def __init__(self, code: str, outcome: str) -> None:
@@ -51,16 +51,16 @@
         self.outcome = outcome
 
 
-def _refusal(body: Any, status: int) -> _Refused:
-    """Return the refusal that an error body stands for."""
+def _refusal(body: Any, status: int) -> _RefusedError:
+    """Build the refusal from an error body."""
     match body:
         case {"error": {"code": str(code), **rest}}:
-            return _Refused(code, str(rest.get("outcome", Outcome.UNKNOWN)))
-    return _Refused(f"status_{status}", Outcome.UNKNOWN)
+            return _RefusedError(code, str(rest.get("outcome", Outcome.UNKNOWN)))
+    return _RefusedError(f"status_{status}", Outcome.UNKNOWN)
 
 
 async def _raise_refusal(resp: ClientResponse) -> None:
-    """Raise the refusal of an answer that isn't one of the good ones."""
+    """Raise the refusal for an error response."""
     try:
         body = json.loads(await resp.read())
     except ValueError:
@@ -74,15 +74,15 @@
     Parameters
     ----------
     session : ClientSession
-        Whose connections are used.
+        HTTP client session.
     balancer : Balancer
-        Which gateway is next.
+        Picks the gateway of each send.
     api_key : str
-        Of the client account.
+        API key of the client account.
     clock : Clock
-        For pauses and times.
-    patience : float
-        Seconds after which a request is given up.
+        For delays and timestamps.
+    timeout_s : float
+        Seconds after which the caller gives up a request.
     """
 
     def __init__(
@@ -100,38 +100,38 @@
         self._timeout_s = timeout_s
 
     async def send(self, call: Call) -> CallRecord:
-        """Send a request, again and again if need be; return its log."""
-        record = CallRecord(call, started=self._clock.now())
+        """Send a request, with retries; return its record."""
+        record = CallRecord(call, started_at=self._clock.now())
         await self.resume(record)
         return record
 
     async def resume(self, record: CallRecord) -> None:
-        """Go on with a request until its end, or until patience is over."""
-        until = record.started + self._timeout_s
-        state = _TryState()
-        pause = _FIRST_PAUSE_S
+        """Continue a request until it ends or times out."""
+        deadline = record.started_at + self._timeout_s
+        state = _RequestState()
+        retry_delay = _MIN_RETRY_DELAY_S
         while record.outcome is None:
             state.url = self._balancer.pick()
             record.attempts += 1
-            last = await self._try(record, state)
+            last_outcome = await self._send_once(record, state)
             if record.outcome is not None:
                 break
-            if self._clock.now() >= until:
-                self._give_up(record, last)
+            if self._clock.now() >= deadline:
+                self._give_up(record, last_outcome)
                 break
-            await self._clock.sleep(pause)
-            pause = min(2 * pause, _LONGEST_PAUSE_S)
-        record.finished = self._clock.now()
+            await self._clock.sleep(retry_delay)
+            retry_delay = min(2 * retry_delay, _MAX_RETRY_DELAY_S)
+        record.finished_at = self._clock.now()
 
-    def _give_up(self, record: CallRecord, last: str) -> None:
-        """Note what a caller knows who stops asking."""
+    def _give_up(self, record: CallRecord, last_outcome: str) -> None:
+        """Record the outcome of a request that the caller gives up."""
         if record.accepted:
             return
-        doubt = record.in_doubt or last != Outcome.NOT_RUN
+        doubt = record.in_doubt or last_outcome != Outcome.NOT_RUN
         record.outcome = Outcome.UNKNOWN if doubt else Outcome.NOT_RUN
 
-    async def _try(self, record: CallRecord, state: "_TryState") -> str:
-        """Send once; return what is known of the run if there is no answer."""
+    async def _send_once(self, record: CallRecord, state: "_RequestState") -> str:
+        """Send once; return the run's outcome as far as it is known."""
         try:
             match record.call.kind:
                 case CallKind.STREAM:
@@ -140,28 +140,28 @@
                     await self._deferred(record, state)
                 case _:
                     await self._plain(record, state)
-        except _Refused as exc:
+        except _RefusedError as exc:
             record.refusals[exc.code] += 1
-            self._note_refusal(record, exc)
+            self._apply_refusal(record, exc)
             return exc.outcome
         except (ClientError, HttpProcessingError, TimeoutError, OSError, ValueError):
-            record.refusals[_LOST] += 1
+            record.refusals[_CONNECTION_LOST] += 1
             record.in_doubt = True
             record.broken_streams += (
                 record.call.kind is CallKind.STREAM and record.accepted
             )
             return Outcome.UNKNOWN
         except (KeyError, IndexError, TypeError, AttributeError):
-            record.refusals[_GARBAGE] += 1
+            record.refusals[_MALFORMED_ANSWER] += 1
             record.in_doubt = True
             return Outcome.UNKNOWN
         return Outcome.ANSWERED
 
-    def _note_refusal(self, record: CallRecord, exc: _Refused) -> None:
-        """End the request where a repeat can change nothing."""
+    def _apply_refusal(self, record: CallRecord, exc: _RefusedError) -> None:
+        """Record a refusal, and end the request if a retry can't help."""
         unknown = exc.outcome != Outcome.NOT_RUN
         record.in_doubt = record.in_doubt or unknown
-        if exc.code not in _FINAL:
+        if exc.code not in _FINAL_ERRORS:
             return
         if exc.code == ErrorKind.OUTCOME_UNKNOWN:
             record.outcome = Outcome.UNKNOWN
@@ -181,9 +181,9 @@
         return headers
 
     def _request(
-        self, call: Call, state: "_TryState", method: str, path: str, **options: Any
+        self, call: Call, state: "_RequestState", method: str, path: str, **options: Any
     ) -> Any:
-        """Send a request to the gateway whose turn it is."""
+        """Send a request to the gateway picked for this attempt."""
         headers = {**self._headers(call), **options.pop("headers", {})}
         return self._session.request(
             method,
@@ -193,23 +193,23 @@
             **options,
         )
 
-    async def _plain(self, record: CallRecord, state: "_TryState") -> None:
-        """Call a plain service; an accepted call is asked for its answer."""
+    async def _plain(self, record: CallRecord, state: "_RequestState") -> None:
+        """Call a plain service; a call that is still running is retried."""
         call = record.call
         async with self._request(
             call, state, call.method, call.path, data=call.body
         ) as resp:
             if resp.status == 202:
                 record.accepted = True
-                raise _Refused("still_running", Outcome.UNKNOWN)
+                raise _RefusedError("still_running", Outcome.UNKNOWN)
             if resp.status != 200:
                 await _raise_refusal(resp)
             record.received = [await resp.text()]
-        record.first = self._clock.now()
+        record.first_at = self._clock.now()
         record.outcome = Outcome.ANSWERED
 
-    async def _deferred(self, record: CallRecord, state: "_TryState") -> None:
-        """Hand a request in, then ask for its answer until it is there."""
+    async def _deferred(self, record: CallRecord, state: "_RequestState") -> None:
+        """Submit a deferred request, then poll for its answer."""
         call = record.call
         if not state.request_id:
             async with self._request(
@@ -219,27 +219,27 @@
                     await _raise_refusal(resp)
                 state.request_id = str((await resp.json())["id"])
             record.accepted = True
-        until = record.started + self._timeout_s
+        deadline = record.started_at + self._timeout_s
         path = f"{call.path}/{state.request_id}/answer"
-        while self._clock.now() < until:
+        while self._clock.now() < deadline:
             async with self._request(call, state, "GET", path) as resp:
                 if resp.status == 200:
-                    self._take_whole(record, await resp.json())
+                    self._read_whole_answer(record, await resp.json())
                     return
                 if resp.status != 202:
                     await _raise_refusal(resp)
-            await self._clock.sleep(_POLL_S)
-        raise _Refused("not_yet", Outcome.UNKNOWN)
+            await self._clock.sleep(_POLL_INTERVAL_S)
+        raise _RefusedError("not_yet", Outcome.UNKNOWN)
 
-    def _take_whole(self, record: CallRecord, body: Any) -> None:
-        """Take the tokens out of a whole answer."""
+    def _read_whole_answer(self, record: CallRecord, body: Any) -> None:
+        """Record the tokens of a whole answer."""
         text = body["choices"][0]["message"]["content"]
         record.received = [f"{word} " for word in text.split()]
-        record.first = self._clock.now()
+        record.first_at = self._clock.now()
         record.outcome = Outcome.ANSWERED
 
-    async def _stream(self, record: CallRecord, state: "_TryState") -> None:
-        """Read a stream; after a break, go on after the last event."""
+    async def _stream(self, record: CallRecord, state: "_RequestState") -> None:
+        """Read a stream; after a broken connection, resume after the last event."""
         call = record.call
         headers = {"Last-Event-ID": state.event_id} if state.event_id else {}
         async with self._request(
@@ -250,13 +250,17 @@
             async for raw in resp.content:
                 line = raw.decode().rstrip("\r\n")
                 if line.startswith("id:"):
-                    state.next_id = line[3:].strip()
-                elif line.startswith("data:") and self._take(record, state, line[5:]):
+                    state.pending_event_id = line[3:].strip()
+                elif line.startswith("data:") and self._read_event(
+                    record, state, line[5:]
+                ):
                     return
-        raise ClientError("the stream has no end mark")
+        raise ClientError("the stream ended without its end marker")
 
-    def _take(self, record: CallRecord, state: "_TryState", data: str) -> bool:
-        """Take one event in; return whether it was the end mark."""
+    def _read_event(
+        self, record: CallRecord, state: "_RequestState", data: str
+    ) -> bool:
+        """Process one event; return whether it was the end marker."""
         if data.strip() == _DONE:
             record.outcome = Outcome.ANSWERED
             return True
@@ -268,17 +272,17 @@
             text = choice.get("delta", {}).get("content") or ""
             if text:
                 record.accepted = True
-                record.first = record.first or self._clock.now()
+                record.first_at = record.first_at or self._clock.now()
                 record.received.append(text)
-        state.event_id = state.next_id
+        state.event_id = state.pending_event_id
         return False
 
 
-class _TryState:
-    """What a caller remembers from one try to the next."""
+class _RequestState:
+    """State of a request that is kept between attempts."""
 
     def __init__(self) -> None:
         self.url = ""
         self.request_id = ""
         self.event_id = ""
-        self.next_id = ""
+        self.pending_event_id = ""
--- a/src/ebonydeal/_internal/standin/calls.py
+++ b/src/ebonydeal/_internal/standin/calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests: what each asks for, what it must get, and what it got."""
+"""Requests of callers, their expected answers and their records."""
 
 import json
 from collections import Counter
@@ -17,35 +17,35 @@
 
 
 class CallKind(StrEnum):
-    """What callers send."""
+    """Kind of request that callers send."""
 
     STREAM = "stream"
     """A streamed chat completion."""
     LOOKUP = "lookup"
     """An idempotent call of a plain service."""
     DEFERRED = "deferred"
-    """A chat completion that is accepted now and answered later."""
+    """A chat completion that is accepted first and answered later."""
     COMMIT = "commit"
-    """A call of a plain service under a key, that may run once at most."""
+    """A call of a plain service with an idempotency key, which may run at most once."""
 
 
 class Call(NamedTuple):
-    """One request to be sent.
+    """One request to send.
 
     Attributes
     ----------
     kind : CallKind
-        What it is.
+        Kind of the request.
     call_id : str
-        Unique in a run; also the idempotency key of those that have one.
+        Unique in a run; also the idempotency key, if the request has one.
     method, path : str
-        At the gateway.
+        Method and path at the gateway.
     body : bytes
-        As sent.
+        Request body.
     digest : str
-        What endpoints' logs call it.
+        Identifies the request in the logs of endpoints.
     expected : tuple of str
-        Tokens, or the one body, that must come back.
+        Expected answer: its tokens, or the whole body as one item.
     """
 
     kind: CallKind
@@ -59,24 +59,24 @@
 
 @dataclass
 class CallRecord:
-    """A caller's own log of one request.
+    """A caller's record of one request.
 
     Attributes
     ----------
-    got : list of str
-        Tokens, or the one body, as received.
+    received : list of str
+        Received answer: its tokens, or the whole body as one item.
     outcome : Outcome or None
-        What the caller was told in the end; None if it was never told.
+        Final outcome as the caller knows it; None if it has none.
     accepted : bool
-        Whether it was promised an answer: a 202, or the first piece of one.
+        Whether an answer was promised, by a 202 or by its first piece.
     in_doubt : bool
-        Whether a try ended without any answer.
-    tries, breaks : int
-        Times it was sent, and times a begun answer broke off.
+        Whether an attempt may have run without being answered.
+    attempts, broken_streams : int
+        Number of sends, and of streams that broke off after they had begun.
     refusals : Counter of str
         Error codes received.
-    started, first, finished : float
-        Clock seconds; 0.0 where it never came to that.
+    started_at, first_at, finished_at : float
+        Clock seconds; 0.0 if that did not happen.
     """
 
     call: Call
@@ -87,20 +87,20 @@
     attempts: int = 0
     broken_streams: int = 0
     refusals: Counter[str] = field(default_factory=Counter)
-    started: float = 0.0
-    first: float = 0.0
-    finished: float = 0.0
+    started_at: float = 0.0
+    first_at: float = 0.0
+    finished_at: float = 0.0
 
     @property
     def is_complete(self) -> bool:
-        """Whether the caller was told that it has its whole answer."""
+        """Whether the caller received the end of its answer."""
         return self.outcome is Outcome.ANSWERED
 
 
 def chat_call(
     kind: CallKind, call_id: str, model: str, prompt: str, max_tokens: int
 ) -> Call:
-    """Return a chat completion, streamed or for later."""
+    """Return a chat completion, streamed or deferred."""
     body: dict[str, Any] = {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
@@ -125,7 +125,7 @@
 def service_call(
     kind: CallKind, call_id: str, service: str, method: str, path: str, body: bytes
 ) -> Call:
-    """Return a call of a plain service; ``path`` as the service sees it."""
+    """Return a call of a plain service; ``path`` is the path at the service."""
     return Call(
         kind,
         call_id,
--- a/src/ebonydeal/_internal/standin/check.py
+++ b/src/ebonydeal/_internal/standin/check.py
@@ -1,7 +1,7 @@
-"""The independent check: callers' logs against endpoints' logs.
+"""Independent check of the callers' records against the endpoints' logs.
 
-It knows nothing of the system in between. Every expected answer is a function
-of the request alone, and every endpoint wrote down what it ran.
+It does not depend on the system between them. Every expected answer is a
+function of the request alone, and every endpoint logs what it runs.
 """
 
 from collections import Counter, defaultdict
@@ -17,32 +17,32 @@
 
 
 class Violation(StrEnum):
-    """A promise that was broken."""
+    """A guarantee that was violated."""
 
     LOST = "lost"
-    """Accepted, and no whole answer came."""
+    """An accepted request has no complete answer."""
     UNKNOWN = "unknown"
-    """The caller was told that the outcome can't be known."""
+    """The caller was told that the outcome is unknown."""
     DUPLICATED = "duplicated"
-    """A request that may run once ran more often."""
+    """A request that may run at most once ran more often."""
     FOREIGN = "foreign"
-    """The caller got another request's answer."""
+    """The caller received another request's answer."""
     TOKENS_MISSING = "tokens_missing"
     """The answer lacks tokens."""
     TOKENS_DOUBLED = "tokens_doubled"
-    """The answer holds tokens more than once."""
+    """The answer contains tokens more than once."""
     WRONG = "wrong"
     """The answer is wrong in another way."""
     RAN = "ran_though_not_run"
-    """The caller was told "not run", and it ran."""
+    """The caller was told "not run", but the request ran."""
     NEVER_RAN = "never_ran"
-    """The caller has an answer to a call under a key that no endpoint ran."""
+    """The caller has an answer to a call with a key that no endpoint ran."""
     LATE_WORK = "late_work"
-    """A leaving endpoint got new work after the grace time."""
+    """A leaving endpoint received new work after the grace period."""
 
 
 class Finding(NamedTuple):
-    """One broken promise; ``subject`` is a call id or endpoint id."""
+    """One violation; ``subject`` is a call id or an endpoint id."""
 
     violation: Violation
     subject: str
@@ -50,23 +50,23 @@
 
 
 class CheckResult(NamedTuple):
-    """What the check found.
+    """Result of the check.
 
     Attributes
     ----------
     sent, completed : int
-        Requests sent, and those whose caller has the right whole answer.
+        Requests sent, and those whose caller has the complete correct answer.
     by_kind : dict of str to dict
-        ``sent`` and ``completed`` of each kind.
+        ``sent`` and ``completed`` by kind of request.
     refused : dict of str to int
-        Error codes that callers received, whatever came of their repeats.
+        Error codes that callers received, including those of retried attempts.
     not_run : int
-        Requests that ended with "not run", and did not run.
+        Requests that ended as "not run" and did not run.
     recomputed_tokens : int
         Tokens that engines computed again: prefill of later attempts at a
-        request, and tokens written again.
+        request, and tokens generated again.
     findings : tuple of Finding
-        Every broken promise.
+        All violations.
     """
 
     sent: int
@@ -78,25 +78,25 @@
     findings: tuple[Finding, ...]
 
     def count(self, violation: Violation) -> int:
-        """Return how often a promise was broken."""
+        """Return how often a guarantee was violated."""
         return sum(1 for item in self.findings if item.violation is violation)
 
 
 def _is_subsequence(short: Sequence[str], long: Sequence[str]) -> bool:
-    """Return whether ``short`` is ``long`` with some items left out."""
-    rest = iter(long)
-    return all(item in rest for item in short)
+    """Return whether ``short`` is ``long`` without some of its items."""
+    remaining = iter(long)
+    return all(item in remaining for item in short)
 
 
-def judge_content(
+def check_content(
     received: Sequence[str], expected: Sequence[str], others: set[tuple[str, ...]]
 ) -> Violation | None:
-    """Return what is wrong with an answer, or None.
+    """Return the violation in an answer's content, or None.
 
     Parameters
     ----------
     got, expected : sequence of str
-        Tokens, or the one body.
+        Tokens, or the whole body as one item.
     others : set of tuple of str
         Expected answers of all requests.
     """
@@ -112,8 +112,8 @@
     return Violation.WRONG
 
 
-def _runs(logs: Iterable[EndpointLog]) -> Counter[str]:
-    """Return how often each call digest ran at plain services."""
+def _count_runs(logs: Iterable[EndpointLog]) -> Counter[str]:
+    """Return how often each call ran at plain services, by digest."""
     runs: Counter[str] = Counter()
     for log in logs:
         if log["kind"] != "service":
@@ -123,8 +123,10 @@
     return runs
 
 
-def _attempts(logs: Iterable[EndpointLog]) -> dict[str, list[Mapping[str, Any]]]:
-    """Return the attempts at each prompt that engines took, by arrival."""
+def _attempts_by_digest(
+    logs: Iterable[EndpointLog],
+) -> dict[str, list[Mapping[str, Any]]]:
+    """Return the attempts that engines started, by digest, in order of arrival."""
     attempts: dict[str, list[Mapping[str, Any]]] = defaultdict(list)
     for log in logs:
         if log["kind"] != "engine":
@@ -140,7 +142,7 @@
 def recomputed_tokens(logs: Iterable[EndpointLog]) -> int:
     """Return the tokens that engines computed more than once for a request."""
     total = 0
-    for entries in _attempts(logs).values():
+    for entries in _attempts_by_digest(logs).values():
         reached = entries[0]["position"]
         for entry in entries[1:]:
             total += entry["prefilled"]
@@ -149,12 +151,12 @@
     return total
 
 
-def _judge_call(
+def _check_call(
     record: CallRecord, runs: int | None, others: set[tuple[str, ...]]
 ) -> list[Finding]:
-    """Return the promises to one caller that were broken.
+    """Return the violations of one request.
 
-    ``runs`` is None where nobody knows how often the request ran.
+    ``runs`` is None if it is unknown how often the request ran.
     """
     call = record.call
     found = []
@@ -163,13 +165,13 @@
         found.append(Finding(violation, call.call_id, detail))
 
     if record.is_complete:
-        wrong = judge_content(record.received, call.expected, others)
-        if wrong is not None:
-            add(wrong, f"{len(record.received)} pieces for {len(call.expected)}")
+        violation = check_content(record.received, call.expected, others)
+        if violation is not None:
+            add(violation, f"{len(record.received)} pieces for {len(call.expected)}")
         if call.kind is CallKind.COMMIT and runs == 0:
             add(Violation.NEVER_RAN, "answered without a run")
     elif record.outcome is Outcome.UNKNOWN:
-        add(Violation.UNKNOWN, f"after {record.attempts} tries")
+        add(Violation.UNKNOWN, f"after {record.attempts} attempts")
     elif record.accepted or record.outcome is None:
         add(Violation.LOST, f"{len(record.received)} pieces of {len(call.expected)}")
     elif runs:
@@ -179,8 +181,8 @@
     return found
 
 
-def _late_work(logs: Iterable[EndpointLog]) -> list[Finding]:
-    """Return new work that leaving endpoints got too late."""
+def _find_late_work(logs: Iterable[EndpointLog]) -> list[Finding]:
+    """Return work that leaving endpoints received after the grace period."""
     found = []
     for log in logs:
         for entry in log["entries"]:
@@ -196,12 +198,12 @@
     return found
 
 
-def _runs_of(
+def _total_runs(
     record: CallRecord,
     runs: Counter[str],
     attempts: Mapping[str, Sequence[Mapping[str, Any]]],
 ) -> int:
-    """Return how often a request ran anywhere."""
+    """Return how often a request ran at all endpoints together."""
     digest = record.call.digest
     return runs[digest] + len(attempts.get(digest, ()))
 
@@ -209,19 +211,19 @@
 def check(
     records: Sequence[CallRecord], logs: Sequence[EndpointLog] | None
 ) -> CheckResult:
-    """Judge a run.
+    """Check a run.
 
     Parameters
     ----------
     records : sequence of CallRecord
-        Callers' logs.
+        Records of the callers.
     logs : sequence of EndpointLog
-        Logs of every endpoint that ever lived, as ``GET /log`` gives them. None
-        where there are none to look at: then nothing is said of runs.
+        Logs of all endpoints that ever existed, as ``GET /log`` returns them. None
+        if they are not available: then runs are not checked.
     """
-    known = logs or ()
-    runs = _runs(known)
-    attempts = _attempts(known)
+    known_logs = logs or ()
+    runs = _count_runs(known_logs)
+    attempts = _attempts_by_digest(known_logs)
     others = {record.call.expected for record in records}
     findings: list[Finding] = []
     by_kind: dict[str, dict[str, int]] = {
@@ -230,8 +232,8 @@
     refused: Counter[str] = Counter()
     not_run = 0
     for record in records:
-        times = None if logs is None else _runs_of(record, runs, attempts)
-        found = _judge_call(record, times, others)
+        run_count = None if logs is None else _total_runs(record, runs, attempts)
+        found = _check_call(record, run_count, others)
         findings += found
         refused += record.refusals
         counts = by_kind[str(record.call.kind)]
@@ -244,6 +246,6 @@
         by_kind=by_kind,
         refused=dict(sorted(refused.items())),
         not_run=not_run,
-        recomputed_tokens=recomputed_tokens(known),
-        findings=(*findings, *_late_work(known)),
+        recomputed_tokens=recomputed_tokens(known_logs),
+        findings=(*findings, *_find_late_work(known_logs)),
     )
--- a/src/ebonydeal/_internal/standin/cloud.py
+++ b/src/ebonydeal/_internal/standin/cloud.py
@@ -1,4 +1,4 @@
-"""Stand-in of the cloud API: offers, starts, stops and reclaim notices."""
+"""Simulated cloud API: offers, starts, stops and reclaim notices."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -18,12 +18,12 @@
 STARTING = "starting"
 RUNNING = "running"
 STOPPED = "stopped"
-Launch = Callable[[CloudInstance], Awaitable[str]]
-Terminate = Callable[[str], Awaitable[None]]
+LaunchCallback = Callable[[CloudInstance], Awaitable[str]]
+TerminateCallback = Callable[[str], Awaitable[None]]
 
 
 class CloudServer(Service):
-    """Starts and stops endpoints through two callbacks.
+    """Serves the cloud API; starts and stops endpoints through two callbacks.
 
     Parameters
     ----------
@@ -32,27 +32,27 @@
     terminate : coroutine function
         Called with the id of an instance that is stopped.
     offers : sequence of Offer
-        What can be started.
+        Instances that can be started.
     clock : Clock, optional
         For start times and deadlines.
     port : int
-        0 picks a free one.
+        0 picks a free port.
 
     Attributes
     ----------
-    refusing : set of (str, str)
-        (zone, machine class) pairs that refuse starts; an empty class means all
-        of the zone.
+    no_capacity : set of (str, str)
+        (zone, machine class) pairs in which starts are refused; an empty class
+        means all classes of the zone.
     down : bool
-        Every call is answered 503, before any effect.
-    lose_starts : int
-        So many starts take effect and lose their answers.
+        Whether every call is refused with 503, before any effect.
+    lost_start_answers : int
+        Number of next starts that take effect but whose answers are lost.
     """
 
     def __init__(
         self,
-        launch: Launch,
-        terminate: Terminate,
+        launch: LaunchCallback,
+        terminate: TerminateCallback,
         offers: tuple[Offer, ...] = (),
         *,
         clock: Clock | None = None,
@@ -80,16 +80,16 @@
 
     @property
     def url(self) -> str:
-        """Base URL once started."""
+        """Base URL; available after the start."""
         return f"http://{self.server.address}"
 
-    def refusal(self, zone: str, machine_class: str, reclaimable: bool) -> str:
-        """Return why such an instance can't be started, or an empty text."""
+    def refusal_reason(self, zone: str, machine_class: str, reclaimable: bool) -> str:
+        """Return why such an instance can't be started, or an empty string."""
         if (zone, machine_class) in self.no_capacity or (zone, "") in self.no_capacity:
             return "no capacity"
         for offer in self.offers:
-            wanted = (zone, machine_class, reclaimable)
-            if wanted == (offer.zone, offer.machine_class, offer.reclaimable):
+            requested = (zone, machine_class, reclaimable)
+            if requested == (offer.zone, offer.machine_class, offer.reclaimable):
                 return ""
         return "no such offer"
 
@@ -101,7 +101,7 @@
         reclaimable: bool,
         tags: dict[str, str],
     ) -> CloudInstance:
-        """Start an instance, or return the one that ``token`` started."""
+        """Start an instance, or return the one already started with ``token``."""
         if token in self._tokens:
             return self.instances[self._tokens[token]]
         instance = CloudInstance(
@@ -124,7 +124,7 @@
         return self.instances[instance.instance_id]
 
     async def stop_instance(self, instance_id: str) -> None:
-        """Stop an instance; a stopped or unknown one is left alone."""
+        """Stop an instance; does nothing if it is stopped or unknown."""
         instance = self.instances.get(instance_id)
         if instance is None or instance.state == STOPPED:
             return
@@ -134,7 +134,7 @@
     def announce_reclaim(
         self, zone: str, instance_id: str, seconds: float
     ) -> ReclaimNotice:
-        """Tell that an instance, or with an empty id a zone, is taken back."""
+        """Announce the reclaim of an instance, or of a zone if the id is empty."""
         deadline = self._clock.wall() + seconds
         notice = ReclaimNotice(len(self.notices) + 1, instance_id, zone, deadline)
         self.notices.append(notice)
@@ -145,7 +145,7 @@
         return [item for item in self.instances.values() if item.state != STOPPED]
 
     def spend_per_hour(self) -> float:
-        """Return what the running instances cost an hour at present prices."""
+        """Return the cost per hour of the running instances at current prices."""
         prices = {
             (item.zone, item.machine_class, item.reclaimable): item.price_per_hour
             for item in self.offers
@@ -155,13 +155,13 @@
             for item in self.running()
         )
 
-    def _answer(self, body: dict[str, Any]) -> web.Response:
+    def _respond(self, body: dict[str, Any]) -> web.Response:
         if self.down:
             return web.json_response({}, status=503)
         return web.json_response(body)
 
     async def _serve_offers(self, _req: web.Request) -> web.Response:
-        return self._answer({"offers": [item._asdict() for item in self.offers]})
+        return self._respond({"offers": [item._asdict() for item in self.offers]})
 
     async def _serve_start(self, req: web.Request) -> web.Response:
         if self.down:
@@ -174,7 +174,7 @@
             tags = {str(name): str(value) for name, value in body["tags"].items()}
         except (KeyError, AttributeError) as exc:
             return web.json_response({"error": repr(exc)}, status=400)
-        reason = self.refusal(zone, machine_class, reclaimable)
+        reason = self.refusal_reason(zone, machine_class, reclaimable)
         if reason and token not in self._tokens:
             return web.json_response({"refused": reason}, status=409)
         instance = await self.start_instance(
@@ -192,9 +192,9 @@
         return web.json_response({})
 
     async def _serve_instances(self, _req: web.Request) -> web.Response:
-        return self._answer({"instances": [item._asdict() for item in self.running()]})
+        return self._respond({"instances": [item._asdict() for item in self.running()]})
 
     async def _serve_notices(self, req: web.Request) -> web.Response:
         after = int(req.query.get("after", "0"))
-        told = [item._asdict() for item in self.notices if item.seq > after]
-        return self._answer({"notices": told})
+        newer = [item._asdict() for item in self.notices if item.seq > after]
+        return self._respond({"notices": newer})
--- a/src/ebonydeal/_internal/standin/endpoint.py
+++ b/src/ebonydeal/_internal/standin/endpoint.py
@@ -1,4 +1,4 @@
-"""What stand-in engines and plain services have in common."""
+"""Base of the simulated engines and plain services."""
 
 import json
 from collections import deque
@@ -17,27 +17,27 @@
 
 
 class EndpointFault(StrEnum):
-    """What may go wrong with one attempt at an endpoint."""
+    """Fault of one attempt at an endpoint."""
 
     NONE = "none"
     REFUSE = "refuse"
-    """503 with the word that it was not run."""
+    """503 with the header that states that it was not run."""
     ERROR = "error"
-    """500 without any word, before anything ran."""
+    """500 without that header, before anything ran."""
     STALL = "stall"
-    """Nothing more comes, and the connection stays open."""
+    """No more data is sent, and the connection stays open."""
     GARBAGE = "garbage"
-    """The answer can't be read."""
+    """The answer is malformed."""
     BREAK = "break"
-    """The connection is reset; a plain service has done the work."""
+    """The connection is reset; a plain service has run the call."""
     TRUNCATE = "truncate"
-    """The answer ends in the middle, without the end mark."""
+    """The answer ends in the middle, without the end marker."""
     BREAK_BEFORE = "break_before"
     """The connection is reset before anything ran."""
 
 
 class PlannedFault(NamedTuple):
-    """A fault of one attempt; in a stream, after this many tokens."""
+    """Fault of one attempt; ``after`` is the number of tokens sent before it."""
 
     fault: EndpointFault
     after: int = 0
@@ -45,18 +45,18 @@
 
 @dataclass
 class EndpointFaults:
-    """Switches of an endpoint.
+    """Faults of an endpoint, which may be changed at any time.
 
     Attributes
     ----------
     next : deque of PlannedFault
-        Faults of the next attempts, one each.
+        Faults of the next attempts, one for each.
     always : PlannedFault, optional
-        Fault of every attempt that has none planned.
+        Fault of every attempt without one in ``next``.
     time_factor : float
-        Factor on all times.
+        Factor on all durations.
     retry_after_s : float
-        Seconds of rest that a refusal asks for; 0 for none.
+        Backoff that refusals request (``Retry-After``), seconds; 0 for none.
     """
 
     next: deque[PlannedFault] = field(default_factory=deque)
@@ -64,14 +64,14 @@
     time_factor: float = 1.0
     retry_after_s: float = 0.0
 
-    def take(self) -> PlannedFault:
-        """Return the fault of the next attempt, using it up."""
+    def pop_next(self) -> PlannedFault:
+        """Remove and return the fault of the next attempt."""
         if self.next:
             return self.next.popleft()
         return self.always or PlannedFault(EndpointFault.NONE)
 
     def change(self, message: dict[str, Any]) -> None:
-        """Set the switches from ``POST /faults``."""
+        """Change the faults as ``POST /faults`` requests."""
         for item in message.get("next", ()):
             fault = EndpointFault(item["fault"])
             self.next.append(PlannedFault(fault, int(item.get("after", 0))))
@@ -83,27 +83,27 @@
 
 
 def not_run(reason: str, headers: dict[str, str]) -> web.Response:
-    """Return the refusal that proves that nothing ran."""
+    """Return a refusal which states that the request was not run."""
     return web.json_response(
         {"refused": reason}, status=503, headers={**headers, NOT_RUN_HEADER: "1"}
     )
 
 
 class StandinEndpoint(Service):
-    """Base of the stand-in endpoints: listener, slots, load reports, log.
+    """Base of the simulated endpoints: listener, slots, load reports, log.
 
     Parameters
     ----------
     endpoint_id : str
-        Id of the instance under the endpoint.
+        Id of the endpoint's instance.
     slots : int
         Attempts that may run at once.
     load_lag : float
-        Seconds for which a measured load is told again.
+        Seconds for which a measured load is reused.
     clock : Clock, optional
-        What all waiting goes by.
+        Clock of all delays.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     """
 
     kind = ""
@@ -136,56 +136,56 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` once started."""
+        """``host:port``; available after the start."""
         return self.server.address
 
     @property
     def killed(self) -> bool:
-        """Whether it died."""
+        """Whether the endpoint was killed."""
         return self.server.killed
 
     @property
     def is_leaving(self) -> bool:
-        """Whether its instance is being taken back."""
+        """Whether its instance is being reclaimed."""
         return self.leaving_since is not None
 
     def measure_load(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return the current load."""
         raise NotImplementedError
 
     def load(self) -> LoadReport:
-        """Return the load as it was measured some time ago."""
+        """Return the last measured load, at most ``load_lag`` old."""
         now = self.clock.now()
         if self._load is None or now - self._load[0] >= self._load_lag:
             self._load = (now, self.measure_load())
         return self._load[1]
 
     def load_headers(self) -> dict[str, str]:
-        """Return the header that carries the load."""
+        """Return the header with the load report."""
         return {LOAD_HEADER: json.dumps(self.load().to_message())}
 
     def refusal_headers(self) -> dict[str, str]:
-        """Return the headers of a refusal before running."""
+        """Return the headers of a refusal before the run."""
         headers = self.load_headers()
         if self.faults.retry_after_s > 0.0:
             headers["Retry-After"] = f"{self.faults.retry_after_s:g}"
         return headers
 
     async def simulate_work(self, seconds: float) -> None:
-        """Wait as long as work of ``seconds`` takes at present."""
+        """Wait for ``seconds`` of work, scaled by the time factor."""
         await self.clock.sleep(seconds * self.faults.time_factor)
 
     def start_leaving(self) -> None:
-        """Note that the instance is being taken back."""
+        """Record that the instance is being reclaimed."""
         if self.leaving_since is None:
             self.leaving_since = self.clock.now()
 
     async def kill(self) -> None:
-        """Die at once: every connection is reset."""
+        """Stop at once and reset every connection."""
         await self.server.kill()
 
     def attempt_log(self) -> dict[str, Any]:
-        """Return every attempt that came here."""
+        """Return the log of all attempts that arrived here."""
         return {
             "endpoint_id": self.endpoint_id,
             "kind": self.kind,
--- a/src/ebonydeal/_internal/standin/engine.py
+++ b/src/ebonydeal/_internal/standin/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine."""
+"""Simulated model engine."""
 
 import asyncio
 import random
@@ -26,22 +26,22 @@
 
 
 class StandinEngine(StandinEndpoint):
-    """Writes deterministic answers at the pace of a real engine.
+    """Generates deterministic answers at the speed of a real engine.
 
     Parameters
     ----------
     endpoint_id : str
-        Id of the instance under the engine.
+        Id of the engine's instance.
     models : tuple of str
-        Loaded from the start.
+        Models that are loaded from the start.
     spec : EngineSpec
-        What it can do.
+        Capabilities of the engine.
     rng : random.Random
         Decides which cache events are lost.
     clock : Clock, optional
-        What all waiting goes by.
+        Clock of all delays.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     """
 
     kind = "engine"
@@ -75,30 +75,30 @@
         router.add_get("/kv/{handle}", self._serve_kv)
         router.add_get("/cache/events", self._serve_events)
         router.add_post("/orders", self._serve_order)
-        router.add_get("/orders", self._serve_order_state)
+        router.add_get("/orders", self._serve_order_in_force)
 
     async def on_stop(self) -> None:
-        """Close the session that fetches KV copies."""
+        """Close the HTTP client that fetches KV copies."""
         await self.kv.close()
 
     @Service.task
     async def _load_models(self) -> None:
-        """Load what is ordered, one model after another."""
+        """Load the ordered models, one after another."""
         while not self.should_stop:
-            model = await self.orders.wait_missing()
+            model = await self.orders.wait_for_missing()
             await self.simulate_work(self.spec.load_seconds)
             self.orders.set_loaded(model)
 
     def measure_load(self) -> LoadReport:
-        """Return the load as it is now."""
-        share = min(1.0, self.slots.running / self.slots.count)
+        """Return the current load."""
+        batch_share = min(1.0, self.slots.running / self.slots.count)
         return LoadReport(
             running=self.slots.running,
             waiting=self.slots.waiting,
             slots=self.slots.count,
             kv_used=self.cache.used,
             tokens_per_s=self.spec.tokens_per_s
-            * (1.0 - self.spec.batch_slowdown * share),
+            * (1.0 - self.spec.batch_slowdown * batch_share),
             at=self.clock.wall(),
         )
 
@@ -106,9 +106,9 @@
         body = await read_json(req)
         attempt_id = req.headers.get(ATTEMPT_HEADER, "")
         attempt = Attempt.from_request(req.path, body, attempt_id)
-        fault = self.faults.take()
+        fault = self.faults.pop_next()
         reason = self._refusal(attempt, fault.fault)
-        self._note_arrival(attempt, reason)
+        self._log_arrival(attempt, reason)
         if reason:
             return not_run(reason, self.refusal_headers())
         if fault.fault is EndpointFault.ERROR:
@@ -126,28 +126,30 @@
             self.slots.release()
 
     def _refusal(self, attempt: Attempt, fault: EndpointFault) -> str:
-        """Return why an attempt is not taken, or an empty text."""
+        """Return why an attempt is refused, or an empty string."""
         if attempt.model not in self.orders.loaded:
             return "model not loaded"
         if self.is_leaving and self.refuses_when_leaving:
             return "leaving"
         return "refused" if fault is EndpointFault.REFUSE else ""
 
-    def _note_arrival(self, attempt: Attempt, refused: str) -> None:
-        """Begin the log entry of an attempt."""
-        since = None
+    def _log_arrival(self, attempt: Attempt, refused: str) -> None:
+        """Create the log entry of an attempt."""
+        since_leaving = None
         if self.leaving_since is not None:
-            since = self.clock.now() - self.leaving_since
+            since_leaving = self.clock.now() - self.leaving_since
         if refused:
             attempt.state = AttemptState.NOT_STARTED
         else:
             self._attempts[attempt.attempt_id] = attempt
-        attempt.entry.update(at=self.clock.wall(), after_leaving=since, refused=refused)
-        attempt.note()
+        attempt.entry.update(
+            at=self.clock.wall(), after_leaving=since_leaving, refused=refused
+        )
+        attempt.update_entry()
         self.entries.append(attempt.entry)
 
     async def _take_slot(self, attempt: Attempt) -> bool:
-        """Wait for a slot; return False where the attempt was cancelled first."""
+        """Wait for a slot; return False if the attempt is cancelled first."""
         waiter = asyncio.ensure_future(self.slots.acquire(attempt.priority))
         attempt.waiter = waiter
         try:
@@ -155,10 +157,10 @@
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
                 self.slots.release()
-            was_asked = attempt.state is AttemptState.NOT_STARTED
+            was_cancelled = attempt.state is AttemptState.NOT_STARTED
             attempt.state = AttemptState.NOT_STARTED
-            attempt.note()
-            if was_asked:
+            attempt.update_entry()
+            if was_cancelled:
                 return False
             raise
         if attempt.state is AttemptState.STOPPED:
@@ -166,11 +168,11 @@
             return False
         return True
 
-    def _running(self, attempt_id: Any) -> Attempt:
+    def _running_attempt(self, attempt_id: Any) -> Attempt:
         """Return a running attempt, or raise NOT_FOUND."""
         attempt = self._attempts.get(str(attempt_id))
         if attempt is None or attempt.state is not AttemptState.RUNNING:
-            raise EbonydealError(ErrorKind.NOT_FOUND, "no such running attempt")
+            raise EbonydealError(ErrorKind.NOT_FOUND, "no such attempt is running")
         return attempt
 
     async def _serve_cancel(self, req: web.Request) -> web.Response:
@@ -185,18 +187,18 @@
         return web.json_response({"state": state, "tokens": tokens})
 
     def _cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt, wherever it is."""
+        """Stop an attempt, whether queued or running."""
         if attempt.state is AttemptState.QUEUED and attempt.waiter is not None:
             attempt.state = AttemptState.NOT_STARTED
             if not attempt.waiter.cancel():
-                # The slot came at the same moment; it is about to run.
+                # It has just received its slot and is about to run.
                 attempt.state = AttemptState.STOPPED
         elif attempt.state is AttemptState.RUNNING:
             attempt.state = AttemptState.STOPPED
-        attempt.note()
+        attempt.update_entry()
 
     async def _serve_export(self, req: web.Request) -> web.Response:
-        attempt = self._running((await read_json(req)).get("attempt_id"))
+        attempt = self._running_attempt((await read_json(req)).get("attempt_id"))
         attempt.state = AttemptState.STOPPED
         copy = self.kv.export(attempt)
         await self.simulate_work(copy.tokens / self.spec.kv_tokens_per_s)
@@ -207,12 +209,14 @@
 
     async def _serve_import(self, req: web.Request) -> web.Response:
         body = await read_json(req)
-        copy = await self.kv.fetch(str(body.get("handle")), str(body.get("source")))
+        copy = await self.kv.import_copy(
+            str(body.get("handle")), str(body.get("source"))
+        )
         await self.simulate_work(copy.tokens / self.spec.kv_tokens_per_s)
         return web.json_response({"tokens": copy.tokens})
 
     async def _serve_kv(self, req: web.Request) -> web.Response:
-        return web.json_response(self.kv.message(req.match_info["handle"]))
+        return web.json_response(self.kv.exported_message(req.match_info["handle"]))
 
     async def _serve_events(self, req: web.Request) -> web.Response:
         after = int(req.query.get("after", "0"))
@@ -223,5 +227,5 @@
         self.orders.apply(await read_json(req))
         return web.json_response({})
 
-    async def _serve_order_state(self, _req: web.Request) -> web.Response:
+    async def _serve_order_in_force(self, _req: web.Request) -> web.Response:
         return web.json_response(self.orders.to_message())
--- a/src/ebonydeal/_internal/standin/faults.py
+++ b/src/ebonydeal/_internal/standin/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-in stores, by count, by plan or by hook."""
+"""Faults of the simulated stores, set by queue, by operation number or by hook."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -8,28 +8,28 @@
 
 
 class Fault(StrEnum):
-    """What may go wrong with one operation.
+    """Fault of one operation.
 
-    For reads all but ``NONE`` mean that the store doesn't answer.
+    For reads, all faults but ``NONE`` mean that the store is unavailable.
     """
 
     NONE = "none"
     REFUSED = "refused"
     """Refused before any effect (STORE_UNAVAILABLE)."""
     LOST_REQUEST = "lost_request"
-    """No effect ever, and no answer (STORE_IN_DOUBT)."""
+    """Never takes effect and is not answered (STORE_IN_DOUBT)."""
     LOST_ANSWER = "lost_answer"
-    """Takes effect, and the answer is lost (STORE_IN_DOUBT)."""
+    """Takes effect, but the answer is lost (STORE_IN_DOUBT)."""
     LATE = "late"
-    """No answer; takes effect only when `apply_late_writes` is called."""
+    """Is not answered; takes effect only when `apply_late_writes` is called."""
     DUPLICATE = "duplicate"
-    """Takes effect, is answered, and lands again at `apply_late_writes`."""
+    """Takes effect, is answered, and takes effect again at `apply_late_writes`."""
     DUPLICATE_LOST = "duplicate_lost"
-    """As DUPLICATE, and the answer is lost (STORE_IN_DOUBT)."""
+    """As DUPLICATE, but the answer is lost (STORE_IN_DOUBT)."""
 
 
 class Operation(NamedTuple):
-    """One operation on a stand-in store.
+    """One operation on a simulated store.
 
     Attributes
     ----------
@@ -38,7 +38,7 @@
     name : str
         ``transact``, ``get``, ``scan``, ``put``, ``delete`` or ``names``.
     key : str
-        Key of the row, or of the first write; prefix; or object name.
+        Key of the row or of the first write, prefix, or object name.
     is_write : bool
         Whether it may change the store.
     detail : Any
@@ -57,22 +57,22 @@
 
 @dataclass
 class Faults:
-    """Switches of a stand-in store; all may be changed at any time.
+    """Faults of a simulated store, which may be changed at any time.
 
     Attributes
     ----------
     down : bool
-        Every operation is refused before any effect.
+        Whether every operation is refused before any effect.
     delay : float
         Seconds before each operation.
     writes : deque of Fault
-        Faults of the next writes, one each.
+        Faults of the next writes, one for each.
     plan : dict of int to Fault
-        Fault of the operation with that number.
+        Faults by operation number.
     before, after : coroutine function, optional
-        Awaited before an operation (after the delay) and after its effect. One
-        that waits pauses the caller just there; one that raises
-        `EbonydealError` makes the caller see that.
+        Awaited before an operation (after the delay) and after its effect. A
+        hook that waits pauses the caller at that point; an `EbonydealError`
+        that it raises reaches the caller.
     """
 
     down: bool = False
@@ -82,8 +82,8 @@
     before: Hook | None = None
     after: Hook | None = None
 
-    def take(self, operation: Operation) -> Fault:
-        """Return the fault of an operation, using it up."""
+    def pop_next(self, operation: Operation) -> Fault:
+        """Return the fault of an operation, and remove it if it is planned."""
         if operation.number in self.plan:
             return self.plan.pop(operation.number)
         if operation.is_write and self.writes:
--- a/src/ebonydeal/_internal/standin/generation.py
+++ b/src/ebonydeal/_internal/standin/generation.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine writes one attempt's stream."""
+"""Generation of one attempt's stream at a simulated engine."""
 
 import asyncio
 import json
@@ -16,20 +16,20 @@
 from ebonydeal._internal.standin.kv import KvStore
 
 _DONE = b"data: [DONE]\n\n"
-_GARBAGE = b'data: {"choices": [{"del\xff\xfe\n\n'
-_CHAT = "/v1/chat/completions"
+_MALFORMED_EVENT = b'data: {"choices": [{"del\xff\xfe\n\n'
+_CHAT_PATH = "/v1/chat/completions"
 
 
 def chunk_message(
     attempt: Attempt, position: int, text: str, finish: str
 ) -> dict[str, Any]:
-    """Return the wire shape of a chunk."""
+    """Return the JSON object of a chunk."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish or None}
-    if attempt.path == _CHAT:
+    if attempt.path == _CHAT_PATH:
         choice["delta"] = {"content": text}
     else:
         choice["text"] = text
-    chat = attempt.path == _CHAT
+    chat = attempt.path == _CHAT_PATH
     return {
         "id": attempt.attempt_id,
         "object": "chat.completion.chunk" if chat else "text_completion",
@@ -40,22 +40,22 @@
 
 
 class Generation:
-    """Runs one attempt that has got its slot.
+    """Runs one attempt that has a slot.
 
     Parameters
     ----------
     engine : StandinEndpoint
-        Whose time it takes.
+        Engine that runs it.
     spec : EngineSpec
-        How fast.
+        Capabilities of the engine.
     cache : PrefixCache
-        What is already computed.
+        Prefix cache of the engine.
     kv : KvStore
-        What was imported.
+        KV copies of the engine.
     attempt : Attempt
-        What is run.
+        Attempt to run.
     fault : PlannedFault
-        What goes wrong.
+        Fault to inject.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self._fault = fault
 
     async def run(self, req: web.Request) -> web.StreamResponse:
-        """Prefill, write every token, and finish the log entry."""
+        """Prefill, stream all tokens, and complete the log entry."""
         attempt = self._attempt
         attempt.state = AttemptState.RUNNING
         try:
@@ -90,23 +90,25 @@
             raise
         finally:
             self._cache.store(attempt.blocks(), self._engine.clock.now())
-            attempt.note()
+            attempt.update_entry()
         return resp
 
     async def _prefill(self) -> None:
-        """Compute what neither the prefix cache nor an import holds."""
+        """Compute the tokens that are neither in the prefix cache nor imported."""
         attempt = self._attempt
         cached = self._cache.cached_tokens(attempt.blocks())
-        attempt.cached = min(attempt.size(), max(cached, self._kv.tokens_for(attempt)))
+        attempt.cached = min(
+            attempt.size(), max(cached, self._kv.imported_tokens(attempt))
+        )
         attempt.prefilled = attempt.size() - attempt.cached
-        attempt.note()
+        attempt.update_entry()
         await self._engine.simulate_work(attempt.prefilled / self._spec.prefill_per_s)
 
     def _token_seconds(self) -> float:
-        """Return the time of one token in the present batch."""
-        share = self._engine.slots.running / self._engine.slots.count
-        loss = self._spec.batch_slowdown * min(1.0, share)
-        return 1.0 / (self._spec.tokens_per_s * (1.0 - loss))
+        """Return the seconds per token in the current batch."""
+        batch_share = self._engine.slots.running / self._engine.slots.count
+        slowdown = self._spec.batch_slowdown * min(1.0, batch_share)
+        return 1.0 / (self._spec.tokens_per_s * (1.0 - slowdown))
 
     async def _write_tokens(self, req: web.Request, resp: web.StreamResponse) -> None:
         attempt = self._attempt
@@ -125,7 +127,7 @@
         await resp.write(_DONE)
 
     def _next_event(self, first: bool) -> bytes:
-        """Return the next token's event, and count the token."""
+        """Return the next token's event, and advance the position."""
         attempt = self._attempt
         position = attempt.position
         attempt.position += 1
@@ -136,7 +138,7 @@
         return self._event(message, first, last)
 
     def _empty_event(self) -> bytes:
-        """Return the event of a stream that was whole before it was resumed."""
+        """Return the event of a resumed stream that has no tokens left to send."""
         attempt = self._attempt
         message = chunk_message(attempt, attempt.position, "", attempt.finish)
         return self._event(message, True, True)
@@ -156,12 +158,12 @@
         return written >= self._fault.after
 
     async def _fail(self, req: web.Request, resp: web.StreamResponse) -> bool:
-        """Do what the fault says; return whether the stream is over."""
+        """Inject the fault; return whether the stream is over."""
         match self._fault.fault:
             case EndpointFault.STALL:
                 await asyncio.Event().wait()
             case EndpointFault.GARBAGE:
-                await resp.write(_GARBAGE)
+                await resp.write(_MALFORMED_EVENT)
                 self._attempt.state = AttemptState.DROPPED
                 return True
             case EndpointFault.TRUNCATE:
--- a/src/ebonydeal/_internal/standin/kv.py
+++ b/src/ebonydeal/_internal/standin/kv.py
@@ -1,4 +1,4 @@
-"""KV cache that a stand-in engine hands out and takes in."""
+"""Export and import of KV caches at a simulated engine."""
 
 from typing import Any, NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 class KvStore:
-    """Exported and imported copies of one engine; owns the session it fetches by."""
+    """Exported and imported copies of one engine; owns the client that fetches them."""
 
     def __init__(self, endpoint_id: str) -> None:
         self._endpoint_id = endpoint_id
@@ -27,20 +27,20 @@
         self._client = HttpClient(_TIMEOUT_S)
 
     def export(self, attempt: Attempt) -> KvCopy:
-        """Make a copy that others can fetch."""
+        """Create a copy that other engines can fetch."""
         handle = f"kv-{self._endpoint_id}-{len(self._exported) + 1}"
         copy = KvCopy(handle, attempt.digest, attempt.size())
         self._exported[handle] = copy
         return copy
 
-    def message(self, handle: str) -> dict[str, Any]:
-        """Return an exported copy for the wire, or raise NOT_FOUND."""
+    def exported_message(self, handle: str) -> dict[str, Any]:
+        """Return the JSON object of an exported copy; raises NOT_FOUND."""
         if handle not in self._exported:
             raise EbonydealError(ErrorKind.NOT_FOUND, "no such handle")
         return self._exported[handle]._asdict()
 
-    async def fetch(self, handle: str, source: str) -> KvCopy:
-        """Take in a copy from the engine at ``source``."""
+    async def import_copy(self, handle: str, source: str) -> KvCopy:
+        """Fetch and store a copy from the engine at ``source``."""
         url = f"http://{source}/kv/{handle}"
         reply = await self._client.fetch("GET", url, ENDPOINT)
         if reply.status != 200:
@@ -49,13 +49,13 @@
         self._imported[handle] = copy
         return copy
 
-    def tokens_for(self, attempt: Attempt) -> int:
-        """Return the tokens that an imported copy saves ``attempt``."""
+    def imported_tokens(self, attempt: Attempt) -> int:
+        """Return the tokens of ``attempt`` that an imported copy covers."""
         copy = self._imported.get(attempt.kv_handle)
         if copy is None or copy.digest != attempt.digest:
             return 0
         return min(copy.tokens, attempt.size())
 
     async def close(self) -> None:
-        """Close the session."""
+        """Close the HTTP client."""
         await self._client.close()
--- a/src/ebonydeal/_internal/standin/listing.py
+++ b/src/ebonydeal/_internal/standin/listing.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's instance list, which lags."""
+"""Simulated instance list of the platform, which lags behind."""
 
 from typing import Any
 
@@ -10,11 +10,11 @@
 from ebonydeal._internal.standin.server import StandinServer, standin_app
 from ebonydeal._internal.utils.clock import Clock, SystemClock
 
-_KEPT = 1000
+_MAX_SNAPSHOTS = 1000
 
 
 def endpoint_to_message(view: EndpointView) -> EndpointMessage:
-    """Return the wire shape of a listed endpoint."""
+    """Return the JSON object of a listed endpoint."""
     return EndpointMessage(
         endpoint_id=view.endpoint_id,
         incarnation=view.incarnation,
@@ -37,11 +37,11 @@
     Parameters
     ----------
     lag : float
-        Seconds by which the list is behind.
+        Seconds by which the list lags behind.
     clock : Clock, optional
-        What the lag is measured by.
+        Clock by which the lag is measured.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._clock = clock or SystemClock()
         self._endpoints: dict[str, EndpointView] = {}
         self._nodes: dict[str, str] = {}
-        self._states: list[tuple[float, dict[str, Any]]] = []
+        self._snapshots: list[tuple[float, dict[str, Any]]] = []
         self._record()
         app = standin_app()
         app.router.add_get("/v1/instances", self._serve_list)
@@ -62,30 +62,30 @@
 
     @property
     def url(self) -> str:
-        """Base URL once started."""
+        """Base URL; available after the start."""
         return f"http://{self.server.address}"
 
     def endpoints(self) -> list[EndpointView]:
-        """Return the endpoints as they are now, without the lag."""
+        """Return the current endpoints, without the lag."""
         return list(self._endpoints.values())
 
     def set_endpoint(self, view: EndpointView) -> None:
-        """Add an endpoint or change it."""
+        """Add or replace an endpoint."""
         self._endpoints[view.endpoint_id] = view
         self._record()
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Take an endpoint off the list."""
+        """Remove an endpoint."""
         self._endpoints.pop(endpoint_id, None)
         self._record()
 
     def set_node(self, node_id: str, address: str) -> None:
-        """Add one of the system's own instances."""
+        """Add or replace one of the system's own instances."""
         self._nodes[node_id] = address
         self._record()
 
     def remove_node(self, node_id: str) -> None:
-        """Take one of the system's own instances off the list."""
+        """Remove one of the system's own instances."""
         self._nodes.pop(node_id, None)
         self._record()
 
@@ -94,16 +94,16 @@
             "endpoints": [endpoint_to_message(v) for v in self._endpoints.values()],
             "nodes": [{"id": k, "address": v} for k, v in self._nodes.items()],
         }
-        self._states.append((self._clock.now(), body))
-        del self._states[:-_KEPT]
+        self._snapshots.append((self._clock.now(), body))
+        del self._snapshots[:-_MAX_SNAPSHOTS]
 
-    def listed(self) -> dict[str, Any]:
-        """Return the answer body that is due now."""
-        latest = self._clock.now() - self.lag
-        known = [body for at, body in self._states if at <= latest]
-        return known[-1] if known else self._states[0][1]
+    def lagged_list(self) -> dict[str, Any]:
+        """Return the answer body, as old as the lag demands."""
+        cutoff = self._clock.now() - self.lag
+        due = [body for at, body in self._snapshots if at <= cutoff]
+        return due[-1] if due else self._snapshots[0][1]
 
     async def _serve_list(self, _req: web.Request) -> web.Response:
         if self.down:
             return web.json_response({}, status=503)
-        return web.json_response(self.listed())
+        return web.json_response(self.lagged_list())
--- a/src/ebonydeal/_internal/standin/load.py
+++ b/src/ebonydeal/_internal/standin/load.py
@@ -1,4 +1,4 @@
-"""Mixed load on gateways, bounded, with the callers' own log."""
+"""Generator of a mixed, bounded load on gateways, which records all outcomes."""
 
 import asyncio
 import random
@@ -18,32 +18,32 @@
 )
 from ebonydeal._internal.utils.clock import Clock
 
-_KITCHENS = 8
+_PREFIX_COUNT = 8
 _PREFIX_WORDS = 96
-_GUESTS = 24
+_SUFFIX_WORDS = 24
 
 
 class LoadSpec(NamedTuple):
-    """What callers send.
+    """Specification of a load.
 
     Attributes
     ----------
     api_key : str
-        Of the client account that sends all.
+        API key of the client account that sends all requests.
     model, service : str
-        What is asked for.
+        Model and plain service that are requested.
     seconds : float
-        How long new requests are sent.
+        Seconds for which new requests are sent.
     streams_per_s, lookups_per_s, deferred_per_s, commits_per_s : float
-        Mean rates; arrivals are random.
+        Mean request rates; arrivals are random.
     max_tokens : int
-        Longest answer of a model.
+        Maximum length of a model's answer.
     max_open : int
-        Most requests open at once; above it, new ones wait.
-    patience : float
+        Maximum number of requests in flight; further ones wait.
+    timeout_s : float
         Seconds after which a caller gives up.
     seed : int
-        Of arrivals and prompts.
+        Seed of arrivals and prompts.
     """
 
     api_key: str
@@ -63,9 +63,9 @@
     def from_document(
         cls, document: dict[str, Any], account: str, api_key: str, **options: Any
     ) -> "LoadSpec":
-        """Build a load that ``account`` may send under a document.
+        """Build a load that a document allows ``account`` to send.
 
-        Raises ValueError where the account has no engine and no plain service.
+        Raises ValueError if the account lacks a model or a plain service.
         """
         usable = [
             item
@@ -79,7 +79,7 @@
         return cls(api_key, models[0], services[0], **options)
 
     def rate(self, kind: CallKind) -> float:
-        """Return the mean rate of a kind, requests a second."""
+        """Return the mean rate of a kind, in requests per second."""
         return {
             CallKind.STREAM: self.streams_per_s,
             CallKind.LOOKUP: self.lookups_per_s,
@@ -89,7 +89,7 @@
 
 
 def make_call(spec: LoadSpec, kind: CallKind, number: int, rng: random.Random) -> Call:
-    """Return the ``number``-th request of a kind; each has content of its own."""
+    """Return the ``number``-th request of a kind; the content of each is unique."""
     call_id = f"{kind}-{spec.seed}-{number:06d}"
     match kind:
         case CallKind.LOOKUP:
@@ -100,27 +100,27 @@
             return service_call(
                 kind, call_id, spec.service, "POST", "/counts/commit", body
             )
-    kitchen = rng.randrange(_KITCHENS)
+    kitchen = rng.randrange(_PREFIX_COUNT)
     prefix = " ".join(f"kitchen-{kitchen}-line-{line}" for line in range(_PREFIX_WORDS))
-    guests = " ".join(f"guest-{rng.randrange(10_000)}" for _ in range(_GUESTS))
+    guests = " ".join(f"guest-{rng.randrange(10_000)}" for _ in range(_SUFFIX_WORDS))
     prompt = f"{prefix} {guests} {call_id}"
     tokens = rng.randint(max(1, spec.max_tokens // 4), spec.max_tokens)
     return chat_call(kind, call_id, spec.model, prompt, tokens)
 
 
 class LoadRun:
-    """One run of a load; `records` fills while it goes.
+    """One run of a load; `records` grows during the run.
 
     Parameters
     ----------
     spec : LoadSpec
-        What is sent.
+        Load to send.
     balancer : Balancer
-        Started; says where to.
+        Picks the gateways; must be started.
     clock : Clock
-        For arrivals.
+        Clock of the arrivals.
     on_record : callable, optional
-        Called with each record as its request is sent.
+        Called with each record before its request is sent.
     """
 
     def __init__(
@@ -135,10 +135,10 @@
         self._balancer = balancer
         self._clock = clock
         self._on_record = on_record
-        self._open = asyncio.Semaphore(spec.max_open)
+        self._open_slots = asyncio.Semaphore(spec.max_open)
 
     async def run(self) -> list[CallRecord]:
-        """Send for as long as asked, wait for every answer, return all logs."""
+        """Send the load, wait for all outcomes, and return all records."""
         connector = TCPConnector(limit=0)
         async with ClientSession(connector=connector) as session:
             caller = Caller(
@@ -148,33 +148,33 @@
                 self._clock,
                 self._spec.timeout_s,
             )
-            await asyncio.gather(*(self._arrivals(kind, caller) for kind in CallKind))
+            await asyncio.gather(*(self._send_kind(kind, caller) for kind in CallKind))
         return self.records
 
-    async def _arrivals(self, kind: CallKind, caller: Caller) -> None:
+    async def _send_kind(self, kind: CallKind, caller: Caller) -> None:
         """Send the requests of one kind at random intervals."""
         rate = self._spec.rate(kind)
         if rate <= 0:
             return
         rng = random.Random(f"{self._spec.seed}-{kind}")
-        until = self._clock.now() + self._spec.seconds
+        deadline = self._clock.now() + self._spec.seconds
         number = 0
         async with asyncio.TaskGroup() as tasks:
             while True:
                 await self._clock.sleep(rng.expovariate(rate))
-                if self._clock.now() >= until:
+                if self._clock.now() >= deadline:
                     break
-                await self._open.acquire()
+                await self._open_slots.acquire()
                 call = make_call(self._spec, kind, number, rng)
                 number += 1
                 tasks.create_task(self._send(call, caller))
 
     async def _send(self, call: Call, caller: Caller) -> None:
-        record = CallRecord(call, started=self._clock.now())
+        record = CallRecord(call, started_at=self._clock.now())
         self.records.append(record)
         if self._on_record is not None:
             self._on_record(record)
         try:
             await caller.resume(record)
         finally:
-            self._open.release()
+            self._open_slots.release()
--- a/src/ebonydeal/_internal/standin/memory.py
+++ b/src/ebonydeal/_internal/standin/memory.py
@@ -1,4 +1,4 @@
-"""Table service and object store in memory, with faults."""
+"""In-memory table service and object store with fault injection."""
 
 from bisect import bisect_left, insort
 from collections.abc import Sequence
@@ -24,8 +24,8 @@
 class RowStore:
     """Rows by key; every method is one atomic step.
 
-    Values are kept encoded, so that no caller can change a stored row, and
-    whatever isn't JSON fails at once.
+    Values are stored encoded, so that no caller can change a stored row and
+    a value that isn't JSON fails at once.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> bool:
         """Do all writes if all conditions hold; return whether they did."""
-        if not all(self._holds(item) for item in conditions):
+        if not all(self._is_met(item) for item in conditions):
             return False
         encoded = [encode(item.value) for item in writes if isinstance(item, Put)]
         values = iter(encoded)
@@ -49,7 +49,7 @@
                     self._delete(key)
         return True
 
-    def _holds(self, condition: Condition) -> bool:
+    def _is_met(self, condition: Condition) -> bool:
         match condition:
             case RowAbsent(key):
                 return key not in self._values
@@ -65,8 +65,8 @@
         if key not in self._values:
             insort(self._keys, key)
         self._values[key] = value
-        # Versions outlive a delete, so that a compare-and-set can't mistake a
-        # row put again for the one it read.
+        # Versions persist after a delete, so that a compare-and-set can't
+        # mistake a recreated row for the one it read.
         self._versions[key] = self._versions.get(key, 0) + 1
 
     def _delete(self, key: str) -> None:
@@ -103,7 +103,7 @@
     clock : Clock, optional
         For delays.
     faults : Faults, optional
-        Switches; also as attribute ``faults``.
+        Faults to inject; also the attribute ``faults``.
     """
 
     def __init__(
@@ -119,14 +119,14 @@
         """Do all writes if all conditions hold; return whether they did."""
         conditions, writes = tuple(conditions), tuple(writes)
         key = writes[0].key if writes else ""
-        # Encoded now: a late landing must not see what the caller changes later.
-        frozen = tuple(_copy(item) for item in writes)
+        # Copied now: a late write must not see later changes by the caller.
+        snapshot = tuple(_copy_write(item) for item in writes)
         return await self.runner.run(
             "transact",
             key,
             True,
-            lambda: self.rows.transact(conditions, frozen),
-            (conditions, frozen),
+            lambda: self.rows.transact(conditions, snapshot),
+            (conditions, snapshot),
         )
 
     async def get(self, key: str) -> Row | None:
@@ -142,31 +142,31 @@
         )
 
     def apply_late_writes(self) -> list[Any]:
-        """Let every late write land now; return whether each applied."""
+        """Apply all late writes; return for each whether it was applied."""
         return self.runner.apply_late_writes()
 
     @property
     def reads(self) -> int:
-        """How many reads were asked for."""
+        """Number of reads so far, including failed ones."""
         return self.runner.reads
 
     @property
     def writes(self) -> int:
-        """How many transactions were asked for."""
+        """Number of transactions so far, including failed ones."""
         return self.runner.writes
 
     async def close(self) -> None:
-        """Do nothing; here for the adapters' sake."""
+        """Do nothing; exists because the adapters have it."""
 
 
-def _copy(write: Write) -> Write:
+def _copy_write(write: Write) -> Write:
     if isinstance(write, Put):
         return Put(write.key, decode(encode(write.value)))
     return write
 
 
 class MemoryObjects:
-    """`Objects` in memory, with the same switches."""
+    """`Objects` in memory, with the same faults."""
 
     def __init__(
         self, clock: Clock | None = None, faults: Faults | None = None
@@ -177,9 +177,9 @@
 
     async def put(self, name: str, data: bytes) -> None:
         """Store an object, replacing one of the same name."""
-        frozen = bytes(data)
+        snapshot = bytes(data)
         await self.runner.run(
-            "put", name, True, lambda: self.data.__setitem__(name, frozen), None
+            "put", name, True, lambda: self.data.__setitem__(name, snapshot), None
         )
 
     async def get(self, name: str) -> bytes | None:
@@ -189,7 +189,7 @@
         )
 
     async def delete(self, name: str) -> None:
-        """Remove an object if it is there."""
+        """Remove an object if it exists."""
         await self.runner.run(
             "delete", name, True, lambda: self.data.pop(name, None), None
         )
@@ -204,18 +204,18 @@
         return sorted(name for name in self.data if name.startswith(prefix))
 
     def apply_late_writes(self) -> list[Any]:
-        """Let every late write land now."""
+        """Apply all late writes."""
         return self.runner.apply_late_writes()
 
     @property
     def reads(self) -> int:
-        """How many reads were asked for."""
+        """Number of reads so far, including failed ones."""
         return self.runner.reads
 
     @property
     def writes(self) -> int:
-        """How many writes were asked for."""
+        """Number of writes so far, including failed ones."""
         return self.runner.writes
 
     async def close(self) -> None:
-        """Do nothing; here for the adapters' sake."""
+        """Do nothing; exists because the adapters have it."""
--- a/src/ebonydeal/_internal/standin/operation_runner.py
+++ b/src/ebonydeal/_internal/standin/operation_runner.py
@@ -1,4 +1,4 @@
-"""What every stand-in store does around an operation: count, delay, fail."""
+"""Execution of operations on a simulated store: counting, delays, faults."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -8,17 +8,17 @@
 from ebonydeal._internal.utils.clock import Clock
 
 T = TypeVar("T")
-_LOST = (Fault.LOST_ANSWER, Fault.DUPLICATE_LOST)
-_TWICE = (Fault.DUPLICATE, Fault.DUPLICATE_LOST)
+_LOSES_ANSWER = (Fault.LOST_ANSWER, Fault.DUPLICATE_LOST)
+_APPLIED_TWICE = (Fault.DUPLICATE, Fault.DUPLICATE_LOST)
 
 
 class OperationRunner:
-    """Runs operations one at a time under the faults asked for.
+    """Runs operations one at a time and injects faults.
 
     Attributes
     ----------
     reads, writes : int
-        Operations so far, refused ones included.
+        Operations so far, including refused ones.
     """
 
     def __init__(self, clock: Clock, faults: Faults) -> None:
@@ -26,12 +26,12 @@
         self.faults = faults
         self.reads = 0
         self.writes = 0
-        self._late: list[Callable[[], Any]] = []
+        self._late_writes: list[Callable[[], Any]] = []
 
     async def run(
         self, name: str, key: str, is_write: bool, effect: Callable[[], T], detail: Any
     ) -> T:
-        """Do ``effect`` (which never waits) and return what it returns."""
+        """Run ``effect`` (which never waits) and return its result."""
         if is_write:
             self.writes += 1
         else:
@@ -42,40 +42,40 @@
             await self._clock.sleep(self.faults.delay)
         if self.faults.before is not None:
             await self.faults.before(operation)
-        fault = self.faults.take(operation)
-        self._refuse(fault, operation, effect)
+        fault = self.faults.pop_next(operation)
+        self._raise_fault(fault, operation, effect)
         result = effect()
-        if fault in _TWICE:
-            self._late.append(effect)
+        if fault in _APPLIED_TWICE:
+            self._late_writes.append(effect)
         if self.faults.after is not None:
             await self.faults.after(operation)
-        if fault in _LOST:
+        if fault in _LOSES_ANSWER:
             raise _in_doubt(operation)
         return result
 
-    def _refuse(
+    def _raise_fault(
         self, fault: Fault, operation: Operation, effect: Callable[[], Any]
     ) -> None:
-        """Raise where the fault strikes before the effect."""
+        """Raise the error of a fault that occurs before the effect."""
         if fault is Fault.NONE:
             return
         if not operation.is_write or fault is Fault.REFUSED:
             raise EbonydealError(
-                ErrorKind.STORE_UNAVAILABLE, f"{operation.name} is refused"
+                ErrorKind.STORE_UNAVAILABLE, f"{operation.name} was refused"
             )
         if fault is Fault.LATE:
-            self._late.append(effect)
+            self._late_writes.append(effect)
         if fault in (Fault.LATE, Fault.LOST_REQUEST):
             raise _in_doubt(operation)
 
     @property
-    def late(self) -> int:
-        """How many writes will still land."""
-        return len(self._late)
+    def pending_late_writes(self) -> int:
+        """Number of late writes that are not applied yet."""
+        return len(self._late_writes)
 
     def apply_late_writes(self) -> list[Any]:
-        """Let every late write land now; return what each did."""
-        late, self._late = self._late, []
+        """Apply all late writes; return the result of each."""
+        late, self._late_writes = self._late_writes, []
         return [effect() for effect in late]
 
 
--- a/src/ebonydeal/_internal/standin/orders.py
+++ b/src/ebonydeal/_internal/standin/orders.py
@@ -1,4 +1,4 @@
-"""Orders to a stand-in engine: what it shall have loaded, and by whose word."""
+"""Orders to a simulated engine about its models, with fencing."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,9 +14,9 @@
     Parameters
     ----------
     models : tuple of str
-        Loaded from the start.
+        Models that are loaded from the start.
     checks_fence : bool
-        Whether an order with an old fencing number is refused.
+        Whether an order with an outdated fencing token is refused.
 
     Attributes
     ----------
@@ -33,7 +33,7 @@
         self._changed = asyncio.Event()
 
     def apply(self, message: dict[str, Any]) -> None:
-        """Take an order; raises STALE_ORDER or BAD_REQUEST."""
+        """Apply an order; raises STALE_ORDER or BAD_REQUEST."""
         try:
             order = EngineOrder(
                 int(message["fence"]),
@@ -41,43 +41,46 @@
                 str(message["role"]),
             )
         except (KeyError, TypeError, ValueError) as exc:
-            raise EbonydealError(ErrorKind.BAD_REQUEST, "not an order") from exc
+            raise EbonydealError(
+                ErrorKind.BAD_REQUEST, "the message is not an order"
+            ) from exc
         if self._checks_fence and order.fence < self.order.fence:
             raise EbonydealError(
-                ErrorKind.STALE_ORDER, f"fence {self.order.fence} was seen"
+                ErrorKind.STALE_ORDER,
+                f"a newer order with fence {self.order.fence} is in force",
             )
         self.order = order
         self.history.append(order)
         self.loaded &= set(order.models)
         self._changed.set()
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         if self.on_change is not None:
             self.on_change()
 
-    def missing(self) -> str | None:
-        """Return a model that is ordered and not loaded, if any."""
+    def next_missing(self) -> str | None:
+        """Return a model that is ordered but not loaded, or None."""
         for model in self.order.models:
             if model not in self.loaded:
                 return model
         return None
 
-    async def wait_missing(self) -> str:
-        """Wait until a model has to be loaded, and return it."""
-        while (model := self.missing()) is None:
+    async def wait_for_missing(self) -> str:
+        """Wait until a model must be loaded, and return it."""
+        while (model := self.next_missing()) is None:
             self._changed.clear()
             await self._changed.wait()
         return model
 
     def set_loaded(self, model: str) -> None:
-        """Note that a model is loaded, if it is still wanted."""
+        """Mark a model as loaded if it is still ordered."""
         if model in self.order.models:
             self.loaded.add(model)
-            self._tell()
+            self._notify()
 
     def to_message(self) -> dict[str, Any]:
-        """Return the wire shape of the order in force."""
+        """Return the JSON object of the order in force."""
         return {
             "fence": self.order.fence,
             "models": list(self.order.models),
--- a/src/ebonydeal/_internal/standin/platform_spec.py
+++ b/src/ebonydeal/_internal/standin/platform_spec.py
@@ -1,4 +1,4 @@
-"""What a stand-in world consists of."""
+"""Specification of a simulated platform."""
 
 from typing import Any, NamedTuple
 
@@ -14,20 +14,20 @@
 
 
 class DeploymentSpec(NamedTuple):
-    """Endpoints of one deployment at the start.
+    """Initial endpoints of one deployment.
 
     Attributes
     ----------
     name : str
-        Deployment.
+        Name of the deployment.
     kind : str
         ``"engine"`` or ``"service"``.
     models : tuple of str
-        Loaded from the start.
+        Models that are loaded from the start.
     replicas : int
-        Spread over the zones in turn.
+        Number of endpoints, distributed over the zones in turn.
     checks_fence : bool
-        Whether its engines refuse orders with an old fencing number.
+        Whether its engines refuse orders with an outdated fencing token.
     """
 
     name: str
@@ -38,28 +38,28 @@
 
 
 class PlatformSpec(NamedTuple):
-    """A whole stand-in world.
+    """Specification of a whole simulated platform.
 
     Attributes
     ----------
     places : tuple of Place
         Regions and availability zones.
-    fleets : tuple of FleetSpec
-        What runs at the start.
+    deployments : tuple of DeploymentSpec
+        Endpoints that run at the start.
     offers : tuple of Offer
-        What can be started.
+        Instances that can be started.
     engine, service : EngineSpec, ServiceSpec
-        What each endpoint can do, before ``speed``.
+        Capabilities of the endpoints, before ``speed`` is applied.
     list_lag : float
-        Seconds by which the instance list is behind.
+        Seconds by which the instance list lags behind.
     start_seconds : float
-        Time until a started instance is listed.
+        Seconds until a started instance is listed.
     speed : float
-        Factor on the pace of endpoints; the clock stays the machine's own.
+        Factor on the speed of endpoints; does not affect the clock.
     seed : int
-        Of all that is random.
+        Seed of all random numbers.
     writes_per_s, reads_per_s : float
-        Limits of the table service; 0 for none.
+        Rate limits of the table service; 0 for none.
     """
 
     places: tuple[Place, ...]
@@ -78,26 +78,28 @@
     def from_document(
         cls, document: dict[str, Any], replicas: dict[str, int], **options: Any
     ) -> "PlatformSpec":
-        """Build a world that fits a configuration document.
+        """Build the specification from a configuration document.
 
         Parameters
         ----------
         document : dict
             The document's JSON object.
         replicas : dict of str to int
-            Endpoints of each deployment at the start; 0 where none is given.
+            Number of initial endpoints by deployment; 0 if missing.
         """
         places = tuple(
             Place(region["name"], zone)
             for region in document["regions"]
             for zone in region["zones"]
         )
-        deployments = tuple(_fleet(item, replicas) for item in document["deployments"])
+        deployments = tuple(
+            _deployment(item, replicas) for item in document["deployments"]
+        )
         return cls(places, deployments, default_offers(places), **options)
 
 
-def _fleet(item: dict[str, Any], replicas: dict[str, int]) -> DeploymentSpec:
-    """Return the fleet of one deployment of a document."""
+def _deployment(item: dict[str, Any], replicas: dict[str, int]) -> DeploymentSpec:
+    """Return the specification of one deployment of a document."""
     adapters = [adapter["name"] for adapter in item.get("adapters", ())]
     return DeploymentSpec(
         name=item["name"],
@@ -109,12 +111,16 @@
 
 
 def default_offers(places: tuple[Place, ...]) -> tuple[Offer, ...]:
-    """Return reclaimable and on-demand offers; later zones cost a little more."""
+    """Return reclaimable and on-demand offers; later zones are slightly dearer."""
     offers = []
     for number, place in enumerate(places):
-        dearer = 1.0 + 0.1 * number
-        cheap = _RECLAIMABLE_PRICE * dearer
-        offers.append(Offer(place.zone, MACHINE_CLASS, True, cheap, _EVICT_PER_HOUR, 8))
-        dear = _ON_DEMAND_PRICE * dearer
-        offers.append(Offer(place.zone, MACHINE_CLASS, False, dear, 0.0, 8))
+        price_factor = 1.0 + 0.1 * number
+        reclaimable_price = _RECLAIMABLE_PRICE * price_factor
+        offers.append(
+            Offer(
+                place.zone, MACHINE_CLASS, True, reclaimable_price, _EVICT_PER_HOUR, 8
+            )
+        )
+        on_demand_price = _ON_DEMAND_PRICE * price_factor
+        offers.append(Offer(place.zone, MACHINE_CLASS, False, on_demand_price, 0.0, 8))
     return tuple(offers)
--- a/src/ebonydeal/_internal/standin/report.py
+++ b/src/ebonydeal/_internal/standin/report.py
@@ -1,4 +1,4 @@
-"""A run's figures, for people and programs."""
+"""Summary of a run."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -9,10 +9,10 @@
 from ebonydeal._internal.standin.check import CheckResult, Violation
 
 _US = 1_000_000
-_HIGHEST_US = 3_600 * _US
-_DIGITS = 3
-_SHOWN_FINDINGS = 10
-_CONTENT = (
+_MAX_US = 3_600 * _US
+_SIGNIFICANT_DIGITS = 3
+_MAX_SHOWN_FINDINGS = 10
+_CONTENT_VIOLATIONS = (
     Violation.FOREIGN,
     Violation.TOKENS_MISSING,
     Violation.TOKENS_DOUBLED,
@@ -22,7 +22,7 @@
 
 def percentiles(seconds: Sequence[float]) -> dict[str, float]:
     """Return the 50th, 95th and 99th percentile, in milliseconds."""
-    histogram = HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    histogram = HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
     for value in seconds:
         histogram.record_value(max(1, int(value * _US)))
     if not seconds:
@@ -33,29 +33,29 @@
     }
 
 
-def _times(records: Sequence[CallRecord], kind: CallKind) -> list[float]:
-    """Return the seconds from the first try to the first piece of the answer."""
+def _first_answer_times(records: Sequence[CallRecord], kind: CallKind) -> list[float]:
+    """Return the seconds from the first attempt to the first piece of the answer."""
     return [
-        record.first - record.started
+        record.first_at - record.started_at
         for record in records
-        if record.call.kind is kind and record.first
+        if record.call.kind is kind and record.first_at
     ]
 
 
 def summary(
     records: Sequence[CallRecord], result: CheckResult, *, checked_runs: bool = True
 ) -> dict[str, Any]:
-    """Return the figures of a run as one JSON object.
+    """Return the summary of a run as one JSON object.
 
     Parameters
     ----------
     records : sequence of CallRecord
-        Callers' logs.
-    verdict : Verdict
-        Of the same run.
+        Records of the callers.
+    result : CheckResult
+        Result of the check of the same run.
     checked_runs : bool
-        Whether the endpoints' logs were there; without them, nothing can be
-        said of runs, so that the fields about them are None.
+        Whether the endpoints' logs were available; without them, the fields
+        about runs are None.
     """
     findings = result.findings
     counts = {violation: result.count(violation) for violation in Violation}
@@ -67,7 +67,7 @@
         "lost": counts[Violation.LOST],
         "duplicated": counts[Violation.DUPLICATED] if checked_runs else None,
         "unknown": counts[Violation.UNKNOWN],
-        "wrong_content": sum(counts[item] for item in _CONTENT),
+        "wrong_content": sum(counts[item] for item in _CONTENT_VIOLATIONS),
         "ran_though_not_run": counts[Violation.RAN] if checked_runs else None,
         "late_work": counts[Violation.LATE_WORK] if checked_runs else None,
         "recomputed_tokens": result.recomputed_tokens if checked_runs else None,
@@ -75,10 +75,11 @@
         "refused": result.refused,
         "by_kind": result.by_kind,
         "first_answer": {
-            str(kind): percentiles(_times(records, kind)) for kind in CallKind
+            str(kind): percentiles(_first_answer_times(records, kind))
+            for kind in CallKind
         },
         "findings": [
             f"{item.violation}: {item.subject}: {item.detail}"
-            for item in findings[:_SHOWN_FINDINGS]
+            for item in findings[:_MAX_SHOWN_FINDINGS]
         ],
     }
--- a/src/ebonydeal/_internal/standin/server.py
+++ b/src/ebonydeal/_internal/standin/server.py
@@ -1,4 +1,4 @@
-"""Listeners of the stand-ins: they can die at once, and drop single answers."""
+"""HTTP listeners of the simulated systems, with injected connection failures."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def standin_app() -> web.Application:
-    """Return an application for a stand-in, with counters of its own."""
+    """Return a web application for a simulated system, with its own metrics."""
     return new_app(Metrics(), _MAX_BODY)
 
 
@@ -22,9 +22,9 @@
     Parameters
     ----------
     app : web.Application
-        What is served.
+        Application to serve.
     host, port : str, int
-        Where; port 0 picks a free one.
+        Address to listen on; port 0 picks a free port.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.killed = False
 
     async def kill(self) -> None:
-        """Stop listening and reset every connection, as a dead process would."""
+        """Stop listening and reset every connection, like a killed process."""
         self.killed = True
         await reset_connections(self)
 
--- a/src/ebonydeal/_internal/standin/service.py
+++ b/src/ebonydeal/_internal/standin/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service whose calls may not all be repeated."""
+"""Simulated plain service, some of whose calls must not be repeated."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -20,16 +20,16 @@
 
 
 class ServiceSpec(NamedTuple):
-    """What a stand-in plain service can do.
+    """Capabilities of a simulated plain service.
 
     Attributes
     ----------
     slots : int
-        Calls at once.
+        Maximum number of concurrent calls.
     work_seconds : float
-        Time of one call; the effect is in the middle.
+        Seconds that a call takes; its effect occurs halfway.
     load_lag : float
-        Seconds for which a load report is told again.
+        Seconds for which a load report is reused.
     """
 
     slots: int = 32
@@ -37,28 +37,28 @@
     load_lag: float = 0.5
 
     def at_speed(self, factor: float) -> "ServiceSpec":
-        """Return the same service at ``factor`` times the speed."""
+        """Return the same service, running ``factor`` times as fast."""
         return self._replace(
             work_seconds=self.work_seconds / factor, load_lag=self.load_lag / factor
         )
 
 
 class StandinService(StandinEndpoint):
-    """Runs each call that arrives once, and writes down that it did.
+    """Runs each call that arrives, and logs the run.
 
-    It never looks at the idempotency key: whatever arrives twice runs twice,
-    and the log shows it. A call that has begun goes on when its caller leaves.
+    It ignores the idempotency key: a call that arrives twice runs twice, and
+    the log shows it. A running call continues if its caller disconnects.
 
     Parameters
     ----------
     endpoint_id : str
-        Id of the instance under the service.
+        Id of the service's instance.
     spec : ServiceSpec
-        What it can do.
+        Capabilities of the service.
     clock : Clock, optional
-        What all waiting goes by.
+        Clock of all delays.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     """
 
     kind = "service"
@@ -77,7 +77,7 @@
         self.app.router.add_route("*", "/{path:.*}", self._serve_call)
 
     def measure_load(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return the current load."""
         return LoadReport(
             running=self.slots.running,
             waiting=self.slots.waiting,
@@ -88,25 +88,25 @@
         )
 
     async def kill(self) -> None:
-        """Die at once: calls that have begun stay half done."""
+        """Stop at once; running calls are not completed."""
         await super().kill()
         for task in self._tasks:
             task.cancel()
 
     async def on_stop(self) -> None:
-        """End what is still being worked on."""
+        """Cancel the running calls."""
         for task in self._tasks:
             task.cancel()
 
     async def _serve_call(self, req: web.Request) -> web.StreamResponse:
         body = await req.read()
-        fault = self.faults.take().fault
+        fault = self.faults.pop_next().fault
         reason = ""
         if self.is_leaving and self.refuses_when_leaving:
             reason = "leaving"
         elif fault is EndpointFault.REFUSE:
             reason = "refused"
-        entry = self._note_arrival(req, body, reason)
+        entry = self._log_arrival(req, body, reason)
         if reason:
             return not_run(reason, self.refusal_headers())
         if fault is EndpointFault.ERROR:
@@ -119,19 +119,19 @@
         await asyncio.shield(task)
         return await self._answer(req, body, fault)
 
-    def _note_arrival(
+    def _log_arrival(
         self, req: web.Request, body: bytes, refused: str
     ) -> dict[str, Any]:
-        """Begin the log entry of a call."""
-        since = None
+        """Create the log entry of a call."""
+        since_leaving = None
         if self.leaving_since is not None:
-            since = self.clock.now() - self.leaving_since
+            since_leaving = self.clock.now() - self.leaving_since
         entry = {
             "attempt_id": req.headers.get(ATTEMPT_HEADER, ""),
             "key": req.headers.get(KEY_HEADER, ""),
             "digest": call_digest(req.method, req.path_qs, body),
             "at": self.clock.wall(),
-            "after_leaving": since,
+            "after_leaving": since_leaving,
             "refused": refused,
             "ran": False,
         }
@@ -139,7 +139,7 @@
         return entry
 
     async def _work(self, entry: dict[str, Any]) -> None:
-        """Do the work; the effect is in the middle of it."""
+        """Run a call; its effect occurs halfway."""
         await self.slots.acquire(1)
         try:
             await self.simulate_work(self.spec.work_seconds / 2)
@@ -151,7 +151,7 @@
     async def _answer(
         self, req: web.Request, body: bytes, fault: EndpointFault
     ) -> web.StreamResponse:
-        """Answer, or fail to."""
+        """Send the answer, or inject the fault."""
         text = expected_answer(req.method, req.path_qs, body)
         match fault:
             case EndpointFault.STALL:
@@ -163,13 +163,13 @@
                     req.transport.write(b"\x00\xffnonsense\r\n\r\n")
                 return close_after_send(req)
             case EndpointFault.TRUNCATE:
-                return await self._half_answer(req, text)
+                return await self._send_half(req, text)
         return web.Response(
             text=text, content_type="application/json", headers=self.load_headers()
         )
 
-    async def _half_answer(self, req: web.Request, text: str) -> web.StreamResponse:
-        """Announce a whole body and send half of it."""
+    async def _send_half(self, req: web.Request, text: str) -> web.StreamResponse:
+        """Announce the length of the whole body, but send only half of it."""
         resp = web.StreamResponse(headers=self.load_headers())
         resp.content_length = len(text)
         await resp.prepare(req)
@@ -180,7 +180,7 @@
 def close_after_send(
     req: web.Request, resp: web.StreamResponse | None = None
 ) -> web.StreamResponse:
-    """Close the connection once what was written is sent."""
+    """Close the connection after the written data is sent."""
     if req.transport is not None:
         req.transport.close()
     return resp or web.Response(status=500)
--- a/src/ebonydeal/_internal/standin/stores.py
+++ b/src/ebonydeal/_internal/standin/stores.py
@@ -1,4 +1,4 @@
-"""Table service and object store over HTTP, around the ones in memory."""
+"""HTTP servers of the in-memory table service and object store."""
 
 import time
 from typing import Any
@@ -27,35 +27,35 @@
 
 
 class RateLimit:
-    """A token bucket that holds one second's worth.
+    """A token bucket with a burst of one second.
 
     Parameters
     ----------
     per_second : float
-        Operations a second; 0 for no limit.
+        Operations per second; 0 for no limit.
     """
 
     def __init__(self, per_second: float) -> None:
         self._per_second = per_second
-        self._left = per_second
-        self._at = time.monotonic()
+        self._tokens = per_second
+        self._updated_at = time.monotonic()
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Return whether one more operation is within the limit."""
         if self._per_second <= 0:
             return True
         now = time.monotonic()
-        gained = (now - self._at) * self._per_second
-        self._left = min(self._per_second, self._left + gained)
-        self._at = now
-        if self._left < 1:
+        refilled = (now - self._updated_at) * self._per_second
+        self._tokens = min(self._per_second, self._tokens + refilled)
+        self._updated_at = now
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
-def _lossy(handler: Handler) -> Handler:
-    """Turn "in doubt" into a lost answer, which is what it is on the wire."""
+def _drop_in_doubt(handler: Handler) -> Handler:
+    """Wrap a handler to reset the connection on STORE_IN_DOUBT: the answer is lost."""
 
     async def wrapped(req: web.Request) -> web.StreamResponse:
         try:
@@ -69,7 +69,7 @@
 
 
 def condition_from_message(message: dict[str, Any]) -> Condition:
-    """Build a condition from the wire, or raise BAD_REQUEST."""
+    """Build a condition from its JSON object; raises BAD_REQUEST."""
     match message:
         case {"if": "absent", "key": str(key)}:
             return RowAbsent(key)
@@ -81,7 +81,7 @@
 
 
 def write_from_message(message: dict[str, Any]) -> Write:
-    """Build a write from the wire, or raise BAD_REQUEST."""
+    """Build a write from its JSON object; raises BAD_REQUEST."""
     match message:
         case {"op": "put", "key": str(key), "value": dict(value)}:
             return Put(key, value)
@@ -95,16 +95,16 @@
 
 
 class TablesServer(Service):
-    """Stand-in of the table service.
+    """Simulated table service.
 
     Parameters
     ----------
     tables : MemoryTables, optional
-        What is served; its ``faults`` are the switches.
+        Tables to serve; their ``faults`` are injected.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     writes_per_s, reads_per_s : float
-        Beyond these, operations are refused; 0 for no limit.
+        Rates above which operations are refused; 0 for no limit.
     """
 
     def __init__(
@@ -120,23 +120,25 @@
         self._writes = RateLimit(writes_per_s)
         self._reads = RateLimit(reads_per_s)
         app = standin_app()
-        app.router.add_post("/v1/transact", _lossy(self._transact))
-        app.router.add_get("/v1/rows", _lossy(self._get))
-        app.router.add_get("/v1/scan", _lossy(self._scan))
+        app.router.add_post("/v1/transact", _drop_in_doubt(self._transact))
+        app.router.add_get("/v1/rows", _drop_in_doubt(self._get))
+        app.router.add_get("/v1/scan", _drop_in_doubt(self._scan))
         self.server = StandinServer(app, port=port)
         self.add_dependency(self.server)
 
     @property
     def url(self) -> str:
-        """Base URL once started."""
+        """Base URL; available after the start."""
         return f"http://{self.server.address}"
 
-    def _limit(self, limit: RateLimit) -> None:
-        if not limit.take():
-            raise EbonydealError(ErrorKind.STORE_UNAVAILABLE, "over the rate limit")
+    def _check_rate(self, limit: RateLimit) -> None:
+        if not limit.try_acquire():
+            raise EbonydealError(
+                ErrorKind.STORE_UNAVAILABLE, "the rate limit is exceeded"
+            )
 
     async def _transact(self, req: web.Request) -> web.Response:
-        self._limit(self._writes)
+        self._check_rate(self._writes)
         body = await read_json(req)
         conditions = [condition_from_message(item) for item in body["conditions"]]
         writes = [write_from_message(item) for item in body["writes"]]
@@ -144,14 +146,14 @@
         return web.json_response({"applied": applied})
 
     async def _get(self, req: web.Request) -> web.Response:
-        self._limit(self._reads)
+        self._check_rate(self._reads)
         row = await self.tables.get(req.query["key"])
         if row is None:
             raise EbonydealError(ErrorKind.NOT_FOUND, "no such row")
         return web.json_response(_row_message(row))
 
     async def _scan(self, req: web.Request) -> web.Response:
-        self._limit(self._reads)
+        self._check_rate(self._reads)
         rows = await self.tables.scan(
             req.query["prefix"],
             req.query.get("start", ""),
@@ -161,22 +163,22 @@
 
 
 class ObjectsServer(Service):
-    """Stand-in of the object store."""
+    """Simulated object store."""
 
     def __init__(self, objects: MemoryObjects | None = None, *, port: int = 0) -> None:
         super().__init__()
         self.objects = objects or MemoryObjects()
         app = standin_app()
-        app.router.add_put("/v1/objects/{name:.+}", _lossy(self._put))
-        app.router.add_get("/v1/objects/{name:.+}", _lossy(self._get))
-        app.router.add_delete("/v1/objects/{name:.+}", _lossy(self._delete))
-        app.router.add_get("/v1/names", _lossy(self._names))
+        app.router.add_put("/v1/objects/{name:.+}", _drop_in_doubt(self._put))
+        app.router.add_get("/v1/objects/{name:.+}", _drop_in_doubt(self._get))
+        app.router.add_delete("/v1/objects/{name:.+}", _drop_in_doubt(self._delete))
+        app.router.add_get("/v1/names", _drop_in_doubt(self._names))
         self.server = StandinServer(app, port=port)
         self.add_dependency(self.server)
 
     @property
     def url(self) -> str:
-        """Base URL once started."""
+        """Base URL; available after the start."""
         return f"http://{self.server.address}"
 
     async def _put(self, req: web.Request) -> web.Response:
--- a/src/ebonydeal/_internal/standin/weights.py
+++ b/src/ebonydeal/_internal/standin/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in of the rate-limited weight store."""
+"""Simulated rate-limited weight store."""
 
 from aiohttp import web
 from mode import Service
@@ -8,16 +8,16 @@
 
 
 class WeightStoreServer(Service):
-    """Tells copies and the rate that is left.
+    """Serves the locations of model weights and the available rate.
 
     Parameters
     ----------
     copies : sequence of WeightCopy
-        Where weights are.
+        Locations of the weights.
     rate : float
-        Gigabytes a second in all.
+        Total rate, gigabytes per second.
     port : int
-        0 picks a free one.
+        0 picks a free port.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL once started."""
+        """Base URL; available after the start."""
         return f"http://{self.server.address}"
 
     async def _serve_copies(self, req: web.Request) -> web.Response:
--- a/tests/functional/outside/test_engines.py
+++ b/tests/functional/outside/test_engines.py
@@ -265,7 +265,7 @@
         async with running(engine()) as server:
             client, view = HttpEngine(2.0), view_of(server)
             await client.order(view, EngineOrder(1, ("slips-1b",), "serve"))
-            while server.orders.missing():
+            while server.orders.next_missing():
                 await asyncio.sleep(0.01)
             chunks = await collect(client, server, {**BODY, "model": "slips-1b"})
             assert len(chunks) == 8
--- a/tests/functional/standin/test_load.py
+++ b/tests/functional/standin/test_load.py
@@ -17,13 +17,13 @@
 from tests.lib.fakes_endpoints import running
 
 STREAM = chat_call(CallKind.STREAM, "s-1", "covers", "a prompt", 6)
-LATER = chat_call(CallKind.DEFERRED, "d-1", "covers", "a prompt", 6)
+DEFERRED = chat_call(CallKind.DEFERRED, "d-1", "covers", "a prompt", 6)
 COMMIT = service_call(CallKind.COMMIT, "c-1", "paperwork", "POST", "/commit", b"c-1")
 LOOKUP = service_call(CallKind.LOOKUP, "l-1", "paperwork", "GET", "/labels/1", b"")
 
 
 class InstantClock:
-    """Clock whose sleeps pass at once."""
+    """Clock whose sleeps end at once."""
 
     def __init__(self):
         self._now = 1000.0
@@ -43,7 +43,7 @@
     return lambda _req: error_response(EbonydealError(kind, "no"))
 
 
-def whole(call):
+def whole_answer(call):
     return lambda _req: web.Response(text=call.expected[0])
 
 
@@ -52,12 +52,12 @@
 
 
 def chat_answer(_req):
-    text = "".join(LATER.expected)
+    text = "".join(DEFERRED.expected)
     return web.json_response({"choices": [{"message": {"content": text}}]})
 
 
-def events(first, last, *, done):
-    """Answer with the stream's tokens from ``first`` up to ``last``."""
+def stream_events(first, last, *, done):
+    """Return a handler that streams the tokens from ``first`` up to ``last``."""
     lines = []
     for position in range(first, last):
         delta = {"content": STREAM.expected[position]}
@@ -68,7 +68,7 @@
 
 
 class ScriptedGateway:
-    """Answers requests by a script; its last line is repeated."""
+    """Answers requests by a script, whose last step is repeated."""
 
     def __init__(self, *script):
         self.script = deque(script)
@@ -98,9 +98,9 @@
 
 
 class TestOutcomes:
-    async def test_refused_then_answered(self):
+    async def test_refused_request_is_retried_until_answered(self):
         busy = refuse(ErrorKind.QUEUE_FULL)
-        record, gateway = await send(LOOKUP, busy, busy, whole(LOOKUP))
+        record, gateway = await send(LOOKUP, busy, busy, whole_answer(LOOKUP))
         assert record.outcome is Outcome.ANSWERED
         assert tuple(record.received) == LOOKUP.expected
         assert record.refusals == {"queue_full": 2}
@@ -113,7 +113,7 @@
         keys = {headers["Idempotency-Key"] for _, _, headers in gateway.requests}
         assert keys == {"c-1"}
 
-    async def test_lost_once_is_never_not_run(self):
+    async def test_request_with_a_lost_answer_never_ends_as_not_run(self):
         record, _gateway = await send(
             COMMIT, abort_connection, refuse(ErrorKind.QUEUE_FULL)
         )
@@ -127,10 +127,10 @@
 
 
 class TestDeferred:
-    async def test_accepted_and_asked_until_it_is_there(self):
-        record, gateway = await send(LATER, accepted, accepted, chat_answer)
+    async def test_accepted_request_is_polled_until_answered(self):
+        record, gateway = await send(DEFERRED, accepted, accepted, chat_answer)
         assert record.outcome is Outcome.ANSWERED
-        assert tuple(record.received) == LATER.expected
+        assert tuple(record.received) == DEFERRED.expected
         assert [request[:2] for request in gateway.requests] == [
             ("POST", "/v1/deferred"),
             ("GET", "/v1/deferred/r-1/answer"),
@@ -138,16 +138,16 @@
         ]
 
     async def test_accepted_and_never_answered_is_lost(self):
-        record, _gateway = await send(LATER, accepted, refuse(ErrorKind.NOT_FOUND))
+        record, _gateway = await send(DEFERRED, accepted, refuse(ErrorKind.NOT_FOUND))
         assert (record.accepted, record.outcome) == (True, None)
         found = [item.violation for item in check([record], None).findings]
         assert found == [Violation.LOST]
 
 
 class TestStreams:
-    async def test_broken_stream_goes_on_after_the_last_event(self):
+    async def test_broken_stream_resumes_after_the_last_event(self):
         record, gateway = await send(
-            STREAM, events(0, 2, done=False), events(2, 6, done=True)
+            STREAM, stream_events(0, 2, done=False), stream_events(2, 6, done=True)
         )
         assert record.outcome is Outcome.ANSWERED
         assert tuple(record.received) == STREAM.expected
@@ -157,13 +157,13 @@
 
     async def test_doubled_token_is_found(self):
         record, _gateway = await send(
-            STREAM, events(0, 3, done=False), events(2, 6, done=True)
+            STREAM, stream_events(0, 3, done=False), stream_events(2, 6, done=True)
         )
         found = [item.violation for item in check([record], None).findings]
         assert found == [Violation.TOKENS_DOUBLED]
 
     @pytest.mark.parametrize("text", ["data: {\n\n", "data: 3\n\n", "data: [DONE]\n\n"])
-    async def test_garbage_and_empty_streams_are_not_whole_answers(self, text):
+    async def test_malformed_and_empty_streams_are_not_complete(self, text):
         def answer(_req):
             return web.Response(text=text, content_type="text/event-stream")
 
@@ -172,7 +172,7 @@
 
 
 class TestBalancer:
-    async def test_only_ready_gateways_are_handed_out(self):
+    async def test_only_ready_gateways_are_picked(self):
         ready, leaving = ScriptedGateway(accepted), ScriptedGateway(accepted)
         leaving.is_ready = False
         async with running(ready.server, leaving.server):
@@ -184,7 +184,7 @@
 
 class TestLoadRun:
     async def test_same_seed_sends_the_same_requests_of_each_kind(self):
-        # Longer than a call takes on a busy machine: nothing here is about time.
+        # Exceeds the time of a call on a busy machine; timing is not tested here.
         spec = LoadSpec("key", "covers", "paperwork", seconds=60.0, timeout_s=60.0)
         runs = []
         for _ in range(2):
@@ -203,12 +203,12 @@
             assert len({call.digest for call in sent[0]}) == len(sent[0])
 
     async def test_open_requests_are_bounded(self):
-        open_now, most = 0, 0
+        open_now, max_open_seen = 0, 0
 
         async def slow(_req):
-            nonlocal open_now, most
+            nonlocal open_now, max_open_seen
             open_now += 1
-            most = max(most, open_now)
+            max_open_seen = max(max_open_seen, open_now)
             await asyncio.sleep(0.01)
             open_now -= 1
             return web.Response(text="{}")
@@ -230,4 +230,4 @@
             load = LoadRun(spec, balancer, InstantClock())
             records = await load.run()
         assert len(records) > 20
-        assert most == 5
+        assert max_open_seen == 5
--- a/tests/unit/standin/test_check.py
+++ b/tests/unit/standin/test_check.py
@@ -7,11 +7,11 @@
     chat_call,
     service_call,
 )
-from ebonydeal._internal.standin.check import Violation, check, judge_content
+from ebonydeal._internal.standin.check import Violation, check, check_content
 
 STREAM = chat_call(CallKind.STREAM, "s-1", "covers", "a prompt", 5)
 OTHER = chat_call(CallKind.STREAM, "s-2", "covers", "another prompt", 5)
-LATER = chat_call(CallKind.DEFERRED, "d-1", "covers", "a third prompt", 5)
+DEFERRED = chat_call(CallKind.DEFERRED, "d-1", "covers", "a third prompt", 5)
 COMMIT = service_call(CallKind.COMMIT, "c-1", "paperwork", "POST", "/commit", b"c-1")
 LOOKUP = service_call(CallKind.LOOKUP, "l-1", "paperwork", "GET", "/labels/1", b"")
 
@@ -45,15 +45,21 @@
 
 
 class TestCleanRun:
-    def test_nothing_is_found_and_all_is_counted(self):
+    def test_clean_run_has_no_findings_and_all_counts(self):
         records = [
             record(STREAM, refusals={"queue_full": 2}),
             record(OTHER, Outcome.NOT_RUN, refusals={"queue_full": 1}),
-            record(LATER),
+            record(DEFERRED),
             record(COMMIT),
             record(LOOKUP),
         ]
-        logs = [attempt(STREAM), attempt(LATER), run(COMMIT), run(LOOKUP), run(LOOKUP)]
+        logs = [
+            attempt(STREAM),
+            attempt(DEFERRED),
+            run(COMMIT),
+            run(LOOKUP),
+            run(LOOKUP),
+        ]
         verdict = check(records, logs)
         assert verdict.findings == ()
         assert (verdict.sent, verdict.completed, verdict.not_run) == (5, 4, 1)
@@ -71,8 +77,8 @@
     @pytest.mark.parametrize(
         ("bad", "logs", "violation"),
         [
-            (record(LATER, None, accepted=True), [], Violation.LOST),
-            (record(LATER, Outcome.NOT_RUN, accepted=True), [], Violation.LOST),
+            (record(DEFERRED, None, accepted=True), [], Violation.LOST),
+            (record(DEFERRED, Outcome.NOT_RUN, accepted=True), [], Violation.LOST),
             (record(STREAM, None, STREAM.expected[:2], accepted=True), [], "lost"),
             (record(LOOKUP, None), [], Violation.LOST),
             (record(COMMIT, Outcome.UNKNOWN), [run(COMMIT)], Violation.UNKNOWN),
@@ -99,29 +105,29 @@
             (record(LOOKUP, received=["{}"]), [], Violation.WRONG),
         ],
     )
-    def test_each_is_found_alone(self, bad, logs, violation):
+    def test_each_violation_is_the_only_finding(self, bad, logs, violation):
         found = violations([bad, record(OTHER)], logs)
         assert found == [(violation, bad.call.call_id)]
 
-    def test_answer_of_another_request(self):
+    def test_answer_of_another_request_is_found(self):
         records = [record(STREAM, received=OTHER.expected), record(OTHER)]
         assert violations(records, []) == [(Violation.FOREIGN, "s-1")]
         assert check(records, []).completed == 1
 
-    def test_duplicate_with_a_lost_answer_is_both(self):
+    def test_duplicate_with_a_lost_answer_gives_both_violations(self):
         bad = record(COMMIT, Outcome.UNKNOWN)
         assert violations([bad], [run(COMMIT), run(COMMIT)]) == [
             (Violation.UNKNOWN, "c-1"),
             (Violation.DUPLICATED, "c-1"),
         ]
 
-    def test_new_work_on_a_leaving_endpoint(self):
+    def test_late_work_on_a_leaving_endpoint_is_found(self):
         logs = [run(LOOKUP, after_leaving=2.9), run(LOOKUP, after_leaving=3.1)]
         assert violations([], logs) == [(Violation.LATE_WORK, "i-2")]
 
 
 class TestRecomputedTokens:
-    def test_prefill_and_repeated_tokens_of_later_attempts(self):
+    def test_counts_prefill_and_repeated_tokens_of_later_attempts(self):
         logs = [
             attempt(STREAM, 3, 5, prefilled=4, at=2.0),
             attempt(STREAM, 0, 3, prefilled=10, at=1.0, state="dropped"),
@@ -134,10 +140,10 @@
         assert check([], logs).recomputed_tokens == 0
 
 
-class TestJudgeContent:
-    def test_repeated_words_of_a_right_answer_are_right(self):
-        assert judge_content(["a ", "a "], ["a ", "a "], set()) is None
+class TestCheckContent:
+    def test_repeated_words_of_a_correct_answer_are_accepted(self):
+        assert check_content(["a ", "a "], ["a ", "a "], set()) is None
 
     def test_extra_foreign_tokens_are_wrong(self):
         received = ["a ", "b ", "x "]
-        assert judge_content(received, ["a ", "b "], set()) is Violation.WRONG
+        assert check_content(received, ["a ", "b "], set()) is Violation.WRONG
--- a/tests/unit/standin/test_memory.py
+++ b/tests/unit/standin/test_memory.py
@@ -19,20 +19,20 @@
 
 
 class TestTransactions:
-    async def test_put_if_absent_wins_once(self):
+    async def test_put_if_absent_succeeds_only_once(self):
         tables = MemoryTables()
         assert await tables.transact([RowAbsent("a")], [Put("a", {"by": 1})]) is True
         assert await tables.transact([RowAbsent("a")], [Put("a", {"by": 2})]) is False
         assert await tables.get("a") == Row("a", {"by": 1}, 1)
 
-    async def test_all_or_nothing(self):
+    async def test_one_failed_condition_prevents_all_writes(self):
         tables = MemoryTables()
         await tables.transact([], [Put("a", {"epoch": 1})])
         conditions = [FieldEquals("a", "epoch", 1), FieldEquals("b", "epoch", 1)]
         assert await tables.transact(conditions, [Delete("a")]) is False
         assert await tables.get("a") == Row("a", {"epoch": 1}, 1)
 
-    async def test_version_grows_over_a_delete(self):
+    async def test_version_increases_across_a_delete(self):
         tables = MemoryTables()
         await tables.transact([], [Put("a", {})])
         await tables.transact([RowVersion("a", 1)], [Delete("a")])
@@ -56,7 +56,7 @@
         assert await tables.get("a") is None
 
     @given(st.sets(st.text("ab/", max_size=4)), st.text("ab/", max_size=2))
-    def test_scan_is_the_sorted_filter(self, keys, prefix):
+    def test_scan_returns_matching_keys_in_order(self, keys, prefix):
         async def check():
             tables = MemoryTables()
             for key in keys:
@@ -69,43 +69,43 @@
 
 
 class TestFaults:
-    async def fails(self, call):
+    async def error_kind(self, call):
         with pytest.raises(EbonydealError) as caught:
             await call
         return caught.value.kind
 
-    async def test_refused_before_effect(self):
+    async def test_refused_write_has_no_effect(self):
         tables = MemoryTables()
         tables.faults.plan[1] = Fault.REFUSED
-        kind = await self.fails(tables.transact([], [Put("a", {})]))
+        kind = await self.error_kind(tables.transact([], [Put("a", {})]))
         assert kind is ErrorKind.STORE_UNAVAILABLE
         assert await tables.get("a") is None
 
-    async def test_answer_lost_after_effect(self):
+    async def test_write_with_a_lost_answer_takes_effect(self):
         tables = MemoryTables()
         tables.faults.writes.append(Fault.LOST_ANSWER)
-        kind = await self.fails(tables.transact([], [Put("a", {})]))
+        kind = await self.error_kind(tables.transact([], [Put("a", {})]))
         assert kind is ErrorKind.STORE_IN_DOUBT
         assert await tables.get("a") == Row("a", {}, 1)
 
-    async def test_request_lost_has_no_effect(self):
+    async def test_lost_request_has_no_effect(self):
         tables = MemoryTables()
         tables.faults.writes.append(Fault.LOST_REQUEST)
-        kind = await self.fails(tables.transact([], [Put("a", {})]))
+        kind = await self.error_kind(tables.transact([], [Put("a", {})]))
         assert kind is ErrorKind.STORE_IN_DOUBT
         assert tables.apply_late_writes() == []
         assert await tables.get("a") is None
 
-    async def test_late_write_checks_its_conditions_when_it_lands(self):
+    async def test_late_write_checks_its_conditions_when_it_is_applied(self):
         tables = MemoryTables()
         tables.faults.writes.extend([Fault.LATE, Fault.LATE])
-        await self.fails(tables.transact([RowAbsent("a")], [Put("a", {"by": 1})]))
-        await self.fails(tables.transact([RowAbsent("a")], [Put("a", {"by": 2})]))
+        await self.error_kind(tables.transact([RowAbsent("a")], [Put("a", {"by": 1})]))
+        await self.error_kind(tables.transact([RowAbsent("a")], [Put("a", {"by": 2})]))
         assert await tables.get("a") is None
         assert tables.apply_late_writes() == [True, False]
         assert await tables.get("a") == Row("a", {"by": 1}, 1)
 
-    async def test_duplicate_lands_again(self):
+    async def test_duplicate_write_is_applied_again(self):
         tables = MemoryTables()
         tables.faults.writes.append(Fault.DUPLICATE)
         assert await tables.transact([], [Put("a", {"by": 1})]) is True
@@ -117,22 +117,22 @@
         tables = MemoryTables()
         tables.faults.down = True
         unavailable = ErrorKind.STORE_UNAVAILABLE
-        assert await self.fails(tables.get("a")) is unavailable
-        assert await self.fails(tables.scan("a")) is unavailable
-        assert await self.fails(tables.transact([], [])) is unavailable
+        assert await self.error_kind(tables.get("a")) is unavailable
+        assert await self.error_kind(tables.scan("a")) is unavailable
+        assert await self.error_kind(tables.transact([], [])) is unavailable
         assert (tables.reads, tables.writes) == (2, 1)
 
-    async def test_hooks_pause_around_the_effect(self):
+    async def test_hooks_can_pause_before_and_after_the_effect(self):
         tables = MemoryTables()
         before, after = asyncio.Event(), asyncio.Event()
-        seen = []
+        calls = []
 
         async def wait_before(op: Operation):
-            seen.append(("before", op.number, op.name, op.key))
+            calls.append(("before", op.number, op.name, op.key))
             await before.wait()
 
         async def wait_after(op: Operation):
-            seen.append(("after", op.number, op.name, op.key))
+            calls.append(("after", op.number, op.name, op.key))
             await after.wait()
 
         tables.faults.before, tables.faults.after = wait_before, wait_after
@@ -145,9 +145,9 @@
         assert not task.done()
         after.set()
         assert await task is True
-        assert seen == [("before", 1, "transact", "a"), ("after", 1, "transact", "a")]
+        assert calls == [("before", 1, "transact", "a"), ("after", 1, "transact", "a")]
 
-    async def test_delay_waits_on_the_clock(self):
+    async def test_delay_uses_the_given_clock(self):
         clock = ManualClock()
         objects = MemoryObjects(clock)
         objects.faults.delay = 2.0
@@ -160,7 +160,7 @@
 
 
 class TestObjects:
-    async def test_put_get_delete_names(self):
+    async def test_objects_are_put_read_listed_and_deleted(self):
         objects = MemoryObjects()
         await objects.put("b/1", b"x")
         await objects.put("a/1", b"y")
--- a/tests/unit/standin/test_parts.py
+++ b/tests/unit/standin/test_parts.py
@@ -41,25 +41,27 @@
 
 class TestExpectedTokens:
     @given(st.text(max_size=20), st.integers(1, 400))
-    def test_limit_cuts_the_same_answer(self, prompt, limit):
-        whole = expected_tokens("m", prompt, 10_000)
-        assert len(whole) == expected_length("m", prompt)
-        assert expected_tokens("m", prompt, limit) == whole[:limit]
-        cut = limit < len(whole)
-        assert finish_reason("m", prompt, limit) == ("length" if cut else "stop")
-
-    def test_model_and_prompt_both_count(self):
+    def test_token_limit_truncates_the_same_answer(self, prompt, limit):
+        full_answer = expected_tokens("m", prompt, 10_000)
+        assert len(full_answer) == expected_length("m", prompt)
+        assert expected_tokens("m", prompt, limit) == full_answer[:limit]
+        is_truncated = limit < len(full_answer)
+        assert finish_reason("m", prompt, limit) == (
+            "length" if is_truncated else "stop"
+        )
+
+    def test_answer_depends_on_model_and_prompt(self):
         answers = {expected_tokens(m, p, 50) for m in "ab" for p in "xy"}
         assert len(answers) == 4
 
-    def test_limit_of_a_body(self):
+    def test_token_limit_is_read_from_the_body(self):
         assert max_tokens_of({"max_tokens": 3}) == 3
         assert max_tokens_of({"max_tokens": 3, "max_completion_tokens": 4}) == 4
         assert max_tokens_of({}) == 64
 
 
 class TestPrefixCache:
-    def test_least_recently_used_goes_first_and_is_told(self):
+    def test_least_recently_used_block_is_evicted_and_reported(self):
         cache = PrefixCache(2, 1.0, 0.0, random.Random(1))
         cache.store(("a", "b"), now=0.0)
         assert cache.cached_tokens(("a",)) == 16
@@ -84,7 +86,7 @@
 
 
 class TestSlots:
-    async def test_priority_then_arrival(self):
+    async def test_slots_are_assigned_by_priority_then_arrival(self):
         slots, order = Slots(1), []
 
         async def work(name, priority):
@@ -104,7 +106,7 @@
         assert slots.running == 0
         await asyncio.gather(*tasks)
 
-    async def test_waiter_cancelled_after_it_got_the_slot_gives_it_back(self):
+    async def test_waiter_cancelled_after_it_has_the_slot_releases_it(self):
         slots = Slots(1)
         await slots.acquire(1)
         task = asyncio.ensure_future(slots.acquire(1))
@@ -116,18 +118,18 @@
 
 
 class TestOrders:
-    def test_models_no_longer_ordered_are_dropped_and_new_ones_missing(self):
+    def test_models_no_longer_ordered_are_unloaded_and_new_ones_missing(self):
         orders = Orders(("a", "b"), True)
         orders.apply({"fence": 1, "models": ["b", "c"], "role": "serve"})
         assert orders.loaded == {"b"}
-        assert orders.missing() == "c"
+        assert orders.next_missing() == "c"
         orders.set_loaded("c")
-        assert orders.missing() is None
+        assert orders.next_missing() is None
         orders.set_loaded("a")
         assert orders.loaded == {"b", "c"}
 
     @pytest.mark.parametrize("message", [{}, {"fence": "x", "models": [], "role": ""}])
-    def test_garbage_changes_nothing(self, message):
+    def test_malformed_order_changes_nothing(self, message):
         orders = Orders(("a",), True)
         with pytest.raises(EbonydealError) as caught:
             orders.apply(message)
@@ -136,15 +138,15 @@
 
 
 class TestInstanceList:
-    async def test_it_is_behind_by_the_lag(self):
+    async def test_list_lags_behind(self):
         clock = ManualClock()
         server = InstanceListServer(2.0, clock=clock)
         server.set_endpoint(VIEW)
-        assert server.listed()["endpoints"] == []
+        assert server.lagged_list()["endpoints"] == []
         await clock.advance(2.0)
-        assert [e["endpoint_id"] for e in server.listed()["endpoints"]] == ["i-1"]
+        assert [e["endpoint_id"] for e in server.lagged_list()["endpoints"]] == ["i-1"]
         server.remove_endpoint("i-1")
         await clock.advance(1.9)
-        assert len(server.listed()["endpoints"]) == 1
+        assert len(server.lagged_list()["endpoints"]) == 1
         await clock.advance(0.2)
-        assert server.listed()["endpoints"] == []
+        assert server.lagged_list()["endpoints"] == []
