--- a/src/ebonydeal/_internal/standin/balancer.py
+++ b/src/ebonydeal/_internal/standin/balancer.py
@@ -51,7 +51,7 @@
 
     @property
     def ready(self) -> int:
-        """How many gateways are ready."""
+        """Number of ready gateways."""
         return len(self._ready)
 
     @Service.task
--- a/src/ebonydeal/_internal/standin/check.py
+++ b/src/ebonydeal/_internal/standin/check.py
@@ -171,7 +171,7 @@
         if call.kind is CallKind.COMMIT and runs == 0:
             add(Violation.NEVER_RAN, "answered without a run")
     elif record.outcome is Outcome.UNKNOWN:
-        add(Violation.UNKNOWN, f"after {record.attempts} attempts")
+        add(Violation.UNKNOWN, f"after {record.attempts} tries")
     elif record.accepted or record.outcome is None:
         add(Violation.LOST, f"{len(record.received)} pieces of {len(call.expected)}")
     elif runs:
--- a/src/ebonydeal/_internal/standin/endpoint.py
+++ b/src/ebonydeal/_internal/standin/endpoint.py
@@ -37,7 +37,7 @@
 
 
 class PlannedFault(NamedTuple):
-    """Fault of one attempt; ``after`` is the number of tokens sent before it."""
+    """Fault of one attempt; in a stream it occurs after ``after`` tokens."""
 
     fault: EndpointFault
     after: int = 0
--- a/src/ebonydeal/_internal/standin/kv.py
+++ b/src/ebonydeal/_internal/standin/kv.py
@@ -50,7 +50,7 @@
         return copy
 
     def imported_tokens(self, attempt: Attempt) -> int:
-        """Return the tokens of ``attempt`` that an imported copy covers."""
+        """Return how many tokens of ``attempt`` an imported copy covers."""
         copy = self._imported.get(attempt.kv_handle)
         if copy is None or copy.digest != attempt.digest:
             return 0
