--- a/src/ebonydeal/_internal/standin/memory.py
+++ b/src/ebonydeal/_internal/standin/memory.py
@@ -1,4 +1,4 @@
-"""Table service and object store in memory, with faults."""
+"""In-memory table service and object store with fault injection."""
 
 from bisect import bisect_left, insort
 from collections.abc import Sequence
@@ -17,15 +17,15 @@
     Write,
 )
 from ebonydeal._internal.standin.faults import Faults
-from ebonydeal._internal.standin.gate import OperationGate
+from ebonydeal._internal.standin.operation_runner import OperationRunner
 from ebonydeal._internal.utils.clock import Clock, SystemClock
 
 
 class RowStore:
     """Rows by key; every method is one atomic step.
 
-    Values are kept encoded, so that no caller can change a stored row, and
-    whatever isn't JSON fails at once.
+    Values are stored encoded, so that no caller can change a stored row and
+    a value that isn't JSON fails at once.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> bool:
         """Do all writes if all conditions hold; return whether they did."""
-        if not all(self._holds(item) for item in conditions):
+        if not all(self._is_met(item) for item in conditions):
             return False
         encoded = [encode(item.value) for item in writes if isinstance(item, Put)]
         values = iter(encoded)
@@ -49,7 +49,7 @@
                     self._delete(key)
         return True
 
-    def _holds(self, condition: Condition) -> bool:
+    def _is_met(self, condition: Condition) -> bool:
         match condition:
             case RowAbsent(key):
                 return key not in self._values
@@ -65,8 +65,8 @@
         if key not in self._values:
             insort(self._keys, key)
         self._values[key] = value
-        # Versions outlive a delete, so that a compare-and-set can't mistake a
-        # row put again for the one it read.
+        # Versions persist after a delete, so that a compare-and-set can't
+        # mistake a recreated row for the one it read.
         self._versions[key] = self._versions.get(key, 0) + 1
 
     def _delete(self, key: str) -> None:
@@ -103,7 +103,7 @@
     clock : Clock, optional
         For delays.
     faults : Faults, optional
-        Switches; also as attribute ``faults``.
+        Faults to inject; also the attribute ``faults``.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
     ) -> None:
         self.rows = RowStore()
         self.faults = faults or Faults()
-        self.gate = OperationGate(clock or SystemClock(), self.faults)
+        self.runner = OperationRunner(clock or SystemClock(), self.faults)
 
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
@@ -119,101 +119,103 @@
         """Do all writes if all conditions hold; return whether they did."""
         conditions, writes = tuple(conditions), tuple(writes)
         key = writes[0].key if writes else ""
-        # Encoded now: a late landing must not see what the caller changes later.
-        frozen = tuple(_copy(item) for item in writes)
-        return await self.gate.run(
+        # Copied now: a late write must not see later changes by the caller.
+        snapshot = tuple(_copy_write(item) for item in writes)
+        return await self.runner.run(
             "transact",
             key,
             True,
-            lambda: self.rows.transact(conditions, frozen),
-            (conditions, frozen),
+            lambda: self.rows.transact(conditions, snapshot),
+            (conditions, snapshot),
         )
 
     async def get(self, key: str) -> Row | None:
         """Return a row, or None."""
-        return await self.gate.run("get", key, False, lambda: self.rows.get(key), None)
+        return await self.runner.run(
+            "get", key, False, lambda: self.rows.get(key), None
+        )
 
     async def scan(self, prefix: str, start: str = "", limit: int = 1000) -> list[Row]:
         """Return rows whose key has ``prefix`` and is >= ``start``, by key."""
-        return await self.gate.run(
+        return await self.runner.run(
             "scan", prefix, False, lambda: self.rows.scan(prefix, start, limit), None
         )
 
-    def land_late(self) -> list[Any]:
-        """Let every late write land now; return whether each applied."""
-        return self.gate.land_late()
+    def apply_late_writes(self) -> list[Any]:
+        """Apply all late writes; return for each whether it was applied."""
+        return self.runner.apply_late_writes()
 
     @property
     def reads(self) -> int:
-        """How many reads were asked for."""
-        return self.gate.reads
+        """Number of reads so far, including failed ones."""
+        return self.runner.reads
 
     @property
     def writes(self) -> int:
-        """How many transactions were asked for."""
-        return self.gate.writes
+        """Number of transactions so far, including failed ones."""
+        return self.runner.writes
 
     async def close(self) -> None:
-        """Do nothing; here for the adapters' sake."""
+        """Do nothing; exists because the adapters have it."""
 
 
-def _copy(write: Write) -> Write:
+def _copy_write(write: Write) -> Write:
     if isinstance(write, Put):
         return Put(write.key, decode(encode(write.value)))
     return write
 
 
 class MemoryObjects:
-    """`Objects` in memory, with the same switches."""
+    """`Objects` in memory, with the same faults."""
 
     def __init__(
         self, clock: Clock | None = None, faults: Faults | None = None
     ) -> None:
         self.data: dict[str, bytes] = {}
         self.faults = faults or Faults()
-        self.gate = OperationGate(clock or SystemClock(), self.faults)
+        self.runner = OperationRunner(clock or SystemClock(), self.faults)
 
     async def put(self, name: str, data: bytes) -> None:
         """Store an object, replacing one of the same name."""
-        frozen = bytes(data)
-        await self.gate.run(
-            "put", name, True, lambda: self.data.__setitem__(name, frozen), None
+        snapshot = bytes(data)
+        await self.runner.run(
+            "put", name, True, lambda: self.data.__setitem__(name, snapshot), None
         )
 
     async def get(self, name: str) -> bytes | None:
         """Return an object, or None."""
-        return await self.gate.run(
+        return await self.runner.run(
             "get", name, False, lambda: self.data.get(name), None
         )
 
     async def delete(self, name: str) -> None:
-        """Remove an object if it is there."""
-        await self.gate.run(
+        """Remove an object if it exists."""
+        await self.runner.run(
             "delete", name, True, lambda: self.data.pop(name, None), None
         )
 
     async def names(self, prefix: str) -> list[str]:
         """Return the names that start with ``prefix``, sorted."""
-        return await self.gate.run(
+        return await self.runner.run(
             "names", prefix, False, lambda: self._names(prefix), None
         )
 
     def _names(self, prefix: str) -> list[str]:
         return sorted(name for name in self.data if name.startswith(prefix))
 
-    def land_late(self) -> list[Any]:
-        """Let every late write land now."""
-        return self.gate.land_late()
+    def apply_late_writes(self) -> list[Any]:
+        """Apply all late writes."""
+        return self.runner.apply_late_writes()
 
     @property
     def reads(self) -> int:
-        """How many reads were asked for."""
-        return self.gate.reads
+        """Number of reads so far, including failed ones."""
+        return self.runner.reads
 
     @property
     def writes(self) -> int:
-        """How many writes were asked for."""
-        return self.gate.writes
+        """Number of writes so far, including failed ones."""
+        return self.runner.writes
 
     async def close(self) -> None:
-        """Do nothing; here for the adapters' sake."""
+        """Do nothing; exists because the adapters have it."""
--- a/tests/functional/outside/test_engines.py
+++ b/tests/functional/outside/test_engines.py
@@ -7,8 +7,8 @@
 from ebonydeal._internal.outside.engines import HttpEngine
 from ebonydeal._internal.outside.interfaces import CancelResult, EngineOrder, Resume
 from ebonydeal._internal.standin.endpoint import EndpointFault, PlannedFault
+from ebonydeal._internal.standin.expected_answers import expected_tokens
 from ebonydeal._internal.standin.server import StandinServer
-from ebonydeal._internal.standin.text import expected_tokens
 from ebonydeal._internal.utils.prefix import split_tokens
 from tests.lib.fakes_endpoints import FAST, MODEL, engine, running, view_of
 
@@ -265,7 +265,7 @@
         async with running(engine()) as server:
             client, view = HttpEngine(2.0), view_of(server)
             await client.order(view, EngineOrder(1, ("slips-1b",), "serve"))
-            while server.orders.missing():
+            while server.orders.next_missing():
                 await asyncio.sleep(0.01)
             chunks = await collect(client, server, {**BODY, "model": "slips-1b"})
             assert len(chunks) == 8
--- a/tests/lib/matrix_strikes.py
+++ b/tests/lib/matrix_strikes.py
@@ -62,7 +62,7 @@
         write = channel is Channel.TABLE and when is When.AFTER and what.is_write
         if self._apply_next and write:
             self._apply_next = False
-            self._world.tables.land_late()
+            self._world.tables.apply_late_writes()
 
     def end_faults(self) -> None:
         """End all lasting faults."""
@@ -187,7 +187,7 @@
             if row is Row.REORDERED:
                 self._apply_next = True
             elif row in (Row.LATE, Row.DUPLICATED):
-                self._later(LATE_WRITE_S, store.land_late)
+                self._later(LATE_WRITE_S, store.apply_late_writes)
         elif row is Row.LATE:
             await world.clock.sleep(LATE_S)
         elif isinstance(what, Run):
--- a/tests/unit/standin/test_parts.py
+++ b/tests/unit/standin/test_parts.py
@@ -13,15 +13,15 @@
 )
 from ebonydeal._internal.models.places import Place
 from ebonydeal._internal.standin.cache import PrefixCache
-from ebonydeal._internal.standin.listing import InstanceListServer
-from ebonydeal._internal.standin.orders import Orders
-from ebonydeal._internal.standin.slots import Slots
-from ebonydeal._internal.standin.text import (
+from ebonydeal._internal.standin.expected_answers import (
     expected_length,
     expected_tokens,
     finish_reason,
     max_tokens_of,
 )
+from ebonydeal._internal.standin.listing import InstanceListServer
+from ebonydeal._internal.standin.orders import Orders
+from ebonydeal._internal.standin.slots import Slots
 from tests.lib.clock import ManualClock, settle
 
 VIEW = EndpointView(
@@ -41,25 +41,27 @@
 
 class TestExpectedTokens:
     @given(st.text(max_size=20), st.integers(1, 400))
-    def test_limit_cuts_the_same_answer(self, prompt, limit):
-        whole = expected_tokens("m", prompt, 10_000)
-        assert len(whole) == expected_length("m", prompt)
-        assert expected_tokens("m", prompt, limit) == whole[:limit]
-        cut = limit < len(whole)
-        assert finish_reason("m", prompt, limit) == ("length" if cut else "stop")
-
-    def test_model_and_prompt_both_count(self):
+    def test_token_limit_truncates_the_same_answer(self, prompt, limit):
+        full_answer = expected_tokens("m", prompt, 10_000)
+        assert len(full_answer) == expected_length("m", prompt)
+        assert expected_tokens("m", prompt, limit) == full_answer[:limit]
+        is_truncated = limit < len(full_answer)
+        assert finish_reason("m", prompt, limit) == (
+            "length" if is_truncated else "stop"
+        )
+
+    def test_answer_depends_on_model_and_prompt(self):
         answers = {expected_tokens(m, p, 50) for m in "ab" for p in "xy"}
         assert len(answers) == 4
 
-    def test_limit_of_a_body(self):
+    def test_token_limit_is_read_from_the_body(self):
         assert max_tokens_of({"max_tokens": 3}) == 3
         assert max_tokens_of({"max_tokens": 3, "max_completion_tokens": 4}) == 4
         assert max_tokens_of({}) == 64
 
 
 class TestPrefixCache:
-    def test_least_recently_used_goes_first_and_is_told(self):
+    def test_least_recently_used_block_is_evicted_and_reported(self):
         cache = PrefixCache(2, 1.0, 0.0, random.Random(1))
         cache.store(("a", "b"), now=0.0)
         assert cache.cached_tokens(("a",)) == 16
@@ -84,67 +86,67 @@
 
 
 class TestSlots:
-    async def test_priority_then_arrival(self):
+    async def test_slots_are_assigned_by_priority_then_arrival(self):
         slots, order = Slots(1), []
 
         async def work(name, priority):
-            await slots.take(priority)
+            await slots.acquire(priority)
             order.append(name)
 
-        await slots.take(1)
+        await slots.acquire(1)
         names = [("batch", 2), ("first", 1), ("second", 1), ("urgent", 0)]
         tasks = [asyncio.ensure_future(work(*item)) for item in names]
         await settle()
         assert (slots.running, slots.waiting) == (1, 4)
         for _ in names:
-            slots.give_back()
+            slots.release()
             await settle()
         assert order == ["urgent", "first", "second", "batch"]
-        slots.give_back()
+        slots.release()
         assert slots.running == 0
         await asyncio.gather(*tasks)
 
-    async def test_waiter_cancelled_after_it_got_the_slot_gives_it_back(self):
+    async def test_waiter_cancelled_after_it_has_the_slot_releases_it(self):
         slots = Slots(1)
-        await slots.take(1)
-        task = asyncio.ensure_future(slots.take(1))
+        await slots.acquire(1)
+        task = asyncio.ensure_future(slots.acquire(1))
         await settle()
-        slots.give_back()
+        slots.release()
         task.cancel()
         await settle()
         assert (slots.running, slots.waiting) == (0, 0)
 
 
 class TestOrders:
-    def test_models_no_longer_ordered_are_dropped_and_new_ones_missing(self):
+    def test_models_no_longer_ordered_are_unloaded_and_new_ones_missing(self):
         orders = Orders(("a", "b"), True)
-        orders.give({"fence": 1, "models": ["b", "c"], "role": "serve"})
+        orders.apply({"fence": 1, "models": ["b", "c"], "role": "serve"})
         assert orders.loaded == {"b"}
-        assert orders.missing() == "c"
+        assert orders.next_missing() == "c"
         orders.set_loaded("c")
-        assert orders.missing() is None
+        assert orders.next_missing() is None
         orders.set_loaded("a")
         assert orders.loaded == {"b", "c"}
 
     @pytest.mark.parametrize("message", [{}, {"fence": "x", "models": [], "role": ""}])
-    def test_garbage_changes_nothing(self, message):
+    def test_malformed_order_changes_nothing(self, message):
         orders = Orders(("a",), True)
         with pytest.raises(EbonydealError) as caught:
-            orders.give(message)
+            orders.apply(message)
         assert caught.value.kind is ErrorKind.BAD_REQUEST
         assert orders.to_message() == {"fence": 0, "models": ["a"], "role": "serve"}
 
 
 class TestInstanceList:
-    async def test_it_is_behind_by_the_lag(self):
+    async def test_list_lags_behind(self):
         clock = ManualClock()
         server = InstanceListServer(2.0, clock=clock)
         server.set_endpoint(VIEW)
-        assert server.listed()["endpoints"] == []
+        assert server.lagged_list()["endpoints"] == []
         await clock.advance(2.0)
-        assert [e["endpoint_id"] for e in server.listed()["endpoints"]] == ["i-1"]
+        assert [e["endpoint_id"] for e in server.lagged_list()["endpoints"]] == ["i-1"]
         server.remove_endpoint("i-1")
         await clock.advance(1.9)
-        assert len(server.listed()["endpoints"]) == 1
+        assert len(server.lagged_list()["endpoints"]) == 1
         await clock.advance(0.2)
-        assert server.listed()["endpoints"] == []
+        assert server.lagged_list()["endpoints"] == []
