--- a/src/ebonydeal/_internal/soak/__init__.py
+++ b/src/ebonydeal/_internal/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: real relays as processes, stand-ins around them, random faults."""
+"""Soak test: real relay processes, simulated endpoints and platform, random faults."""
--- a/src/ebonydeal/_internal/soak/checks.py
+++ b/src/ebonydeal/_internal/soak/checks.py
@@ -1,157 +1,193 @@
-"""The promises, checked on what was seen from outside."""
+"""Checks of the guarantees against what was observed from outside."""
 
 from collections import defaultdict
 from collections.abc import Iterable
 
 from ebonydeal._internal.models.rollouts import Phase
+from ebonydeal._internal.soak.guarantees import (
+    Check,
+    Guarantees,
+    Limit,
+    Violation,
+    had_fault,
+)
 from ebonydeal._internal.soak.notice_checks import (
-    limits_held,
-    nothing_after_leaving,
-    rests_kept,
+    backoffs_respected,
+    endpoint_limits_respected,
+    no_requests_after_announced_leaving,
+)
+from ebonydeal._internal.soak.records import (
+    ClientResult,
+    FatalRun,
+    Kind,
+    Log,
+    event_count,
 )
-from ebonydeal._internal.soak.records import FatalRun, Kind, Log, Seen, event_count
-from ebonydeal._internal.soak.terms import Check, Limit, Terms, Violation, harmed
-
-# Statuses that promise that a request has not run and never will.
-_NOT_RUN = frozenset({408, 421, 429, 503})
-# Machines are busy while a soak runs: so much later is still in time, seconds.
-_SLACK_S = 1.0
-# What was harmed may have effects for so long after its end, seconds.
-_AFTER_S = 4.0
-# The coordinator takes its own counts twice a second, as those of others, and keeps
-# them with each renewal of the lease, once a second: what it counted for so long
-# before it is killed may be known to nobody else, seconds.
-_UNTOLD_S = 2.0
-# Endpoints that a request may crash before all relays refuse it, the time in which they
-# must know, seconds, and how often it may still be passed on after that: the users'
-# bounds.
-_CRASHES = 3
-_CONTACT_S = 3.0
-_LATE_RUNS = 3
-# What was sent before a kill may reach an endpoint so much later, seconds.
-_IN_FLIGHT_S = 0.25
-# Of the requests for a service a bad version may get this share and so many besides,
-# the users' bounds; and the requests at it from which on its verdict must be right.
-_EXPOSE_SHARE = 0.1
-_EXPOSE_SLACK = 50
-_BAD_ANSWERS = 50
-
-
-def _calm(log: Log, relay: str, begin: float, end: float) -> bool:
-    """Return whether nothing was harmed for a relay from ``begin`` to ``end``."""
+
+# Statuses that guarantee that a request has not run and never will.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+# Machines are busy while a soak runs, so a deadline may be missed by this much.
+_DELAY_TOLERANCE_S = 1.0
+# A fault may have effects for this long after its end.
+_RECOVERY_S = 4.0
+# The coordinator collects its own counts, like those of other relays, twice a second
+# and persists them with each renewal of the lease, once a second. What it counted
+# within this time before it is killed may be lost.
+_UNREPORTED_S = 2.0
+# The users' bounds on crashing requests: endpoints that one may crash before all relays
+# refuse it, the time for relays to learn of it, and sends allowed after that time.
+_CRASH_THRESHOLD = 3
+_MAX_PROPAGATION_S = 3.0
+_MAX_LATE_RUNS = 3
+# A request sent before a kill may reach an endpoint this much later.
+_MAX_IN_FLIGHT_S = 0.25
+# The users' bounds on a faulty version: it may get this share of a service's requests
+# plus the allowance. From the minimum of requests on, its verdict must be right.
+_MAX_EXPOSED_SHARE = 0.1
+_EXPOSURE_ALLOWANCE = 50
+_MIN_VERDICT_REQUESTS = 50
+
+
+def _no_fault(log: Log, relay: str, begin: float, end: float) -> bool:
+    """Return whether no fault affected a relay from ``begin`` to ``end``."""
     return not any(
-        trouble.relay in ("", relay)
-        and trouble.begin <= end
-        and trouble.end + _AFTER_S >= begin
-        for trouble in log.troubles
+        period.relay in ("", relay)
+        and period.begin <= end
+        and period.end + _RECOVERY_S >= begin
+        for period in log.fault_periods
     )
 
 
-def run_once(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """No request that may run once runs twice."""
-    once = {seen.request_id for seen in log.seen if seen.kind.runs_once}
+def runs_at_most_once(log: Log, _guarantees: Guarantees) -> Iterable[Violation]:
+    """No request that may run at most once runs twice."""
+    at_most_once = {
+        result.request_id for result in log.results if result.kind.runs_once
+    }
     count: dict[str, int] = defaultdict(int)
     for run in log.runs:
-        if run.request_id in once and not run.carried:
+        if run.request_id in at_most_once and not run.migrated:
             count[run.request_id] += 1
     for request_id, runs in count.items():
         if runs > 1:
             yield Violation("run once", f"{request_id} ran {runs} times")
 
 
-def refusals_true(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """What was said not to have run didn't, and never does."""
+def refused_requests_never_run(
+    log: Log, _guarantees: Guarantees
+) -> Iterable[Violation]:
+    """A request refused as not run has not run and never does."""
     ran = {run.request_id for run in log.runs}
-    for seen in log.seen:
-        if seen.kind.runs_once and seen.status in _NOT_RUN and seen.request_id in ran:
-            yield Violation("refusal", f"{seen.request_id}: {seen.status}, but it ran")
+    for result in log.results:
+        if (
+            result.kind.runs_once
+            and result.status in _NOT_RUN_STATUSES
+            and result.request_id in ran
+        ):
+            yield Violation(
+                "refusal", f"{result.request_id}: {result.status}, but it ran"
+            )
 
 
-def answers_whole(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A success is the whole answer to that very request."""
-    for seen in log.seen:
-        if seen.kind is Kind.PROBE or seen.status != 200 or not seen.whole:
+def answers_match_requests(log: Log, _guarantees: Guarantees) -> Iterable[Violation]:
+    """A successful response belongs to the request that was sent."""
+    for result in log.results:
+        if result.kind is Kind.PROBE or result.status != 200 or not result.complete:
             continue
-        if not seen.kind.is_stream and seen.body_id != seen.request_id:
-            detail = f"{seen.request_id} got the answer to {seen.body_id!r}"
+        if not result.kind.is_stream and result.body_request_id != result.request_id:
+            detail = f"{result.request_id} got the answer to {result.body_request_id!r}"
             yield Violation("whole answer", detail)
 
 
-def events_in_order(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """Events come once each, in order, and a whole stream has them all."""
-    for seen in log.seen:
-        if not seen.kind.is_stream or seen.status != 200:
+def events_in_order(log: Log, _guarantees: Guarantees) -> Iterable[Violation]:
+    """Each event arrives once and in order, and a complete stream has all events."""
+    for result in log.results:
+        if not result.kind.is_stream or result.status != 200:
             continue
-        expected = tuple(range(1, len(seen.numbers) + 1))
-        if seen.numbers != expected:
-            yield Violation("event order", f"{seen.request_id}: {seen.numbers}")
-        elif seen.whole and len(seen.numbers) != event_count(seen.request_id):
-            detail = f"{seen.request_id} ends after {len(seen.numbers)} events"
+        expected = tuple(range(1, len(result.event_ids) + 1))
+        if result.event_ids != expected:
+            yield Violation("event order", f"{result.request_id}: {result.event_ids}")
+        elif result.complete and len(result.event_ids) != event_count(
+            result.request_id
+        ):
+            detail = f"{result.request_id} ends after {len(result.event_ids)} events"
             yield Violation("event order", detail)
 
 
-def drained(log: Log, terms: Terms) -> Iterable[Violation]:
-    """An endpoint that leaves gets nothing new after a while."""
-    left = {leave.endpoint: leave.at for leave in log.leaves}
+def no_requests_after_drain(log: Log, guarantees: Guarantees) -> Iterable[Violation]:
+    """An endpoint listed as leaving gets no new requests after the drain time."""
+    listed_at = {leave.endpoint: leave.at for leave in log.listed_leaving}
     for run in log.runs:
-        at = left.get(run.endpoint)
-        if at is None or run.at <= at + terms.drain + _SLACK_S:
+        at = listed_at.get(run.endpoint)
+        if at is None or run.at <= at + guarantees.drain_s + _DELAY_TOLERANCE_S:
             continue
-        if _calm(log, run.relay, at, run.at):
+        if _no_fault(log, run.relay, at, run.at):
             late = run.at - at
-            detail = f"{run.endpoint} got {run.request_id} {late:.2f} s after its word"
+            detail = (
+                f"{run.endpoint} got {run.request_id} {late:.2f} s after it was listed"
+                " as leaving"
+            )
             yield Violation("drain", detail)
 
 
-def config_never_back(log: Log, terms: Terms) -> Iterable[Violation]:
-    """No process answers by an older configuration after a newer one."""
+def config_never_reverts(log: Log, guarantees: Guarantees) -> Iterable[Violation]:
+    """No process serves an older configuration after a newer one."""
     newest: dict[int, tuple[int, float]] = {}
-    probes = [seen for seen in log.seen if seen.kind is Kind.PROBE]
-    for seen in sorted(probes, key=lambda it: it.sent):
-        if seen.status != 200:
+    probes = [result for result in log.results if result.kind is Kind.PROBE]
+    for result in sorted(probes, key=lambda it: it.sent):
+        if result.status != 200:
             continue
-        version, ended = newest.get(seen.pid, (0, 0.0))
-        if seen.version < version and seen.sent > ended:
-            detail = f"{seen.relay} served {seen.version} after {version}"
+        version, ended = newest.get(result.pid, (0, 0.0))
+        if result.version < version and result.sent > ended:
+            detail = f"{result.relay} served {result.version} after {version}"
             yield Violation("configuration", detail)
-        elif seen.version > version:
-            newest[seen.pid] = (seen.version, seen.ended)
-    yield from _stale(log, terms, probes)
-
-
-def _stale(log: Log, terms: Terms, probes: list[Seen]) -> Iterable[Violation]:
-    """Tell of probes that were answered by an older version too late."""
-    at = {publish.version: publish.at for publish in log.published}
-    for seen in probes:
-        known = at.get(seen.version)
-        if seen.status != 404 or known is None:
+        elif result.version > version:
+            newest[result.pid] = (result.version, result.ended)
+    yield from _find_stale_probes(log, guarantees, probes)
+
+
+def _find_stale_probes(
+    log: Log, guarantees: Guarantees, probes: list[ClientResult]
+) -> Iterable[Violation]:
+    """Report probes that failed because the configuration was applied too late."""
+    at = {publish.version: publish.at for publish in log.published_configs}
+    for result in probes:
+        published_at = at.get(result.version)
+        if result.status != 404 or published_at is None:
             continue
         newer = any(
-            p.version > seen.version and p.at < seen.ended for p in log.published
+            p.version > result.version and p.at < result.ended
+            for p in log.published_configs
         )
-        late = seen.sent > known + terms.apply + _SLACK_S
-        if not newer and late and _calm(log, seen.relay, known, seen.ended):
-            detail = f"{seen.relay} didn't know version {seen.version}"
+        late = result.sent > published_at + guarantees.apply_s + _DELAY_TOLERANCE_S
+        if (
+            not newer
+            and late
+            and _no_fault(log, result.relay, published_at, result.ended)
+        ):
+            detail = f"{result.relay} had not applied version {result.version}"
             yield Violation("configuration", detail)
 
 
-def within_limits(log: Log, terms: Terms) -> Iterable[Violation]:
+def account_limits_respected(log: Log, guarantees: Guarantees) -> Iterable[Violation]:
     """A client account gets no more than its limit in any window."""
-    for limit in terms.limits:
-        most = _fullest(log, limit, terms.quota_window)
-        if most > limit.most:
-            detail = f"{most:.0f} of {limit.account} in one window, {limit.most:.0f}"
+    for limit in guarantees.limits:
+        used = _fullest_window(log, limit, guarantees.quota_window_s)
+        if used > limit.max_in_window:
+            detail = (
+                f"{limit.account} used {used:.0f} in one window, its limit is"
+                f" {limit.max_in_window:.0f}"
+            )
             yield Violation("limit", detail)
 
 
-def _fullest(log: Log, limit: Limit, window: float) -> float:
-    """Return the most that first arrivals of an account count in any window."""
+def _fullest_window(log: Log, limit: Limit, window: float) -> float:
+    """Return the maximum that an account's first runs count in any window."""
     first: dict[str, float] = {}
     for run in log.runs:
         if run.account == limit.account:
             first[run.request_id] = min(run.at, first.get(run.request_id, run.at))
     arrivals = sorted((at, request_id) for request_id, at in first.items())
-    most = total = 0.0
+    fullest = total = 0.0
     begin = 0
     sizes = [log.tokens[name] if limit.in_tokens else 1.0 for _at, name in arrivals]
     for end, (at, _name) in enumerate(arrivals):
@@ -159,24 +195,24 @@
         while arrivals[begin][0] < at - window:
             total -= sizes[begin]
             begin += 1
-        most = max(most, total)
-    return most
+        fullest = max(fullest, total)
+    return fullest
 
 
-def usage_told_once(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A window has one report, and a fencing number one holder."""
-    told: dict[int, dict[str, int]] = {}
+def usage_reported_once(log: Log, _guarantees: Guarantees) -> Iterable[Violation]:
+    """A usage window has one report, and a fencing token one holder."""
+    reported: dict[int, dict[str, int]] = {}
     holders: dict[int, str] = {}
-    for report in log.reports:
-        if told.setdefault(report.window, report.counts) != report.counts:
-            yield Violation("usage", f"window {report.window} was told twice")
+    for report in log.usage_reports:
+        if reported.setdefault(report.window, report.counts) != report.counts:
+            yield Violation("usage", f"window {report.window} was reported twice")
         if holders.setdefault(report.fence, report.holder) != report.holder:
-            yield Violation("usage", f"fence {report.fence} has two holders")
+            yield Violation("usage", f"fencing token {report.fence} has two holders")
 
 
-def _untold(log: Log, begin: float, end: float) -> int:
-    """Return how many requests of a window may have died with their relay."""
-    kills = [trouble for trouble in log.troubles if trouble.kind == "kill"]
+def _count_unreported(log: Log, begin: float, end: float) -> int:
+    """Return how many counts of a window may be lost with a killed relay."""
+    kills = [period for period in log.fault_periods if period.kind == "kill"]
     return len(
         {
             run.request_id
@@ -184,155 +220,190 @@
             if begin <= run.at < end
             and any(
                 run.relay == kill.relay
-                and -_UNTOLD_S <= run.at - kill.begin <= _IN_FLIGHT_S
+                and -_UNREPORTED_S <= run.at - kill.begin <= _MAX_IN_FLIGHT_S
                 for kill in kills
             )
         }
     )
 
 
-def usage_exact(log: Log, terms: Terms) -> Iterable[Violation]:
-    """In calm windows the counts are those of the requests that began.
+def usage_exact(log: Log, guarantees: Guarantees) -> Iterable[Violation]:
+    """In windows without faults, usage reports count the requests that started.
 
-    Counts may lack what a killed relay had no time to tell.
+    Counts that a killed relay had no time to report may be missing.
     """
-    begun: dict[int, set[tuple[str, str]]] = defaultdict(set)
-    offset = log.runs[0].wall - log.runs[0].at if log.runs else 0.0
+    started_by_window: dict[int, set[tuple[str, str]]] = defaultdict(set)
+    offset = log.runs[0].wall_time - log.runs[0].at if log.runs else 0.0
     for run in log.runs:
-        begun[int(run.wall // terms.usage_window)].add((run.account, run.request_id))
-    for report in log.reports:
-        begin = report.window * terms.usage_window - offset
+        started_by_window[int(run.wall_time // guarantees.usage_window_s)].add(
+            (run.account, run.request_id)
+        )
+    for report in log.usage_reports:
+        begin = report.window * guarantees.usage_window_s - offset
         if not log.runs or begin < log.runs[0].at:
-            # What was asked before is not in the log.
+            # Earlier requests are not in the log.
             continue
-        if not _calm(log, "", begin - 1.0, begin + terms.usage_window + 1.0):
+        if not _no_fault(log, "", begin - 1.0, begin + guarantees.usage_window_s + 1.0):
             continue
-        if any(not _calm(log, t.relay, begin, begin) for t in log.troubles):
+        if any(not _no_fault(log, t.relay, begin, begin) for t in log.fault_periods):
             continue
-        truth = len(begun[report.window])
-        told = sum(report.counts.values())
-        # Requests that begin at the edge may count on either side.
-        edge = 3 + 0.1 * truth
-        least = truth - edge - _untold(log, begin, begin + terms.usage_window)
-        if not least <= told <= truth + edge:
-            detail = f"window {report.window}: {told} told, {truth} began"
+        started = len(started_by_window[report.window])
+        reported = sum(report.counts.values())
+        # Requests at a window's boundary may be counted in either window.
+        tolerance = 3 + 0.1 * started
+        min_reported = (
+            started
+            - tolerance
+            - _count_unreported(log, begin, begin + guarantees.usage_window_s)
+        )
+        if not min_reported <= reported <= started + tolerance:
+            detail = f"window {report.window}: {reported} reported, {started} started"
             yield Violation("usage", detail)
 
 
-def stops_cut_nothing(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A planned stop cuts off no request that was passed on."""
+def planned_stops_cut_no_requests(
+    log: Log, _guarantees: Guarantees
+) -> Iterable[Violation]:
+    """A planned stop of a relay interrupts no request that reached an endpoint."""
     passed = {run.request_id for run in log.runs}
-    stops = [trouble for trouble in log.troubles if trouble.kind == "stop"]
-    others = [trouble for trouble in log.troubles if trouble.kind != "stop"]
-    for seen in log.seen:
-        cut = seen.status == 0 or (seen.status == 200 and not seen.whole)
-        if not cut or seen.request_id not in passed:
+    stops = [period for period in log.fault_periods if period.kind == "stop"]
+    others = [period for period in log.fault_periods if period.kind != "stop"]
+    for result in log.results:
+        cut = result.status == 0 or (result.status == 200 and not result.complete)
+        if not cut or result.request_id not in passed:
             continue
         for stop in stops:
-            if seen.relay != stop.relay or not stop.begin <= seen.ended <= stop.end:
+            if result.relay != stop.relay or not stop.begin <= result.ended <= stop.end:
                 continue
             alone = all(
-                t.end + _AFTER_S < seen.sent or t.begin > seen.ended for t in others
+                t.end + _RECOVERY_S < result.sent or t.begin > result.ended
+                for t in others
             )
             if alone:
-                yield Violation("planned stop", f"{seen.request_id} was cut off")
+                yield Violation("planned stop", f"{result.request_id} was interrupted")
 
 
-def crashes_bound(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A request that crashes endpoints reaches few more after the third.
+def crashing_requests_bounded(log: Log, _guarantees: Guarantees) -> Iterable[Violation]:
+    """A request that crashed three endpoints reaches few more.
 
-    Relays that weren't harmed pass it on three times at most once they had the time
-    to know.
+    Relays without faults send it at most three times once they had time to learn of
+    the crashes.
     """
     by_body: dict[str, list[FatalRun]] = defaultdict(list)
-    for run in sorted(log.fatal, key=lambda it: it.at):
+    for run in sorted(log.fatal_runs, key=lambda it: it.at):
         by_body[run.body].append(run)
     for body, runs in by_body.items():
-        ends = list({run.endpoint: run.at for run in reversed(runs)}.values())
-        if len(ends) < _CRASHES:
+        crashed_at = list({run.endpoint: run.at for run in reversed(runs)}.values())
+        if len(crashed_at) < _CRASH_THRESHOLD:
             continue
-        third = sorted(ends)[_CRASHES - 1]
+        third_crash_at = sorted(crashed_at)[_CRASH_THRESHOLD - 1]
         late = [
             run
             for run in runs
-            if run.at > third + _CONTACT_S
-            and not harmed(log, run.relay, run.at - _CONTACT_S, run.at)
+            if run.at > third_crash_at + _MAX_PROPAGATION_S
+            and not had_fault(log, run.relay, run.at - _MAX_PROPAGATION_S, run.at)
         ]
-        if len(late) > _LATE_RUNS:
-            detail = f"{body} reached endpoints {len(late)} times after the third"
+        if len(late) > _MAX_LATE_RUNS:
+            detail = f"{body} reached endpoints {len(late)} times after the third crash"
             yield Violation("crashes", detail)
 
 
-def bad_versions_exposed_little(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A bad version gets a bounded part of the requests until its order's end."""
+def faulty_version_exposure_bounded(
+    log: Log, _guarantees: Guarantees
+) -> Iterable[Violation]:
+    """A faulty version gets a bounded share of the requests until the deadline."""
     for rollout in log.rollouts:
-        if not rollout.bad:
+        if not rollout.faulty:
             continue
-        runs = [run for run in log.runs if rollout.at <= run.at <= rollout.until]
-        over = sum(
-            run.version == rollout.to
-            and not harmed(log, run.relay, run.at - _CONTACT_S, run.at)
+        runs = [run for run in log.runs if rollout.at <= run.at <= rollout.deadline]
+        exposed = sum(
+            run.version == rollout.target_version
+            and not had_fault(log, run.relay, run.at - _MAX_PROPAGATION_S, run.at)
             for run in runs
         )
-        most = _EXPOSE_SHARE * len(runs) + _EXPOSE_SLACK
-        if over > most:
-            detail = f"{rollout.to} got {over} of {len(runs)}, {most:.0f} at most"
+        max_exposed = _MAX_EXPOSED_SHARE * len(runs) + _EXPOSURE_ALLOWANCE
+        if exposed > max_exposed:
+            detail = (
+                f"{rollout.target_version} got {exposed} of {len(runs)} requests,"
+                f" {max_exposed:.0f} allowed"
+            )
             yield Violation("exposure", detail)
 
 
-def verdicts_final(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A roll-out has one verdict, and a version rolled back gets nothing after it."""
+def rollout_verdicts_final(log: Log, _guarantees: Guarantees) -> Iterable[Violation]:
+    """A roll-out has one verdict; a version rolled back gets no requests after it."""
     for rollout in log.rollouts:
-        told = [s for s in log.statuses if s.to == rollout.to and s.at >= rollout.at]
-        phases = [s.phase for s in told if s.phase is not Phase.RUNNING]
+        statuses = [
+            s
+            for s in log.rollout_statuses
+            if s.target_version == rollout.target_version and s.at >= rollout.at
+        ]
+        phases = [s.phase for s in statuses if s.phase is not Phase.RUNNING]
         if len(set(phases)) > 1:
-            yield Violation("verdict", f"{rollout.to}: {[str(p) for p in phases]}")
-        ends = [s.at for s in told if s.phase is Phase.ROLLED_BACK]
-        if not ends:
+            yield Violation(
+                "verdict", f"{rollout.target_version}: {[str(p) for p in phases]}"
+            )
+        rollback_times = [s.at for s in statuses if s.phase is Phase.ROLLED_BACK]
+        if not rollback_times:
             continue
         for run in log.runs:
-            late = run.at - min(ends)
-            if run.version != rollout.to or late <= _SLACK_S or run.carried:
+            late = run.at - min(rollback_times)
+            if (
+                run.version != rollout.target_version
+                or late <= _DELAY_TOLERANCE_S
+                or run.migrated
+            ):
                 continue
-            if not harmed(log, run.relay, min(ends) - _CONTACT_S, run.at):
-                detail = f"{rollout.to} got {run.request_id} {late:.2f} s after its end"
+            if not had_fault(
+                log, run.relay, min(rollback_times) - _MAX_PROPAGATION_S, run.at
+            ):
+                detail = (
+                    f"{rollout.target_version} got {run.request_id} {late:.2f} s after"
+                    " its rollback"
+                )
                 yield Violation("verdict", detail)
 
 
-def bad_versions_go(log: Log, _terms: Terms) -> Iterable[Violation]:
-    """A version that fails all of many requests isn't called good."""
+def faulty_versions_not_completed(
+    log: Log, _guarantees: Guarantees
+) -> Iterable[Violation]:
+    """A faulty version that got enough requests is never completed."""
     for rollout in log.rollouts:
-        answered = sum(
-            run.version == rollout.to and run.at <= rollout.until for run in log.runs
+        requests = sum(
+            run.version == rollout.target_version and run.at <= rollout.deadline
+            for run in log.runs
         )
-        good = any(
-            s.to == rollout.to and s.phase is Phase.COMPLETED for s in log.statuses
+        completed = any(
+            s.target_version == rollout.target_version and s.phase is Phase.COMPLETED
+            for s in log.rollout_statuses
         )
-        if rollout.bad and good and answered >= _BAD_ANSWERS:
-            yield Violation("verdict", f"{rollout.to} is bad and was completed")
+        if rollout.faulty and completed and requests >= _MIN_VERDICT_REQUESTS:
+            yield Violation(
+                "verdict", f"{rollout.target_version} is faulty and was completed"
+            )
 
 
 CHECKS: tuple[Check, ...] = (
-    crashes_bound,
-    bad_versions_exposed_little,
-    verdicts_final,
-    bad_versions_go,
-    run_once,
-    refusals_true,
-    answers_whole,
+    crashing_requests_bounded,
+    faulty_version_exposure_bounded,
+    rollout_verdicts_final,
+    faulty_versions_not_completed,
+    runs_at_most_once,
+    refused_requests_never_run,
+    answers_match_requests,
     events_in_order,
-    drained,
-    config_never_back,
-    within_limits,
-    usage_told_once,
+    no_requests_after_drain,
+    config_never_reverts,
+    account_limits_respected,
+    usage_reported_once,
     usage_exact,
-    stops_cut_nothing,
-    limits_held,
-    nothing_after_leaving,
-    rests_kept,
+    planned_stops_cut_no_requests,
+    endpoint_limits_respected,
+    no_requests_after_announced_leaving,
+    backoffs_respected,
 )
 
 
-def check_all(log: Log, terms: Terms) -> list[Violation]:
-    """Return every promise that was broken."""
-    return [violation for check in CHECKS for violation in check(log, terms)]
+def check_all(log: Log, guarantees: Guarantees) -> list[Violation]:
+    """Return all violations of the guarantees."""
+    return [violation for check in CHECKS for violation in check(log, guarantees)]
--- a/src/ebonydeal/_internal/soak/clients.py
+++ b/src/ebonydeal/_internal/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: each asks one relay after the other, on kept connections."""
+"""Clients of a soak: they send requests to random relays on keep-alive connections."""
 
 import asyncio
 import json
@@ -15,27 +15,27 @@
 )
 from ebonydeal._internal.soak.endpoints import RELAY_HEADER
 from ebonydeal._internal.soak.processes import RelayProcess
-from ebonydeal._internal.soak.records import Kind, Log, Seen
+from ebonydeal._internal.soak.records import ClientResult, Kind, Log
 
 HOST = "play.example"
-_WAIT_S = 5.0
-# What streams say that they will need, at the most.
-_TOKENS = (100, 100, 100, 600)
+_REQUEST_TIMEOUT_S = 5.0
+# Values of max_tokens that streams ask for.
+_MAX_TOKENS_CHOICES = (100, 100, 100, 600)
 _EVENT_ID = re.compile(rb"(?:^|\n)id: (\d+)\ndata: [^\n]*\n(?=\n)")
-_KINDS = (Kind.SAFE, Kind.ONCE, Kind.LIVE, Kind.AGAIN)
+_KINDS = (Kind.IDEMPOTENT, Kind.AT_MOST_ONCE, Kind.STREAM, Kind.RESUMABLE_STREAM)
 
 
 class Client:
-    """Sends requests to relays, and notes what it gets.
+    """Sends requests to relays and records the results.
 
     Parameters
     ----------
     log : Log
-        Takes what is seen.
+        Receives the results.
     relays : list of RelayProcess
-        Whom to ask.
+        Relays to send to.
     rng : random.Random
-        Kinds, relays and pauses.
+        Draws kinds, relays and pauses.
     """
 
     def __init__(self, log: Log, relays: list[RelayProcess], rng: Random) -> None:
@@ -45,32 +45,32 @@
         self._session = ClientSession(
             connector=TCPConnector(limit=0), auto_decompress=False
         )
-        # A repeat by the library would be a second request with the same id.
+        # A retry by the library would be a second request with the same id.
         self._session._retry_connection = False
 
-    async def play(self, account: AccountSpec, pause: float) -> None:
-        """Ask until cancelled."""
+    async def run(self, account: AccountSpec, mean_pause: float) -> None:
+        """Send requests until cancelled."""
         while True:
             kind = self._rng.choice(_KINDS)
             relay = self._rng.choice(self._relays)
-            await self.ask(kind, relay, account)
-            await asyncio.sleep(self._rng.uniform(0.0, 2.0 * pause))
+            await self.send(kind, relay, account)
+            await asyncio.sleep(self._rng.uniform(0.0, 2.0 * mean_pause))
 
     async def probe(self, relay: RelayProcess, key: str, version: int) -> None:
-        """Ask on the route that only one version of the configuration has."""
+        """Send a request on the route that only one configuration version has."""
         account = AccountSpec("", key)
-        await self.ask(Kind.PROBE, relay, account, version)
+        await self.send(Kind.PROBE, relay, account, version)
 
-    async def repeat(
+    async def send_to_all(
         self, body: bytes, kind: Kind, relays: list[RelayProcess], key: str
     ) -> None:
-        """Send one body to several relays at the same moment."""
+        """Send one body to several relays concurrently."""
         account = AccountSpec("", key)
         await asyncio.gather(
-            *(self.ask(kind, relay, account, body=body) for relay in relays)
+            *(self.send(kind, relay, account, body=body) for relay in relays)
         )
 
-    async def ask(
+    async def send(
         self,
         kind: Kind,
         relay: RelayProcess,
@@ -78,20 +78,22 @@
         version: int = 0,
         body: bytes = b"",
     ) -> None:
-        """Send one request and note its end."""
+        """Send one request and record its result."""
         request_id = f"{self._rng.getrandbits(64):016x}"
         path = f"{kind.value}{version}/x" if version else f"{kind.value}x"
-        tokens = self._rng.choice(_TOKENS) if kind.is_stream else 0
+        tokens = self._rng.choice(_MAX_TOKENS_CHOICES) if kind.is_stream else 0
         counts = PROMPT_TOKENS + tokens if tokens else account.plain_tokens
         self._log.tokens[request_id] = counts
-        headers = client_headers(HOST, request_id, account.key, _WAIT_S, tokens)
+        headers = client_headers(
+            HOST, request_id, account.key, _REQUEST_TIMEOUT_S, tokens
+        )
         headers[RELAY_HEADER] = relay.name
         sent = time.monotonic()
         pid = relay.pid
-        place = f"{relay.address}{path}"
-        status, whole, text = await self._send(kind, place, headers, body)
-        self._log.seen.append(
-            Seen(
+        url = f"{relay.address}{path}"
+        status, complete, received = await self._send(kind, url, headers, body)
+        self._log.results.append(
+            ClientResult(
                 request_id,
                 kind,
                 relay.name,
@@ -99,24 +101,26 @@
                 sent,
                 time.monotonic(),
                 status,
-                whole,
-                "" if kind.is_stream else _body_id(text),
-                tuple(int(n) for n in _EVENT_ID.findall(text)) if status == 200 else (),
+                complete,
+                "" if kind.is_stream else _body_id(received),
+                tuple(int(n) for n in _EVENT_ID.findall(received))
+                if status == 200
+                else (),
                 version,
             )
         )
 
     async def _send(
-        self, kind: Kind, place: str, headers: dict[str, str], sent: bytes
+        self, kind: Kind, url: str, headers: dict[str, str], sent: bytes
     ) -> tuple[int, bool, bytes]:
-        """Return status (0 without an answer), whether it was whole, the body."""
-        method = "GET" if kind in (Kind.SAFE, Kind.PROBE) and not sent else "POST"
+        """Return status (0 without a response), whether it was complete, and body."""
+        method = "GET" if kind in (Kind.IDEMPOTENT, Kind.PROBE) and not sent else "POST"
         status, body = 0, b""
-        timeout = ClientTimeout(total=_WAIT_S + 2.0, sock_connect=1.0)
+        timeout = ClientTimeout(total=_REQUEST_TIMEOUT_S + 2.0, sock_connect=1.0)
         try:
             async with self._session.request(
                 method,
-                f"http://{place}",
+                f"http://{url}",
                 headers=headers,
                 timeout=timeout,
                 data=sent or None,
@@ -134,7 +138,7 @@
 
 
 def _body_id(body: bytes) -> str:
-    """Return the request that a plain answer says it is for."""
+    """Return the request id that a plain response contains."""
     try:
         return str(json.loads(body)["request"])
     except (ValueError, KeyError, TypeError):
--- a/src/ebonydeal/_internal/soak/endpoints.py
+++ b/src/ebonydeal/_internal/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a soak: they run requests, stream events, leave and crash."""
+"""Simulated endpoints: they run requests, stream events, leave and crash."""
 
 import asyncio
 import json
@@ -22,73 +22,73 @@
 )
 from ebonydeal._internal.soak.proxy import Proxy
 from ebonydeal._internal.soak.records import (
-    Arrived,
+    Announcement,
+    Arrival,
     FatalRun,
     Log,
     Run,
-    Told,
     event_count,
 )
 
 SERVICE = "play"
-# Clients name the relay that they ask, and it passes this header on.
+# Clients name the relay that they send to in this header; the relay forwards it.
 RELAY_HEADER = "X-Asked-Relay"
-# Bodies that begin so crash the endpoint that runs them.
-FATAL = b"fatal"
-_PACE_S = 0.03
-_WORK_S = 0.02
-_CLOSE_S = 0.1
-# What a slow version takes longer.
-_SLOW_S = 0.4
+# A request whose body has this prefix crashes the endpoint that runs it.
+FATAL_PREFIX = b"fatal"
+_EVENT_INTERVAL_S = 0.03
+_RUN_TIME_S = 0.02
+_SHUTDOWN_TIMEOUT_S = 0.1
+# Additional response time of a slow version.
+_SLOW_DELAY_S = 0.4
 
 
-class Bad(StrEnum):
-    """How a version is bad."""
+class VersionDefect(StrEnum):
+    """Defects of an endpoint's software version."""
 
-    NO = "no"
+    NONE = "no"
     FAILS = "fails"
     SLOW = "slow"
     ONE_ROUTE = "one route"
 
 
-class PlayEndpoint:
-    """One endpoint behind a proxy of its own.
+class SoakEndpoint:
+    """One endpoint behind its own proxy.
 
-    ``memory`` holds the handles of runs that were stopped, at all endpoints;
-    ``version`` is its software's, which may be ``bad``.
+    ``kv_caches`` maps handles of stopped runs, at all endpoints, to their requests;
+    ``version`` is the software version, which has ``defect``.
     """
 
     def __init__(
         self,
         name: str,
         log: Log,
-        memory: dict[str, str],
+        kv_caches: dict[str, str],
         version: str = "",
-        bad: Bad = Bad.NO,
+        defect: VersionDefect = VersionDefect.NONE,
     ) -> None:
         self.name = name
         self.version = version
-        self.bad = bad
+        self.defect = defect
         self._log = log
-        self._memory = memory
+        self._kv_caches = kv_caches
         self._stopped: dict[str, asyncio.Event] = {}
         self._handles = 0
-        self._gone_at: float | None = None
+        self._leaves_at: float | None = None
         self._runner: web.ServerRunner | None = None
         self.proxy = Proxy("127.0.0.1:0")
         self.crashed = False
-        # What it says of itself in answers: a limit, that it leaves, and for how long
-        # it rests; while it does it turns all requests away.
+        # Announced in responses: a limit, that it leaves, and a backoff. During a
+        # backoff all requests are refused.
         self.limit: float | None = None
-        self.said_leaving = False
-        self.rest = 0.0
-        # Told of its crash.
-        self.on_crash: Callable[[PlayEndpoint], None] = lambda _endpoint: None
+        self.announces_leaving = False
+        self.backoff_s = 0.0
+        # Called when a request has crashed the endpoint.
+        self.on_crash: Callable[[SoakEndpoint], None] = lambda _endpoint: None
 
-    async def start(self) -> "PlayEndpoint":
+    async def start(self) -> "SoakEndpoint":
         """Listen on free ports."""
         server = web.Server(self._handle, access_log=None, handler_cancellation=True)
-        self._runner = web.ServerRunner(server, shutdown_timeout=_CLOSE_S)
+        self._runner = web.ServerRunner(server, shutdown_timeout=_SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", 0)
         await site.start()
@@ -97,7 +97,7 @@
         return self
 
     def member(self, leaving: bool = False) -> Member:
-        """Return the entry of the list."""
+        """Return the endpoint's entry for the store."""
         return Member(
             self.name,
             SERVICE,
@@ -112,19 +112,21 @@
             version=self.version,
         )
 
-    def leaves(self, seconds: float) -> None:
-        """Note when it will be gone."""
-        self._gone_at = time.monotonic() + seconds
+    def set_leave_time(self, seconds: float) -> None:
+        """Set the time at which the endpoint will be gone."""
+        self._leaves_at = time.monotonic() + seconds
 
     async def _handle(self, req: web.BaseRequest) -> web.StreamResponse:
         if req.path == REPORT_PATH:
-            left = None if self._gone_at is None else self._gone_at - time.monotonic()
+            left = (
+                None if self._leaves_at is None else self._leaves_at - time.monotonic()
+            )
             return web.json_response(report_body(left))
         if req.path == MOVE_PATH:
-            return await self._move(req)
+            return await self._migrate(req)
         return await self._run(req)
 
-    async def _move(self, req: web.BaseRequest) -> web.Response:
+    async def _migrate(self, req: web.BaseRequest) -> web.Response:
         request_id, _target = read_migration_order(json.loads(await req.read()))
         stopped = self._stopped.get(request_id)
         if stopped is None:
@@ -132,7 +134,7 @@
         stopped.set()
         self._handles += 1
         handle = f"{self.name}-{self._handles}"
-        self._memory[f"{self.proxy.address}/{handle}"] = request_id
+        self._kv_caches[f"{self.proxy.address}/{handle}"] = request_id
         return web.json_response(migration_body(handle))
 
     async def _run(self, req: web.BaseRequest) -> web.StreamResponse:
@@ -141,13 +143,13 @@
         if got.expected_endpoint != self.name:
             return web.Response(status=421)
         relay = req.headers.get(RELAY_HEADER, "")
-        self._log.arrived.append(
-            Arrived(self.name, relay, got.request_id, time.monotonic())
+        self._log.arrivals.append(
+            Arrival(self.name, relay, got.request_id, time.monotonic())
         )
-        says = self._says(relay)
-        if self.rest > 0.0:
-            return web.Response(status=503, headers=not_run_headers() | says)
-        if got.kv_cache and self._memory.pop(got.kv_cache, "") != got.request_id:
+        notice = self._announce(relay)
+        if self.backoff_s > 0.0:
+            return web.Response(status=503, headers=not_run_headers() | notice)
+        if got.kv_cache and self._kv_caches.pop(got.kv_cache, "") != got.request_id:
             return web.Response(status=503, headers=not_run_headers())
         self._log.runs.append(
             Run(
@@ -161,35 +163,37 @@
                 self.version,
             )
         )
-        if body.startswith(FATAL):
+        if body.startswith(FATAL_PREFIX):
             await self._crash(body.decode(), req.headers.get(RELAY_HEADER, ""))
-        headers = answer_headers(got.request_id) | says
-        if self._fails(req.path):
+        headers = answer_headers(got.request_id) | notice
+        if self._must_fail(req.path):
             return web.Response(status=500, headers=headers)
-        if self.bad is Bad.SLOW:
-            await asyncio.sleep(_SLOW_S)
+        if self.defect is VersionDefect.SLOW:
+            await asyncio.sleep(_SLOW_DELAY_S)
         if req.path.startswith(("/live/", "/again/")):
             return await self._stream(req, got.request_id, got.last_event, headers)
-        await asyncio.sleep(_WORK_S)
+        await asyncio.sleep(_RUN_TIME_S)
         return web.json_response({"request": got.request_id}, headers=headers)
 
-    def _says(self, relay: str) -> dict[str, str]:
-        """Return what an answer to a relay says of this endpoint, and note it."""
-        told = Told(
+    def _announce(self, relay: str) -> dict[str, str]:
+        """Record the announcements to a relay and return their headers."""
+        announcement = Announcement(
             self.name,
             relay,
             time.monotonic(),
             self.limit,
-            self.said_leaving,
-            self.rest,
+            self.announces_leaving,
+            self.backoff_s,
+        )
+        self._log.announcements.append(announcement)
+        return notice_headers(
+            announcement.limit, announcement.leaving, announcement.backoff_s
         )
-        self._log.told.append(told)
-        return notice_headers(told.limit, told.leaving, told.rest)
 
-    def _fails(self, path: str) -> bool:
-        """Return whether a bad version fails this request."""
-        on_route = self.bad is Bad.ONE_ROUTE and path.startswith("/safe/")
-        return self.bad is Bad.FAILS or on_route
+    def _must_fail(self, path: str) -> bool:
+        """Return whether the version's defect fails this request."""
+        on_route = self.defect is VersionDefect.ONE_ROUTE and path.startswith("/safe/")
+        return self.defect is VersionDefect.FAILS or on_route
 
     async def _stream(
         self, req: web.BaseRequest, request_id: str, last: str, headers: dict[str, str]
@@ -202,7 +206,7 @@
             await resp.prepare(req)
             for number in range(int(last or 0) + 1, event_count(request_id) + 1):
                 await resp.write(f"id: {number}\ndata: {request_id}\n\n".encode())
-                await asyncio.sleep(_PACE_S)
+                await asyncio.sleep(_EVENT_INTERVAL_S)
                 if stopped.is_set() and req.transport is not None:
                     req.transport.abort()
                     return resp
@@ -214,16 +218,16 @@
         return resp
 
     async def _crash(self, body: str, relay: str) -> None:
-        """End as a process does that is killed: connections reset, none taken."""
-        self._log.fatal.append(FatalRun(body, self.name, relay, time.monotonic()))
-        await asyncio.sleep(_WORK_S)
+        """End like a killed process: reset connections and accept none."""
+        self._log.fatal_runs.append(FatalRun(body, self.name, relay, time.monotonic()))
+        await asyncio.sleep(_RUN_TIME_S)
         if not self.crashed:
             self.crashed = True
             await self.proxy.stop()
             self.on_crash(self)
 
     async def stop(self) -> None:
-        """Be gone at once: open connections are cut."""
+        """Stop at once and close open connections."""
         await self.proxy.stop()
         if self._runner is not None:
             await self._runner.cleanup()
--- /dev/null
+++ b/src/ebonydeal/_internal/soak/guarantees.py
@@ -0,0 +1,46 @@
+"""The guarantees that a soak checks, and their violations."""
+
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
+from ebonydeal._internal.soak.records import Log
+
+
+class Limit(NamedTuple):
+    """A client account's limit in one quota window, in requests or tokens."""
+
+    account: str
+    max_in_window: float
+    in_tokens: bool = False
+
+
+class Guarantees(NamedTuple):
+    """The guarantees of a soak's deployment.
+
+    ``drain_s`` is how long an endpoint that leaves may get new requests, and ``apply_s``
+    how long a relay may take to apply a new configuration.
+    """
+
+    drain_s: float
+    apply_s: float
+    usage_window_s: float
+    quota_window_s: float
+    limits: tuple[Limit, ...]
+
+
+class Violation(NamedTuple):
+    """A violated guarantee; ``promise`` is the guarantee's name."""
+
+    promise: str
+    detail: str
+
+
+Check = Callable[[Log, Guarantees], Iterable[Violation]]
+
+
+def had_fault(log: Log, relay: str, begin: float, end: float) -> bool:
+    """Return whether a relay or its link had a fault between two times."""
+    return any(
+        period.relay == relay and period.begin <= end and period.end >= begin
+        for period in log.fault_periods
+    )
--- a/src/ebonydeal/_internal/soak/plan.py
+++ b/src/ebonydeal/_internal/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed does in one soak: series of faults that overlap."""
+"""The faults of one soak, drawn from a seed as overlapping series."""
 
 from enum import StrEnum
 from random import Random
@@ -6,30 +6,30 @@
 
 
 class Fault(StrEnum):
-    """Everything that may be done to the system."""
+    """Faults and changes that a soak may inject."""
 
     KILL = "kill"
     STOP = "stop"
     PAUSE = "pause"
-    HANG_UP = "hang up"
-    STORE_AWAY = "store away"
-    STORE_LOSES = "store loses answers"
+    RELOAD = "hang up"
+    STORE_UNAVAILABLE = "store away"
+    STORE_LOSES_ANSWERS = "store loses answers"
     STORE_CUT = "relay cut from store"
     ENDPOINT_LEAVES = "endpoint leaves"
     ENDPOINT_CRASHES = "endpoint crashes"
-    ENDPOINT_HARMED = "endpoint harmed"
+    ENDPOINT_LINK_FAULT = "endpoint harmed"
     CONFIG = "configuration changes"
     FATAL_REQUEST = "a request crashes what runs it"
     SUSPENSION = "machine suspended"
     ROLLOUT = "a new version is rolled out"
-    HERD_KILL = "many relays are killed at once"
-    NAMES_LIMIT = "an endpoint names a limit"
-    SAYS_LEAVING = "an endpoint says in answers that it leaves"
-    ASKS_FOR_REST = "an endpoint turns all away and asks for rest"
+    MASS_KILL = "many relays are killed at once"
+    ANNOUNCES_LIMIT = "an endpoint names a limit"
+    ANNOUNCES_LEAVING = "an endpoint says in answers that it leaves"
+    REQUESTS_BACKOFF = "an endpoint turns all away and asks for rest"
 
 
 class Step(NamedTuple):
-    """One fault: when it begins, for how long, and which of the things it hits."""
+    """One fault; ``which`` selects the relay, endpoint or variant by modulo."""
 
     at: float
     fault: Fault
@@ -39,42 +39,43 @@
 
 # Mean seconds between the faults of one series.
 _SERIES: tuple[tuple[tuple[Fault, ...], float], ...] = (
-    ((Fault.KILL, Fault.STOP, Fault.PAUSE, Fault.HANG_UP), 3.0),
-    ((Fault.STORE_AWAY, Fault.STORE_LOSES, Fault.STORE_CUT), 5.0),
-    ((Fault.ENDPOINT_LEAVES, Fault.ENDPOINT_CRASHES, Fault.ENDPOINT_HARMED), 3.0),
+    ((Fault.KILL, Fault.STOP, Fault.PAUSE, Fault.RELOAD), 3.0),
+    ((Fault.STORE_UNAVAILABLE, Fault.STORE_LOSES_ANSWERS, Fault.STORE_CUT), 5.0),
+    ((Fault.ENDPOINT_LEAVES, Fault.ENDPOINT_CRASHES, Fault.ENDPOINT_LINK_FAULT), 3.0),
     ((Fault.CONFIG,), 2.0),
 )
-# Faults that came later are drawn apart, so that the older ones stay as they were for
-# each seed: kinds, mean seconds between two, and the shortest and longest.
-_LATER: tuple[tuple[Fault, float, float, float], ...] = (
+# Faults added later are drawn separately, so that each seed keeps its older faults:
+# fault, mean seconds between two, and minimum and maximum duration.
+_SEPARATE_FAULTS: tuple[tuple[Fault, float, float, float], ...] = (
     (Fault.FATAL_REQUEST, 4.0, 6.0, 9.0),
-    # Longer than a lease.
+    # Longer than the lease.
     (Fault.SUSPENSION, 12.0, 3.0, 4.5),
 )
-# At most one roll-out a soak, from early on, and the seconds of its order.
-_ROLLOUT_FROM_S = 1.5
-_ROLLOUT_S = (5.0, 7.0)
+# A soak has at most one roll-out: its latest start and its range of durations.
+_MAX_ROLLOUT_START_S = 1.5
+_ROLLOUT_RANGE_S = (5.0, 7.0)
 _ROLLOUT_SEED = 2_000_003
-# Mean seconds between two losses of many relays, and for how long they are away.
-_HERD_MEAN_S = 9.0
-_HERD_S = (0.2, 1.5)
-_HERD_SEED = 3_000_017
-# Faults of what endpoints say, as in `_LATER`. A limit is checked from some seconds on.
-_SAID: tuple[tuple[Fault, float, float, float], ...] = (
-    (Fault.NAMES_LIMIT, 2.0, 5.0, 8.0),
-    (Fault.SAYS_LEAVING, 9.0, 2.5, 5.0),
-    (Fault.ASKS_FOR_REST, 7.0, 1.0, 4.0),
+# Mean seconds between two mass kills of relays, and the range of their durations.
+_MASS_KILL_MEAN_S = 9.0
+_MASS_KILL_RANGE_S = (0.2, 1.5)
+_MASS_KILL_SEED = 3_000_017
+# Announcements of endpoints, as in `_SEPARATE_FAULTS`. The checks of a limit begin
+# some seconds after its announcement.
+_ANNOUNCEMENT_FAULTS: tuple[tuple[Fault, float, float, float], ...] = (
+    (Fault.ANNOUNCES_LIMIT, 2.0, 5.0, 8.0),
+    (Fault.ANNOUNCES_LEAVING, 9.0, 2.5, 5.0),
+    (Fault.REQUESTS_BACKOFF, 7.0, 1.0, 4.0),
 )
-_SAID_SEED = 4_000_037
-_LATER_SEED = 1_000_003
-# The last seconds are calm, so that what was begun can end.
-_CALM_S = 3.0
+_ANNOUNCEMENT_SEED = 4_000_037
+_SEPARATE_SEED = 1_000_003
+# No fault begins in the last seconds, so that running requests and faults can end.
+_QUIET_END_S = 3.0
 
 
 def make_plan(seed: int, seconds: float) -> list[Step]:
-    """Return the faults of a seed, in order.
+    """Return the faults of a seed, ordered by time.
 
-    Half of the seeds leave one series out, so that each is also seen alone.
+    Half of the seeds omit one series, so that the others also run without it.
     """
     rng = Random(seed)
     series = list(_SERIES)
@@ -83,51 +84,51 @@
     steps = []
     for faults, mean in series:
         at = rng.uniform(0.5, mean)
-        while at < seconds - _CALM_S:
+        while at < seconds - _QUIET_END_S:
             length = rng.uniform(0.3, 2.5)
             steps.append(Step(at, rng.choice(faults), length, rng.randrange(1000)))
             at += rng.expovariate(1.0 / mean) + 0.3
-    apart = [
-        *_drawn(_LATER, seed + _LATER_SEED, seconds),
-        *_drawn(_SAID, seed + _SAID_SEED, seconds),
-        *_rollouts(seed, seconds),
-        *_herds(seed, seconds),
+    separate = [
+        *_draw_separate(_SEPARATE_FAULTS, seed + _SEPARATE_SEED, seconds),
+        *_draw_separate(_ANNOUNCEMENT_FAULTS, seed + _ANNOUNCEMENT_SEED, seconds),
+        *_draw_rollout(seed, seconds),
+        *_draw_mass_kills(seed, seconds),
     ]
-    return sorted([*steps, *apart])
+    return sorted([*steps, *separate])
 
 
-def _herds(seed: int, seconds: float) -> list[Step]:
-    """Return the losses of many relays at once."""
-    rng = Random(seed + _HERD_SEED)
+def _draw_mass_kills(seed: int, seconds: float) -> list[Step]:
+    """Return the mass kills of relays."""
+    rng = Random(seed + _MASS_KILL_SEED)
     steps = []
-    at = rng.uniform(1.0, _HERD_MEAN_S)
-    while at < seconds - _CALM_S:
-        length = rng.uniform(*_HERD_S)
-        steps.append(Step(at, Fault.HERD_KILL, length, rng.randrange(1000)))
-        at += rng.expovariate(1.0 / _HERD_MEAN_S) + 1.0
+    at = rng.uniform(1.0, _MASS_KILL_MEAN_S)
+    while at < seconds - _QUIET_END_S:
+        length = rng.uniform(*_MASS_KILL_RANGE_S)
+        steps.append(Step(at, Fault.MASS_KILL, length, rng.randrange(1000)))
+        at += rng.expovariate(1.0 / _MASS_KILL_MEAN_S) + 1.0
     return steps
 
 
-def _rollouts(seed: int, seconds: float) -> list[Step]:
-    """Return the roll-out of a seed, where there is time for one."""
+def _draw_rollout(seed: int, seconds: float) -> list[Step]:
+    """Return the roll-out of a seed, if there is time for one."""
     rng = Random(seed + _ROLLOUT_SEED)
-    at = rng.uniform(0.5, _ROLLOUT_FROM_S)
-    length = rng.uniform(*_ROLLOUT_S)
-    if at + length + _CALM_S > seconds:
+    at = rng.uniform(0.5, _MAX_ROLLOUT_START_S)
+    length = rng.uniform(*_ROLLOUT_RANGE_S)
+    if at + length + _QUIET_END_S > seconds:
         return []
     return [Step(at, Fault.ROLLOUT, length, rng.randrange(1000))]
 
 
-def _drawn(
+def _draw_separate(
     faults: tuple[tuple[Fault, float, float, float], ...], seed: int, seconds: float
 ) -> list[Step]:
-    """Return the faults that are drawn apart, each kind one after the other."""
+    """Return faults drawn separately; faults of one kind don't overlap."""
     rng = Random(seed)
     steps = []
-    for fault, mean, least, most in faults:
+    for fault, mean, min_seconds, max_seconds in faults:
         at = rng.uniform(0.5, mean)
-        while at < seconds - _CALM_S:
-            length = rng.uniform(least, most)
+        while at < seconds - _QUIET_END_S:
+            length = rng.uniform(min_seconds, max_seconds)
             steps.append(Step(at, fault, length, rng.randrange(1000)))
             at += length + rng.expovariate(1.0 / mean)
     return steps
--- a/src/ebonydeal/_internal/soak/plants.py
+++ b/src/ebonydeal/_internal/soak/plants.py
@@ -1,138 +1,148 @@
-"""Faults that are planted in what was seen, to show that the checks see them."""
+"""Violations planted in the observations, to show that the checks detect them."""
 
 from collections.abc import Callable
 
 from ebonydeal._internal.models.rollouts import Phase
+from ebonydeal._internal.soak.guarantees import Guarantees
 from ebonydeal._internal.soak.records import (
-    Arrived,
+    Announcement,
+    Arrival,
+    ClientResult,
     FatalRun,
+    FaultPeriod,
     Kind,
-    Leave,
+    ListedLeaving,
     Log,
-    Report,
-    Rollout,
-    Seen,
-    Status,
-    Told,
-    Trouble,
+    OrderedRollout,
+    RolloutStatus,
+    UsageReport,
 )
-from ebonydeal._internal.soak.terms import Terms
 
 
-def _first(log: Log, wanted: Callable[[Seen], bool]) -> Seen:
-    """Return the first request of a sort; raises LookupError without one."""
-    for seen in log.seen:
-        if wanted(seen):
-            return seen
-    raise LookupError("no request of the sort was made")
+def _first_result(log: Log, matches: Callable[[ClientResult], bool]) -> ClientResult:
+    """Return the first matching result; raises LookupError without one."""
+    for result in log.results:
+        if matches(result):
+            return result
+    raise LookupError("no matching request was sent")
 
 
-def _good(kind: Kind) -> Callable[[Seen], bool]:
-    return lambda seen: seen.kind is kind and seen.status == 200 and seen.whole
+def _succeeded(kind: Kind) -> Callable[[ClientResult], bool]:
+    return lambda result: (
+        result.kind is kind and result.status == 200 and result.complete
+    )
 
 
-def _put(log: Log, old: Seen, new: Seen) -> None:
-    log.seen[log.seen.index(old)] = new
+def _replace_result(log: Log, old: ClientResult, new: ClientResult) -> None:
+    log.results[log.results.index(old)] = new
 
 
-def _second_run(log: Log, _terms: Terms) -> None:
-    seen = _first(log, _good(Kind.ONCE))
-    log.runs.append(next(r for r in log.runs if r.request_id == seen.request_id))
+def _second_run(log: Log, _guarantees: Guarantees) -> None:
+    result = _first_result(log, _succeeded(Kind.AT_MOST_ONCE))
+    log.runs.append(next(r for r in log.runs if r.request_id == result.request_id))
 
 
-def _false_refusal(log: Log, _terms: Terms) -> None:
-    seen = _first(log, _good(Kind.ONCE))
-    _put(log, seen, seen._replace(status=503))
+def _false_refusal(log: Log, _guarantees: Guarantees) -> None:
+    result = _first_result(log, _succeeded(Kind.AT_MOST_ONCE))
+    _replace_result(log, result, result._replace(status=503))
 
 
-def _mixed_answer(log: Log, _terms: Terms) -> None:
-    seen = _first(log, _good(Kind.SAFE))
-    _put(log, seen, seen._replace(body_id="another"))
+def _mixed_answer(log: Log, _guarantees: Guarantees) -> None:
+    result = _first_result(log, _succeeded(Kind.IDEMPOTENT))
+    _replace_result(log, result, result._replace(body_request_id="another"))
 
 
-def _lost_event(log: Log, _terms: Terms) -> None:
-    seen = _first(log, _good(Kind.LIVE))
-    _put(log, seen, seen._replace(numbers=seen.numbers[:2] + seen.numbers[3:]))
+def _lost_event(log: Log, _guarantees: Guarantees) -> None:
+    result = _first_result(log, _succeeded(Kind.STREAM))
+    _replace_result(
+        log,
+        result,
+        result._replace(event_ids=result.event_ids[:2] + result.event_ids[3:]),
+    )
 
 
-def _late_drain(log: Log, terms: Terms) -> None:
+def _late_drain(log: Log, guarantees: Guarantees) -> None:
     run = log.runs[-1]
-    log.troubles.clear()
-    log.leaves.append(Leave(run.endpoint, run.at - terms.drain - 5.0))
+    log.fault_periods.clear()
+    log.listed_leaving.append(
+        ListedLeaving(run.endpoint, run.at - guarantees.drain_s - 5.0)
+    )
 
 
-def _older_config(log: Log, _terms: Terms) -> None:
-    seen = _first(log, _good(Kind.PROBE))
-    older = seen._replace(sent=seen.ended + 0.1, ended=seen.ended + 0.2)
-    log.seen.append(older._replace(version=seen.version - 1))
+def _older_config(log: Log, _guarantees: Guarantees) -> None:
+    result = _first_result(log, _succeeded(Kind.PROBE))
+    older = result._replace(sent=result.ended + 0.1, ended=result.ended + 0.2)
+    log.results.append(older._replace(version=result.version - 1))
 
 
-def _over_limit(log: Log, terms: Terms) -> None:
+def _over_limit(log: Log, guarantees: Guarantees) -> None:
     run = log.runs[0]
-    limit = terms.limits[0]
-    for number in range(int(limit.most) + 1):
+    limit = guarantees.limits[0]
+    for number in range(int(limit.max_in_window) + 1):
         added = run._replace(request_id=f"plant-{number}", account=limit.account)
         log.runs.append(added)
 
 
-def _two_reports(log: Log, _terms: Terms) -> None:
-    log.reports.append(Report(1, {"a": 1}, "n1", 1))
-    log.reports.append(Report(1, {"a": 2}, "n1", 1))
+def _two_reports(log: Log, _guarantees: Guarantees) -> None:
+    log.usage_reports.append(UsageReport(1, {"a": 1}, "n1", 1))
+    log.usage_reports.append(UsageReport(1, {"a": 2}, "n1", 1))
 
 
-def _wrong_usage(log: Log, terms: Terms) -> None:
-    log.troubles.clear()
-    window = int(log.runs[0].wall // terms.usage_window) + 1
-    log.reports = [Report(window, {"a": 100_000}, "n1", 1)]
+def _wrong_usage(log: Log, guarantees: Guarantees) -> None:
+    log.fault_periods.clear()
+    window = int(log.runs[0].wall_time // guarantees.usage_window_s) + 1
+    log.usage_reports = [UsageReport(window, {"a": 100_000}, "n1", 1)]
 
 
-def _cut_by_stop(log: Log, _terms: Terms) -> None:
-    seen = _first(log, _good(Kind.ONCE))
-    _put(log, seen, seen._replace(status=0, whole=False))
-    log.troubles = [Trouble("stop", seen.relay, seen.sent, seen.ended)]
+def _cut_by_stop(log: Log, _guarantees: Guarantees) -> None:
+    result = _first_result(log, _succeeded(Kind.AT_MOST_ONCE))
+    _replace_result(log, result, result._replace(status=0, complete=False))
+    log.fault_periods = [FaultPeriod("stop", result.relay, result.sent, result.ended)]
 
 
-def _crashes_on(log: Log, _terms: Terms) -> None:
+def _keeps_crashing(log: Log, _guarantees: Guarantees) -> None:
     at = log.runs[0].at
-    log.fatal = [FatalRun("fatal", f"e{n}", "", at + 1.1 * n) for n in range(12)]
+    log.fatal_runs = [FatalRun("fatal", f"e{n}", "", at + 1.1 * n) for n in range(12)]
 
 
-def _exposed(log: Log, _terms: Terms) -> None:
-    log.troubles.clear()
+def _overexposed(log: Log, _guarantees: Guarantees) -> None:
+    log.fault_periods.clear()
     at = log.runs[0].at
-    log.rollouts = [Rollout("bad", True, at, at + 1e6)]
+    log.rollouts = [OrderedRollout("bad", True, at, at + 1e6)]
     run = log.runs[0]._replace(version="bad")
     log.runs += [run._replace(request_id=f"plant-{number}") for number in range(200)]
 
 
-def _turned_back(log: Log, _terms: Terms) -> None:
+def _changed_verdict(log: Log, _guarantees: Guarantees) -> None:
     at = log.runs[0].at
-    log.rollouts = [Rollout("new", False, at, at + 1.0)]
-    log.statuses = [
-        Status("new", Phase.ROLLED_BACK, at + 0.5),
-        Status("new", Phase.COMPLETED, at + 0.6),
+    log.rollouts = [OrderedRollout("new", False, at, at + 1.0)]
+    log.rollout_statuses = [
+        RolloutStatus("new", Phase.ROLLED_BACK, at + 0.5),
+        RolloutStatus("new", Phase.COMPLETED, at + 0.6),
     ]
 
 
-def _over_named_limit(log: Log, _terms: Terms) -> None:
-    log.troubles.clear()
-    log.told = [Told("e1", "n1", at, 1.0, False, 0.0) for at in (1.0, 9.0)]
-    log.arrived = [Arrived("e1", "n1", f"p{n}", 5.0 + 0.1 * n) for n in range(12)]
+def _over_announced_limit(log: Log, _guarantees: Guarantees) -> None:
+    log.fault_periods.clear()
+    log.announcements = [
+        Announcement("e1", "n1", at, 1.0, False, 0.0) for at in (1.0, 9.0)
+    ]
+    log.arrivals = [Arrival("e1", "n1", f"p{n}", 5.0 + 0.1 * n) for n in range(12)]
 
 
-def _in_a_rest(log: Log, _terms: Terms) -> None:
-    log.troubles.clear()
-    log.told = [Told("e1", "n1", 1.0, None, False, 3.0)]
-    log.arrived = [Arrived("e1", "n1", f"p{n}", 2.0 + 0.1 * n) for n in range(3)]
+def _during_backoff(log: Log, _guarantees: Guarantees) -> None:
+    log.fault_periods.clear()
+    log.announcements = [Announcement("e1", "n1", 1.0, None, False, 3.0)]
+    log.arrivals = [Arrival("e1", "n1", f"p{n}", 2.0 + 0.1 * n) for n in range(3)]
 
 
-def _after_leaving(log: Log, terms: Terms) -> None:
-    log.troubles.clear()
-    log.told = [Told("e1", "n1", 1.0, None, True, 0.0)]
-    log.arrived = [Arrived("e1", "n1", "p1", 1.0 + terms.drain + 1.5)]
+def _after_leaving(log: Log, guarantees: Guarantees) -> None:
+    log.fault_periods.clear()
+    log.announcements = [Announcement("e1", "n1", 1.0, None, True, 0.0)]
+    log.arrivals = [Arrival("e1", "n1", "p1", 1.0 + guarantees.drain_s + 1.5)]
 
 
-PLANTS: dict[str, tuple[Callable[[Log, Terms], None], str]] = {
+PLANTS: dict[str, tuple[Callable[[Log, Guarantees], None], str]] = {
     "second-run": (_second_run, "run once"),
     "false-refusal": (_false_refusal, "refusal"),
     "mixed-answer": (_mixed_answer, "whole answer"),
@@ -143,10 +153,10 @@
     "two-reports": (_two_reports, "usage"),
     "wrong-usage": (_wrong_usage, "usage"),
     "cut-by-stop": (_cut_by_stop, "planned stop"),
-    "crashes-on": (_crashes_on, "crashes"),
-    "exposed": (_exposed, "exposure"),
-    "turned-back": (_turned_back, "verdict"),
-    "over-named-limit": (_over_named_limit, "endpoint limit"),
-    "in-a-rest": (_in_a_rest, "rest"),
+    "crashes-on": (_keeps_crashing, "crashes"),
+    "exposed": (_overexposed, "exposure"),
+    "turned-back": (_changed_verdict, "verdict"),
+    "over-named-limit": (_over_announced_limit, "endpoint limit"),
+    "in-a-rest": (_during_backoff, "rest"),
     "after-leaving": (_after_leaving, "leaving said"),
 }
--- a/src/ebonydeal/_internal/soak/platform.py
+++ b/src/ebonydeal/_internal/soak/platform.py
@@ -1,4 +1,4 @@
-"""The store and the cloud of a soak, over HTTP, in memory."""
+"""Simulated store and cloud of a soak: served over HTTP, kept in memory."""
 
 import asyncio
 import json
@@ -22,17 +22,17 @@
     read_write,
     rows_body,
 )
-from ebonydeal._internal.soak.records import Log, Report, Status
+from ebonydeal._internal.soak.records import Log, RolloutStatus, UsageReport
 
-# Polls that are under way at the end are cut.
-_CLOSE_S = 0.1
+# Long polls that still run at shutdown are cancelled after this time.
+_SHUTDOWN_TIMEOUT_S = 0.1
 
 
-class PlayPlatform:
-    """Tables with long polls, and the calls of the duties.
+class SoakPlatform:
+    """Tables with long polls, and the API calls of relay duties.
 
-    While `away` the store answers 503; `lose` is the share of writes that are
-    done and not answered.
+    While `unavailable` is set, the store responds with 503; `lost_answer_share` is the
+    share of writes that are applied but get no response.
     """
 
     def __init__(self, log: Log, rng: Random) -> None:
@@ -43,15 +43,15 @@
         self._version = 0
         self._changed = asyncio.Condition()
         self._fence = 0
-        self.away = False
-        self.lose = 0.0
+        self.unavailable = False
+        self.lost_answer_share = 0.0
         self._runner: web.ServerRunner | None = None
         self.address = ""
 
-    async def start(self) -> "PlayPlatform":
+    async def start(self) -> "SoakPlatform":
         """Listen on a free port."""
         server = web.Server(self._handle, access_log=None)
-        self._runner = web.ServerRunner(server, shutdown_timeout=_CLOSE_S)
+        self._runner = web.ServerRunner(server, shutdown_timeout=_SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", 0)
         await site.start()
@@ -59,8 +59,8 @@
         self.address = f"{host}:{port}"
         return self
 
-    async def put(self, table: str, key: str, value: bytes | None) -> float:
-        """Write as the operator or an endpoint does; returns when it was done."""
+    async def write(self, table: str, key: str, value: bytes | None) -> float:
+        """Write a row as the operator or an endpoint; return the time of the write."""
         await self._apply([RowWrite(table, key, value)])
         return time.monotonic()
 
@@ -74,8 +74,10 @@
                 del rows[change.key]
             self._changes.append((change.table, row))
             if change.table == STATUS_TABLE and change.value is not None:
-                phase, to = decode_status(change.value)
-                self._log.statuses.append(Status(to, phase, time.monotonic()))
+                phase, target_version = decode_status(change.value)
+                self._log.rollout_statuses.append(
+                    RolloutStatus(target_version, phase, time.monotonic())
+                )
         async with self._changed:
             self._changed.notify_all()
 
@@ -85,13 +87,13 @@
                 return await self._usage(req)
             case path if path == ORDER_PATH:
                 return web.json_response({})
-        if self.away:
+        if self.unavailable:
             return web.Response(status=503)
         match req.path:
             case path if path == ROWS_PATH:
                 return self._rows(req)
             case path if path == FEED_PATH:
-                return await self._feed(req)
+                return await self._poll_changes(req)
             case path if path == WRITE_PATH:
                 return await self._write(req)
         return web.Response(status=404)
@@ -102,18 +104,18 @@
         found = sorted(row for row in rows if row.key >= start)
         return web.json_response(self._body(found, self._version))
 
-    async def _feed(self, req: web.BaseRequest) -> web.Response:
+    async def _poll_changes(self, req: web.BaseRequest) -> web.Response:
         table, after, wait = read_poll(req.query)
         try:
             async with asyncio.timeout(wait):
-                while not (found := self._since(table, after)):
+                while not (found := self._changes_since(table, after)):
                     async with self._changed:
                         await self._changed.wait()
         except TimeoutError:
             return web.json_response(self._body((), self._version))
         return web.json_response(self._body(found, found[-1].version))
 
-    def _since(self, table: str, after: int) -> list[SharedRow]:
+    def _changes_since(self, table: str, after: int) -> list[SharedRow]:
         return [r for t, r in self._changes if t == table and r.version > after]
 
     async def _write(self, req: web.BaseRequest) -> web.Response:
@@ -125,7 +127,7 @@
                 rows = () if row is None else (row,)
                 return web.json_response(self._body(rows, self._version), status=412)
         await self._apply(changes)
-        if self._rng.random() < self.lose and req.transport is not None:
+        if self._rng.random() < self.lost_answer_share and req.transport is not None:
             req.transport.abort()
         return web.json_response(self._body((), self._version))
 
@@ -139,7 +141,7 @@
         if fence < self._fence:
             return web.Response(status=409)
         self._fence = fence
-        self._log.reports.append(Report(window, counts, holder, fence))
+        self._log.usage_reports.append(UsageReport(window, counts, holder, fence))
         return web.json_response({})
 
     async def stop(self) -> None:
--- a/src/ebonydeal/_internal/soak/ports.py
+++ b/src/ebonydeal/_internal/soak/ports.py
@@ -1,32 +1,32 @@
-"""Ports that are known before the process that listens on them starts."""
+"""Reserves ports for processes that start later."""
 
 from random import SystemRandom
 from socket import SOCK_DGRAM, socket
 
-# Below what systems give to outgoing connections (32768 and up on Linux, 49152 by the
-# standard): one of these took a port between its choice and its use.
-_FIRST, _LAST = 20_000, 32_000
-_MOST_TRIES = 1000
+# Below the ephemeral ports (from 32768 on Linux, from 49152 by the standard): an
+# outgoing connection took a port between its reservation and its use.
+_MIN_PORT, _MAX_PORT = 20_000, 32_000
+_MAX_ATTEMPTS = 1000
 _HOST = "127.0.0.1"
 
-# A reserved port's number is held by a datagram socket, which no listener of ours is
-# in the way of, until this process ends: others that reserve ports see it.
-_held: list[socket] = []
+# UDP sockets bound to the reserved port numbers until this process ends. They keep
+# other processes from reserving the same ports, and don't block TCP listeners.
+_reservations: list[socket] = []
 
 
 def reserve_port() -> int:
-    """Return a loopback port that nobody listens on and nobody else reserves."""
+    """Return a loopback port that no process listens on or has reserved."""
     rng = SystemRandom()
-    for _ in range(_MOST_TRIES):
-        port = rng.randrange(_FIRST, _LAST)
-        mark = socket(type=SOCK_DGRAM)
+    for _ in range(_MAX_ATTEMPTS):
+        port = rng.randrange(_MIN_PORT, _MAX_PORT)
+        reservation = socket(type=SOCK_DGRAM)
         try:
-            mark.bind((_HOST, port))
+            reservation.bind((_HOST, port))
             with socket() as probe:
                 probe.bind((_HOST, port))
         except OSError:
-            mark.close()
+            reservation.close()
             continue
-        _held.append(mark)
+        _reservations.append(reservation)
         return port
-    raise OSError(f"no port from {_FIRST} to {_LAST} is free")
+    raise OSError(f"no port from {_MIN_PORT} to {_MAX_PORT} is free")
--- a/src/ebonydeal/_internal/soak/processes.py
+++ b/src/ebonydeal/_internal/soak/processes.py
@@ -1,4 +1,4 @@
-"""Relays of a soak as processes of their own; each is ended by its id."""
+"""Relays of a soak as separate processes; each is stopped by its process id."""
 
 import asyncio
 import os
@@ -13,42 +13,42 @@
 from ebonydeal._internal.soak.ports import reserve_port
 from ebonydeal._internal.soak.proxy import Proxy
 
-_KILL_AFTER_S = 12.0
-# A start takes a second, on a busy machine several; while the store is away a relay
-# isn't ready, and isn't waited for any longer.
-_READY_AFTER_S = 10.0
-_LOOK_S = 0.1
+_TERMINATE_TIMEOUT_S = 12.0
+# A start takes a second, or several on a busy machine. A relay isn't ready while the
+# store is unavailable, so the wait is bounded.
+_READY_TIMEOUT_S = 10.0
+_READY_POLL_INTERVAL_S = 0.1
 
 
 class RelayProcess:
-    """One relay, started again after each end.
+    """One relay, which can be restarted after its process ends.
 
     Parameters
     ----------
     name : str
-        Its node id.
+        Node id.
     folder : Path
-        Where its settings and its log lie.
+        Folder of its settings file and log.
     store : Proxy
-        Its own way to the platform.
-    terms : dict
-        Settings of ``[relay]`` beside its addresses.
+        Its connection to the platform.
+    relay_settings : dict
+        Settings of section ``[relay]`` besides the addresses.
     """
 
     def __init__(
-        self, name: str, folder: Path, store: Proxy, terms: dict[str, str]
+        self, name: str, folder: Path, store: Proxy, relay_settings: dict[str, str]
     ) -> None:
         self.name = name
         self.store = store
         self.address = f"127.0.0.1:{reserve_port()}"
         self.peer_address = f"127.0.0.1:{reserve_port()}"
         self._ready_address = f"127.0.0.1:{reserve_port()}"
-        self._terms = terms
-        self._settings = folder / f"{name}.ini"
-        self._log = folder / f"{name}.log"
+        self._relay_settings = relay_settings
+        self._settings_path = folder / f"{name}.ini"
+        self._log_path = folder / f"{name}.log"
         self._process: asyncio.subprocess.Process | None = None
-        # Faults that overlap must not start two processes of one relay.
-        self.turn = asyncio.Lock()
+        # Overlapping faults must not start two processes of one relay.
+        self.lock = asyncio.Lock()
 
     def write_settings(self, seeds: list[str]) -> None:
         """Write the settings file."""
@@ -61,65 +61,65 @@
             "address": self.address,
             "ready_address": self._ready_address,
             "peer_address": self.peer_address,
-            **self._terms,
+            **self._relay_settings,
         }
-        with self._settings.open("w", encoding="utf-8") as out:
+        with self._settings_path.open("w", encoding="utf-8") as out:
             file.write(out)
 
     @property
     def pid(self) -> int:
-        """Process id; 0 while it is down."""
+        """Process id, or 0 if no process runs."""
         process = self._process
         return 0 if process is None or process.returncode is not None else process.pid
 
     async def start(self) -> None:
-        """Start the process; one that is up stays as it is."""
+        """Start the process unless it runs already."""
         if self.pid:
             return
-        with self._log.open("ab") as log:
+        with self._log_path.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "ebonydeal._internal.cli.relay",
                 "--settings",
-                str(self._settings),
+                str(self._settings_path),
                 stdout=log,
                 stderr=log,
             )
 
-    async def serving(self) -> None:
-        """Wait until the process is ready to serve, or for long enough."""
+    async def wait_ready(self) -> None:
+        """Wait until the process is ready, but no longer than the timeout."""
         url = f"http://{self._ready_address}/"
         async with ClientSession(timeout=ClientTimeout(total=1.0)) as http:
             with suppress(TimeoutError):
-                async with asyncio.timeout(_READY_AFTER_S):
+                async with asyncio.timeout(_READY_TIMEOUT_S):
                     while not await _is_ready(http, url):
-                        await asyncio.sleep(_LOOK_S)
+                        await asyncio.sleep(_READY_POLL_INTERVAL_S)
 
-    def send(self, sign: signal.Signals) -> None:
-        """Send a signal to the process, if it is up."""
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it runs."""
         if self.pid:
-            os.kill(self.pid, sign)
+            os.kill(self.pid, signal_number)
 
-    async def ended(self) -> None:
-        """Wait for its end, and kill it if that doesn't come."""
+    async def wait_ended(self) -> None:
+        """Wait until the process ends; kill it after a timeout."""
         if self._process is None:
             return
         try:
-            await asyncio.wait_for(self._process.wait(), _KILL_AFTER_S)
+            await asyncio.wait_for(self._process.wait(), _TERMINATE_TIMEOUT_S)
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             await self._process.wait()
 
     async def stop(self) -> None:
-        """End it for good."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
-        await self.ended()
+        """Kill the process."""
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
+        await self.wait_ended()
 
 
 async def _is_ready(http: ClientSession, url: str) -> bool:
-    """Return whether a relay says that it is ready."""
+    """Return whether a relay reports that it is ready."""
     try:
         async with http.get(url) as resp:
             return resp.status == 200
--- a/src/ebonydeal/_internal/soak/proxy.py
+++ b/src/ebonydeal/_internal/soak/proxy.py
@@ -1,39 +1,39 @@
-"""A loopback TCP proxy that harms what passes through it."""
+"""A loopback TCP proxy that injects faults into its connections."""
 
 import asyncio
 from enum import StrEnum
 
-_SLICE = 65536
+_MAX_CHUNK_BYTES = 65536
 
 
-class Harm(StrEnum):
-    """What a proxy does to its connections."""
+class LinkFault(StrEnum):
+    """Faults that a proxy injects."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
     SILENT = "silent"
-    NO_ANSWERS = "no answers"
+    NO_RESPONSES = "no answers"
 
 
 class Proxy:
-    """Passes connections on to one address, harmed as ``harm`` says.
+    """Forwards connections to one address with the fault that is set.
 
     Parameters
     ----------
     target : str
         ``host:port``.
     delay : float
-        Seconds for which `Harm.DELAY` holds each piece back.
+        Seconds by which `LinkFault.DELAY` delays each chunk.
     """
 
     def __init__(self, target: str, delay: float = 0.15) -> None:
         self._host, _sep, port = target.rpartition(":")
         self._port = int(port)
         self._delay = delay
-        self._harm = Harm.NONE
-        self._calm = asyncio.Event()
-        self._calm.set()
+        self._fault = LinkFault.NONE
+        self._not_stalled = asyncio.Event()
+        self._not_stalled.set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self.address = ""
@@ -45,50 +45,52 @@
         self.address = f"127.0.0.1:{port}"
         return self
 
-    def harm(self, harm: Harm) -> None:
-        """Harm connections, those that are open and new ones, from now on."""
-        self._harm = harm
-        if harm in (Harm.SILENT, Harm.NO_ANSWERS):
-            self._calm.clear()
+    def set_fault(self, fault: LinkFault) -> None:
+        """Set the fault of open and new connections."""
+        self._fault = fault
+        if fault in (LinkFault.SILENT, LinkFault.NO_RESPONSES):
+            self._not_stalled.clear()
         else:
-            self._calm.set()
-        if harm is Harm.RESET:
+            self._not_stalled.set()
+        if fault is LinkFault.RESET:
             for writer in list(self._writers):
                 writer.transport.abort()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._harm is Harm.RESET:
+        if self._fault is LinkFault.RESET:
             writer.transport.abort()
             return
         try:
-            back, there = await asyncio.open_connection(self._host, self._port)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                self._host, self._port
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, there}
+        self._writers |= {writer, upstream_writer}
         try:
             await asyncio.gather(
-                self._pass(reader, there, answers=False),
-                self._pass(back, writer, answers=True),
+                self._forward(reader, upstream_writer, is_answer=False),
+                self._forward(upstream_reader, writer, is_answer=True),
             )
         finally:
-            self._writers -= {writer, there}
+            self._writers -= {writer, upstream_writer}
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answers: bool,
+        is_answer: bool,
     ) -> None:
-        """Pass one direction on; its end, or a reset, ends the connection."""
+        """Forward one direction; close the connection at its end or a reset."""
         try:
-            while data := await reader.read(_SLICE):
-                if self._harm is Harm.DELAY:
+            while data := await reader.read(_MAX_CHUNK_BYTES):
+                if self._fault is LinkFault.DELAY:
                     await asyncio.sleep(self._delay)
-                if answers or self._harm is not Harm.NO_ANSWERS:
-                    await self._calm.wait()
+                if is_answer or self._fault is not LinkFault.NO_RESPONSES:
+                    await self._not_stalled.wait()
                 writer.write(data)
                 await writer.drain()
             writer.close()
@@ -96,8 +98,8 @@
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Close everything."""
-        self._calm.set()
+        """Close the listener and all connections."""
+        self._not_stalled.set()
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
--- a/src/ebonydeal/_internal/soak/records.py
+++ b/src/ebonydeal/_internal/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, endpoints and the platform saw in one soak."""
+"""What clients, endpoints and the platform observed in one soak."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -8,30 +8,30 @@
 
 
 class Kind(StrEnum):
-    """Kinds of requests; the value is the prefix of their route."""
+    """Kinds of requests; the value is their route's prefix."""
 
-    SAFE = "/safe/"
-    ONCE = "/once/"
-    LIVE = "/live/"
-    AGAIN = "/again/"
+    IDEMPOTENT = "/safe/"
+    AT_MOST_ONCE = "/once/"
+    STREAM = "/live/"
+    RESUMABLE_STREAM = "/again/"
     PROBE = "/probe/"
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a stream of events."""
-        return self in (Kind.LIVE, Kind.AGAIN)
+        """Whether the response is a stream of events."""
+        return self in (Kind.STREAM, Kind.RESUMABLE_STREAM)
 
     @property
     def runs_once(self) -> bool:
-        """Whether it may run once at most."""
-        return self in (Kind.ONCE, Kind.LIVE)
+        """Whether the request may run at most once."""
+        return self in (Kind.AT_MOST_ONCE, Kind.STREAM)
 
 
 class Run(NamedTuple):
-    """A request that an endpoint began to run.
+    """A request that an endpoint started to run.
 
-    ``relay`` sent it; ``carried`` says that it goes on with a run's memory;
-    ``version`` is the endpoint's.
+    ``relay`` sent it; ``migrated`` means that it continues from the KV cache of an
+    earlier run; ``version`` is the endpoint's software version.
     """
 
     request_id: str
@@ -39,17 +39,17 @@
     relay: str
     account: str
     at: float
-    wall: float
-    carried: bool
+    wall_time: float
+    migrated: bool
     version: str = ""
 
 
-class Seen(NamedTuple):
-    """What a client got for one request.
+class ClientResult(NamedTuple):
+    """A client's result of one request.
 
-    ``status`` is 0 where no answer began; ``whole`` says that the answer looked
-    complete. ``numbers`` are the ids of a stream's events. ``pid`` is the process
-    that answered, and ``version`` the configuration that a probe asked for.
+    ``status`` is 0 if no response started; ``complete`` means that the response ended
+    without a connection error. ``event_ids`` are the ids of a stream's events. ``pid``
+    is the relay's process, and ``version`` the configuration whose route a probe used.
     """
 
     request_id: str
@@ -59,28 +59,28 @@
     sent: float
     ended: float
     status: int
-    whole: bool
-    body_id: str = ""
-    numbers: tuple[int, ...] = ()
+    complete: bool
+    body_request_id: str = ""
+    event_ids: tuple[int, ...] = ()
     version: int = 0
 
 
-class Leave(NamedTuple):
-    """An endpoint's word that it leaves, as the store took it."""
+class ListedLeaving(NamedTuple):
+    """The time at which the store listed an endpoint as leaving."""
 
     endpoint: str
     at: float
 
 
-class Publish(NamedTuple):
-    """A configuration, as the store took it."""
+class PublishedConfig(NamedTuple):
+    """A configuration and the time at which the store accepted it."""
 
     version: int
     at: float
 
 
 class FatalRun(NamedTuple):
-    """A request that reached an endpoint and crashed it; ``body`` tells which."""
+    """A request that crashed the endpoint it reached; ``body`` identifies it."""
 
     body: str
     endpoint: str
@@ -88,24 +88,24 @@
     at: float
 
 
-class Rollout(NamedTuple):
-    """A roll-out as it was ordered: its version, whether that is bad, and times."""
+class OrderedRollout(NamedTuple):
+    """A roll-out order; ``faulty`` means that the target version is defective."""
 
-    to: str
-    bad: bool
+    target_version: str
+    faulty: bool
     at: float
-    until: float
+    deadline: float
 
 
-class Status(NamedTuple):
-    """What the system told operators of a roll-out."""
+class RolloutStatus(NamedTuple):
+    """A roll-out's status as the system published it for operators."""
 
-    to: str
+    target_version: str
     phase: Phase
     at: float
 
 
-class Report(NamedTuple):
+class UsageReport(NamedTuple):
     """A usage report that the platform accepted."""
 
     window: int
@@ -114,8 +114,8 @@
     fence: int
 
 
-class Arrived(NamedTuple):
-    """A request that reached an endpoint from a relay, whether it ran or not."""
+class Arrival(NamedTuple):
+    """A request that reached an endpoint, whether or not it ran."""
 
     endpoint: str
     relay: str
@@ -123,10 +123,10 @@
     at: float
 
 
-class Told(NamedTuple):
-    """What an endpoint said of itself in an answer to a relay.
+class Announcement(NamedTuple):
+    """What an endpoint announced to a relay in the headers of a response.
 
-    ``limit`` is in requests a second, None for none; ``rest`` in seconds, 0 for none.
+    ``limit`` is in requests per second, or None; ``backoff_s`` is 0 if none is asked.
     """
 
     endpoint: str
@@ -134,11 +134,11 @@
     at: float
     limit: float | None
     leaving: bool
-    rest: float
+    backoff_s: float
 
 
-class Trouble(NamedTuple):
-    """A time in which something was harmed; ``relay`` is empty for all of them."""
+class FaultPeriod(NamedTuple):
+    """The duration of an injected fault; an empty ``relay`` stands for all relays."""
 
     kind: str
     relay: str
@@ -148,25 +148,25 @@
 
 @dataclass
 class Log:
-    """Everything that was seen; times are monotonic seconds of one clock.
+    """All observations of a soak; times are seconds of one monotonic clock.
 
-    ``tokens`` is what each request counts of a limit in tokens.
+    ``tokens`` is the number of tokens that each request counts against a token limit.
     """
 
     tokens: dict[str, int] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
-    seen: list[Seen] = field(default_factory=list)
-    leaves: list[Leave] = field(default_factory=list)
-    published: list[Publish] = field(default_factory=list)
-    reports: list[Report] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
-    fatal: list[FatalRun] = field(default_factory=list)
-    rollouts: list[Rollout] = field(default_factory=list)
-    statuses: list[Status] = field(default_factory=list)
-    arrived: list[Arrived] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
+    results: list[ClientResult] = field(default_factory=list)
+    listed_leaving: list[ListedLeaving] = field(default_factory=list)
+    published_configs: list[PublishedConfig] = field(default_factory=list)
+    usage_reports: list[UsageReport] = field(default_factory=list)
+    fault_periods: list[FaultPeriod] = field(default_factory=list)
+    fatal_runs: list[FatalRun] = field(default_factory=list)
+    rollouts: list[OrderedRollout] = field(default_factory=list)
+    rollout_statuses: list[RolloutStatus] = field(default_factory=list)
+    arrivals: list[Arrival] = field(default_factory=list)
+    announcements: list[Announcement] = field(default_factory=list)
 
 
 def event_count(request_id: str) -> int:
-    """Return how many events the stream of a request has."""
+    """Return the number of events in a request's stream."""
     return 5 + int(request_id[-2:], 16) % 100
--- a/src/ebonydeal/_internal/soak/regressions.py
+++ b/src/ebonydeal/_internal/soak/regressions.py
@@ -1,7 +1,7 @@
-"""Seeds that once broke a promise, each with its cause; played again at every change.
+"""Seeds that once violated a guarantee, each with its cause; run at every change.
 
-Processes run on the machine's own time, so a seed plays alike but never exactly the
-same; the test that is named with it shows the cause alone, each time.
+Processes run in real time, so two runs of a seed are similar but never identical. The
+test named with a seed reproduces the cause alone and reliably.
 """
 
 REGRESSIONS: dict[int, str] = {
--- a/src/ebonydeal/_internal/soak/run.py
+++ b/src/ebonydeal/_internal/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: starts everything, plays a plan, and checks what was seen."""
+"""One soak: starts the system, injects the planned faults, checks the observations."""
 
 import asyncio
 import signal
@@ -27,72 +27,78 @@
 )
 from ebonydeal._internal.soak.checks import check_all
 from ebonydeal._internal.soak.clients import HOST, Client
-from ebonydeal._internal.soak.endpoints import FATAL, SERVICE, Bad, PlayEndpoint
+from ebonydeal._internal.soak.endpoints import (
+    FATAL_PREFIX,
+    SERVICE,
+    SoakEndpoint,
+    VersionDefect,
+)
+from ebonydeal._internal.soak.guarantees import Guarantees, Limit, Violation
 from ebonydeal._internal.soak.plan import Fault, Step, make_plan
 from ebonydeal._internal.soak.plants import PLANTS
-from ebonydeal._internal.soak.platform import PlayPlatform
+from ebonydeal._internal.soak.platform import SoakPlatform
 from ebonydeal._internal.soak.processes import RelayProcess
-from ebonydeal._internal.soak.proxy import Harm, Proxy
+from ebonydeal._internal.soak.proxy import LinkFault, Proxy
 from ebonydeal._internal.soak.records import (
+    FaultPeriod,
     Kind,
-    Leave,
+    ListedLeaving,
     Log,
-    Publish,
-    Rollout,
-    Trouble,
+    OrderedRollout,
+    PublishedConfig,
 )
-from ebonydeal._internal.soak.terms import Limit, Terms, Violation
 
-_DRAIN_S = 2.0
-_NOTICE_S = 2.5
+_DRAIN_TIMEOUT_S = 2.0
+_LEAVE_NOTICE_S = 2.5
 _QUOTA_WINDOW_S = 2.0
-_LIMIT = AccountSpec("small", "key-small", rate=8.0, burst=8.0)
-_TOKENS = AccountSpec("tokens", "key-tokens", 1500.0, 1500.0, True, 50)
-# Clients of each limited account, which ask for several times its limit.
-_PRESSING = 6
-_OPEN = AccountSpec("large", "key-large")
-_OVERSHOOT = 0.1
-TERMS = Terms(
-    drain=_DRAIN_S,
-    apply=2.0,
-    usage_window=2.0,
-    quota_window=_QUOTA_WINDOW_S,
+_REQUEST_LIMITED = AccountSpec("small", "key-small", rate=8.0, burst=8.0)
+_TOKEN_LIMITED = AccountSpec("tokens", "key-tokens", 1500.0, 1500.0, True, 50)
+# They send several times their account's limit.
+_CLIENTS_PER_LIMITED_ACCOUNT = 6
+_UNLIMITED = AccountSpec("large", "key-large")
+_QUOTA_OVERSHOOT = 0.1
+GUARANTEES = Guarantees(
+    drain_s=_DRAIN_TIMEOUT_S,
+    apply_s=2.0,
+    usage_window_s=2.0,
+    quota_window_s=_QUOTA_WINDOW_S,
     limits=tuple(
         Limit(
             account.name,
-            (account.rate * _QUOTA_WINDOW_S + account.burst) * (1.0 + _OVERSHOOT),
+            (account.rate * _QUOTA_WINDOW_S + account.burst) * (1.0 + _QUOTA_OVERSHOOT),
             account.in_tokens,
         )
-        for account in (_LIMIT, _TOKENS)
+        for account in (_REQUEST_LIMITED, _TOKEN_LIMITED)
     ),
 )
-_RELAY_TERMS = {
+_RELAY_SETTINGS = {
     "grace_s": "6",
     "settle_s": "1",
-    "drain_ms": str(_DRAIN_S * 1000.0),
+    "drain_ms": str(_DRAIN_TIMEOUT_S * 1000.0),
     "quota_window_s": str(_QUOTA_WINDOW_S),
-    "quota_overshoot": str(_OVERSHOOT),
+    "quota_overshoot": str(_QUOTA_OVERSHOOT),
     "quota_slack": "0",
     "usage_window_s": "2",
     "usage_late_s": "6",
 }
-_READY_S = 20.0
-_PROBE_S = 0.25
+_READY_TIMEOUT_S = 20.0
+_PROBE_INTERVAL_S = 0.25
 _KNOWN_VERSIONS = 3
-# A request that crashes endpoints comes four times a second; these are back after 2 s.
-_REPEAT_S = 0.25
-_BACK_S = 2.0
-# New endpoints come so long after the order; a verdict may come so late.
-_BOOT_S = 0.4
-_VERDICT_S = 3.0
-# What endpoints may say: limits, requests a second, and rests, seconds.
-_LIMITS = (0.0, 0.3, 1.0, 1.4, 2.0)
-_RESTS_S = (1.0, 2.0, 3.0)
-_FATAL_KINDS = (Kind.SAFE, Kind.AGAIN, Kind.LIVE, Kind.ONCE)
+# A crashing request is sent four times a second; endpoints restart after 2 s.
+_FATAL_INTERVAL_S = 0.25
+_RESTART_DELAY_S = 2.0
+# Time from a roll-out's order to its new endpoints, and from its deadline until a
+# missing verdict counts as a rollback.
+_BOOT_DELAY_S = 0.4
+_VERDICT_TIMEOUT_S = 3.0
+# What endpoints announce: limits in requests per second, and backoffs.
+_ANNOUNCED_LIMITS = (0.0, 0.3, 1.0, 1.4, 2.0)
+_BACKOFFS_S = (1.0, 2.0, 3.0)
+_FATAL_KINDS = (Kind.IDEMPOTENT, Kind.RESUMABLE_STREAM, Kind.STREAM, Kind.AT_MOST_ONCE)
 
 
 class Size(NamedTuple):
-    """How large a soak is."""
+    """The size of a soak."""
 
     relays: int = 3
     endpoints: int = 4
@@ -101,7 +107,7 @@
 
 
 class Verdict(NamedTuple):
-    """What came of one seed."""
+    """The result of one seed; ``moved`` counts migrated runs."""
 
     seed: int
     requests: int
@@ -112,7 +118,7 @@
 
 
 class _Soak:
-    """Everything that one soak runs."""
+    """The system of one soak: platform, relays, endpoints and clients."""
 
     def __init__(self, seed: int, size: Size, folder: Path) -> None:
         self.log = Log()
@@ -120,34 +126,34 @@
         self._size = size
         self._folder = folder
         self._rng = Random(seed)
-        self._platform = PlayPlatform(self.log, Random(seed + 1))
-        self._memory: dict[str, str] = {}
+        self._platform = SoakPlatform(self.log, Random(seed + 1))
+        self._kv_caches: dict[str, str] = {}
         self._relays: list[RelayProcess] = []
-        self._endpoints: list[PlayEndpoint] = []
-        self._named = 0
-        self._comings: set[asyncio.Future[None]] = set()
+        self._endpoints: list[SoakEndpoint] = []
+        self._endpoint_count = 0
+        self._replacements: set[asyncio.Future[None]] = set()
         self._version = 0
-        # The version of the service's endpoints.
-        self._runs = "v1"
+        # Software version of the service's endpoints.
+        self._service_version = "v1"
 
-    async def play(self) -> None:
-        """Start, play the plan under load, and end all processes."""
+    async def run(self) -> None:
+        """Start the system, inject faults under load, and end all processes."""
         async with AsyncExitStack() as stack:
             await self._start(stack)
             client = Client(self.log, self._relays, Random(self._seed + 2))
             stack.push_async_callback(client.close)
-            await self._until_served(client)
-            self.log.seen.clear()
+            await self._wait_served(client)
+            self.log.results.clear()
             self.log.runs.clear()
-            begun = time.monotonic()
+            start = time.monotonic()
             tasks = self._load(client)
             steps = [
-                asyncio.create_task(self._at(begun + step.at, step))
+                asyncio.create_task(self._inject_at(start + step.at, step))
                 for step in make_plan(self._seed, self._size.seconds)
             ]
             await asyncio.sleep(self._size.seconds)
             await asyncio.gather(*steps)
-            await asyncio.gather(*self._comings)
+            await asyncio.gather(*self._replacements)
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -162,80 +168,92 @@
         for number in range(self._size.relays):
             proxy = await Proxy(self._platform.address).start()
             stack.push_async_callback(proxy.stop)
-            relay = RelayProcess(f"n{number}", self._folder, proxy, _RELAY_TERMS)
+            relay = RelayProcess(f"n{number}", self._folder, proxy, _RELAY_SETTINGS)
             self._relays.append(relay)
         for relay in self._relays:
             relay.write_settings([r.peer_address for r in self._relays])
             await relay.start()
             stack.push_async_callback(relay.stop)
 
-    async def _until_served(self, client: Client) -> None:
+    async def _wait_served(self, client: Client) -> None:
         """Wait until every relay serves."""
-        end = time.monotonic() + _READY_S
+        end = time.monotonic() + _READY_TIMEOUT_S
         for relay in self._relays:
             while time.monotonic() < end:
-                await client.ask(Kind.SAFE, relay, _OPEN)
-                if self.log.seen[-1].status == 200:
+                await client.send(Kind.IDEMPOTENT, relay, _UNLIMITED)
+                if self.log.results[-1].status == 200:
                     break
                 await asyncio.sleep(0.1)
             else:
                 raise TimeoutError(f"{relay.name} doesn't serve")
 
     def _load(self, client: Client) -> list[asyncio.Task[None]]:
-        """Start clients and probes."""
-        plays = [client.play(_OPEN, 0.05) for _ in range(self._size.clients)]
-        for account in (_LIMIT, _TOKENS):
-            plays += [client.play(account, 0.05) for _ in range(_PRESSING)]
-        plays += [self._probe(client, relay) for relay in self._relays]
-        return [asyncio.create_task(play) for play in plays]
+        """Start the clients and probes."""
+        loads = [client.run(_UNLIMITED, 0.05) for _ in range(self._size.clients)]
+        for account in (_REQUEST_LIMITED, _TOKEN_LIMITED):
+            loads += [
+                client.run(account, 0.05) for _ in range(_CLIENTS_PER_LIMITED_ACCOUNT)
+            ]
+        loads += [self._probe(client, relay) for relay in self._relays]
+        return [asyncio.create_task(load) for load in loads]
 
     async def _probe(self, client: Client, relay: RelayProcess) -> None:
         while True:
             versions = range(max(1, self._version - 1), self._version + 1)
             for version in versions:
-                await client.probe(relay, _OPEN.key, version)
-            await asyncio.sleep(_PROBE_S)
+                await client.probe(relay, _UNLIMITED.key, version)
+            await asyncio.sleep(_PROBE_INTERVAL_S)
 
     # --- the operator and the endpoints --------------------------------------
     async def _publish(self) -> None:
-        """Put the next configuration in force."""
+        """Publish the next configuration."""
         version = self._version + 1
         routes = [
-            RouteSpec(Kind.SAFE.value, Repeat.IDEMPOTENT),
-            RouteSpec(Kind.ONCE.value, Repeat.ONCE),
-            RouteSpec(Kind.LIVE.value, Repeat.STREAM),
-            RouteSpec(Kind.AGAIN.value, Repeat.STREAM, resumable=True),
+            RouteSpec(Kind.IDEMPOTENT.value, Repeat.IDEMPOTENT),
+            RouteSpec(Kind.AT_MOST_ONCE.value, Repeat.ONCE),
+            RouteSpec(Kind.STREAM.value, Repeat.STREAM),
+            RouteSpec(Kind.RESUMABLE_STREAM.value, Repeat.STREAM, resumable=True),
             RouteSpec(f"{Kind.PROBE.value}{version}/", Repeat.IDEMPOTENT),
         ]
         document = config_document(
-            version, HOST, SERVICE, routes, [_LIMIT, _TOKENS, _OPEN]
+            version,
+            HOST,
+            SERVICE,
+            routes,
+            [_REQUEST_LIMITED, _TOKEN_LIMITED, _UNLIMITED],
         )
-        at = await self._platform.put(CONFIG_TABLE, CONFIG_KEY, document)
-        self.log.published.append(Publish(version, at))
+        at = await self._platform.write(CONFIG_TABLE, CONFIG_KEY, document)
+        self.log.published_configs.append(PublishedConfig(version, at))
         self._version = version
 
-    async def _add_endpoint(self, bad: Bad = Bad.NO, version: str = "") -> None:
-        self._named += 1
-        endpoint = PlayEndpoint(
-            f"e{self._named}", self.log, self._memory, version or self._runs, bad
+    async def _add_endpoint(
+        self, defect: VersionDefect = VersionDefect.NONE, version: str = ""
+    ) -> None:
+        self._endpoint_count += 1
+        endpoint = SoakEndpoint(
+            f"e{self._endpoint_count}",
+            self.log,
+            self._kv_caches,
+            version or self._service_version,
+            defect,
         )
-        endpoint.on_crash = self._fell
+        endpoint.on_crash = self._on_crash
         await endpoint.start()
         self._endpoints.append(endpoint)
         document = member_document(endpoint.member())
-        await self._platform.put(MEMBERS_TABLE, endpoint.name, document)
+        await self._platform.write(MEMBERS_TABLE, endpoint.name, document)
 
     async def _stop_endpoints(self) -> None:
         for endpoint in self._endpoints:
             await endpoint.stop()
 
     # --- faults ----------------------------------------------------------------
-    async def _at(self, when: float, step: Step) -> None:
+    async def _inject_at(self, when: float, step: Step) -> None:
         await asyncio.sleep(max(0.0, when - time.monotonic()))
-        await self._do(step)
+        await self._inject(step)
 
-    async def _do(self, step: Step) -> None:
-        """Carry out one fault, to its end."""
+    async def _inject(self, step: Step) -> None:
+        """Inject one fault and wait until it ends."""
         relay = self._relays[step.which % len(self._relays)]
         match step.fault:
             case Fault.KILL:
@@ -244,28 +262,28 @@
                 await self._stop(relay, step)
             case Fault.PAUSE:
                 await self._pause(relay, step)
-            case Fault.HANG_UP:
-                async with self._trouble("hang up", relay.name):
-                    relay.send(signal.SIGHUP)
-            case Fault.STORE_AWAY:
-                async with self._trouble("store", ""):
-                    self._platform.away = True
+            case Fault.RELOAD:
+                async with self._record_fault("hang up", relay.name):
+                    relay.send_signal(signal.SIGHUP)
+            case Fault.STORE_UNAVAILABLE:
+                async with self._record_fault("store", ""):
+                    self._platform.unavailable = True
                     await asyncio.sleep(step.seconds)
-                    self._platform.away = False
-            case Fault.STORE_LOSES:
-                async with self._trouble("store", ""):
-                    self._platform.lose = 0.5
+                    self._platform.unavailable = False
+            case Fault.STORE_LOSES_ANSWERS:
+                async with self._record_fault("store", ""):
+                    self._platform.lost_answer_share = 0.5
                     await asyncio.sleep(step.seconds)
-                    self._platform.lose = 0.0
+                    self._platform.lost_answer_share = 0.0
             case Fault.STORE_CUT:
-                await self._harm(relay.store, relay.name, step)
-            case Fault.ENDPOINT_HARMED:
+                await self._break_link(relay.store, relay.name, step)
+            case Fault.ENDPOINT_LINK_FAULT:
                 if self._endpoints:
-                    await self._harm(self._pick(step).proxy, "", step)
+                    await self._break_link(self._pick(step).proxy, "", step)
             case Fault.ENDPOINT_LEAVES:
-                await self._leave(step)
+                await self._retire_endpoint(step)
             case Fault.ENDPOINT_CRASHES:
-                await self._crash(step)
+                await self._crash_endpoint(step)
             case Fault.CONFIG:
                 await self._publish()
             case Fault.FATAL_REQUEST:
@@ -273,174 +291,189 @@
             case Fault.SUSPENSION:
                 await self._pause(relay, step)
             case Fault.ROLLOUT:
-                await self._roll_out(step)
-            case Fault.HERD_KILL:
+                await self._run_rollout(step)
+            case Fault.MASS_KILL:
                 await self._kill_many(step)
-            case Fault.NAMES_LIMIT | Fault.SAYS_LEAVING | Fault.ASKS_FOR_REST:
-                await self._say(step)
+            case (
+                Fault.ANNOUNCES_LIMIT | Fault.ANNOUNCES_LEAVING | Fault.REQUESTS_BACKOFF
+            ):
+                await self._announce(step)
 
     @asynccontextmanager
-    async def _trouble(self, kind: str, relay: str) -> AsyncIterator[None]:
-        """Note a trouble from its begin to its end."""
+    async def _record_fault(self, kind: str, relay: str) -> AsyncIterator[None]:
+        """Record the period of a fault."""
         begin = time.monotonic()
         try:
             yield
         finally:
             end = time.monotonic()
-            self.log.troubles.append(Trouble(kind, relay, begin, end))
+            self.log.fault_periods.append(FaultPeriod(kind, relay, begin, end))
 
     async def _kill(self, relay: RelayProcess, step: Step) -> None:
-        async with relay.turn, self._trouble("kill", relay.name):
-            relay.send(signal.SIGKILL)
-            await relay.ended()
+        async with relay.lock, self._record_fault("kill", relay.name):
+            relay.send_signal(signal.SIGKILL)
+            await relay.wait_ended()
             await asyncio.sleep(step.seconds / 2.0)
-            await self._start_again(relay)
+            await self._restart(relay)
 
     async def _kill_many(self, step: Step) -> None:
-        """Kill all relays at the same moment, or every second one."""
+        """Kill all relays, or every second one, concurrently."""
         relays = self._relays[:: 1 + step.which % 2]
         await asyncio.gather(*(self._kill(relay, step) for relay in relays))
 
     async def _stop(self, relay: RelayProcess, _step: Step) -> None:
-        async with relay.turn:
-            async with self._trouble("stop", relay.name):
-                relay.send(signal.SIGTERM)
-                await relay.ended()
-            async with self._trouble("start", relay.name):
-                await self._start_again(relay)
+        async with relay.lock:
+            async with self._record_fault("stop", relay.name):
+                relay.send_signal(signal.SIGTERM)
+                await relay.wait_ended()
+            async with self._record_fault("start", relay.name):
+                await self._restart(relay)
 
-    async def _start_again(self, relay: RelayProcess) -> None:
-        """Start a relay, and let it hear the others.
+    async def _restart(self, relay: RelayProcess) -> None:
+        """Start a relay and let it synchronise with the others.
 
-        It serves as soon as it is ready, before it was told what they know.
+        A relay serves as soon as it is ready, before it has the others' state.
         """
         await relay.start()
-        await relay.serving()
+        await relay.wait_ready()
         await asyncio.sleep(1.0)
 
     async def _pause(self, relay: RelayProcess, step: Step) -> None:
-        async with relay.turn, self._trouble("pause", relay.name):
-            relay.send(signal.SIGSTOP)
+        async with relay.lock, self._record_fault("pause", relay.name):
+            relay.send_signal(signal.SIGSTOP)
             await asyncio.sleep(step.seconds)
-            relay.send(signal.SIGCONT)
+            relay.send_signal(signal.SIGCONT)
 
-    async def _harm(self, proxy: Proxy, relay: str, step: Step) -> None:
-        harms = [harm for harm in Harm if harm is not Harm.NONE]
-        async with self._trouble("link", relay):
-            proxy.harm(harms[step.which % len(harms)])
+    async def _break_link(self, proxy: Proxy, relay: str, step: Step) -> None:
+        faults = [fault for fault in LinkFault if fault is not LinkFault.NONE]
+        async with self._record_fault("link", relay):
+            proxy.set_fault(faults[step.which % len(faults)])
             await asyncio.sleep(step.seconds)
-            proxy.harm(Harm.NONE)
+            proxy.set_fault(LinkFault.NONE)
 
-    async def _leave(self, step: Step) -> None:
-        """Let an endpoint leave with notice, after another has come."""
+    async def _retire_endpoint(self, step: Step) -> None:
+        """Add a new endpoint, then let another one leave with notice."""
         if not self._endpoints:
             return
         endpoint = self._pick(step)
         self._endpoints.remove(endpoint)
         await self._add_endpoint()
-        endpoint.leaves(_NOTICE_S)
+        endpoint.set_leave_time(_LEAVE_NOTICE_S)
         document = member_document(endpoint.member(leaving=True))
-        at = await self._platform.put(MEMBERS_TABLE, endpoint.name, document)
-        self.log.leaves.append(Leave(endpoint.name, at))
-        await asyncio.sleep(_NOTICE_S)
+        at = await self._platform.write(MEMBERS_TABLE, endpoint.name, document)
+        self.log.listed_leaving.append(ListedLeaving(endpoint.name, at))
+        await asyncio.sleep(_LEAVE_NOTICE_S)
         await endpoint.stop()
-        await self._platform.put(MEMBERS_TABLE, endpoint.name, None)
+        await self._platform.write(MEMBERS_TABLE, endpoint.name, None)
 
-    async def _say(self, step: Step) -> None:
-        """Let an endpoint say something of itself in its answers for a while.
+    async def _announce(self, step: Step) -> None:
+        """Let an endpoint announce something in its responses for some time.
 
-        One that leaves goes on in the list as ready until it is gone.
+        One that announces leaving stays listed as ready until it is gone.
         """
         if not self._endpoints:
             return
         endpoint = self._pick(step)
         match step.fault:
-            case Fault.NAMES_LIMIT:
-                endpoint.limit = _LIMITS[step.which % len(_LIMITS)]
+            case Fault.ANNOUNCES_LIMIT:
+                endpoint.limit = _ANNOUNCED_LIMITS[step.which % len(_ANNOUNCED_LIMITS)]
                 await asyncio.sleep(step.seconds)
                 endpoint.limit = None
-            case Fault.ASKS_FOR_REST:
-                endpoint.rest = _RESTS_S[step.which % len(_RESTS_S)]
+            case Fault.REQUESTS_BACKOFF:
+                endpoint.backoff_s = _BACKOFFS_S[step.which % len(_BACKOFFS_S)]
                 await asyncio.sleep(step.seconds)
-                endpoint.rest = 0.0
-            case Fault.SAYS_LEAVING:
-                endpoint.said_leaving = True
+                endpoint.backoff_s = 0.0
+            case Fault.ANNOUNCES_LEAVING:
+                endpoint.announces_leaving = True
                 self._endpoints.remove(endpoint)
-                await self._add_endpoint(version=endpoint.version, bad=endpoint.bad)
+                await self._add_endpoint(
+                    version=endpoint.version, defect=endpoint.defect
+                )
                 await asyncio.sleep(step.seconds)
                 await endpoint.stop()
-                await self._platform.put(MEMBERS_TABLE, endpoint.name, None)
+                await self._platform.write(MEMBERS_TABLE, endpoint.name, None)
 
-    async def _crash(self, step: Step) -> None:
-        """Let an endpoint crash; its entry goes later."""
+    async def _crash_endpoint(self, step: Step) -> None:
+        """Let an endpoint crash; its entry is removed later."""
         if not self._endpoints:
             return
         endpoint = self._pick(step)
         self._endpoints.remove(endpoint)
-        async with self._trouble("crash", ""):
+        async with self._record_fault("crash", ""):
             await endpoint.stop()
             await self._add_endpoint()
             await asyncio.sleep(step.seconds)
-            await self._platform.put(MEMBERS_TABLE, endpoint.name, None)
-
-    async def _roll_out(self, step: Step) -> None:
-        """Order a new version, good or bad, and do as the system decides."""
-        bad = list(Bad)[step.which % len(Bad)]
-        to = "v2"
-        order = RolloutOrder(SERVICE, to, step.seconds, 0)
-        at = await self._platform.put(
+            await self._platform.write(MEMBERS_TABLE, endpoint.name, None)
+
+    async def _run_rollout(self, step: Step) -> None:
+        """Roll out a new version, with or without a defect, and apply the verdict."""
+        defect = list(VersionDefect)[step.which % len(VersionDefect)]
+        target_version = "v2"
+        order = RolloutOrder(SERVICE, target_version, step.seconds, 0)
+        at = await self._platform.write(
             CONFIG_TABLE, order_key(SERVICE), order_document(order)
         )
-        rollout = Rollout(to, bad is not Bad.NO, at, at + step.seconds)
+        rollout = OrderedRollout(
+            target_version, defect is not VersionDefect.NONE, at, at + step.seconds
+        )
         self.log.rollouts.append(rollout)
-        await asyncio.sleep(_BOOT_S)
+        await asyncio.sleep(_BOOT_DELAY_S)
         for _ in range(self._size.endpoints):
-            await self._add_endpoint(bad, to)
-        phase = await self._decided(to, rollout.until + _VERDICT_S)
+            await self._add_endpoint(defect, target_version)
+        phase = await self._wait_verdict(
+            target_version, rollout.deadline + _VERDICT_TIMEOUT_S
+        )
         if phase is Phase.COMPLETED:
-            self._runs = to
-        # What isn't needed any more goes: old ones at once, new ones a little later.
+            self._service_version = target_version
+        # Remove endpoints that are no longer needed: after a completed roll-out the old
+        # ones at once, after a rollback the new ones with a delay.
         if phase is Phase.ROLLED_BACK:
-            await asyncio.sleep(_NOTICE_S)
+            await asyncio.sleep(_LEAVE_NOTICE_S)
         for endpoint in list(self._endpoints):
-            # Another fault may have taken it away while one before it was stopped.
-            if endpoint.version != self._runs and endpoint in self._endpoints:
+            # Another fault may have removed it while an earlier one was being stopped.
+            if (
+                endpoint.version != self._service_version
+                and endpoint in self._endpoints
+            ):
                 self._endpoints.remove(endpoint)
                 await endpoint.stop()
-                await self._platform.put(MEMBERS_TABLE, endpoint.name, None)
+                await self._platform.write(MEMBERS_TABLE, endpoint.name, None)
 
-    async def _decided(self, to: str, end: float) -> Phase:
-        """Wait for a roll-out's verdict; without one the new version is given up."""
+    async def _wait_verdict(self, target_version: str, end: float) -> Phase:
+        """Wait for a roll-out's verdict; without one, treat it as rolled back."""
         while time.monotonic() < end:
-            for status in self.log.statuses:
-                if status.to == to and status.phase is not Phase.RUNNING:
+            for status in self.log.rollout_statuses:
+                if (
+                    status.target_version == target_version
+                    and status.phase is not Phase.RUNNING
+                ):
                     return status.phase
             await asyncio.sleep(0.05)
         return Phase.ROLLED_BACK
 
-    def _pick(self, step: Step) -> PlayEndpoint:
-        """Return an endpoint of the version that the service runs."""
-        own = [e for e in self._endpoints if e.version == self._runs]
+    def _pick(self, step: Step) -> SoakEndpoint:
+        """Return an endpoint, of the service's current version if there is one."""
+        own = [e for e in self._endpoints if e.version == self._service_version]
         return (own or self._endpoints)[step.which % len(own or self._endpoints)]
 
-    def _fell(self, endpoint: PlayEndpoint) -> None:
-        """Bring another endpoint for one that a request crashed."""
+    def _on_crash(self, endpoint: SoakEndpoint) -> None:
+        """Start a replacement for an endpoint that a request crashed."""
         if endpoint in self._endpoints:
             self._endpoints.remove(endpoint)
-        self._comings.add(asyncio.ensure_future(self._come_back(endpoint)))
+        self._replacements.add(asyncio.ensure_future(self._replace_crashed(endpoint)))
 
-    async def _come_back(self, endpoint: PlayEndpoint) -> None:
-        async with self._trouble("crash", ""):
-            await asyncio.sleep(_BACK_S)
+    async def _replace_crashed(self, endpoint: SoakEndpoint) -> None:
+        async with self._record_fault("crash", ""):
+            await asyncio.sleep(_RESTART_DELAY_S)
             await endpoint.stop()
-            await self._add_endpoint(version=endpoint.version, bad=endpoint.bad)
-            await self._platform.put(MEMBERS_TABLE, endpoint.name, None)
+            await self._add_endpoint(version=endpoint.version, defect=endpoint.defect)
+            await self._platform.write(MEMBERS_TABLE, endpoint.name, None)
 
     async def _repeat_fatal(self, step: Step) -> None:
-        """Send a request that crashes what runs it, again and again, at any relay."""
+        """Send a request that crashes endpoints repeatedly, to random relays."""
         rng = Random(step.which)
         kind = rng.choice(_FATAL_KINDS)
-        body = FATAL + f"-{step.which}".encode()
+        body = FATAL_PREFIX + f"-{step.which}".encode()
         end = time.monotonic() + step.seconds
         async with AsyncExitStack() as stack:
             client = Client(self.log, self._relays, Random(step.which))
@@ -448,29 +481,29 @@
             while time.monotonic() < end:
                 count = rng.choice((1, 1, 2, len(self._relays)))
                 relays = rng.sample(self._relays, count)
-                asking = client.repeat(body, kind, relays, _OPEN.key)
-                task = asyncio.ensure_future(asking)
-                stack.push_async_callback(_ended, task)
-                await asyncio.sleep(_REPEAT_S)
+                sending = client.send_to_all(body, kind, relays, _UNLIMITED.key)
+                task = asyncio.ensure_future(sending)
+                stack.push_async_callback(_wait_task, task)
+                await asyncio.sleep(_FATAL_INTERVAL_S)
 
 
-async def _ended(task: asyncio.Task[None]) -> None:
+async def _wait_task(task: asyncio.Task[None]) -> None:
     await asyncio.gather(task, return_exceptions=True)
 
 
 async def run_seed(seed: int, size: Size, plant: str | None = None) -> Verdict:
-    """Play one seed; with ``plant``, falsify what was seen before it is checked."""
+    """Run one seed; with ``plant``, falsify the observations before the checks."""
     with TemporaryDirectory(prefix="ebonydeal-soak-") as folder:
         soak = _Soak(seed, size, Path(folder))
-        await soak.play()
+        await soak.run()
     log = soak.log
     if plant is not None:
-        PLANTS[plant][0](log, TERMS)
+        PLANTS[plant][0](log, GUARANTEES)
     return Verdict(
         seed=seed,
-        requests=len(log.seen),
-        served=sum(seen.status == 200 and seen.whole for seen in log.seen),
-        moved=sum(run.carried for run in log.runs),
+        requests=len(log.results),
+        served=sum(seen.status == 200 and seen.complete for seen in log.results),
+        moved=sum(run.migrated for run in log.runs),
         faults=len(make_plan(seed, size.seconds)),
-        violations=check_all(log, TERMS),
+        violations=check_all(log, GUARANTEES),
     )
--- a/tests/functional/soak/test_processes.py
+++ b/tests/functional/soak/test_processes.py
@@ -5,7 +5,7 @@
 
 
 class TestRelayProcess:
-    async def test_a_second_start_leaves_the_first_process_alone(self, tmp_path):
+    async def test_a_second_start_keeps_the_running_process(self, tmp_path):
         proxy = await Proxy("127.0.0.1:9").start()
         relay = RelayProcess("n1", tmp_path, proxy, {})
         relay.write_settings([])
--- a/tests/functional/soak/test_proxy.py
+++ b/tests/functional/soak/test_proxy.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from ebonydeal._internal.soak.proxy import Harm, Proxy
+from ebonydeal._internal.soak.proxy import LinkFault, Proxy
 
 
 async def _echo(reader, writer):
@@ -18,8 +18,8 @@
 
 
 @asynccontextmanager
-async def through():
-    """Yield a proxy before an echo, and an open connection through it."""
+async def connection_through_proxy():
+    """Yield a proxy of an echo server and an open connection through it."""
     server = await asyncio.start_server(_echo, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     proxy = await Proxy(f"127.0.0.1:{port}").start()
@@ -33,20 +33,20 @@
         server.close()
 
 
-class TestHarm:
-    async def test_none_and_delay_pass_all(self):
-        async with through() as (proxy, reader, writer):
+class TestLinkFault:
+    async def test_none_and_delay_forward_all_data(self):
+        async with connection_through_proxy() as (proxy, reader, writer):
             writer.write(b"one")
             assert await reader.readexactly(3) == b"one"
-            proxy.harm(Harm.DELAY)
+            proxy.set_fault(LinkFault.DELAY)
             writer.write(b"two")
             assert await reader.readexactly(3) == b"two"
 
-    async def test_reset_ends_open_and_new_connections(self):
-        async with through() as (proxy, reader, writer):
+    async def test_reset_closes_open_and_new_connections(self):
+        async with connection_through_proxy() as (proxy, reader, writer):
             writer.write(b"one")
             await reader.readexactly(3)
-            proxy.harm(Harm.RESET)
+            proxy.set_fault(LinkFault.RESET)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await reader.readexactly(1)
             host, _sep, port = proxy.address.partition(":")
@@ -54,13 +54,13 @@
                 again, _writer = await asyncio.open_connection(host, int(port))
                 await again.readexactly(1)
 
-    @pytest.mark.parametrize("harm", [Harm.SILENT, Harm.NO_ANSWERS])
-    async def test_silence_keeps_bytes_until_it_ends(self, harm):
-        async with through() as (proxy, reader, writer):
-            proxy.harm(harm)
+    @pytest.mark.parametrize("fault", [LinkFault.SILENT, LinkFault.NO_RESPONSES])
+    async def test_silence_holds_data_back_until_it_ends(self, fault):
+        async with connection_through_proxy() as (proxy, reader, writer):
+            proxy.set_fault(fault)
             writer.write(b"late")
             read = asyncio.create_task(reader.readexactly(4))
             await asyncio.sleep(0.1)
             assert not read.done()
-            proxy.harm(Harm.NONE)
+            proxy.set_fault(LinkFault.NONE)
             assert await read == b"late"
