--- a/src/ebonydeal/_internal/soak/endpoints.py
+++ b/src/ebonydeal/_internal/soak/endpoints.py
@@ -177,7 +177,7 @@
 
     def _announce(self, relay: str) -> dict[str, str]:
         """Record the announcements to a relay and return their headers."""
-        announcement = Announcement(
+        notice = Announcement(
             self.name,
             relay,
             time.monotonic(),
@@ -185,10 +185,8 @@
             self.announces_leaving,
             self.backoff_s,
         )
-        self._log.announcements.append(announcement)
-        return notice_headers(
-            announcement.limit, announcement.leaving, announcement.backoff_s
-        )
+        self._log.announcements.append(notice)
+        return notice_headers(notice.limit, notice.leaving, notice.backoff_s)
 
     def _must_fail(self, path: str) -> bool:
         """Return whether the version's defect fails this request."""
--- a/src/ebonydeal/_internal/soak/guarantees.py
+++ b/src/ebonydeal/_internal/soak/guarantees.py
@@ -17,7 +17,7 @@
 class Guarantees(NamedTuple):
     """The guarantees of a soak's deployment.
 
-    ``drain_s`` is how long an endpoint that leaves may get new requests, and ``apply_s``
+    ``drain_s`` is how long an endpoint that leaves may get new requests, ``apply_s``
     how long a relay may take to apply a new configuration.
     """
 
