--- a/src/ebonydeal/_internal/commands/bench_peers.py
+++ b/src/ebonydeal/_internal/commands/bench_peers.py
@@ -18,7 +18,7 @@
     slope,
 )
 
-_LIMIT = 4096
+_MAX_BYTES_PER_S = 4096
 _LOOPBACK_SIZES = (3, 9, 24)
 _LOOPBACK_S = 6.0
 
@@ -85,8 +85,8 @@
         measure_spread(size, loss, seeds) for size in SPREAD_SIZES for loss in LOSSES
     ]
     worst = max(row.worst for row in full)
-    verdict = "met" if worst <= _LIMIT else "NOT MET"
-    late = max(row.last_s for row in spreads)
+    verdict = "met" if worst <= _MAX_BYTES_PER_S else "NOT MET"
+    last_s = max(row.last_s for row in spreads)
     text = "\n\n".join(
         [
             f"ebonydeal bench peers --seed {seed} --runs {runs}",
@@ -96,9 +96,9 @@
             _traffic_table(full, "with demand of 5 client accounts"),
             _spread_table(spreads),
             _loopback_table(real),
-            f"worst node {worst:,.0f} B/s, at most {_LIMIT:,}: {verdict}\n"
-            f"last node knows a mark after {late:.2f} s, at most 3: "
-            f"{'met' if late <= 3.0 else 'NOT MET'}",
+            f"worst node {worst:,.0f} B/s, at most {_MAX_BYTES_PER_S:,}: {verdict}\n"
+            f"last node knows a mark after {last_s:.2f} s, at most 3: "
+            f"{'met' if last_s <= 3.0 else 'NOT MET'}",
         ]
     )
     click.echo(text)
--- a/src/ebonydeal/_internal/commands/bench_spend.py
+++ b/src/ebonydeal/_internal/commands/bench_spend.py
@@ -8,9 +8,9 @@
 from ebonydeal._internal.observe.logs import configure_logs
 from ebonydeal._internal.settings.sections import LogSettings
 
-_MISSED = 1
-_REPAIRED = (4, 20, 60)
-_NOTICES = (30.0, 0.0)
+_EXIT_MISSED = 1
+_REPAIR_TARGETS = (4, 20, 60)
+_NOTICES_S = (30.0, 0.0)
 
 
 @click.command("spend")
@@ -45,7 +45,7 @@
     for weather in WEATHERS:
         result = compare(seeds, weather)
         click.echo(f"\n{weather.name} prices and waves\n{table(result)}")
-        checks += [(f"{weather.name}: {words}", ok) for words, ok in targets(result)]
+        checks += [(f"{weather.name}: {text}", ok) for text, ok in targets(result)]
     click.echo("\nUnder a price ceiling that binds")
     click.echo(tight_ceiling(seeds, 0.25))
     click.echo("\nThe loss of a zone, simulated seconds (notice of 30 s, then none)")
@@ -53,9 +53,9 @@
     click.echo("\nThe controller's own cost, quiet rounds")
     asyncio.run(_slopes(seed, largest))
     click.echo("\nTargets")
-    for words, holds in checks:
-        click.echo(f"{'met   ' if holds else 'MISSED'} {words}")
-    sys.exit(0 if all(holds for _words, holds in checks) else _MISSED)
+    for text, holds in checks:
+        click.echo(f"{'met   ' if holds else 'MISSED'} {text}")
+    sys.exit(0 if all(holds for _words, holds in checks) else _EXIT_MISSED)
 
 
 async def _repairs(seed: int) -> None:
@@ -64,8 +64,8 @@
 
     repairs = [
         await lose_a_zone(target, seed, notice)
-        for target in _REPAIRED
-        for notice in _NOTICES
+        for target in _REPAIR_TARGETS
+        for notice in _NOTICES_S
     ]
     click.echo(repair_table(repairs))
 
--- a/src/ebonydeal/_internal/commands/client.py
+++ b/src/ebonydeal/_internal/commands/client.py
@@ -19,7 +19,7 @@
 
 _TIMEOUT_S = 30.0
 
-_EXITS = {
+_EXIT_CODES = {
     401: ExitCode.UNAUTHORIZED,
     403: ExitCode.UNAUTHORIZED,
     409: ExitCode.CONFLICT,
@@ -30,7 +30,7 @@
 }
 
 
-class Answer(NamedTuple):
+class ConsoleResponse(NamedTuple):
     """A whole answer; ``body`` is a JSON object."""
 
     status: int
@@ -43,23 +43,23 @@
     url: str
     token: str
 
-    def get(self, path: str, **query: Any) -> Answer:
+    def get(self, path: str, **query: Any) -> ConsoleResponse:
         """Fetch; ends with a message where there is no answer."""
         params = {name: str(value) for name, value in query.items()}
         return self._run("GET", path, params=params)
 
-    def post(self, path: str, body: dict[str, Any]) -> Answer:
+    def post(self, path: str, body: dict[str, Any]) -> ConsoleResponse:
         """Send; ends with a message where there is no answer."""
         return self._run("POST", path, json=body)
 
-    def _run(self, method: str, path: str, **options: Any) -> Answer:
+    def _run(self, method: str, path: str, **options: Any) -> ConsoleResponse:
         try:
             return asyncio.run(self._call(method, path, **options))
         except (ClientError, TimeoutError, OSError, ValueError) as exc:
-            sent = method == "POST" and not _never_sent(exc)
-            _no_answer(self.url, exc, sent)
+            sent = method == "POST" and not _never_connected(exc)
+            _exit_without_response(self.url, exc, sent)
 
-    async def _call(self, method: str, path: str, **options: Any) -> Answer:
+    async def _call(self, method: str, path: str, **options: Any) -> ConsoleResponse:
         headers = {"Authorization": f"Bearer {self.token}"}
         timeout = ClientTimeout(total=_TIMEOUT_S)
         url = self.url.rstrip("/") + path
@@ -70,15 +70,15 @@
             body = json.loads(await resp.read())
         if not isinstance(body, dict):
             raise ValueError("the answer is not a JSON object")
-        return Answer(resp.status, body)
+        return ConsoleResponse(resp.status, body)
 
 
-def _never_sent(exc: Exception) -> bool:
+def _never_connected(exc: Exception) -> bool:
     """Return whether it is certain that no connection was made."""
     return isinstance(exc, ClientConnectorError | InvalidURL)
 
 
-def _no_answer(url: str, exc: Exception, sent: bool) -> NoReturn:
+def _exit_without_response(url: str, exc: Exception, sent: bool) -> NoReturn:
     """End with a message: no console, or no word from it."""
     reason = str(exc) or type(exc).__name__
     click.echo(f"No answer from the console at {url}: {reason}", err=True)
@@ -93,25 +93,25 @@
     sys.exit(ExitCode.UNAVAILABLE)
 
 
-def expect(answer: Answer) -> dict[str, Any]:
+def body_or_exit(response: ConsoleResponse) -> dict[str, Any]:
     """Return the body of a good answer, or end with its reasons."""
-    if answer.status < 400:
-        return answer.body
-    error = answer.body.get("error")
+    if response.status < 400:
+        return response.body
+    error = response.body.get("error")
     error = error if isinstance(error, dict) else {}
-    click.echo(str(error.get("message") or f"HTTP {answer.status}"), err=True)
-    for problem in answer.body.get("problems", ()):
+    click.echo(str(error.get("message") or f"HTTP {response.status}"), err=True)
+    for problem in response.body.get("problems", ()):
         click.echo(f"  {problem.get('where')}: {problem.get('message')}", err=True)
-    _tell_conflict(answer.body.get("conflict"))
-    if answer.status == 401:
+    _print_conflict(response.body.get("conflict"))
+    if response.status == 401:
         click.echo("Give a token with --token or EBONYDEAL_TOKEN.", err=True)
-    code = _EXITS.get(answer.status, ExitCode.FAILED)
+    code = _EXIT_CODES.get(response.status, ExitCode.FAILED)
     if error.get("code") == "store_in_doubt":
         code = ExitCode.IN_DOUBT
     sys.exit(code)
 
 
-def _tell_conflict(conflict: Any) -> None:
+def _print_conflict(conflict: Any) -> None:
     """Print what changed meanwhile."""
     if not isinstance(conflict, dict):
         return
--- a/src/ebonydeal/_internal/commands/document.py
+++ b/src/ebonydeal/_internal/commands/document.py
@@ -12,8 +12,8 @@
 
 from ebonydeal._internal.commands.client import (
     Console,
+    body_or_exit,
     console_options,
-    expect,
     print_json,
     print_table,
 )
@@ -23,7 +23,7 @@
 from ebonydeal._internal.config.validate import schema, validate
 from ebonydeal._internal.utils.ids import new_token
 
-_MOST_NAMED = 3
+_MAX_NAMED_ITEMS = 3
 
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 
@@ -53,8 +53,10 @@
     """Name every problem of FILE; exit code 3 if there is any."""
     document = read_document(file)
     if online:
-        answer = expect(Console(url, token).post("/api/check", {"document": document}))
-        problems = answer["problems"]
+        response = body_or_exit(
+            Console(url, token).post("/api/check", {"document": document})
+        )
+        problems = response["problems"]
     else:
         checked = validate(document)
         found = checked.failure() if isinstance(checked, Failure) else []
@@ -88,10 +90,10 @@
     document = read_document(file)
     console = Console(url, token)
     if base is None:
-        base = expect(console.get("/api/document"))["version"]
+        base = body_or_exit(console.get("/api/document"))["version"]
     proposal = proposal or new_token("p", random.SystemRandom())
     click.echo(f"proposal {proposal}, on version {base}", err=True)
-    answer = console.post(
+    response = console.post(
         "/api/document",
         {
             "document": document,
@@ -100,7 +102,7 @@
             "proposal": proposal,
         },
     )
-    version = expect(answer)["version"]
+    version = body_or_exit(response)["version"]
     if as_json:
         print_json({"version": version, "proposal": proposal})
     else:
@@ -113,8 +115,8 @@
 def show(version: int | None, url: str, token: str, as_json: bool) -> None:
     """Print the document; with --json together with its version."""
     query = {} if version is None else {"version": version}
-    answer = expect(Console(url, token).get("/api/document", **query))
-    print_json(answer if as_json else answer["document"])
+    response = body_or_exit(Console(url, token).get("/api/document", **query))
+    print_json(response if as_json else response["document"])
 
 
 @document_command.command("diff")
@@ -124,11 +126,11 @@
 def diff(a: int, b: int | None, url: str, token: str, as_json: bool) -> None:
     """Print what differs from version A to version B (or to the present one)."""
     query = {"a": a} if b is None else {"a": a, "b": b}
-    answer = expect(Console(url, token).get("/api/diff", **query))
+    response = body_or_exit(Console(url, token).get("/api/diff", **query))
     if as_json:
-        print_json(answer)
+        print_json(response)
         return
-    for line in answer["differences"]:
+    for line in response["differences"]:
         click.echo(line)
 
 
@@ -137,26 +139,26 @@
 @console_options
 def history(limit: int, url: str, token: str, as_json: bool) -> None:
     """Print who changed what, and when; newest first."""
-    answer = expect(Console(url, token).get("/api/history", limit=limit))
+    response = body_or_exit(Console(url, token).get("/api/history", limit=limit))
     if as_json:
-        print_json(answer)
+        print_json(response)
         return
     rows = [
         [
             info["version"],
             datetime.fromtimestamp(info["at"], UTC).strftime("%Y-%m-%d %H:%M:%SZ"),
             info["by"],
-            _changes([*info["changed"], *(f"-{key}" for key in info["removed"])]),
+            _changes_text([*info["changed"], *(f"-{key}" for key in info["removed"])]),
             info["note"],
         ]
-        for info in answer["versions"]
+        for info in response["versions"]
     ]
     print_table(["version", "when", "who", "changed", "note"], rows)
 
 
-def _changes(items: list[str]) -> str:
+def _changes_text(items: list[str]) -> str:
     """Return a few changed items by name, many by number."""
-    if len(items) > _MOST_NAMED:
+    if len(items) > _MAX_NAMED_ITEMS:
         return f"{len(items)} items"
     return ", ".join(items)
 
--- a/src/ebonydeal/_internal/commands/explain.py
+++ b/src/ebonydeal/_internal/commands/explain.py
@@ -15,7 +15,7 @@
 _INDENT = " " * 12
 
 
-async def ask_gateway(url: str, token: str, request_id: str) -> dict[str, Any]:
+async def fetch_trail(url: str, token: str, request_id: str) -> dict[str, Any]:
     """Return a gateway's trail of a request; raises `EbonydealError`."""
     headers = {OPERATOR_HEADER: token}
     timeout = ClientTimeout(total=_TIMEOUT_S)
@@ -32,7 +32,7 @@
     return body
 
 
-async def find_trail(
+async def find_in_gateways(
     urls: tuple[str, ...], token: str, request_id: str
 ) -> dict[str, Any]:
     """Return the trail of the first gateway that keeps one.
@@ -42,7 +42,7 @@
     error = EbonydealError(ErrorKind.NOT_FOUND, "no gateway was asked")
     for url in urls:
         try:
-            return await ask_gateway(url, token, request_id)
+            return await fetch_trail(url, token, request_id)
         except EbonydealError as exc:
             error = exc
     raise error
@@ -54,11 +54,11 @@
     start = steps[0]["at"] if steps else 0.0
     lines = [f"request {trail['request_id']}"]
     for item in steps:
-        what = dict(item["what"])
-        choices = what.pop("choices", [])
-        fields = "  ".join(f"{name}={value}" for name, value in what.items())
-        after = item["at"] - start
-        lines.append(f"{after:9.3f} s  {item['step']:<13} {fields}".rstrip())
+        details = dict(item["what"])
+        choices = details.pop("choices", [])
+        fields = "  ".join(f"{name}={value}" for name, value in details.items())
+        elapsed = item["at"] - start
+        lines.append(f"{elapsed:9.3f} s  {item['step']:<13} {fields}".rstrip())
         lines.extend(_choice_text(choice) for choice in choices)
     return "\n".join(lines)
 
@@ -86,7 +86,7 @@
 ) -> None:
     """Show what the gateways decided for REQUEST_ID, and why."""
     try:
-        trail = asyncio.run(find_trail(urls, token, request_id))
+        trail = asyncio.run(find_in_gateways(urls, token, request_id))
     except EbonydealError as exc:
         click.echo(f"{exc.kind}: {exc.detail}", err=True)
         sys.exit(1)
--- a/src/ebonydeal/_internal/commands/quarantine.py
+++ b/src/ebonydeal/_internal/commands/quarantine.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ebonydeal._internal.commands.ask import answer_or_exit
+from ebonydeal._internal.commands.relay_client import fetch_or_exit
 
 
 @click.command("quarantine")
@@ -18,7 +18,7 @@
     All relays refuse the same; the digest is in the caller's answer and in the lines
     of each of the request's sends.
     """
-    found = answer_or_exit(address, "/quarantine")
+    found = fetch_or_exit(address, "/quarantine")
     if as_json:
         click.echo(json.dumps(found))
         return
--- a/src/ebonydeal/_internal/commands/quickstart.py
+++ b/src/ebonydeal/_internal/commands/quickstart.py
@@ -61,10 +61,10 @@
     if serve:
         sys.exit(run_program(lambda: _Serve(seed, gateways)))
     options = QuickstartOptions(seed=seed, seconds=seconds, gateways=gateways)
-    result = asyncio.run(run_quickstart(options, _silent if only_json else click.echo))
+    result = asyncio.run(run_quickstart(options, _discard if only_json else click.echo))
     click.echo(json.dumps(result))
     sys.exit(0 if result["ok"] else 1)
 
 
-def _silent(_line: str) -> None:
+def _discard(_line: str) -> None:
     """Print nothing."""
--- a/src/ebonydeal/_internal/commands/quickstart_run.py
+++ b/src/ebonydeal/_internal/commands/quickstart_run.py
@@ -7,8 +7,8 @@
 
 from ebonydeal._internal.commands.quickstart_system import (
     ACCOUNT,
-    System,
-    Tell,
+    ProgressCallback,
+    QuickstartSystem,
     build,
     wait_ready,
 )
@@ -52,16 +52,20 @@
     load: dict[str, Any] = DEFAULT_LOAD
 
 
-async def run_quickstart(options: QuickstartOptions, tell: Tell) -> dict[str, Any]:
+async def run_quickstart(
+    options: QuickstartOptions, on_progress: ProgressCallback
+) -> dict[str, Any]:
     """Run it all and return the figures."""
     clock = SystemClock()
     began = time.monotonic()
-    system = build(options.seed, options.gateways, clock, tell, speed=options.speed)
+    system = build(
+        options.seed, options.gateways, clock, on_progress, speed=options.speed
+    )
     await system.tree.start()
     try:
-        records = await _run_load(system, options, clock, tell)
+        records = await _run_load(system, options, clock, on_progress)
         logs = system.tree.world.logs()
-        counted = system.tree.counted()
+        total_counts = system.tree.total_counts()
         fleet = _fleet(system)
     finally:
         await system.tree.stop()
@@ -69,12 +73,12 @@
     kinds = [counts["sent"] for counts in result["by_kind"].values()]
     result["ok"] = result["ok"] and all(kinds)
     result["fleet"] = fleet
-    result["counted"] = counted
+    result["counted"] = total_counts
     result["seconds"] = round(time.monotonic() - began, 1)
     return result
 
 
-def _fleet(system: System) -> dict[str, Any]:
+def _fleet(system: QuickstartSystem) -> dict[str, Any]:
     """Return what was started and stopped, by zone, and the present spend."""
     cloud = system.tree.world.cloud
     running = Counter(item.zone for item in cloud.running())
@@ -87,14 +91,17 @@
 
 
 async def _run_load(
-    system: System, options: QuickstartOptions, clock: Clock, tell: Tell
+    system: QuickstartSystem,
+    options: QuickstartOptions,
+    clock: Clock,
+    on_progress: ProgressCallback,
 ) -> list[CallRecord]:
     """Send the load, take a zone back midway, return the callers' logs."""
     balancer = Balancer(system.gateway_urls())
     await balancer.start()
     try:
         await wait_ready(system, balancer, clock)
-        tell(f"fleet: {len(system.tree.world.endpoints())} endpoints are up")
+        on_progress(f"fleet: {len(system.tree.world.endpoints())} endpoints are up")
         spec = LoadSpec.from_document(
             system.document,
             ACCOUNT,
@@ -103,8 +110,8 @@
             seed=options.seed,
             **options.load,
         )
-        tell(f"load: four kinds of requests for {options.seconds:g} s")
-        reclaim = asyncio.create_task(_reclaim(system, options, clock, tell))
+        on_progress(f"load: four kinds of requests for {options.seconds:g} s")
+        reclaim = asyncio.create_task(_reclaim(system, options, clock, on_progress))
         try:
             records = await LoadRun(spec, balancer, clock).run()
             await reclaim
@@ -112,13 +119,16 @@
             reclaim.cancel()
     finally:
         await balancer.stop()
-    whole = sum(record.is_whole for record in records)
-    tell(f"load: {whole} of {len(records)} requests were answered")
+    answered = sum(record.is_whole for record in records)
+    on_progress(f"load: {answered} of {len(records)} requests were answered")
     return records
 
 
 async def _reclaim(
-    system: System, options: QuickstartOptions, clock: Clock, tell: Tell
+    system: QuickstartSystem,
+    options: QuickstartOptions,
+    clock: Clock,
+    on_progress: ProgressCallback,
 ) -> None:
     """Take back the first availability zone midway."""
     if not options.reclaim:
@@ -127,7 +137,9 @@
     world = system.tree.world
     zone = world.spec.places[0].zone
     count = sum(1 for view in world.views() if view.place.zone == zone)
-    tell(f"reclaim: zone {zone}, {count} endpoints, {options.notice_seconds:g} s left")
+    on_progress(
+        f"reclaim: zone {zone}, {count} endpoints, {options.notice_seconds:g} s left"
+    )
     world.reclaim_zone(zone, options.notice_seconds)
     await clock.sleep(options.notice_seconds)
-    tell(f"reclaim: zone {zone} is gone")
+    on_progress(f"reclaim: zone {zone} is gone")
--- a/src/ebonydeal/_internal/commands/quickstart_system.py
+++ b/src/ebonydeal/_internal/commands/quickstart_system.py
@@ -24,22 +24,22 @@
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.keys import hash_key
 
-Tell = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 DOCUMENT = "cadwaladr"
 ACCOUNT = "breakfast"
 OPERATOR = "demo"
-_JOURNALS = 3
+_JOURNAL_COUNT = 3
 _KEY_BYTES = 16
-_LOAD_SECONDS = 0.5
+_WEIGHT_LOAD_S = 0.5
 _LIST_LAG_S = 0.5
-_READY_POLL_S = 0.1
-_READY_S = 30.0
+_READY_POLL_INTERVAL_S = 0.1
+_READY_TIMEOUT_S = 30.0
 # Every process has read the list once more by then.
-_SPREAD_S = 0.6
-_MOST_SHARDS = 10_000
+_LIST_SPREAD_S = 0.6
+_MAX_SHARDS = 10_000
 
 
-class System(NamedTuple):
+class QuickstartSystem(NamedTuple):
     """A built tree, and the secrets that a user needs.
 
     ``api_key`` is of the client account `ACCOUNT`, ``operator_token`` of the
@@ -81,7 +81,7 @@
     operators = f"{OPERATOR}:{hash_key(operator_token)}"
     console = {"console": {"operators": operators}}
     kinds: list[tuple[str, int, Any, dict[str, type], dict[str, Any]]] = [
-        ("journal", _JOURNALS, JournalProgram, JOURNAL_SECTIONS, {}),
+        ("journal", _JOURNAL_COUNT, JournalProgram, JOURNAL_SECTIONS, {}),
         ("controller", 1, ControllerProgram, CONTROLLER_SECTIONS, {}),
         ("console", 1, ConsoleProgram, CONSOLE_SECTIONS, console),
         ("gateway", gateways, GatewayProgram, GATEWAY_SECTIONS, {}),
@@ -100,8 +100,13 @@
 
 
 def build(
-    seed: int, gateways: int, clock: Clock, tell: Tell, *, speed: float = 1.0
-) -> System:
+    seed: int,
+    gateways: int,
+    clock: Clock,
+    on_progress: ProgressCallback,
+    *,
+    speed: float = 1.0,
+) -> QuickstartSystem:
     """Return the whole system, not started.
 
     No endpoint is there at first: the controller starts what the document asks
@@ -116,17 +121,17 @@
         seed=seed,
         speed=speed,
         list_lag=_LIST_LAG_S,
-        engine=EngineSpec(load_seconds=_LOAD_SECONDS),
+        engine=EngineSpec(load_seconds=_WEIGHT_LOAD_S),
     )
     nodes = node_specs(spec.places, gateways, token)
     world = StandinWorld(spec, clock=clock)
-    tree = Quickstart(world, nodes, document, clock, rng, tell)
-    return System(tree, document, key, token)
+    tree = Quickstart(world, nodes, document, clock, rng, on_progress)
+    return QuickstartSystem(tree, document, key, token)
 
 
-def owned_shards(world: StandinWorld) -> int:
+def count_owned_shards(world: StandinWorld) -> int:
     """Return how many journal shards have an owner."""
-    rows = world.tables.tables.rows.scan("shards/", "", _MOST_SHARDS)
+    rows = world.tables.tables.rows.scan("shards/", "", _MAX_SHARDS)
     return sum(1 for row in rows if row.value.get("address"))
 
 
@@ -135,20 +140,22 @@
     cold = []
     for item in document["deployments"]:
         adapters = {adapter["name"] for adapter in item.get("adapters", ())}
-        wanted = adapters | set(item.get("models", ()))
+        required = adapters | set(item.get("models", ()))
         warm = sum(
             1
             for view in world.views()
             if view.deployment == item["name"]
             and view.state is EndpointState.READY
-            and wanted <= set(view.models)
+            and required <= set(view.models)
         )
         if warm < item["replicas"]["min"]:
             cold.append(item["name"])
     return cold
 
 
-async def wait_ready(system: System, balancer: Balancer, clock: Clock) -> None:
+async def wait_ready(
+    system: QuickstartSystem, balancer: Balancer, clock: Clock
+) -> None:
     """Wait until gateways, journal shards and endpoints are all up.
 
     Raises TimeoutError.
@@ -156,17 +163,17 @@
     world = system.tree.world
     gateways = len(system.gateway_urls())
     shards: int = JOURNAL_SECTIONS["journal"]().shards
-    until = clock.now() + _READY_S
+    deadline = clock.now() + _READY_TIMEOUT_S
     while (
         balancer.ready < gateways
-        or owned_shards(world) < shards
+        or count_owned_shards(world) < shards
         or cold_deployments(world, system.document)
     ):
-        if clock.now() > until:
+        if clock.now() > deadline:
             raise TimeoutError(
                 f"{balancer.ready} of {gateways} gateways ready, "
-                f"{owned_shards(world)} of {shards} journal shards owned, "
+                f"{count_owned_shards(world)} of {shards} journal shards owned, "
                 f"cold deployments: {cold_deployments(world, system.document)}"
             )
-        await clock.sleep(_READY_POLL_S)
-    await clock.sleep(_LIST_LAG_S + _SPREAD_S)
+        await clock.sleep(_READY_POLL_INTERVAL_S)
+    await clock.sleep(_LIST_LAG_S + _LIST_SPREAD_S)
--- a/src/ebonydeal/_internal/commands/quickstart_tree.py
+++ b/src/ebonydeal/_internal/commands/quickstart_tree.py
@@ -21,7 +21,7 @@
 _CREDENTIAL_BYTES = 16
 # Sections in which a quick run differs from the defaults, which are meant for
 # real fleets; each only where the program has such a section.
-QUICK: dict[str, dict[str, Any]] = {
+QUICKSTART_VALUES: dict[str, dict[str, Any]] = {
     "node": {"drain_seconds": 10.0},
     "peers": {"port": 0, "period": 0.3},
     "journal": {
@@ -55,7 +55,7 @@
         section: Any = cls()
         changes = {
             key: value
-            for key, value in QUICK.get(name, {}).items()
+            for key, value in QUICKSTART_VALUES.get(name, {}).items()
             if key in section._fields
         }
         sections[name] = section._replace(**changes)
@@ -119,7 +119,7 @@
         document: dict[str, Any],
         clock: Clock,
         rng: random.Random,
-        tell: Callable[[str], None],
+        on_progress: Callable[[str], None],
     ) -> None:
         super().__init__()
         self.world = world
@@ -130,16 +130,16 @@
         self._document = document
         self._clock = clock
         self._rng = rng
-        self._tell = tell
+        self._on_progress = on_progress
         self._seeds: list[str] = []
         self.add_dependency(world)
 
     async def on_started(self) -> None:
         """Put the document in force, then start the own processes."""
         zones = ", ".join(place.zone for place in self.world.spec.places)
-        self._tell(f"platform: availability zones {zones}")
+        self._on_progress(f"platform: availability zones {zones}")
         version = await self._accept_document()
-        self._tell(f"configuration: version {version} is in force")
+        self._on_progress(f"configuration: version {version} is in force")
         for spec in self._nodes:
             await self.start_node(spec)
 
@@ -166,11 +166,11 @@
         await self.add_runtime_dependency(program)
         self.programs[spec.node_id] = program
         self.metrics[spec.node_id] = metrics
-        self._remember_peer(spec, program)
-        self._tell(f"{spec.node_id}: {program.address} in {spec.place.zone}")
+        self._register_peer(spec, program)
+        self._on_progress(f"{spec.node_id}: {program.address} in {spec.place.zone}")
         return program
 
-    def _remember_peer(self, spec: NodeSpec, program: Any) -> None:
+    def _register_peer(self, spec: NodeSpec, program: Any) -> None:
         """Let later processes find this one, as the platform's list would."""
         peers = getattr(program, "peers", None)
         if peers is not None:
@@ -183,7 +183,7 @@
         self.world.listing.remove_node(node_id)
         await self.remove_dependency(program)
 
-    def counted(self) -> dict[str, dict[str, int]]:
+    def total_counts(self) -> dict[str, dict[str, int]]:
         """Return refusals, retries and events of all own processes together."""
         sums: dict[str, dict[str, int]] = {"refusals": {}, "retries": {}, "events": {}}
         for metrics in self.metrics.values():
--- a/src/ebonydeal/_internal/commands/ask.py
+++ b/src/ebonydeal/_internal/commands/relay_client.py
@@ -11,7 +11,7 @@
 _TIMEOUT_S = 10.0
 
 
-async def ask_relay(address: str, path: str) -> list[dict[str, Any]]:
+async def fetch_from_relay(address: str, path: str) -> list[dict[str, Any]]:
     """Return what a relay shows; raises OSError, TimeoutError or ValueError."""
     timeout = ClientTimeout(total=_TIMEOUT_S)
     async with ClientSession(timeout=timeout) as http:
@@ -19,10 +19,10 @@
             return json.loads(await resp.read())
 
 
-def answer_or_exit(address: str, path: str) -> list[dict[str, Any]]:
+def fetch_or_exit(address: str, path: str) -> list[dict[str, Any]]:
     """Return what a relay shows; without a readable answer say so, and exit with 1."""
     try:
-        return asyncio.run(ask_relay(address, path))
+        return asyncio.run(fetch_from_relay(address, path))
     except (ClientError, OSError, ValueError) as exc:
         click.echo(f"{address} gives no readable answer: {exc}", err=True)
         sys.exit(1)
--- a/src/ebonydeal/_internal/commands/rollout.py
+++ b/src/ebonydeal/_internal/commands/rollout.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ebonydeal._internal.commands.ask import answer_or_exit
+from ebonydeal._internal.commands.relay_client import fetch_or_exit
 
 
 @click.command("rollout")
@@ -21,7 +21,7 @@
 
     The coordinator alone decides and knows; its "Lease gained." line names it.
     """
-    found = answer_or_exit(address, "/rollouts")
+    found = fetch_or_exit(address, "/rollouts")
     if as_json:
         click.echo(json.dumps(found))
         return
@@ -34,7 +34,7 @@
 def _line(item: dict[str, Any]) -> str:
     """Return a roll-out as one line."""
     shares = item["shares"].values()
-    most = max(shares, default=0.0)
+    largest = max(shares, default=0.0)
     return (
         f"{item['service']} to {item['to']}: {item['phase']}, "
         f"{item['left_s']:.1f} s left, "
@@ -42,5 +42,5 @@
         f"{item['answers']} answers, {item['failed']} failed, "
         f"evidence {item['evidence']:.1f}"
         f"{' on ' + item['route'] if item['route'] else ''}, "
-        f"largest share {most:.3f}"
+        f"largest share {largest:.3f}"
     )
--- a/src/ebonydeal/_internal/commands/soak.py
+++ b/src/ebonydeal/_internal/commands/soak.py
@@ -46,22 +46,22 @@
     """
     configure_logs(LogSettings(level="error"))
     size = Size(relays, endpoints, clients, seconds)
-    played = sorted(REGRESSIONS) if regressions else range(seed, seed + seeds)
-    verdicts = asyncio.run(_play(played, size, jobs, plant))
+    chosen = sorted(REGRESSIONS) if regressions else range(seed, seed + seeds)
+    verdicts = asyncio.run(_run_seeds(chosen, size, jobs, plant))
     sys.exit(any(verdict.violations for verdict in verdicts))
 
 
-async def _play(
+async def _run_seeds(
     seeds: Iterable[int], size: Size, jobs: int, plant: str | None
 ) -> list[Verdict]:
     """Play seeds, several at a time, and print each when it is done."""
-    turns = asyncio.Semaphore(jobs)
+    semaphore = asyncio.Semaphore(jobs)
 
-    async def one(seed: int) -> Verdict:
-        async with turns:
+    async def run_one(seed: int) -> Verdict:
+        async with semaphore:
             verdict = await run_seed(seed, size, plant)
         found = [violation._asdict() for violation in verdict.violations]
         click.echo(json.dumps({**verdict._asdict(), "violations": found}))
         return verdict
 
-    return list(await asyncio.gather(*(one(seed) for seed in seeds)))
+    return list(await asyncio.gather(*(run_one(seed) for seed in seeds)))
--- a/src/ebonydeal/_internal/commands/standin.py
+++ b/src/ebonydeal/_internal/commands/standin.py
@@ -45,10 +45,10 @@
 def _run(build: Callable[[], Service]) -> None:
     """Run a stand-in until it is interrupted, and say where it listens."""
     configure_logs(LogSettings())
-    sys.exit(run_program(lambda: _Told(build())))
+    sys.exit(run_program(lambda: _AddressPrinter(build())))
 
 
-class _Told(Service):
+class _AddressPrinter(Service):
     """Runs a stand-in and prints its address once, as JSON."""
 
     def __init__(self, service: Service) -> None:
@@ -184,15 +184,15 @@
 
 
 def read_replicas(
-    words: tuple[str, ...], document: dict[str, Any], default: int
+    assignments: tuple[str, ...], document: dict[str, Any], default: int
 ) -> dict[str, int]:
     """Return replicas by deployment from words like ``kitchen=5``."""
     replicas = {item["name"]: default for item in document["deployments"]}
-    for word in words:
-        name, _sep, count = word.partition("=")
+    for assignment in assignments:
+        name, _sep, count = assignment.partition("=")
         if name not in replicas or not count.isdecimal():
             known = ", ".join(replicas)
-            raise click.BadParameter(f"'{word}': NAME=COUNT with one of {known}")
+            raise click.BadParameter(f"'{assignment}': NAME=COUNT with one of {known}")
         replicas[name] = int(count)
     return replicas
 
--- a/src/ebonydeal/_internal/commands/status.py
+++ b/src/ebonydeal/_internal/commands/status.py
@@ -4,8 +4,8 @@
 
 from ebonydeal._internal.commands.client import (
     Console,
+    body_or_exit,
     console_options,
-    expect,
     print_json,
     print_table,
 )
@@ -15,7 +15,7 @@
 @console_options
 def status_command(url: str, token: str, as_json: bool) -> None:
     """Print deployments, processes and counters."""
-    status = expect(Console(url, token).get("/api/status"))
+    status = body_or_exit(Console(url, token).get("/api/status"))
     if as_json:
         print_json(status)
         return
@@ -66,10 +66,10 @@
     deployment: str, zone: str, url: str, token: str, as_json: bool
 ) -> None:
     """Print the endpoints that the instance list names."""
-    answer = expect(Console(url, token).get("/api/endpoints"))
+    response = body_or_exit(Console(url, token).get("/api/endpoints"))
     found = [
         item
-        for item in answer["endpoints"]
+        for item in response["endpoints"]
         if deployment in ("", item["deployment"]) and zone in ("", item["zone"])
     ]
     if as_json:
--- a/src/ebonydeal/_internal/commands/story.py
+++ b/src/ebonydeal/_internal/commands/story.py
@@ -8,15 +8,15 @@
 import click
 
 # Told first, or said by the columns.
-_HEAD = ("event", "level", "timestamp", "request")
+_COLUMN_FIELDS = ("event", "level", "timestamp", "request")
 
 
-def lines_of(request_id: str, lines: Iterable[str]) -> list[dict[str, Any]]:
+def find_request_lines(request_id: str, lines: Iterable[str]) -> list[dict[str, Any]]:
     """Return the log lines that name a request, by time; others are passed over.
 
     A line may have words before its JSON, such as the node that wrote it.
     """
-    found = []
+    messages = []
     for line in lines:
         start = line.find("{")
         if start < 0 or request_id not in line:
@@ -27,18 +27,18 @@
             continue
         if isinstance(message, dict) and message.get("request") == request_id:
             message["node"] = " ".join(line[:start].split()[-1:])
-            found.append(message)
-    return sorted(found, key=lambda message: str(message.get("timestamp", "")))
+            messages.append(message)
+    return sorted(messages, key=lambda message: str(message.get("timestamp", "")))
 
 
-def story_text(found: list[dict[str, Any]]) -> str:
+def story_text(messages: list[dict[str, Any]]) -> str:
     """Return the lines for people."""
     rows = []
-    for message in found:
+    for message in messages:
         fields = "  ".join(
             f"{name}={value}"
             for name, value in message.items()
-            if name not in (*_HEAD, "node")
+            if name not in (*_COLUMN_FIELDS, "node")
         )
         at = str(message.get("timestamp", ""))
         node = message["node"] or "-"
@@ -51,8 +51,8 @@
 @click.argument("file", type=click.File("r", encoding="utf-8"), default="-")
 def story_command(request_id: str, file: TextIO) -> None:
     """Tell REQUEST_ID's story from JSON logs in FILE, or standard input."""
-    found = lines_of(request_id, file)
-    if not found:
+    messages = find_request_lines(request_id, file)
+    if not messages:
         click.echo(f"no line names request {request_id}", err=True)
         sys.exit(1)
-    click.echo(story_text(found))
+    click.echo(story_text(messages))
--- a/tests/functional/commands/test_faults_together.py
+++ b/tests/functional/commands/test_faults_together.py
@@ -41,6 +41,6 @@
         records, verdict, tree = await run_with_fault(fail, seconds=6.0, max_tokens=200)
         assert verdict.findings == ()
         assert verdict.completed == len(records)
-        counted = tree.counted()
-        assert counted["events"]["appends_in_doubt"] > 0
-        assert counted["events"]["streams_moved"] > 0
+        total_counts = tree.total_counts()
+        assert total_counts["events"]["appends_in_doubt"] > 0
+        assert total_counts["events"]["streams_moved"] > 0
--- a/tests/functional/commands/test_quickstart.py
+++ b/tests/functional/commands/test_quickstart.py
@@ -10,15 +10,15 @@
 from ebonydeal._internal.standin.faults import Fault
 from ebonydeal._internal.standin.server import reset_connections
 from ebonydeal._internal.utils.keys import key_matches
-from tests.lib.fakes_quickstart import SMALL, run_with_fault, silent
+from tests.lib.fakes_quickstart import SMALL_LOAD, discard, run_with_fault
 
 
 class TestWholePath:
     async def test_zone_is_reclaimed_under_load(self):
         options = QuickstartOptions(
-            seconds=3.0, notice_seconds=0.5, speed=2.0, load=SMALL
+            seconds=3.0, notice_seconds=0.5, speed=2.0, load=SMALL_LOAD
         )
-        result = await run_quickstart(options, silent)
+        result = await run_quickstart(options, discard)
         assert result["findings"] == []
         assert result["ok"] is True
         assert result["completed"] == result["sent"] > 0
--- a/tests/functional/relay/test_crashing_request.py
+++ b/tests/functional/relay/test_crashing_request.py
@@ -21,8 +21,8 @@
 import pytest
 from click.testing import CliRunner
 
-from ebonydeal._internal.commands.ask import ask_relay
 from ebonydeal._internal.commands.quarantine import quarantine_command
+from ebonydeal._internal.commands.relay_client import fetch_from_relay
 from tests.lib.crashing import FATAL, CrashingEndpoint, cluster, repeat
 from tests.lib.relay_fakes import KEY, MemoryStore, ask, relay, until
 
@@ -231,7 +231,9 @@
         async with cluster() as (relays, fleet):
             await crash_three(relays, fleet)
             await all_quarantine(relays)
-            found = await ask_relay(f"127.0.0.1:{relays[2].peers.port}", "/quarantine")
+            found = await fetch_from_relay(
+                f"127.0.0.1:{relays[2].peers.port}", "/quarantine"
+            )
             crashed = sorted(e.name for e in fleet.endpoints if e.crashed)
             assert [item["endpoints"] for item in found] == [crashed]
 
--- a/tests/functional/relay/test_rollouts.py
+++ b/tests/functional/relay/test_rollouts.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from ebonydeal._internal.commands import rollout
-from ebonydeal._internal.commands.ask import ask_relay
+from ebonydeal._internal.commands.relay_client import fetch_from_relay
 from ebonydeal._internal.commands.rollout import rollout_command
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from tests.lib.relay_fakes import until
@@ -230,7 +230,7 @@
             report = found.coordinator()._rollouts.report()
             assert report[0]["to"] == NEW and report[0]["phase"] == "running"
             address = f"127.0.0.1:{found.coordinator().peers.port}"
-            shown = await ask_relay(address, "/rollouts")
+            shown = await fetch_from_relay(address, "/rollouts")
             assert shown[0]["service"] == "s" and shown[0]["exposed"] >= 1
 
     def test_the_command_reports_an_unreachable_relay(self):
--- a/tests/lib/fakes_quickstart.py
+++ b/tests/lib/fakes_quickstart.py
@@ -8,7 +8,7 @@
 from ebonydeal._internal.standin.load import LoadRun, LoadSpec
 from ebonydeal._internal.utils.clock import SystemClock
 
-SMALL = {
+SMALL_LOAD = {
     "max_tokens": 120,
     "streams_per_s": 6.0,
     "lookups_per_s": 6.0,
@@ -17,7 +17,7 @@
 }
 
 
-def silent(_line):
+def discard(_line):
     pass
 
 
@@ -30,14 +30,14 @@
 async def run_with_fault(fault, seconds=2.0, **changes):
     """Run the small load, await ``fault(tree)`` in its midst, and judge."""
     clock = SystemClock()
-    system = build(1, 3, clock, silent, speed=2.0)
+    system = build(1, 3, clock, discard, speed=2.0)
     tree = system.tree
     await tree.start()
     balancer = Balancer(system.gateway_urls())
     await balancer.start()
     try:
         await wait_ready(system, balancer, clock)
-        options = {**SMALL, "seconds": seconds, **changes}
+        options = {**SMALL_LOAD, "seconds": seconds, **changes}
         spec = LoadSpec.from_document(
             system.document, "breakfast", system.api_key, **options
         )
