--- a/src/ebonydeal/_internal/commands/__init__.py
+++ b/src/ebonydeal/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the ``ebonydeal`` program, one a module."""
+"""Commands of the ``ebonydeal`` program, one per module."""
--- a/src/ebonydeal/_internal/commands/bench.py
+++ b/src/ebonydeal/_internal/commands/bench.py
@@ -15,7 +15,7 @@
 
 @click.group("bench")
 def bench_command() -> None:
-    """Measure a running system, or its decisions."""
+    """Measure a running system or its decision logic."""
 
 
 bench_command.add_command(gateway_command)
--- a/src/ebonydeal/_internal/commands/bench_capacity.py
+++ b/src/ebonydeal/_internal/commands/bench_capacity.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench capacity``: slopes, and what they come to at full size."""
+"""``ebonydeal bench capacity``: cost slopes, and their extrapolation to full size."""
 
 from pathlib import Path
 
@@ -17,10 +17,10 @@
 @click.option(
     "--page",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Put the tables into this page, between its markers.",
+    help="Write the tables into this page, between its markers.",
 )
 def capacity_command(seed: int, page: Path | None) -> None:
-    """Measure every slope, and print the tables of docs/CAPACITY.md.
+    """Measure every slope and print the tables of docs/CAPACITY.md.
 
     Takes some minutes; uses loopback and under a gigabyte of memory.
     """
--- a/src/ebonydeal/_internal/commands/bench_load.py
+++ b/src/ebonydeal/_internal/commands/bench_load.py
@@ -14,7 +14,7 @@
 
 
 async def run_load(spec: LoadSpec, urls: tuple[str, ...]) -> dict:
-    """Send the load and return its summary; endpoints' logs aren't looked at."""
+    """Send the load and return its summary; endpoints' logs aren't checked."""
     balancer = Balancer(urls)
     await balancer.start()
     try:
@@ -25,13 +25,13 @@
 
 
 @click.command("load")
-@click.option("--url", "urls", multiple=True, required=True, help="A gateway.")
+@click.option("--url", "urls", multiple=True, required=True, help="A gateway's URL.")
 @click.option("--key", required=True, envvar="EBONYDEAL_API_KEY", help="API key.")
 @click.option("--model", required=True)
 @click.option("--service", required=True)
 @click.option("--seconds", type=click.FloatRange(0.1, 3600), default=10.0)
 @click.option(
-    "--streams", type=click.FloatRange(0, 1000), default=6.0, help="A second."
+    "--streams", type=click.FloatRange(0, 1000), default=6.0, help="Per second."
 )
 @click.option("--lookups", type=click.FloatRange(0, 5000), default=10.0)
 @click.option("--deferred", type=click.FloatRange(0, 1000), default=2.0)
@@ -57,7 +57,7 @@
 ) -> None:
     """Send mixed load and print one JSON line.
 
-    The answers are checked against what stand-in engines and services give. Two
+    The responses are checked against those of stand-in engines and services. Two
     runs with the same seed use the same idempotency keys.
     """
     spec = LoadSpec(
--- a/src/ebonydeal/_internal/commands/bench_peers.py
+++ b/src/ebonydeal/_internal/commands/bench_peers.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench peers``: what rounds between own processes cost."""
+"""``ebonydeal bench peers``: cost of gossip rounds between ebonydeal processes."""
 
 import asyncio
 from collections.abc import Sequence
@@ -64,17 +64,17 @@
 
 @click.command("peers")
 @click.option("--seed", type=int, default=1, help="First seed.")
-@click.option("--runs", type=click.IntRange(1, 50), default=3, help="Seeds a row.")
+@click.option("--runs", type=click.IntRange(1, 50), default=3, help="Seeds per row.")
 @click.option(
     "--output",
     type=click.Path(file_okay=False, path_type=Path),
     default=None,
-    help="Directory for the same as text.",
+    help="Directory for the tables as text.",
 )
 def peers_command(seed: int, runs: int, output: Path | None) -> None:
-    """Measure bytes, processor time and spread of peer rounds by size.
+    """Measure bytes, processor time and spread of gossip rounds by group size.
 
-    The real messages are driven in one process without sockets, and a few real
+    The real messages are exchanged in one process without sockets, and by a few real
     services on loopback.
     """
     real = [asyncio.run(measure_loopback(n, _LOOPBACK_S)) for n in _LOOPBACK_SIZES]
--- a/src/ebonydeal/_internal/commands/bench_reclaim.py
+++ b/src/ebonydeal/_internal/commands/bench_reclaim.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench reclaim``: what streams recompute when a zone is taken."""
+"""``ebonydeal bench reclaim``: tokens recomputed when a zone is reclaimed."""
 
 from pathlib import Path
 
@@ -17,17 +17,17 @@
 
 @click.command("reclaim")
 @click.option("--seed", type=int, default=1, help="First seed.")
-@click.option("--runs", type=click.IntRange(1, 200), default=20, help="Seeds a row.")
+@click.option("--runs", type=click.IntRange(1, 200), default=20, help="Seeds per row.")
 @click.option(
     "--output",
     type=click.Path(file_okay=False, path_type=Path),
     default=None,
-    help="Directory for the same as text and as a plot.",
+    help="Directory for the tables as text and a plot.",
 )
 def reclaim_command(seed: int, runs: int, output: Path | None) -> None:
     """Compare reclaim decisions with baselines on a small engine model.
 
-    One of three availability zones is taken back, with notices from 0 to 30 s.
+    One of three availability zones is reclaimed, with notices from 0 to 30 s.
     """
     rows = []
     seeds = range(seed, seed + runs)
--- a/src/ebonydeal/_internal/commands/bench_rollouts.py
+++ b/src/ebonydeal/_internal/commands/bench_rollouts.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench rollouts``: verdicts on modelled versions, good and bad."""
+"""``ebonydeal bench rollouts``: verdicts on simulated versions, healthy and faulty."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
     table,
 )
 
-# Seeds from here on are for judging: nothing was tuned on them.
+# Seeds from here on are reserved for the final evaluation, not for tuning.
 JUDGING_FROM = 1_000_000
 _TESTS = ("mixture", "one")
 _PLANS = ("steady", "loaded")
@@ -20,8 +20,10 @@
 
 @click.command("rollouts")
 @click.option("--count", type=click.IntRange(10, 100_000), default=1000)
-@click.option("--seed", type=int, default=0, show_default=True, help="The first one.")
-@click.option("--judging", is_flag=True, help="Play the seeds kept for judging.")
+@click.option("--seed", type=int, default=0, show_default=True, help="First seed.")
+@click.option(
+    "--judging", is_flag=True, help="Use the seeds reserved for the final evaluation."
+)
 @click.option("--test", type=click.Choice([*_TESTS, "all"]), default="mixture")
 @click.option("--plan", type=click.Choice([*_PLANS, "all"]), default="all")
 @click.option("--jobs", type=click.IntRange(1, 16), default=2, show_default=True)
@@ -29,7 +31,7 @@
     "--output",
     type=click.Path(file_okay=False, path_type=Path),
     default=None,
-    help="Directory for the same as text and as a plot.",
+    help="Directory for the tables as text and a plot.",
 )
 def rollouts_command(
     count: int,
@@ -40,12 +42,12 @@
     jobs: int,
     output: Path | None,
 ) -> None:
-    """Play modelled roll-outs through the real decision, each way on the same seeds.
+    """Run simulated roll-outs through the real decision logic, with the same seeds.
 
-    ``over`` counts bad versions that got more requests than their bound, ``late``
-    those that got some later than 5 s after their 50th bad answer, ``wrong`` good
-    ones that were rolled back, ``passed`` bad ones that were completed, ``overdue``
-    verdicts after the order's end. ``exposed`` and ``worst`` are parts of the bound.
+    ``over`` counts faulty versions that got more requests than their bound, ``late``
+    those that got requests over 5 s after their 50th bad response, ``wrong`` healthy
+    ones that were rolled back, ``passed`` faulty ones that were completed, ``overdue``
+    verdicts after the deadline. ``exposed`` and ``worst`` are fractions of the bound.
     """
     first = seed + JUDGING_FROM if judging else seed
     text = [f"seeds {first} to {first + count - 1}"]
--- a/src/ebonydeal/_internal/commands/bench_routing.py
+++ b/src/ebonydeal/_internal/commands/bench_routing.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench routing``: routing, limits and retries, measured."""
+"""``ebonydeal bench routing``: measurements of routing, limits and retries."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
     default=3,
     show_default=True,
     type=click.IntRange(1, 30),
-    help="How many seeds in a row.",
+    help="Number of consecutive seeds.",
 )
 @click.option(
     "--seconds",
--- a/src/ebonydeal/_internal/commands/bench_spend.py
+++ b/src/ebonydeal/_internal/commands/bench_spend.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench spend``: cost, deadlines, repair and the controller's cost."""
+"""``ebonydeal bench spend``: fleet cost, deadlines, recovery, controller overhead."""
 
 import asyncio
 import sys
@@ -20,16 +20,16 @@
     "--largest",
     default=2000,
     show_default=True,
-    help="Most replicas for which the controller's own cost is measured.",
+    help="Maximum number of replicas at which the controller's overhead is measured.",
 )
 def spend_command(seed: int, traces: int, largest: int) -> None:
-    """Compare the cost at the latency target, and time the controller.
+    """Compare the cost at the latency target and measure the controller's overhead.
 
-    Prices, demand, reclaim waves and deadline work come from seeded traces of
-    three days; the decisions are the controller's own. Exit code 1 if a target
-    is missed.
+    Prices, demand, reclaim bursts and work with deadlines come from seeded traces of
+    three days; the controller's real code decides. The exit code is 1 if a target is
+    missed.
     """
-    # Not needed by other commands: the hindsight schedule needs scipy.
+    # Imported here because the hindsight schedule needs scipy; other commands don't.
     from ebonydeal._internal.benchmarks.spend.compare import (
         compare,
         table,
--- a/src/ebonydeal/_internal/commands/client.py
+++ b/src/ebonydeal/_internal/commands/client.py
@@ -1,4 +1,4 @@
-"""The console's JSON API as seen from the command line."""
+"""Client of the console's JSON API for commands."""
 
 import asyncio
 import json
@@ -31,25 +31,25 @@
 
 
 class ConsoleResponse(NamedTuple):
-    """A whole answer; ``body`` is a JSON object."""
+    """A complete response; ``body`` is a JSON object."""
 
     status: int
     body: dict[str, Any]
 
 
 class Console(NamedTuple):
-    """Where the console is, and the operator's token."""
+    """The console's URL and the operator's token."""
 
     url: str
     token: str
 
     def get(self, path: str, **query: Any) -> ConsoleResponse:
-        """Fetch; ends with a message where there is no answer."""
+        """Send a GET request; print an error and exit without a response."""
         params = {name: str(value) for name, value in query.items()}
         return self._run("GET", path, params=params)
 
     def post(self, path: str, body: dict[str, Any]) -> ConsoleResponse:
-        """Send; ends with a message where there is no answer."""
+        """Send a POST request; print an error and exit without a response."""
         return self._run("POST", path, json=body)
 
     def _run(self, method: str, path: str, **options: Any) -> ConsoleResponse:
@@ -69,17 +69,17 @@
         ):
             body = json.loads(await resp.read())
         if not isinstance(body, dict):
-            raise ValueError("the answer is not a JSON object")
+            raise ValueError("the response is not a JSON object")
         return ConsoleResponse(resp.status, body)
 
 
 def _never_connected(exc: Exception) -> bool:
-    """Return whether it is certain that no connection was made."""
+    """Return whether no connection was established for certain."""
     return isinstance(exc, ClientConnectorError | InvalidURL)
 
 
 def _exit_without_response(url: str, exc: Exception, sent: bool) -> NoReturn:
-    """End with a message: no console, or no word from it."""
+    """Print why there is no response, and exit."""
     reason = str(exc) or type(exc).__name__
     click.echo(f"No answer from the console at {url}: {reason}", err=True)
     if sent:
@@ -94,7 +94,7 @@
 
 
 def body_or_exit(response: ConsoleResponse) -> dict[str, Any]:
-    """Return the body of a good answer, or end with its reasons."""
+    """Return the body of a success, or print the error and exit."""
     if response.status < 400:
         return response.body
     error = response.body.get("error")
@@ -112,7 +112,7 @@
 
 
 def _print_conflict(conflict: Any) -> None:
-    """Print what changed meanwhile."""
+    """Print the versions and differences that conflict."""
     if not isinstance(conflict, dict):
         return
     for info in conflict.get("versions", ()):
@@ -152,7 +152,7 @@
 
 
 def print_table(headings: list[str], rows: list[list[str]]) -> None:
-    """Print rows under headings, in columns."""
+    """Print a table with aligned columns."""
     widths = [
         max(len(str(row[column])) for row in [headings, *rows])
         for column in range(len(headings))
--- a/src/ebonydeal/_internal/commands/document.py
+++ b/src/ebonydeal/_internal/commands/document.py
@@ -30,11 +30,11 @@
 
 @click.group("document")
 def document_command() -> None:
-    """Check, apply and look at configuration documents (JSON)."""
+    """Check, apply and show configuration documents (JSON)."""
 
 
 def read_document(file: Path) -> Any:
-    """Return a file's JSON, or end with the place of the mistake."""
+    """Return a file's JSON, or print the error's location and exit."""
     try:
         return json.loads(read_text_file(file))
     except json.JSONDecodeError as exc:
@@ -47,10 +47,10 @@
 
 @document_command.command("check")
 @file_argument
-@click.option("--online", is_flag=True, help="Also check prices, by the console.")
+@click.option("--online", is_flag=True, help="Also check prices, through the console.")
 @console_options
 def check(file: Path, online: bool, url: str, token: str, as_json: bool) -> None:
-    """Name every problem of FILE; exit code 3 if there is any."""
+    """Report every problem in FILE; exit code 3 if there is any."""
     document = read_document(file)
     if online:
         response = body_or_exit(
@@ -73,9 +73,15 @@
 
 @document_command.command("apply")
 @file_argument
-@click.option("--base", type=int, help="Version that FILE was made from; else asked.")
-@click.option("--note", default="", help="Why, for the history.")
-@click.option("--proposal", default="", help="Id of a repeated try.")
+@click.option(
+    "--base",
+    type=int,
+    help="Version that FILE is based on; by default the current one.",
+)
+@click.option("--note", default="", help="Reason, for the history.")
+@click.option(
+    "--proposal", default="", help="Proposal id, to retry an earlier attempt."
+)
 @console_options
 def apply_command(
     file: Path,
@@ -86,7 +92,7 @@
     token: str,
     as_json: bool,
 ) -> None:
-    """Put FILE in force: accepted whole, or refused with every reason."""
+    """Apply FILE: accept it completely, or refuse it with every reason."""
     document = read_document(file)
     console = Console(url, token)
     if base is None:
@@ -110,10 +116,10 @@
 
 
 @document_command.command("show")
-@click.option("--version", type=int, help="Of the present one by default.")
+@click.option("--version", type=int, help="Version; by default the current one.")
 @console_options
 def show(version: int | None, url: str, token: str, as_json: bool) -> None:
-    """Print the document; with --json together with its version."""
+    """Print the document; with --json also its version."""
     query = {} if version is None else {"version": version}
     response = body_or_exit(Console(url, token).get("/api/document", **query))
     print_json(response if as_json else response["document"])
@@ -124,7 +130,7 @@
 @click.argument("b", type=int, required=False)
 @console_options
 def diff(a: int, b: int | None, url: str, token: str, as_json: bool) -> None:
-    """Print what differs from version A to version B (or to the present one)."""
+    """Print the differences from version A to version B (or the current one)."""
     query = {"a": a} if b is None else {"a": a, "b": b}
     response = body_or_exit(Console(url, token).get("/api/diff", **query))
     if as_json:
@@ -138,7 +144,7 @@
 @click.option("--limit", type=click.IntRange(1, 10000), default=20, show_default=True)
 @console_options
 def history(limit: int, url: str, token: str, as_json: bool) -> None:
-    """Print who changed what, and when; newest first."""
+    """Print all changes with author and time, newest first."""
     response = body_or_exit(Console(url, token).get("/api/history", limit=limit))
     if as_json:
         print_json(response)
@@ -157,7 +163,7 @@
 
 
 def _changes_text(items: list[str]) -> str:
-    """Return a few changed items by name, many by number."""
+    """Return the names of a few changed items, or the number of many."""
     if len(items) > _MAX_NAMED_ITEMS:
         return f"{len(items)} items"
     return ", ".join(items)
--- a/src/ebonydeal/_internal/commands/exits.py
+++ b/src/ebonydeal/_internal/commands/exits.py
@@ -1,10 +1,10 @@
-"""Exit codes of ``ebonydeal``; stated in docs/operate/console.md."""
+"""Exit codes of ``ebonydeal``; documented in docs/operate/console.md."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """What the calling script may conclude."""
+    """Exit codes, for scripts that call commands."""
 
     OK = 0
     FAILED = 1
--- a/src/ebonydeal/_internal/commands/explain.py
+++ b/src/ebonydeal/_internal/commands/explain.py
@@ -1,4 +1,4 @@
-"""``ebonydeal explain``: what was decided for a request, and why."""
+"""``ebonydeal explain``: the decisions for a request and their reasons."""
 
 import asyncio
 import json
@@ -35,11 +35,11 @@
 async def find_in_gateways(
     urls: tuple[str, ...], token: str, request_id: str
 ) -> dict[str, Any]:
-    """Return the trail of the first gateway that keeps one.
+    """Return the trail of the first gateway that has one.
 
-    Raises the last gateway's error where none does.
+    Raises the last gateway's error if none has.
     """
-    error = EbonydealError(ErrorKind.NOT_FOUND, "no gateway was asked")
+    error = EbonydealError(ErrorKind.NOT_FOUND, "no gateway URL was given")
     for url in urls:
         try:
             return await fetch_trail(url, token, request_id)
@@ -49,7 +49,7 @@
 
 
 def trail_text(trail: dict[str, Any]) -> str:
-    """Return a trail for people, one line a step; times from the first step."""
+    """Format a trail, one line per step, with times since the first step."""
     steps = trail["steps"]
     start = steps[0]["at"] if steps else 0.0
     lines = [f"request {trail['request_id']}"]
@@ -64,7 +64,7 @@
 
 
 def _choice_text(choice: dict[str, Any]) -> str:
-    """Return one scored endpoint with its terms."""
+    """Format a scored endpoint with the terms of its score."""
     terms = "  ".join(
         f"{name}={value:g}" for name, value in choice.get("terms", {}).items()
     )
@@ -75,7 +75,11 @@
 @click.command("explain")
 @click.argument("request_id")
 @click.option(
-    "--url", "urls", multiple=True, required=True, help="A gateway; may be repeated."
+    "--url",
+    "urls",
+    multiple=True,
+    required=True,
+    help="A gateway's URL; may be repeated.",
 )
 @click.option(
     "--token", required=True, envvar="EBONYDEAL_OPERATOR_TOKEN", help="Operator token."
@@ -84,7 +88,7 @@
 def explain_command(
     request_id: str, urls: tuple[str, ...], token: str, as_json: bool
 ) -> None:
-    """Show what the gateways decided for REQUEST_ID, and why."""
+    """Show the gateways' decisions for REQUEST_ID and their reasons."""
     try:
         trail = asyncio.run(find_in_gateways(urls, token, request_id))
     except EbonydealError as exc:
--- a/src/ebonydeal/_internal/commands/quarantine.py
+++ b/src/ebonydeal/_internal/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""``ebonydeal quarantine``: requests that relays refuse since endpoints crashed."""
+"""``ebonydeal quarantine``: requests refused because they crashed endpoints."""
 
 import json
 
@@ -9,14 +9,17 @@
 
 @click.command("quarantine")
 @click.option(
-    "--relay", "address", required=True, help="host:port of a relay for other relays."
+    "--relay",
+    "address",
+    required=True,
+    help="host:port of a relay's listener for other relays.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def quarantine_command(address: str, as_json: bool) -> None:
-    """Show the requests under which endpoints crashed, and which of these did.
+    """Show the quarantined requests and the endpoints that each one crashed.
 
-    All relays refuse the same; the digest is in the caller's answer and in the lines
-    of each of the request's sends.
+    All relays refuse the same requests. The digest is in the client's response and in
+    the log lines of each send of the request.
     """
     found = fetch_or_exit(address, "/quarantine")
     if as_json:
--- a/src/ebonydeal/_internal/commands/quickstart.py
+++ b/src/ebonydeal/_internal/commands/quickstart.py
@@ -20,7 +20,7 @@
 
 
 class _Serve(Service):
-    """The quick system, left running for a user to try."""
+    """The quickstart's system, which runs until it is stopped."""
 
     def __init__(self, seed: int, gateways: int) -> None:
         super().__init__()
@@ -30,7 +30,7 @@
         self.add_dependency(self._admin)
 
     async def on_started(self) -> None:
-        """Print what a user needs to try it."""
+        """Print the addresses and credentials that a user needs."""
         system = self._system
         for url in system.gateway_urls():
             click.echo(f"gateway: {url}")
@@ -47,15 +47,15 @@
     "--seconds", type=click.FloatRange(2, 600), default=20.0, show_default=True
 )
 @click.option("--gateways", type=click.IntRange(1, 9), default=3, show_default=True)
-@click.option("--serve", is_flag=True, help="Leave it running, without load.")
+@click.option("--serve", is_flag=True, help="Keep the system running, without load.")
 @click.option("--json", "only_json", is_flag=True, help="Print the figures only.")
 def quickstart_command(
     seed: int, seconds: float, gateways: int, serve: bool, only_json: bool
 ) -> None:
-    """Run the whole system on a stand-in platform, and take a zone back midway.
+    """Run the whole system on a stand-in platform, and reclaim a zone midway.
 
-    The last line printed is one JSON object. The exit code is 0 only if nothing
-    was lost, doubled or wrong and requests of every kind were sent.
+    The last line printed is one JSON object. The exit code is 0 only if no response
+    was lost, duplicated or wrong and requests of every kind were sent.
     """
     configure_logs(LogSettings(level="error"))
     if serve:
--- a/src/ebonydeal/_internal/commands/quickstart_run.py
+++ b/src/ebonydeal/_internal/commands/quickstart_run.py
@@ -1,4 +1,4 @@
-"""The quickstart's run: load on the small system while a zone is taken back."""
+"""The quickstart's run: load on the system while a zone is reclaimed."""
 
 import asyncio
 import time
@@ -23,24 +23,24 @@
 
 
 class QuickstartOptions(NamedTuple):
-    """What a quick run does.
+    """Options of a quickstart run.
 
     Attributes
     ----------
     seed : int
-        Of prompts, arrivals, ids and choices.
+        Seed of prompts, arrivals, ids and choices.
     seconds : float
-        How long new requests are sent.
+        Time for which new requests are sent.
     gateways : int
-        How many gateways.
+        Number of gateways.
     notice_seconds : float
-        From the notice of the zone's reclaim until its endpoints die.
+        Time from the zone's reclaim notice until its endpoints are killed.
     reclaim : bool
-        Whether a zone is taken back midway.
+        Whether a zone is reclaimed midway.
     speed : float
-        Factor on the pace of the endpoints.
+        Speed-up factor of the endpoints.
     load : dict
-        Changes of `LoadSpec`.
+        Fields of `LoadSpec` that differ from the defaults.
     """
 
     seed: int = 1
@@ -55,7 +55,7 @@
 async def run_quickstart(
     options: QuickstartOptions, on_progress: ProgressCallback
 ) -> dict[str, Any]:
-    """Run it all and return the figures."""
+    """Run the system under load and return the results."""
     clock = SystemClock()
     began = time.monotonic()
     system = build(
@@ -79,7 +79,7 @@
 
 
 def _fleet(system: QuickstartSystem) -> dict[str, Any]:
-    """Return what was started and stopped, by zone, and the present spend."""
+    """Return the instances started, stopped and running, and the current spend."""
     cloud = system.tree.world.cloud
     running = Counter(item.zone for item in cloud.running())
     return {
@@ -96,7 +96,7 @@
     clock: Clock,
     on_progress: ProgressCallback,
 ) -> list[CallRecord]:
-    """Send the load, take a zone back midway, return the callers' logs."""
+    """Send the load, reclaim a zone midway, and return the callers' records."""
     balancer = Balancer(system.gateway_urls())
     await balancer.start()
     try:
@@ -130,7 +130,7 @@
     clock: Clock,
     on_progress: ProgressCallback,
 ) -> None:
-    """Take back the first availability zone midway."""
+    """Reclaim the first availability zone midway."""
     if not options.reclaim:
         return
     await clock.sleep(options.seconds / 2)
--- a/src/ebonydeal/_internal/commands/quickstart_system.py
+++ b/src/ebonydeal/_internal/commands/quickstart_system.py
@@ -1,4 +1,4 @@
-"""What the quickstart consists of: document, own processes, and when it is up."""
+"""The quickstart's system: document, processes, and the wait until it is ready."""
 
 import random
 import secrets
@@ -34,13 +34,13 @@
 _LIST_LAG_S = 0.5
 _READY_POLL_INTERVAL_S = 0.1
 _READY_TIMEOUT_S = 30.0
-# Every process has read the list once more by then.
+# Within this time every process has read the instance list again.
 _LIST_SPREAD_S = 0.6
 _MAX_SHARDS = 10_000
 
 
 class QuickstartSystem(NamedTuple):
-    """A built tree, and the secrets that a user needs.
+    """A supervisor tree, and the secrets that a user needs.
 
     ``api_key`` is of the client account `ACCOUNT`, ``operator_token`` of the
     console's operator `OPERATOR`.
@@ -52,7 +52,7 @@
     operator_token: str
 
     def gateway_urls(self) -> tuple[str, ...]:
-        """Return the base URLs of the gateways that run."""
+        """Return the base URLs of the running gateways."""
         return tuple(
             f"http://{program.address}"
             for node_id, program in self.tree.programs.items()
@@ -65,7 +65,7 @@
 
 
 def demo_document() -> tuple[dict[str, Any], str]:
-    """Return the document with one fresh API key, and that key."""
+    """Return the document with one new API key, and that key."""
     document = example_document(DOCUMENT)
     key = f"demo-{secrets.token_hex(_KEY_BYTES)}"
     for account in document["accounts"]:
@@ -77,7 +77,7 @@
 def node_specs(
     places: tuple[Place, ...], gateways: int, operator_token: str
 ) -> tuple[NodeSpec, ...]:
-    """Return the own processes, spread over the zones in turn."""
+    """Return the ebonydeal processes, distributed over the zones round-robin."""
     operators = f"{OPERATOR}:{hash_key(operator_token)}"
     console = {"console": {"operators": operators}}
     kinds: list[tuple[str, int, Any, dict[str, type], dict[str, Any]]] = [
@@ -109,8 +109,8 @@
 ) -> QuickstartSystem:
     """Return the whole system, not started.
 
-    No endpoint is there at first: the controller starts what the document asks
-    for.
+    There are no endpoints at first: the controller starts those that the document
+    requires.
     """
     rng = random.Random(seed)
     document, key = demo_document()
@@ -130,13 +130,13 @@
 
 
 def count_owned_shards(world: StandinWorld) -> int:
-    """Return how many journal shards have an owner."""
+    """Return the number of journal shards that have an owner."""
     rows = world.tables.tables.rows.scan("shards/", "", _MAX_SHARDS)
     return sum(1 for row in rows if row.value.get("address"))
 
 
 def cold_deployments(world: StandinWorld, document: dict[str, Any]) -> list[str]:
-    """Return the deployments that have too few warm endpoints listed."""
+    """Return the deployments with fewer warm endpoints listed than their minimum."""
     cold = []
     for item in document["deployments"]:
         adapters = {adapter["name"] for adapter in item.get("adapters", ())}
@@ -156,7 +156,7 @@
 async def wait_ready(
     system: QuickstartSystem, balancer: Balancer, clock: Clock
 ) -> None:
-    """Wait until gateways, journal shards and endpoints are all up.
+    """Wait until all gateways, journal shards and endpoints are ready.
 
     Raises TimeoutError.
     """
--- a/src/ebonydeal/_internal/commands/quickstart_tree.py
+++ b/src/ebonydeal/_internal/commands/quickstart_tree.py
@@ -1,4 +1,4 @@
-"""A whole small system in one process, for the quickstart."""
+"""The supervisor tree of the quickstart: a small system in one process."""
 
 import random
 import secrets
@@ -19,8 +19,8 @@
 
 Sections = dict[str, Any]
 _CREDENTIAL_BYTES = 16
-# Sections in which a quick run differs from the defaults, which are meant for
-# real fleets; each only where the program has such a section.
+# Settings in which the quickstart differs from the defaults, which are meant for real
+# fleets. A program uses only the sections that it has.
 QUICKSTART_VALUES: dict[str, dict[str, Any]] = {
     "node": {"drain_seconds": 10.0},
     "peers": {"port": 0, "period": 0.3},
@@ -49,7 +49,7 @@
 
 
 def default_sections(classes: dict[str, type]) -> Sections:
-    """Return every section of a program at its quick-run values."""
+    """Return every section of a program with its quickstart values."""
     sections = {}
     for name, cls in classes.items():
         section: Any = cls()
@@ -63,10 +63,10 @@
 
 
 class NodeSpec(NamedTuple):
-    """One own process of the quick run: its id, place and program class.
+    """One ebonydeal process of the quickstart: its id, place and program class.
 
-    ``sections`` are the settings classes of the program by name, ``changes`` the
-    keys of each in which just this process differs.
+    ``sections`` are the program's settings classes by name, ``changes`` the values
+    that differ for this process, by section.
     """
 
     node_id: str
@@ -79,7 +79,7 @@
 def node_settings(
     spec: NodeSpec, platform: PlatformSettings, credential: str, seeds: list[str]
 ) -> Sections:
-    """Return the settings of one own process."""
+    """Return the settings of one process."""
     settings = default_sections(spec.sections)
     settings["node"] = settings["node"]._replace(
         id=spec.node_id, region=spec.place.region, zone=spec.place.zone
@@ -94,22 +94,22 @@
 
 
 class Quickstart(Service):
-    """The stand-in world and the own processes, as one supervisor tree.
+    """The simulated platform and the ebonydeal processes, as one supervisor tree.
 
     Parameters
     ----------
     world : StandinWorld
-        The platform.
+        The simulated platform.
     nodes : sequence of NodeSpec
-        Own processes, started in this order.
+        Processes, started in this order.
     document : dict
-        Put in force before the first process starts.
+        Configuration, published before the first process starts.
     clock : Clock
-        Of all of them.
+        Clock of all processes.
     rng : random.Random
-        For ids and jitter.
-    tell : callable
-        Called with a line for each step.
+        Source of ids and jitter.
+    on_progress : callable
+        Called with a line of text for each step.
     """
 
     def __init__(
@@ -135,7 +135,7 @@
         self.add_dependency(world)
 
     async def on_started(self) -> None:
-        """Put the document in force, then start the own processes."""
+        """Publish the document, then start the processes."""
         zones = ", ".join(place.zone for place in self.world.spec.places)
         self._on_progress(f"platform: availability zones {zones}")
         version = await self._accept_document()
@@ -144,7 +144,7 @@
             await self.start_node(spec)
 
     async def _accept_document(self) -> int:
-        """Put the document in force; raises BAD_DOCUMENT with the first problem."""
+        """Publish the document; raises BAD_DOCUMENT with the first problem."""
         tables = HttpTables.from_config(self.world.platform_settings())
         try:
             store = ConfigStore(tables, self._clock, self._rng)
@@ -156,7 +156,7 @@
         return result.unwrap()
 
     async def start_node(self, spec: NodeSpec) -> Any:
-        """Start one own process and return its program."""
+        """Start one process and return its program."""
         settings = node_settings(
             spec, self.world.platform_settings(), self.credential, self._seeds
         )
@@ -171,20 +171,20 @@
         return program
 
     def _register_peer(self, spec: NodeSpec, program: Any) -> None:
-        """Let later processes find this one, as the platform's list would."""
+        """Let later processes discover this one, as through the platform's list."""
         peers = getattr(program, "peers", None)
         if peers is not None:
             self._seeds.append(peers.address)
             self.world.listing.set_node(spec.node_id, peers.address)
 
     async def stop_node(self, node_id: str) -> None:
-        """Stop one own process gracefully, as a planned stop does."""
+        """Stop one process gracefully, as in a planned stop."""
         program = self.programs.pop(node_id)
         self.world.listing.remove_node(node_id)
         await self.remove_dependency(program)
 
     def total_counts(self) -> dict[str, dict[str, int]]:
-        """Return refusals, retries and events of all own processes together."""
+        """Return refusals, retries and events, summed over all processes."""
         sums: dict[str, dict[str, int]] = {"refusals": {}, "retries": {}, "events": {}}
         for metrics in self.metrics.values():
             for name, counts in (
--- a/src/ebonydeal/_internal/commands/reclaims.py
+++ b/src/ebonydeal/_internal/commands/reclaims.py
@@ -1,4 +1,4 @@
-"""``ebonydeal reclaims``: which instances came and went, why, at what cost."""
+"""``ebonydeal reclaims``: starts and stops of instances, with reasons and costs."""
 
 import asyncio
 import json
@@ -34,10 +34,10 @@
     default=50,
     show_default=True,
     type=click.IntRange(1, 10000),
-    help="Newest events shown.",
+    help="Maximum number of events, the newest ones.",
 )
 def reclaims_command(file: Path, as_json: bool, deployment: str, limit: int) -> None:
-    """Show why instances came and went, and what replaced them."""
+    """Show why instances started and stopped, and what replaced them."""
     cfg = load_settings(file)["platform"]
     try:
         events = asyncio.run(_read(cfg, deployment))[-limit:]
@@ -63,7 +63,7 @@
 
 
 def event_line(event: TrailEvent) -> str:
-    """Return one line for operators."""
+    """Format an event as one line."""
     when = datetime.fromtimestamp(event.at, UTC).strftime("%Y-%m-%d %H:%M:%S")
     market = "reclaimable" if event.reclaimable else "on-demand"
     name = event.instance_id or event.token
--- a/src/ebonydeal/_internal/commands/relay_client.py
+++ b/src/ebonydeal/_internal/commands/relay_client.py
@@ -1,4 +1,4 @@
-"""Questions to one relay's listener for other relays."""
+"""Queries to the listener on which a relay serves other relays."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 async def fetch_from_relay(address: str, path: str) -> list[dict[str, Any]]:
-    """Return what a relay shows; raises OSError, TimeoutError or ValueError."""
+    """Return a relay's JSON response; raises OSError, TimeoutError or ValueError."""
     timeout = ClientTimeout(total=_TIMEOUT_S)
     async with ClientSession(timeout=timeout) as http:
         async with http.get(f"http://{address}{path}") as resp:
@@ -20,7 +20,7 @@
 
 
 def fetch_or_exit(address: str, path: str) -> list[dict[str, Any]]:
-    """Return what a relay shows; without a readable answer say so, and exit with 1."""
+    """Return a relay's JSON response, or print an error and exit with code 1."""
     try:
         return asyncio.run(fetch_from_relay(address, path))
     except (ClientError, OSError, ValueError) as exc:
--- a/src/ebonydeal/_internal/commands/rollout.py
+++ b/src/ebonydeal/_internal/commands/rollout.py
@@ -1,4 +1,4 @@
-"""``ebonydeal rollout``: roll-outs under way, and the last ones' verdicts."""
+"""``ebonydeal rollout``: running roll-outs, and the verdicts of the last ones."""
 
 import json
 from typing import Any
@@ -13,13 +13,13 @@
     "--relay",
     "address",
     required=True,
-    help="host:port for other relays of the coordinator.",
+    help="host:port on which the coordinator serves other relays.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def rollout_command(address: str, as_json: bool) -> None:
     """Show each service's roll-out: its phase, evidence, shares and time left.
 
-    The coordinator alone decides and knows; its "Lease gained." line names it.
+    Only the coordinator knows; its log has the line "Lease gained.".
     """
     found = fetch_or_exit(address, "/rollouts")
     if as_json:
@@ -32,7 +32,7 @@
 
 
 def _line(item: dict[str, Any]) -> str:
-    """Return a roll-out as one line."""
+    """Format a roll-out as one line."""
     shares = item["shares"].values()
     largest = max(shares, default=0.0)
     return (
--- a/src/ebonydeal/_internal/commands/settings.py
+++ b/src/ebonydeal/_internal/commands/settings.py
@@ -1,4 +1,4 @@
-"""``ebonydeal settings``: check, show, and write an example settings file."""
+"""``ebonydeal settings``: check, show and generate settings files."""
 
 import sys
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def read_text_file(file: Path) -> str:
-    """Return a file's text, or end with a message."""
+    """Return a file's text, or print an error and exit."""
     try:
         return file.read_text(encoding="utf-8")
     except OSError as exc:
@@ -30,7 +30,7 @@
 
 
 def load_settings(file: Path) -> dict[str, Any]:
-    """Return a file's typed sections, or end with every mistake named."""
+    """Return a file's typed sections, or print every error and exit."""
     parsed = parse_settings(read_text_file(file), str(file), ALL_SECTIONS)
     if isinstance(parsed, Failure):
         for problem in parsed.failure():
@@ -41,7 +41,7 @@
 
 
 def reread_settings(file: Path) -> dict[str, Any] | None:
-    """Return a file's typed sections, or None with every mistake logged."""
+    """Return a file's typed sections, or log every error and return None."""
     try:
         text = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -63,7 +63,7 @@
 @settings_command.command("check")
 @file_argument
 def check(file: Path) -> None:
-    """Name every mistake in FILE; exit code 2 if there is any."""
+    """Report every error in FILE; exit code 2 if there is any."""
     load_settings(file)
     click.echo(f"{file}: no mistakes")
 
@@ -71,7 +71,7 @@
 @settings_command.command("show")
 @file_argument
 def show(file: Path) -> None:
-    """Print what is in force for FILE, with secrets masked."""
+    """Print the effective settings of FILE, with secrets masked."""
     click.echo(settings_text(load_settings(file), ALL_SECTIONS), nl=False)
 
 
--- a/src/ebonydeal/_internal/commands/soak.py
+++ b/src/ebonydeal/_internal/commands/soak.py
@@ -15,7 +15,7 @@
 
 
 @click.command("soak")
-@click.option("--seed", type=int, default=1, show_default=True, help="The first one.")
+@click.option("--seed", type=int, default=1, show_default=True, help="First seed.")
 @click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True)
 @click.option(
     "--seconds", type=click.FloatRange(5, 600), default=12.0, show_default=True
@@ -24,9 +24,11 @@
 @click.option("--endpoints", type=click.IntRange(2, 60), default=4, show_default=True)
 @click.option("--clients", type=click.IntRange(1, 200), default=12, show_default=True)
 @click.option("--jobs", type=click.IntRange(1, 16), default=1, show_default=True)
-@click.option("--regressions", is_flag=True, help="Play the seeds that ever failed.")
+@click.option("--regressions", is_flag=True, help="Run the seeds that once failed.")
 @click.option(
-    "--plant", type=click.Choice(sorted(PLANTS)), help="Falsify what was seen."
+    "--plant",
+    type=click.Choice(sorted(PLANTS)),
+    help="Falsify the observations.",
 )
 def soak_command(
     seed: int,
@@ -39,10 +41,10 @@
     regressions: bool,
     plant: str | None,
 ) -> None:
-    """Start relays as processes, harm them and all around them, check promises.
+    """Run relays as processes, inject faults around them, and check guarantees.
 
     One line of JSON is printed for each seed. The exit code is 0 only if no
-    promise was broken. Everything is started on loopback and ended by its id.
+    guarantee was violated. All processes listen on loopback and are stopped by id.
     """
     configure_logs(LogSettings(level="error"))
     size = Size(relays, endpoints, clients, seconds)
@@ -54,7 +56,7 @@
 async def _run_seeds(
     seeds: Iterable[int], size: Size, jobs: int, plant: str | None
 ) -> list[Verdict]:
-    """Play seeds, several at a time, and print each when it is done."""
+    """Run seeds, several at a time, and print each verdict when it is ready."""
     semaphore = asyncio.Semaphore(jobs)
 
     async def run_one(seed: int) -> Verdict:
--- a/src/ebonydeal/_internal/commands/spend.py
+++ b/src/ebonydeal/_internal/commands/spend.py
@@ -1,4 +1,4 @@
-"""``ebonydeal spend``: what deployments cost, against their ceilings."""
+"""``ebonydeal spend``: costs of deployments and their ceilings."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 @settings_option
 @json_option
 def spend_command(file: Path, as_json: bool) -> None:
-    """Show what each deployment costs now, and has cost."""
+    """Show each deployment's current and total cost."""
     cfg = load_settings(file)["platform"]
     try:
         rows = asyncio.run(_read(cfg))
@@ -46,7 +46,7 @@
 
 
 def spend_line(row: SpendRow) -> str:
-    """Return one line for operators."""
+    """Format a deployment's spend as one line."""
     line = (
         f"{row.deployment}: {row.per_hour:.2f}/h of at most {row.ceiling:.2f}/h, "
         f"{row.total:.2f} so far; {row.ready} of {row.replicas} instances ready, "
--- a/src/ebonydeal/_internal/commands/standin.py
+++ b/src/ebonydeal/_internal/commands/standin.py
@@ -1,4 +1,4 @@
-"""``ebonydeal standin``: small stand-ins of the platform, for trials."""
+"""``ebonydeal standin``: small stand-ins of the platform, for testing."""
 
 import json
 import random
@@ -38,12 +38,12 @@
 _ADMIN_PORT = 9100
 
 port_option = click.option(
-    "--port", type=click.IntRange(0, 65535), default=0, help="0 picks a free one."
+    "--port", type=click.IntRange(0, 65535), default=0, help="0 chooses a free port."
 )
 
 
 def _run(build: Callable[[], Service]) -> None:
-    """Run a stand-in until it is interrupted, and say where it listens."""
+    """Run a stand-in until it is interrupted, and print its address."""
     configure_logs(LogSettings())
     sys.exit(run_program(lambda: _AddressPrinter(build())))
 
@@ -57,13 +57,13 @@
         self.add_dependency(service)
 
     async def on_started(self) -> None:
-        """Print where it listens."""
+        """Print the address of the stand-in."""
         click.echo(json.dumps({"address": self._service.server.address}))
 
 
 @click.group("standin")
 def standin_command() -> None:
-    """Run a stand-in of an outside system, for trials and tests."""
+    """Run a stand-in of an external system, for testing."""
 
 
 @standin_command.command()
@@ -71,7 +71,7 @@
 @click.option("--writes-per-s", type=float, default=0.0, help="Limit; 0: none.")
 @click.option("--reads-per-s", type=float, default=0.0, help="Limit; 0: none.")
 def tables(port: int, writes_per_s: float, reads_per_s: float) -> None:
-    """Run a table service; its rows live in memory."""
+    """Run a table service that keeps its rows in memory."""
     _run(
         lambda: TablesServer(
             port=port, writes_per_s=writes_per_s, reads_per_s=reads_per_s
@@ -82,14 +82,14 @@
 @standin_command.command()
 @port_option
 def objects(port: int) -> None:
-    """Run an object store; its objects live in memory."""
+    """Run an object store that keeps its objects in memory."""
     _run(lambda: ObjectsServer(port=port))
 
 
 @standin_command.command()
 @port_option
-@click.option("--rate", type=float, default=10.0, help="Gigabytes a second.")
-@click.option("--model", "models", multiple=True, help="A model that is there.")
+@click.option("--rate", type=float, default=10.0, help="Gigabytes per second.")
+@click.option("--model", "models", multiple=True, help="A model in the store.")
 def weights(port: int, rate: float, models: tuple[str, ...]) -> None:
     """Run a weight store."""
     copies = tuple(WeightCopy("store", name, 14.0, "") for name in models)
@@ -101,7 +101,7 @@
 @click.option("--lag", type=float, default=1.0, help="Seconds.")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def instances(port: int, lag: float, file: Path) -> None:
-    """Run an instance list that shows FILE, in the shape it is served in."""
+    """Run an instance list that serves FILE, which has the format of the response."""
     try:
         listed = json.loads(file.read_text(encoding="utf-8"))
         views = [endpoint_from_message(item) for item in listed["endpoints"]]
@@ -114,7 +114,7 @@
 def _instance_list(
     views: list[EndpointView], nodes: dict[str, str], lag: float, port: int
 ) -> InstanceListServer:
-    """Return a list that shows these endpoints and nodes."""
+    """Return a server that lists these endpoints and nodes."""
     server = InstanceListServer(lag, port=port)
     for view in views:
         server.set_endpoint(view)
@@ -126,20 +126,20 @@
 @standin_command.command()
 @port_option
 @click.option("--zone", "zones", multiple=True, default=("local-1",))
-@click.option("--price", type=float, default=1.0, help="An hour, of each offer.")
+@click.option("--price", type=float, default=1.0, help="Price per hour of each offer.")
 def cloud(port: int, zones: tuple[str, ...], price: float) -> None:
-    """Run a cloud API whose instances are names only; see "all" for real ones."""
+    """Run a cloud API whose instances run nothing; "all" runs real ones."""
     offers = tuple(Offer(zone, "standard", True, price, 0.5, 8) for zone in zones)
     _run(lambda: CloudServer(_launch_nothing, _stop_nothing, offers, port=port))
 
 
 async def _launch_nothing(_instance: CloudInstance) -> str:
-    """Start nothing under an instance."""
+    """Start no process for an instance."""
     return ""
 
 
 async def _stop_nothing(_instance_id: str) -> None:
-    """Stop nothing under an instance."""
+    """Stop no process of an instance."""
 
 
 @standin_command.command()
@@ -168,7 +168,7 @@
 @click.option("--id", "endpoint_id", default="service-1", show_default=True)
 @click.option("--speed", type=click.FloatRange(0.01, 1000), default=1.0)
 def service(port: int, endpoint_id: str, speed: float) -> None:
-    """Run a plain service that writes down every call it ran."""
+    """Run a plain service that records every call it ran."""
     spec = ServiceSpec().faster(speed)
     _run(lambda: StandinService(endpoint_id, spec, port=port))
 
@@ -186,7 +186,7 @@
 def read_replicas(
     assignments: tuple[str, ...], document: dict[str, Any], default: int
 ) -> dict[str, int]:
-    """Return replicas by deployment from words like ``kitchen=5``."""
+    """Return replicas by deployment from assignments such as ``kitchen=5``."""
     replicas = {item["name"]: default for item in document["deployments"]}
     for assignment in assignments:
         name, _sep, count = assignment.partition("=")
@@ -203,7 +203,7 @@
 @click.option("--speed", type=click.FloatRange(0.01, 1000), default=1.0)
 @click.option("--list-lag", type=float, default=1.0, help="Seconds.")
 @click.option("--seed", type=int, default=1)
-@click.option("--free-ports", is_flag=True, help="In place of 9100 to 9105.")
+@click.option("--free-ports", is_flag=True, help="Instead of ports 9100 to 9105.")
 def whole_world(
     document: str,
     replicas: tuple[str, ...],
@@ -212,7 +212,7 @@
     seed: int,
     free_ports: bool,
 ) -> None:
-    """Run everything a document needs, with a page to reclaim and to break it.
+    """Run all that a document needs, with admin pages for reclaims and faults.
 
     The printed address serves /log, /endpoints, /reclaim, /kill and /faults.
     """
@@ -229,7 +229,7 @@
 
 
 class _WholeWorld(Service):
-    """A world and its admin pages."""
+    """A simulated platform and its admin pages."""
 
     def __init__(self, spec: WorldSpec, ports: dict[str, int], port: int) -> None:
         super().__init__()
--- a/src/ebonydeal/_internal/commands/status.py
+++ b/src/ebonydeal/_internal/commands/status.py
@@ -59,13 +59,13 @@
 
 
 @click.command("endpoints")
-@click.option("--deployment", default="", help="Of this deployment only.")
-@click.option("--zone", default="", help="In this availability zone only.")
+@click.option("--deployment", default="", help="Only this deployment.")
+@click.option("--zone", default="", help="Only this availability zone.")
 @console_options
 def endpoints_command(
     deployment: str, zone: str, url: str, token: str, as_json: bool
 ) -> None:
-    """Print the endpoints that the instance list names."""
+    """Print the endpoints in the instance list."""
     response = body_or_exit(Console(url, token).get("/api/endpoints"))
     found = [
         item
--- a/src/ebonydeal/_internal/commands/story.py
+++ b/src/ebonydeal/_internal/commands/story.py
@@ -1,4 +1,4 @@
-"""``ebonydeal story``: one request's lines from the logs of all nodes, in order."""
+"""``ebonydeal story``: one request's log lines from all nodes, ordered by time."""
 
 import json
 import sys
@@ -7,14 +7,14 @@
 
 import click
 
-# Told first, or said by the columns.
+# Fields that have their own columns, or that are the same in all lines.
 _COLUMN_FIELDS = ("event", "level", "timestamp", "request")
 
 
 def find_request_lines(request_id: str, lines: Iterable[str]) -> list[dict[str, Any]]:
-    """Return the log lines that name a request, by time; others are passed over.
+    """Return the log lines of a request, ordered by time; skip all other lines.
 
-    A line may have words before its JSON, such as the node that wrote it.
+    A line may have a prefix before its JSON, such as the node that wrote it.
     """
     messages = []
     for line in lines:
@@ -32,7 +32,7 @@
 
 
 def story_text(messages: list[dict[str, Any]]) -> str:
-    """Return the lines for people."""
+    """Format log lines as text."""
     rows = []
     for message in messages:
         fields = "  ".join(
@@ -50,7 +50,7 @@
 @click.argument("request_id")
 @click.argument("file", type=click.File("r", encoding="utf-8"), default="-")
 def story_command(request_id: str, file: TextIO) -> None:
-    """Tell REQUEST_ID's story from JSON logs in FILE, or standard input."""
+    """Show the lines of REQUEST_ID from JSON logs in FILE or standard input."""
     messages = find_request_lines(request_id, file)
     if not messages:
         click.echo(f"no line names request {request_id}", err=True)
--- a/tests/functional/commands/test_endpoint_faults.py
+++ b/tests/functional/commands/test_endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Faulty endpoints under load, judged by the callers' and endpoints' logs."""
+"""Faulty endpoints under load, checked by the callers' and endpoints' logs."""
 
 import asyncio
 from collections import Counter
@@ -22,36 +22,36 @@
 }
 
 
-def endpoints(tree, kind):
+def endpoints_of_kind(tree, kind):
     return [item for item in tree.world.endpoints() if item.kind == kind]
 
 
-def plan(tree, kind, *faults):
-    """Plan the same faults of the next attempts at every endpoint of a kind."""
-    for endpoint in endpoints(tree, kind):
+def plan_faults(tree, kind, *faults):
+    """Plan the same faults for the next attempts at every endpoint of a kind."""
+    for endpoint in endpoints_of_kind(tree, kind):
         endpoint.faults.next.extend(faults)
 
 
-# Long enough that calls still come after the fault on a busy machine: these wait
-# for what they need to see, which the short load may have behind it by then.
-LONG = {**COMMITS, "seconds": 5.0}
+# On a busy machine the short load may end before the fault that these tests wait for.
+# This load is long enough that calls still follow the fault.
+LONG_COMMITS = {**COMMITS, "seconds": 5.0}
 
 
-class TestCallsThatMayRunOnce:
-    async def test_lost_answers_are_unknown_and_never_run_again(self):
+class TestAtMostOnceCalls:
+    async def test_calls_with_lost_answers_are_unknown_and_never_retried(self):
         async def fail(tree):
-            plan(tree, "service", PlannedFault(EndpointFault.BREAK))
+            plan_faults(tree, "service", PlannedFault(EndpointFault.BREAK))
 
         records, verdict, _tree = await run_with_fault(fail, **COMMITS)
         assert verdict.count(Violation.UNKNOWN) > 0
         assert verdict.count(Violation.UNKNOWN) == len(verdict.findings)
         assert verdict.completed + len(verdict.findings) == len(records)
 
-    async def test_refused_before_running_is_run_elsewhere(self):
+    async def test_a_call_refused_before_running_runs_elsewhere(self):
         async def fail(tree):
-            plan(tree, "service", *[PlannedFault(EndpointFault.REFUSE)] * 2)
+            plan_faults(tree, "service", *[PlannedFault(EndpointFault.REFUSE)] * 2)
 
-        records, verdict, tree = await run_with_fault(fail, **LONG)
+        records, verdict, tree = await run_with_fault(fail, **LONG_COMMITS)
         refusals = [
             entry
             for log in tree.world.logs()
@@ -62,27 +62,29 @@
         assert verdict.findings == ()
         assert verdict.completed == len(records)
 
-    async def test_what_runs_at_the_notice_is_finished(self):
+    async def test_calls_running_at_the_reclaim_notice_finish(self):
         async def reclaim(tree):
-            for service in endpoints(tree, "service"):
+            for service in endpoints_of_kind(tree, "service"):
                 service.faults.slow = 25.0
             zone = tree.world.spec.places[0].zone
             busy = []
             for _ in range(300):
                 await asyncio.sleep(0.01)
-                busy = [e for e in endpoints(tree, "service") if e.slots.running]
+                busy = [
+                    e for e in endpoints_of_kind(tree, "service") if e.slots.running
+                ]
                 if busy:
                     break
             assert busy
             tree.world.reclaim_zone(zone, 2.0)
 
-        records, verdict, _tree = await run_with_fault(reclaim, **LONG)
+        records, verdict, _tree = await run_with_fault(reclaim, **LONG_COMMITS)
         assert verdict.findings == ()
         assert verdict.completed == len(records)
 
 
 class TestStreamsOfFaultyEngines:
-    async def test_every_caller_gets_its_whole_answer_once(self):
+    async def test_every_caller_gets_its_complete_answer_once(self):
         faults = (
             EndpointFault.BREAK,
             EndpointFault.TRUNCATE,
@@ -94,7 +96,7 @@
         planned = []
 
         async def fail(tree):
-            engines = endpoints(tree, "engine")
+            engines = endpoints_of_kind(tree, "engine")
             assert len(engines) >= len(faults)
             for engine, fault in zip(engines, cycle(faults), strict=False):
                 engine.faults.next.extend([PlannedFault(fault, 3)] * 2)
--- a/tests/functional/commands/test_faults_together.py
+++ b/tests/functional/commands/test_faults_together.py
@@ -1,4 +1,4 @@
-"""Faults together and twice: reclaims, outages, lost answers, deaths, stops."""
+"""Simultaneous and repeated faults: reclaims, outages, lost answers, crashes, stops."""
 
 import asyncio
 
--- a/tests/functional/commands/test_quickstart.py
+++ b/tests/functional/commands/test_quickstart.py
@@ -25,7 +25,7 @@
         assert all(kind["sent"] > 0 for kind in result["by_kind"].values())
         assert (result["lost"], result["duplicated"], result["unknown"]) == (0, 0, 0)
 
-    async def test_gateway_dies_under_load(self):
+    async def test_gateway_crashes_under_load(self):
         async def kill(tree):
             program = tree.programs["gateway-1"]
             while not any(
@@ -40,7 +40,7 @@
         assert verdict.completed == len(records) > 0
         assert sum(record.breaks for record in records) > 0
 
-    async def test_engine_dies_in_the_middle_of_a_stream(self):
+    async def test_engine_crashes_during_a_stream(self):
         async def kill(tree):
             busy = [e for e in tree.world.endpoints() if e.kind == "engine"]
             busiest = max(busy, key=lambda engine: engine.slots.running)
@@ -52,7 +52,7 @@
         assert verdict.completed == len(records) > 0
         assert verdict.recomputed_tokens > 0
 
-    async def test_gateway_is_stopped_as_planned_under_load(self):
+    async def test_planned_stop_of_a_gateway_under_load(self):
         async def stop(tree):
             await tree.stop_node("gateway-2")
 
@@ -61,7 +61,7 @@
         assert verdict.completed == len(records) > 0
         assert sum(record.breaks for record in records) == 0
 
-    async def test_journal_is_stopped_as_planned_under_load(self):
+    async def test_planned_stop_of_a_journal_under_load(self):
         async def stop(tree):
             await tree.stop_node("journal-2")
 
@@ -69,7 +69,7 @@
         assert verdict.findings == ()
         assert verdict.completed == len(records) > 0
 
-    async def test_table_service_is_out_while_a_zone_is_reclaimed(self):
+    async def test_table_service_outage_while_a_zone_is_reclaimed(self):
         async def fail(tree):
             faults = tree.world.tables.tables.faults
             faults.down = True
@@ -81,7 +81,7 @@
         assert verdict.findings == ()
         assert verdict.completed == len(records) > 0
 
-    async def test_answers_of_table_writes_are_lost(self):
+    async def test_responses_to_table_writes_are_lost(self):
         async def lose(tree):
             faults = tree.world.tables.tables.faults
             faults.writes.extend([Fault.LOST_ANSWER, Fault.NONE, Fault.DUPLICATE] * 4)
--- a/tests/functional/processes/test_whole_path.py
+++ b/tests/functional/processes/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The programs as separate processes; the callers' and endpoints' logs decide."""
+"""The programs as separate processes, checked by callers' and endpoints' logs."""
 
 import asyncio
 import json
@@ -10,12 +10,12 @@
 from tests.lib.cluster import MODEL, Cluster
 
 
-def chat(text: str, tokens: int, **more) -> dict:
+def chat(text: str, tokens: int, **fields) -> dict:
     messages = [{"role": "user", "content": text}]
-    return {"model": MODEL, "messages": messages, "max_tokens": tokens, **more}
+    return {"model": MODEL, "messages": messages, "max_tokens": tokens, **fields}
 
 
-def expected(body: dict) -> str:
+def expected_text(body: dict) -> str:
     return "".join(expected_tokens(MODEL, prompt_text(body), body["max_tokens"]))
 
 
@@ -24,9 +24,9 @@
 
 
 async def stream(
-    cluster: Cluster, gateway: int, body: dict, begun: list | None = None
+    cluster: Cluster, gateway: int, body: dict, started: list | None = None
 ) -> str:
-    """Read one stream to its end; return the text."""
+    """Read one stream to its end and return its text."""
     url = cluster.gateways[gateway].url + "/v1/chat/completions"
     parts: list[str] = []
     async with cluster.session.post(url, json={**body, "stream": True}) as resp:
@@ -38,19 +38,19 @@
             if text.startswith("data: "):
                 chunk = json.loads(text.removeprefix("data: "))
                 parts.append(chunk["choices"][0]["delta"].get("content", ""))
-                if begun is not None and len(parts) == 1:
-                    begun.append(body)
-    raise AssertionError("the stream broke off")
+                if started is not None and len(parts) == 1:
+                    started.append(body)
+    raise AssertionError("the stream was interrupted")
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     async with asyncio.timeout(60):
         while not condition():
             await asyncio.sleep(0.02)
 
 
 class TestWholePath:
-    async def test_accepted_requests_survive_the_death_of_their_owner(self, tmp_path):
+    async def test_accepted_requests_survive_a_crash_of_their_owner(self, tmp_path):
         async with Cluster(tmp_path, gateways=2, journals=2) as cluster:
             bodies = [chat(f"late arrivals at inn {n}", 200) for n in range(24)]
             ids = []
@@ -62,7 +62,7 @@
             await cluster.gateways[0].kill()
             for body, request_id in zip(bodies, ids, strict=True):
                 answer = await cluster.answer(request_id, gateway=1)
-                assert content(answer) == expected(body)
+                assert content(answer) == expected_text(body)
 
     async def test_paused_owner_runs_nothing_twice(self, tmp_path):
         async with Cluster(tmp_path, gateways=1, journals=2) as cluster:
@@ -77,7 +77,7 @@
             assert [status for status, _ in first] == [200] * 8
             calls = [asyncio.create_task(call(key)) for key in keys[8:]]
             cluster.journals[0].pause()
-            # The lease lapses while the holder is paused; the other takes over.
+            # The lease expires while its holder is paused; the other node takes over.
             await asyncio.sleep(4.0)
             cluster.journals[0].resume()
             answers = await asyncio.gather(*calls)
@@ -91,50 +91,52 @@
                 assert runs <= 1
                 assert status != 200 or runs == 1
 
-    async def test_planned_stop_of_a_gateway_cuts_no_stream(self, tmp_path):
+    async def test_planned_stop_of_a_gateway_interrupts_no_stream(self, tmp_path):
         async with Cluster(tmp_path, gateways=2, journals=1, speed=2.0) as cluster:
             bodies = [chat(f"label {n}", 150) for n in range(12)]
-            begun: list = []
+            started: list = []
             streams = [
-                asyncio.create_task(stream(cluster, 0, body, begun)) for body in bodies
+                asyncio.create_task(stream(cluster, 0, body, started))
+                for body in bodies
             ]
-            await until(lambda: len(begun) == len(bodies))
+            await wait_until(lambda: len(started) == len(bodies))
             assert not all(task.done() for task in streams)
             code = await cluster.gateways[0].terminate()
             texts = await asyncio.gather(*streams)
             assert code == 0
-            assert texts == [expected(body) for body in bodies]
+            assert texts == [expected_text(body) for body in bodies]
 
-    async def test_reclaimed_zone_breaks_no_stream(self, tmp_path):
+    async def test_reclaimed_zone_interrupts_no_stream(self, tmp_path):
         async with Cluster(tmp_path, gateways=1, journals=1, speed=1.0) as cluster:
             bodies = [chat(f"allergy slip {n}", 100) for n in range(9)]
-            begun: list = []
+            started: list = []
             streams = [
-                asyncio.create_task(stream(cluster, 0, body, begun)) for body in bodies
+                asyncio.create_task(stream(cluster, 0, body, started))
+                for body in bodies
             ]
-            await until(lambda: len(begun) == len(bodies))
+            await wait_until(lambda: len(started) == len(bodies))
             assert not all(task.done() for task in streams)
             cluster.world.reclaim_zone("de-cymru-1", 1.0)
             texts = await asyncio.gather(*streams)
-            assert texts == [expected(body) for body in bodies]
+            assert texts == [expected_text(body) for body in bodies]
 
-    async def test_table_outage_stops_only_what_needs_memory(self, tmp_path):
+    async def test_table_outage_stops_only_deferred_requests(self, tmp_path):
         async with Cluster(tmp_path, gateways=1, journals=1) as cluster:
             status, before = await cluster.post("/v1/deferred", chat("early", 400))
             assert status == 202
             faults = cluster.world.tables.tables.faults
             faults.down = True
             body = chat("stream on", 20)
-            assert await stream(cluster, 0, body) == expected(body)
+            assert await stream(cluster, 0, body) == expected_text(body)
             status, refusal = await cluster.post("/v1/deferred", chat("late", 5))
             assert status == 503
             assert refusal["error"]["code"] == "journal_unavailable"
             assert refusal["error"]["outcome"] == "not_run"
             faults.down = False
             answer = await cluster.answer(before["id"])
-            assert content(answer) == expected(chat("early", 400))
+            assert content(answer) == expected_text(chat("early", 400))
 
-    async def test_write_whose_answer_is_lost_is_done_once(self, tmp_path):
+    async def test_write_with_a_lost_response_is_applied_once(self, tmp_path):
         async with Cluster(tmp_path, gateways=1, journals=1) as cluster:
             faults = cluster.world.tables.tables.faults
             faults.writes.extend([Fault.LOST_ANSWER] * 3)
--- a/tests/lib/fakes_quickstart.py
+++ b/tests/lib/fakes_quickstart.py
@@ -1,4 +1,4 @@
-"""The whole small system under a small load, with one fault."""
+"""Runs the quickstart's system under a small load, with one fault."""
 
 import asyncio
 
@@ -22,13 +22,13 @@
 
 
 def is_busy(load):
-    """Return whether an answer is under way, or several were given."""
-    begun = any(record.got and not record.is_whole for record in load.records)
-    return begun or sum(record.is_whole for record in load.records) > 3
+    """Return whether an answer is being received, or more than three were received."""
+    receiving = any(record.got and not record.is_whole for record in load.records)
+    return receiving or sum(record.is_whole for record in load.records) > 3
 
 
 async def run_with_fault(fault, seconds=2.0, **changes):
-    """Run the small load, await ``fault(tree)`` in its midst, and judge."""
+    """Run the load, await ``fault(tree)`` during it, and check the records."""
     clock = SystemClock()
     system = build(1, 3, clock, discard, speed=2.0)
     tree = system.tree
--- a/tests/unit/commands/test_key.py
+++ b/tests/unit/commands/test_key.py
@@ -1,4 +1,4 @@
-"""Keys: what is printed opens what is stored."""
+"""A printed key matches its printed hash."""
 
 from click.testing import CliRunner
 
--- a/tests/unit/commands/test_standin.py
+++ b/tests/unit/commands/test_standin.py
@@ -11,13 +11,13 @@
 from ebonydeal._internal.standin.worldspec import WorldSpec
 
 
-def run(*words):
-    return CliRunner().invoke(main, list(words))
+def run_command(*args):
+    return CliRunner().invoke(main, list(args))
 
 
 class TestBadInput:
     @pytest.mark.parametrize(
-        ("words", "message"),
+        ("args", "message"),
         [
             (["standin", "engine"], "Missing option '--model'"),
             (["standin", "all", "--replicas", "kitchn=3"], "one of kitchen, paperwork"),
@@ -27,20 +27,20 @@
             (["bench", "load", "--url", "http://127.0.0.1:1"], "Missing option"),
         ],
     )
-    def test_is_told_and_nothing_starts(self, words, message):
-        result = run(*words)
+    def test_bad_options_are_reported_and_nothing_starts(self, args, message):
+        result = run_command(*args)
         assert result.exit_code != 0
         assert message in result.output
 
-    def test_list_file_with_a_wrong_endpoint(self, tmp_path):
+    def test_an_invalid_endpoint_in_the_list_file_is_reported(self, tmp_path):
         file = tmp_path / "list.json"
         file.write_text(json.dumps({"endpoints": [{"endpoint_id": "i-1"}]}))
-        result = run("standin", "instances", str(file))
+        result = run_command("standin", "instances", str(file))
         assert result.exit_code == 1
         assert "incarnation" in result.output
 
 
-class TestWorldOfADocument:
+class TestWorldSpecFromDocument:
     def test_replicas_by_name_and_default(self):
         document = read_document("cadwaladr")
         replicas = read_replicas(("kitchen=7",), document, 2)
@@ -59,8 +59,8 @@
         assert spec.seed == 9
 
 
-class TestLoadOfADocument:
-    def test_account_needs_a_model_and_a_service(self):
+class TestLoadSpecFromDocument:
+    def test_an_account_without_model_or_service_is_refused(self):
         document = example_document("cadwaladr")
         spec = LoadSpec.from_document(document, "breakfast", "key")
         assert (spec.model, spec.service) == ("covers-13b", "paperwork")
