--- a/src/ebonydeal/_internal/commands/quickstart_run.py
+++ b/src/ebonydeal/_internal/commands/quickstart_run.py
@@ -57,7 +57,7 @@
 ) -> dict[str, Any]:
     """Run the system under load and return the results."""
     clock = SystemClock()
-    began = time.monotonic()
+    start = time.monotonic()
     system = build(
         options.seed, options.gateways, clock, on_progress, speed=options.speed
     )
@@ -74,7 +74,7 @@
     result["ok"] = result["ok"] and all(kinds)
     result["fleet"] = fleet
     result["counted"] = total_counts
-    result["seconds"] = round(time.monotonic() - began, 1)
+    result["seconds"] = round(time.monotonic() - start, 1)
     return result
 
 
--- a/src/ebonydeal/_internal/soak/checks.py
+++ b/src/ebonydeal/_internal/soak/checks.py
@@ -261,16 +261,18 @@
             yield Violation("usage", detail)
 
 
-def planned_stops_cut_no_requests(
+def planned_stops_interrupt_no_requests(
     log: Log, _guarantees: Guarantees
 ) -> Iterable[Violation]:
     """A planned stop of a relay interrupts no request that reached an endpoint."""
-    passed = {run.request_id for run in log.runs}
+    reached = {run.request_id for run in log.runs}
     stops = [period for period in log.fault_periods if period.kind == "stop"]
     others = [period for period in log.fault_periods if period.kind != "stop"]
     for result in log.results:
-        cut = result.status == 0 or (result.status == 200 and not result.complete)
-        if not cut or result.request_id not in passed:
+        interrupted = result.status == 0 or (
+            result.status == 200 and not result.complete
+        )
+        if not interrupted or result.request_id not in reached:
             continue
         for stop in stops:
             if result.relay != stop.relay or not stop.begin <= result.ended <= stop.end:
@@ -397,7 +399,7 @@
     account_limits_respected,
     usage_reported_once,
     usage_exact,
-    planned_stops_cut_no_requests,
+    planned_stops_interrupt_no_requests,
     endpoint_limits_respected,
     no_requests_after_announced_leaving,
     backoffs_respected,
--- a/src/ebonydeal/_internal/soak/run.py
+++ b/src/ebonydeal/_internal/soak/run.py
@@ -176,7 +176,7 @@
             stack.push_async_callback(relay.stop)
 
     async def _wait_served(self, client: Client) -> None:
-        """Wait until every relay serves."""
+        """Wait until every relay has served a request."""
         end = time.monotonic() + _READY_TIMEOUT_S
         for relay in self._relays:
             while time.monotonic() < end:
@@ -470,7 +470,7 @@
             await self._platform.write(MEMBERS_TABLE, endpoint.name, None)
 
     async def _repeat_fatal(self, step: Step) -> None:
-        """Send a request that crashes endpoints repeatedly, to random relays."""
+        """Repeatedly send a request that crashes endpoints, to random relays."""
         rng = Random(step.which)
         kind = rng.choice(_FATAL_KINDS)
         body = FATAL_PREFIX + f"-{step.which}".encode()
@@ -502,7 +502,7 @@
     return Verdict(
         seed=seed,
         requests=len(log.results),
-        served=sum(seen.status == 200 and seen.complete for seen in log.results),
+        served=sum(result.status == 200 and result.complete for result in log.results),
         moved=sum(run.migrated for run in log.runs),
         faults=len(make_plan(seed, size.seconds)),
         violations=check_all(log, GUARANTEES),
--- a/tests/functional/relay/test_rollouts.py
+++ b/tests/functional/relay/test_rollouts.py
@@ -256,6 +256,6 @@
                 }
             ]
 
-        monkeypatch.setattr(rollout, "answer_or_exit", shown)
+        monkeypatch.setattr(rollout, "fetch_or_exit", shown)
         result = CliRunner().invoke(rollout_command, ["--relay", "127.0.0.1:1"])
         assert result.output.startswith("s to v2: running, 3.2 s left, 20 of 900")
--- a/tests/unit/soak/test_checks.py
+++ b/tests/unit/soak/test_checks.py
@@ -9,7 +9,7 @@
     check_all,
     config_never_reverts,
     no_requests_after_drain,
-    planned_stops_cut_no_requests,
+    planned_stops_interrupt_no_requests,
     refused_requests_never_run,
     runs_at_most_once,
     usage_exact,
@@ -212,7 +212,7 @@
         )
         stop = FaultPeriod("stop", "n1", victim.sent, victim.ended)
         log.fault_periods = [stop, *others]
-        return list(planned_stops_cut_no_requests(log, GUARANTEES))
+        return list(planned_stops_interrupt_no_requests(log, GUARANTEES))
 
     def test_a_request_interrupted_by_a_stop_alone_is_a_violation(self):
         assert len(self.interrupt()) == 1
