--- a/tests/functional/commands/test_endpoint_faults.py
+++ b/tests/functional/commands/test_endpoint_faults.py
@@ -32,7 +32,7 @@
         endpoint.faults.next.extend(faults)
 
 
-# On a busy machine the short load may end before the fault that these tests wait for.
+# On a busy machine the short load may end before the state that these tests wait for.
 # This load is long enough that calls still follow the fault.
 LONG_COMMITS = {**COMMITS, "seconds": 5.0}
 
