--- a/src/ebonydeal/_internal/commands/bench_peers.py
+++ b/src/ebonydeal/_internal/commands/bench_peers.py
@@ -1,4 +1,4 @@
-"""``ebonydeal bench peers``: what rounds between own processes cost."""
+"""``ebonydeal bench peers``: cost of gossip rounds between ebonydeal processes."""
 
 import asyncio
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
     slope,
 )
 
-_LIMIT = 4096
+_MAX_BYTES_PER_S = 4096
 _LOOPBACK_SIZES = (3, 9, 24)
 _LOOPBACK_S = 6.0
 
@@ -64,17 +64,17 @@
 
 @click.command("peers")
 @click.option("--seed", type=int, default=1, help="First seed.")
-@click.option("--runs", type=click.IntRange(1, 50), default=3, help="Seeds a row.")
+@click.option("--runs", type=click.IntRange(1, 50), default=3, help="Seeds per row.")
 @click.option(
     "--output",
     type=click.Path(file_okay=False, path_type=Path),
     default=None,
-    help="Directory for the same as text.",
+    help="Directory for the tables as text.",
 )
 def peers_command(seed: int, runs: int, output: Path | None) -> None:
-    """Measure bytes, processor time and spread of peer rounds by size.
+    """Measure bytes, processor time and spread of gossip rounds by group size.
 
-    The real messages are driven in one process without sockets, and a few real
+    The real messages are exchanged in one process without sockets, and by a few real
     services on loopback.
     """
     real = [asyncio.run(measure_loopback(n, _LOOPBACK_S)) for n in _LOOPBACK_SIZES]
@@ -85,8 +85,8 @@
         measure_spread(size, loss, seeds) for size in SPREAD_SIZES for loss in LOSSES
     ]
     worst = max(row.worst for row in full)
-    verdict = "met" if worst <= _LIMIT else "NOT MET"
-    late = max(row.last_s for row in spreads)
+    verdict = "met" if worst <= _MAX_BYTES_PER_S else "NOT MET"
+    last_s = max(row.last_s for row in spreads)
     text = "\n\n".join(
         [
             f"ebonydeal bench peers --seed {seed} --runs {runs}",
@@ -96,9 +96,9 @@
             _traffic_table(full, "with demand of 5 client accounts"),
             _spread_table(spreads),
             _loopback_table(real),
-            f"worst node {worst:,.0f} B/s, at most {_LIMIT:,}: {verdict}\n"
-            f"last node knows a mark after {late:.2f} s, at most 3: "
-            f"{'met' if late <= 3.0 else 'NOT MET'}",
+            f"worst node {worst:,.0f} B/s, at most {_MAX_BYTES_PER_S:,}: {verdict}\n"
+            f"last node knows a mark after {last_s:.2f} s, at most 3: "
+            f"{'met' if last_s <= 3.0 else 'NOT MET'}",
         ]
     )
     click.echo(text)
--- a/src/ebonydeal/_internal/commands/client.py
+++ b/src/ebonydeal/_internal/commands/client.py
@@ -1,4 +1,4 @@
-"""The console's JSON API as seen from the command line."""
+"""Client of the console's JSON API for commands."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 _TIMEOUT_S = 30.0
 
-_EXITS = {
+_EXIT_CODES = {
     401: ExitCode.UNAUTHORIZED,
     403: ExitCode.UNAUTHORIZED,
     409: ExitCode.CONFLICT,
@@ -30,36 +30,36 @@
 }
 
 
-class Answer(NamedTuple):
-    """A whole answer; ``body`` is a JSON object."""
+class ConsoleResponse(NamedTuple):
+    """A complete response; ``body`` is a JSON object."""
 
     status: int
     body: dict[str, Any]
 
 
 class Console(NamedTuple):
-    """Where the console is, and the operator's token."""
+    """The console's URL and the operator's token."""
 
     url: str
     token: str
 
-    def get(self, path: str, **query: Any) -> Answer:
-        """Fetch; ends with a message where there is no answer."""
+    def get(self, path: str, **query: Any) -> ConsoleResponse:
+        """Send a GET request; print an error and exit without a response."""
         params = {name: str(value) for name, value in query.items()}
         return self._run("GET", path, params=params)
 
-    def post(self, path: str, body: dict[str, Any]) -> Answer:
-        """Send; ends with a message where there is no answer."""
+    def post(self, path: str, body: dict[str, Any]) -> ConsoleResponse:
+        """Send a POST request; print an error and exit without a response."""
         return self._run("POST", path, json=body)
 
-    def _run(self, method: str, path: str, **options: Any) -> Answer:
+    def _run(self, method: str, path: str, **options: Any) -> ConsoleResponse:
         try:
             return asyncio.run(self._call(method, path, **options))
         except (ClientError, TimeoutError, OSError, ValueError) as exc:
-            sent = method == "POST" and not _never_sent(exc)
-            _no_answer(self.url, exc, sent)
+            sent = method == "POST" and not _never_connected(exc)
+            _exit_without_response(self.url, exc, sent)
 
-    async def _call(self, method: str, path: str, **options: Any) -> Answer:
+    async def _call(self, method: str, path: str, **options: Any) -> ConsoleResponse:
         headers = {"Authorization": f"Bearer {self.token}"}
         timeout = ClientTimeout(total=_TIMEOUT_S)
         url = self.url.rstrip("/") + path
@@ -69,17 +69,17 @@
         ):
             body = json.loads(await resp.read())
         if not isinstance(body, dict):
-            raise ValueError("the answer is not a JSON object")
-        return Answer(resp.status, body)
+            raise ValueError("the response is not a JSON object")
+        return ConsoleResponse(resp.status, body)
 
 
-def _never_sent(exc: Exception) -> bool:
-    """Return whether it is certain that no connection was made."""
+def _never_connected(exc: Exception) -> bool:
+    """Return whether no connection was established for certain."""
     return isinstance(exc, ClientConnectorError | InvalidURL)
 
 
-def _no_answer(url: str, exc: Exception, sent: bool) -> NoReturn:
-    """End with a message: no console, or no word from it."""
+def _exit_without_response(url: str, exc: Exception, sent: bool) -> NoReturn:
+    """Print why there is no response, and exit."""
     reason = str(exc) or type(exc).__name__
     click.echo(f"No answer from the console at {url}: {reason}", err=True)
     if sent:
@@ -93,26 +93,26 @@
     sys.exit(ExitCode.UNAVAILABLE)
 
 
-def expect(answer: Answer) -> dict[str, Any]:
-    """Return the body of a good answer, or end with its reasons."""
-    if answer.status < 400:
-        return answer.body
-    error = answer.body.get("error")
+def body_or_exit(response: ConsoleResponse) -> dict[str, Any]:
+    """Return the body of a success, or print the error and exit."""
+    if response.status < 400:
+        return response.body
+    error = response.body.get("error")
     error = error if isinstance(error, dict) else {}
-    click.echo(str(error.get("message") or f"HTTP {answer.status}"), err=True)
-    for problem in answer.body.get("problems", ()):
+    click.echo(str(error.get("message") or f"HTTP {response.status}"), err=True)
+    for problem in response.body.get("problems", ()):
         click.echo(f"  {problem.get('where')}: {problem.get('message')}", err=True)
-    _tell_conflict(answer.body.get("conflict"))
-    if answer.status == 401:
+    _print_conflict(response.body.get("conflict"))
+    if response.status == 401:
         click.echo("Give a token with --token or EBONYDEAL_TOKEN.", err=True)
-    code = _EXITS.get(answer.status, ExitCode.FAILED)
+    code = _EXIT_CODES.get(response.status, ExitCode.FAILED)
     if error.get("code") == "store_in_doubt":
         code = ExitCode.IN_DOUBT
     sys.exit(code)
 
 
-def _tell_conflict(conflict: Any) -> None:
-    """Print what changed meanwhile."""
+def _print_conflict(conflict: Any) -> None:
+    """Print the versions and differences that conflict."""
     if not isinstance(conflict, dict):
         return
     for info in conflict.get("versions", ()):
@@ -152,7 +152,7 @@
 
 
 def print_table(headings: list[str], rows: list[list[str]]) -> None:
-    """Print rows under headings, in columns."""
+    """Print a table with aligned columns."""
     widths = [
         max(len(str(row[column])) for row in [headings, *rows])
         for column in range(len(headings))
--- a/src/ebonydeal/_internal/commands/explain.py
+++ b/src/ebonydeal/_internal/commands/explain.py
@@ -1,4 +1,4 @@
-"""``ebonydeal explain``: what was decided for a request, and why."""
+"""``ebonydeal explain``: the decisions for a request and their reasons."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 _INDENT = " " * 12
 
 
-async def ask_gateway(url: str, token: str, request_id: str) -> dict[str, Any]:
+async def fetch_trail(url: str, token: str, request_id: str) -> dict[str, Any]:
     """Return a gateway's trail of a request; raises `EbonydealError`."""
     headers = {OPERATOR_HEADER: token}
     timeout = ClientTimeout(total=_TIMEOUT_S)
@@ -32,39 +32,39 @@
     return body
 
 
-async def find_trail(
+async def find_in_gateways(
     urls: tuple[str, ...], token: str, request_id: str
 ) -> dict[str, Any]:
-    """Return the trail of the first gateway that keeps one.
+    """Return the trail of the first gateway that has one.
 
-    Raises the last gateway's error where none does.
+    Raises the last gateway's error if none has.
     """
-    error = EbonydealError(ErrorKind.NOT_FOUND, "no gateway was asked")
+    error = EbonydealError(ErrorKind.NOT_FOUND, "no gateway URL was given")
     for url in urls:
         try:
-            return await ask_gateway(url, token, request_id)
+            return await fetch_trail(url, token, request_id)
         except EbonydealError as exc:
             error = exc
     raise error
 
 
 def trail_text(trail: dict[str, Any]) -> str:
-    """Return a trail for people, one line a step; times from the first step."""
+    """Format a trail, one line per step, with times since the first step."""
     steps = trail["steps"]
     start = steps[0]["at"] if steps else 0.0
     lines = [f"request {trail['request_id']}"]
     for item in steps:
-        what = dict(item["what"])
-        choices = what.pop("choices", [])
-        fields = "  ".join(f"{name}={value}" for name, value in what.items())
-        after = item["at"] - start
-        lines.append(f"{after:9.3f} s  {item['step']:<13} {fields}".rstrip())
+        details = dict(item["what"])
+        choices = details.pop("choices", [])
+        fields = "  ".join(f"{name}={value}" for name, value in details.items())
+        elapsed = item["at"] - start
+        lines.append(f"{elapsed:9.3f} s  {item['step']:<13} {fields}".rstrip())
         lines.extend(_choice_text(choice) for choice in choices)
     return "\n".join(lines)
 
 
 def _choice_text(choice: dict[str, Any]) -> str:
-    """Return one scored endpoint with its terms."""
+    """Format a scored endpoint with the terms of its score."""
     terms = "  ".join(
         f"{name}={value:g}" for name, value in choice.get("terms", {}).items()
     )
@@ -75,7 +75,11 @@
 @click.command("explain")
 @click.argument("request_id")
 @click.option(
-    "--url", "urls", multiple=True, required=True, help="A gateway; may be repeated."
+    "--url",
+    "urls",
+    multiple=True,
+    required=True,
+    help="A gateway's URL; may be repeated.",
 )
 @click.option(
     "--token", required=True, envvar="EBONYDEAL_OPERATOR_TOKEN", help="Operator token."
@@ -84,9 +88,9 @@
 def explain_command(
     request_id: str, urls: tuple[str, ...], token: str, as_json: bool
 ) -> None:
-    """Show what the gateways decided for REQUEST_ID, and why."""
+    """Show the gateways' decisions for REQUEST_ID and their reasons."""
     try:
-        trail = asyncio.run(find_trail(urls, token, request_id))
+        trail = asyncio.run(find_in_gateways(urls, token, request_id))
     except EbonydealError as exc:
         click.echo(f"{exc.kind}: {exc.detail}", err=True)
         sys.exit(1)
--- a/src/ebonydeal/_internal/commands/quickstart_system.py
+++ b/src/ebonydeal/_internal/commands/quickstart_system.py
@@ -1,4 +1,4 @@
-"""What the quickstart consists of: document, own processes, and when it is up."""
+"""The quickstart's system: document, processes, and the wait until it is ready."""
 
 import random
 import secrets
@@ -24,23 +24,23 @@
 from ebonydeal._internal.utils.clock import Clock
 from ebonydeal._internal.utils.keys import hash_key
 
-Tell = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 DOCUMENT = "cadwaladr"
 ACCOUNT = "breakfast"
 OPERATOR = "demo"
-_JOURNALS = 3
+_JOURNAL_COUNT = 3
 _KEY_BYTES = 16
-_LOAD_SECONDS = 0.5
+_WEIGHT_LOAD_S = 0.5
 _LIST_LAG_S = 0.5
-_READY_POLL_S = 0.1
-_READY_S = 30.0
-# Every process has read the list once more by then.
-_SPREAD_S = 0.6
-_MOST_SHARDS = 10_000
+_READY_POLL_INTERVAL_S = 0.1
+_READY_TIMEOUT_S = 30.0
+# Within this time every process has read the instance list again.
+_LIST_SPREAD_S = 0.6
+_MAX_SHARDS = 10_000
 
 
-class System(NamedTuple):
-    """A built tree, and the secrets that a user needs.
+class QuickstartSystem(NamedTuple):
+    """A supervisor tree, and the secrets that a user needs.
 
     ``api_key`` is of the client account `ACCOUNT`, ``operator_token`` of the
     console's operator `OPERATOR`.
@@ -52,7 +52,7 @@
     operator_token: str
 
     def gateway_urls(self) -> tuple[str, ...]:
-        """Return the base URLs of the gateways that run."""
+        """Return the base URLs of the running gateways."""
         return tuple(
             f"http://{program.address}"
             for node_id, program in self.tree.programs.items()
@@ -65,7 +65,7 @@
 
 
 def demo_document() -> tuple[dict[str, Any], str]:
-    """Return the document with one fresh API key, and that key."""
+    """Return the document with one new API key, and that key."""
     document = example_document(DOCUMENT)
     key = f"demo-{secrets.token_hex(_KEY_BYTES)}"
     for account in document["accounts"]:
@@ -77,11 +77,11 @@
 def node_specs(
     places: tuple[Place, ...], gateways: int, operator_token: str
 ) -> tuple[NodeSpec, ...]:
-    """Return the own processes, spread over the zones in turn."""
+    """Return the ebonydeal processes, distributed over the zones round-robin."""
     operators = f"{OPERATOR}:{hash_key(operator_token)}"
     console = {"console": {"operators": operators}}
     kinds: list[tuple[str, int, Any, dict[str, type], dict[str, Any]]] = [
-        ("journal", _JOURNALS, JournalProgram, JOURNAL_SECTIONS, {}),
+        ("journal", _JOURNAL_COUNT, JournalProgram, JOURNAL_SECTIONS, {}),
         ("controller", 1, ControllerProgram, CONTROLLER_SECTIONS, {}),
         ("console", 1, ConsoleProgram, CONSOLE_SECTIONS, console),
         ("gateway", gateways, GatewayProgram, GATEWAY_SECTIONS, {}),
@@ -100,12 +100,17 @@
 
 
 def build(
-    seed: int, gateways: int, clock: Clock, tell: Tell, *, speed: float = 1.0
-) -> System:
+    seed: int,
+    gateways: int,
+    clock: Clock,
+    on_progress: ProgressCallback,
+    *,
+    speed: float = 1.0,
+) -> QuickstartSystem:
     """Return the whole system, not started.
 
-    No endpoint is there at first: the controller starts what the document asks
-    for.
+    There are no endpoints at first: the controller starts those that the document
+    requires.
     """
     rng = random.Random(seed)
     document, key = demo_document()
@@ -116,57 +121,59 @@
         seed=seed,
         speed=speed,
         list_lag=_LIST_LAG_S,
-        engine=EngineSpec(load_seconds=_LOAD_SECONDS),
+        engine=EngineSpec(load_seconds=_WEIGHT_LOAD_S),
     )
     nodes = node_specs(spec.places, gateways, token)
     world = StandinPlatform(spec, clock=clock)
-    tree = Quickstart(world, nodes, document, clock, rng, tell)
-    return System(tree, document, key, token)
+    tree = Quickstart(world, nodes, document, clock, rng, on_progress)
+    return QuickstartSystem(tree, document, key, token)
 
 
-def owned_shards(world: StandinPlatform) -> int:
-    """Return how many journal shards have an owner."""
-    rows = world.tables.tables.rows.scan("shards/", "", _MOST_SHARDS)
+def count_owned_shards(world: StandinPlatform) -> int:
+    """Return the number of journal shards that have an owner."""
+    rows = world.tables.tables.rows.scan("shards/", "", _MAX_SHARDS)
     return sum(1 for row in rows if row.value.get("address"))
 
 
 def cold_deployments(world: StandinPlatform, document: dict[str, Any]) -> list[str]:
-    """Return the deployments that have too few warm endpoints listed."""
+    """Return the deployments with fewer warm endpoints listed than their minimum."""
     cold = []
     for item in document["deployments"]:
         adapters = {adapter["name"] for adapter in item.get("adapters", ())}
-        wanted = adapters | set(item.get("models", ()))
+        required = adapters | set(item.get("models", ()))
         warm = sum(
             1
             for view in world.views()
             if view.deployment == item["name"]
             and view.state is EndpointState.READY
-            and wanted <= set(view.models)
+            and required <= set(view.models)
         )
         if warm < item["replicas"]["min"]:
             cold.append(item["name"])
     return cold
 
 
-async def wait_ready(system: System, balancer: Balancer, clock: Clock) -> None:
-    """Wait until gateways, journal shards and endpoints are all up.
+async def wait_ready(
+    system: QuickstartSystem, balancer: Balancer, clock: Clock
+) -> None:
+    """Wait until all gateways, journal shards and endpoints are ready.
 
     Raises TimeoutError.
     """
     world = system.tree.world
     gateways = len(system.gateway_urls())
     shards: int = JOURNAL_SECTIONS["journal"]().shards
-    until = clock.now() + _READY_S
+    deadline = clock.now() + _READY_TIMEOUT_S
     while (
         balancer.ready < gateways
-        or owned_shards(world) < shards
+        or count_owned_shards(world) < shards
         or cold_deployments(world, system.document)
     ):
-        if clock.now() > until:
+        if clock.now() > deadline:
             raise TimeoutError(
                 f"{balancer.ready} of {gateways} gateways ready, "
-                f"{owned_shards(world)} of {shards} journal shards owned, "
+                f"{count_owned_shards(world)} of {shards} journal shards owned, "
                 f"cold deployments: {cold_deployments(world, system.document)}"
             )
-        await clock.sleep(_READY_POLL_S)
-    await clock.sleep(_LIST_LAG_S + _SPREAD_S)
+        await clock.sleep(_READY_POLL_INTERVAL_S)
+    await clock.sleep(_LIST_LAG_S + _LIST_SPREAD_S)
--- a/tests/lib/fakes_quickstart.py
+++ b/tests/lib/fakes_quickstart.py
@@ -1,4 +1,4 @@
-"""The whole small system under a small load, with one fault."""
+"""Runs the quickstart's system under a small load, with one fault."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from ebonydeal._internal.standin.load import LoadRun, LoadSpec
 from ebonydeal._internal.utils.clock import SystemClock
 
-SMALL = {
+SMALL_LOAD = {
     "max_tokens": 120,
     "streams_per_s": 6.0,
     "lookups_per_s": 6.0,
@@ -17,27 +17,27 @@
 }
 
 
-def silent(_line):
+def discard(_line):
     pass
 
 
 def is_busy(load):
-    """Return whether an answer is under way, or several were given."""
-    begun = any(record.received and not record.is_complete for record in load.records)
-    return begun or sum(record.is_complete for record in load.records) > 3
+    """Return whether an answer is being received, or more than three were received."""
+    receiving = any(record.received and not record.is_complete for record in load.records)
+    return receiving or sum(record.is_complete for record in load.records) > 3
 
 
 async def run_with_fault(fault, seconds=2.0, **changes):
-    """Run the small load, await ``fault(tree)`` in its midst, and judge."""
+    """Run the load, await ``fault(tree)`` during it, and check the records."""
     clock = SystemClock()
-    system = build(1, 3, clock, silent, speed=2.0)
+    system = build(1, 3, clock, discard, speed=2.0)
     tree = system.tree
     await tree.start()
     balancer = Balancer(system.gateway_urls())
     await balancer.start()
     try:
         await wait_ready(system, balancer, clock)
-        options = {**SMALL, "seconds": seconds, **changes}
+        options = {**SMALL_LOAD, "seconds": seconds, **changes}
         spec = LoadSpec.from_document(
             system.document, "breakfast", system.api_key, **options
         )
