--- a/src/ebonydeal/_internal/benchmarks/capacity/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes of state, messages, processor time and memory, and what they come to."""
+"""Capacity model: measured costs by size, and what each role needs at full size."""
--- a/src/ebonydeal/_internal/benchmarks/capacity/exchanges.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/component_measures.py
@@ -1,4 +1,4 @@
-"""Slopes that need sockets or whole parts: rounds, calls, idle journals, plans."""
+"""Slopes of whole components: gossip, table calls, journals, controller, gateway."""
 
 import asyncio
 import time
@@ -15,56 +15,60 @@
 from ebonydeal._internal.settings.sections import PlatformSettings
 from ebonydeal._internal.standin.stores import TablesServer
 
-_US = 1_000_000
+_US_PER_S = 1_000_000
 _PEER_SIZES = (9, 24, 48, 96)
-_PEER_SECONDS = 4.0
+_PEER_DURATION_S = 4.0
 _TRAFFIC_SIZES = (9, 90, 350)
 _JOURNAL_SIZES = (3, 9, 18)
-_JOURNAL_SECONDS = 12.0
-_JOURNAL_LATENCY = 0.01
+_JOURNAL_DURATION_S = 12.0
+_JOURNAL_LATENCY_S = 0.01
 _REPLICA_SIZES = (50, 200, 500, 1000)
 _CALL_COUNTS = (200, 400, 800)
 
 
-def measure_exchanges(seed: int) -> list[Slope]:
-    """Return slopes of whole parts; takes some minutes."""
+def measure_components(seed: int) -> list[Slope]:
+    """Return the slopes of whole components; takes some minutes."""
     return [
         *_peers(seed),
-        _calls(),
-        *_idle_journals(seed),
+        _table_calls(),
+        *_journals(seed),
         *_controller(seed),
         *_gateway(seed),
     ]
 
 
 def _peers(seed: int) -> list[Slope]:
-    real = [asyncio.run(measure_loopback(n, _PEER_SECONDS)) for n in _PEER_SIZES]
-    full = [measure_traffic(n, seed, with_demand=True) for n in _TRAFFIC_SIZES]
-    bare = [measure_traffic(n, seed, with_demand=False) for n in _TRAFFIC_SIZES]
+    over_http = [
+        asyncio.run(measure_loopback(n, _PEER_DURATION_S)) for n in _PEER_SIZES
+    ]
+    with_demand = [measure_traffic(n, seed, with_demand=True) for n in _TRAFFIC_SIZES]
+    without_demand = [
+        measure_traffic(n, seed, with_demand=False) for n in _TRAFFIC_SIZES
+    ]
     return [
         fit(
             "peers.cpu",
             "us of processor time a second for rounds, with HTTP on loopback",
             "own process",
-            [Point(row.nodes, row.cpu_us) for row in real],
+            [Point(row.nodes, row.cpu_us) for row in over_http],
         ),
         fit(
             "peers.bytes",
             "bytes a second that one process sends to peers, 5 client accounts",
             "own process",
-            [Point(row.nodes, row.mean) for row in full],
+            [Point(row.nodes, row.mean) for row in with_demand],
         ),
         fit(
             "peers.bare",
             "the same without demand, as all but gateways send",
             "own process",
-            [Point(row.nodes, row.mean) for row in bare],
+            [Point(row.nodes, row.mean) for row in without_demand],
         ),
     ]
 
 
 async def _time_calls(count: int) -> float:
-    """Return processor microseconds of ``count`` table reads, both ends."""
+    """Return processor microseconds of ``count`` table reads, client and server."""
     server = TablesServer()
     await server.start()
     tables = HttpTables.from_config(PlatformSettings(tables_url=server.url))
@@ -73,21 +77,21 @@
         start = time.process_time()
         for _ in range(count):
             await tables.get("none")
-        return (time.process_time() - start) * _US
+        return (time.process_time() - start) * _US_PER_S
     finally:
         await tables.close()
         await server.stop()
 
 
-def _calls() -> Slope:
+def _table_calls() -> Slope:
     points = [Point(n, asyncio.run(_time_calls(n))) for n in _CALL_COUNTS]
     return fit("call.cpu", "us of processor time, both ends", "small call", points)
 
 
-def _idle_journals(seed: int) -> list[Slope]:
+def _journals(seed: int) -> list[Slope]:
     cfg = JournalSettings()
     rows = [
-        asyncio.run(idle(cfg, n, _JOURNAL_SECONDS, _JOURNAL_LATENCY, seed))
+        asyncio.run(idle(cfg, n, _JOURNAL_DURATION_S, _JOURNAL_LATENCY_S, seed))
         for n in _JOURNAL_SIZES
     ]
     return [
@@ -125,14 +129,14 @@
 
 
 def _gateway(seed: int) -> list[Slope]:
-    """Fit processor time against answer length: request cost and token cost."""
+    """Fit processor time to answer length, for the cost of a request and a token."""
     points = []
     for tokens in (20, 100, 200):
         spec = CostSpec(rounds=3, requests=40, tokens=tokens, at_once=20, seed=seed)
         cost = next(item for item in measure(spec) if item.name == "gateway")
-        one = median(cost.per_request)
-        each = median(cost.per_token)
-        points.append(Point(tokens, one + each * (tokens - 1)))
+        per_request_us = median(cost.per_request)
+        per_token_us = median(cost.per_token)
+        points.append(Point(tokens, per_request_us + per_token_us * (tokens - 1)))
     return [
         fit("relay.cpu", "us of processor time of one stream", "token", points),
     ]
--- a/src/ebonydeal/_internal/benchmarks/capacity/fit.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 from collections.abc import Sequence
 from statistics import correlation, linear_regression
@@ -18,15 +18,15 @@
     Attributes
     ----------
     key : str
-        Name by which the capacity model refers to it.
+        Name in the capacity model.
     what, per : str
-        What is measured, with its unit, and what a step of size is.
+        What is measured, with its unit, and the unit of size.
     slope, intercept : float
         In the unit of ``what``.
     r2 : float
-        Share of the variance that the line explains, 0 to 1.
+        Coefficient of determination, 0 to 1.
     low, high : float
-        Range of sizes that was measured.
+        Smallest and largest size measured.
     """
 
     key: str
@@ -39,7 +39,7 @@
     high: float
 
     def at(self, size: float) -> float:
-        """Return the line's value at ``size``; never below 0."""
+        """Return the line's value at ``size``, at least 0."""
         return max(0.0, self.intercept + self.slope * size)
 
 
--- a/src/ebonydeal/_internal/benchmarks/capacity/measures.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/measures.py
@@ -1,6 +1,6 @@
-"""Slopes measured in process, each against its own size.
+"""Slopes measured in this process, each over its own range of sizes.
 
-Keys are those that `roles` refers to. Work is the product's own code on made-up
+`roles` refers to their keys. The measured work is the product's own code on sample
 values; nothing is simulated.
 """
 
@@ -45,7 +45,7 @@
 from ebonydeal._internal.utils.clock import SystemClock
 from ebonydeal._internal.utils.prefix import prefix_blocks
 
-_AT = 1_800_000_000.0
+_NOW = 1_800_000_000.0
 _LIST_SIZES = (250, 1000, 2000, 4000)
 _MEMBER_SIZES = (9, 50, 150, 350)
 _VIEW_SIZES = (8, 16, 64, 128)
@@ -55,7 +55,7 @@
 
 
 def measure_in_process() -> list[Slope]:
-    """Return every slope that needs no second process; takes about a minute."""
+    """Return the slopes that need no second process; takes about a minute."""
     return [
         *_instance_list(),
         *_membership(),
@@ -74,13 +74,13 @@
     sizes: tuple[int, ...],
     measure: Callable[[int], float],
 ) -> Slope:
-    """Measure at each size and fit."""
+    """Measure at each size and fit a line."""
     points = [Point(size, measure(size)) for size in sizes]
     return fit(key, what, per, points)
 
 
 def _change_bytes(deployments: int) -> float:
-    """Return the bytes of a version that changes so many deployments."""
+    """Return the bytes of a version that changes ``deployments`` deployments."""
     old = example_document("palermo")
     base = old["deployments"][0]
     old["deployments"] = [{**base, "name": f"d-{n}"} for n in range(deployments)]
@@ -88,7 +88,7 @@
     for item in new["deployments"]:
         item["price_ceiling_per_hour"] += 1.0
     delta = compute_delta(split(old), split(new))
-    info = VersionInfo(12_345, "operator", _AT, "raise the ceiling", "p" * 18, delta)
+    info = VersionInfo(12_345, "operator", _NOW, "raise the ceiling", "p" * 18, delta)
     return float(len(json.dumps(info.to_row())))
 
 
@@ -103,7 +103,7 @@
 
 
 def _resident() -> Slope:
-    """Return what a process with all parts imported holds, whatever the size."""
+    """Return the resident memory of this process as a constant slope."""
     usage = getrusage(RUSAGE_SELF).ru_maxrss / 1000.0
     points = [Point(size, usage) for size in (0, 1, 2)]
     return fit("rss", "MB resident of this process, the upper bound", "-", points)
@@ -120,7 +120,7 @@
 
 def _table_of(size: int) -> EndpointTable:
     table = EndpointTable()
-    table.apply_list([endpoint_view(n) for n in range(size)], _AT)
+    table.apply_list([endpoint_view(n) for n in range(size)], _NOW)
     return table
 
 
@@ -152,23 +152,23 @@
 
 
 # --- membership --------------------------------------------------------------------
-def _members(size: int) -> Membership:
-    group = Membership(member(0))
+def _membership_of(size: int) -> Membership:
+    membership = Membership(member(0))
     for number in range(1, size):
-        group.merge(member(number), _AT)
+        membership.merge(member(number), _NOW)
     for _ in range(100 * size):
-        if not group.updates():
+        if not membership.updates():
             break
-    return group
+    return membership
 
 
 def _membership() -> list[Slope]:
-    groups = {size: _members(size) for size in _MEMBER_SIZES}
+    memberships = {size: _membership_of(size) for size in _MEMBER_SIZES}
 
     def round_us(size: int) -> float:
-        ours = MembersTopic(groups[size], SystemClock())
-        theirs = json.loads(json.dumps(ours.digest()))
-        return cpu_us(lambda: (ours.digest(), ours.payload_for(theirs)), 200)
+        topic = MembersTopic(memberships[size], SystemClock())
+        peer_digest = json.loads(json.dumps(topic.digest()))
+        return cpu_us(lambda: (topic.digest(), topic.payload_for(peer_digest)), 200)
 
     return [
         _line(
@@ -176,7 +176,7 @@
             "bytes of memory of the membership",
             "member",
             _MEMBER_SIZES,
-            lambda size: memory_bytes(lambda: _members(size)),
+            lambda size: memory_bytes(lambda: _membership_of(size)),
         ),
         _line(
             "members.cpu",
@@ -190,7 +190,7 @@
             "us of processor time of one look for members to remove",
             "member",
             _MEMBER_SIZES,
-            lambda size: cpu_us(lambda: groups[size].tick(_AT + 1.0), 200),
+            lambda size: cpu_us(lambda: memberships[size].tick(_NOW + 1.0), 200),
         ),
         _line(
             "members.bytes",
@@ -198,14 +198,14 @@
             "member",
             _MEMBER_SIZES,
             lambda size: float(
-                len(json.dumps(MembersTopic(groups[size], SystemClock()).digest()))
+                len(json.dumps(MembersTopic(memberships[size], SystemClock()).digest()))
             ),
         ),
     ]
 
 
 # --- routing -----------------------------------------------------------------------
-def _ask() -> RouteRequest:
+def _route_request() -> RouteRequest:
     prompt = " ".join(f"w{n}" for n in range(_PROMPT_WORDS))
     return RouteRequest(
         request_id="r-0000-0000000000000000",
@@ -218,11 +218,11 @@
     )
 
 
-def _decide_us(size: int) -> float:
+def _decision_us(size: int) -> float:
     router = Router.from_config(RoutingSettings(), random.Random(1))
     views = tuple(endpoint_view(n) for n in range(size))
-    ask = _ask()
-    return cpu_us(lambda: router.choose(ask, views, _AT), 30)
+    route_request = _route_request()
+    return cpu_us(lambda: router.choose(route_request, views, _NOW), 30)
 
 
 def _routing() -> list[Slope]:
@@ -232,7 +232,7 @@
             "us of processor time of one routing decision",
             "endpoint looked at",
             _VIEW_SIZES,
-            _decide_us,
+            _decision_us,
         )
     ]
 
@@ -297,7 +297,7 @@
     return ObservedState(instances, rows, set(rows), set(), {}, prices)
 
 
-def _wanted(observed: ObservedState) -> DesiredState:
+def _desired(observed: ObservedState) -> DesiredState:
     counts: dict[OfferKey, int] = {}
     for row in observed.rows.values():
         counts[OfferKey.of(row)] = counts.get(OfferKey.of(row), 0) + 1
@@ -306,9 +306,9 @@
 
 def _plan_us(size: int) -> float:
     observed = _observed(size)
-    wanted = _wanted(observed)
-    policy = ReconcileConfig()
-    return cpu_us(lambda: plan(wanted, observed, policy, _AT), 5)
+    desired = _desired(observed)
+    config = ReconcileConfig()
+    return cpu_us(lambda: plan(desired, observed, config, _NOW), 5)
 
 
 def _controller() -> list[Slope]:
--- a/src/ebonydeal/_internal/benchmarks/capacity/plan.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/plan.py
@@ -1,4 +1,4 @@
-"""Settings and shares of roles that the full size is worked out with."""
+"""Settings and process counts of the roles that the capacity model assumes."""
 
 from typing import NamedTuple
 
@@ -9,19 +9,19 @@
     Attributes
     ----------
     gateways, journals, controllers, consoles : int
-        Processes of each program, one a node; together the nodes.
+        Processes of each program, one for each node; their sum is the node count.
     peer_period : float
-        Seconds between rounds, of ``[peers]``.
+        Seconds between gossip rounds, of ``[peers]``.
     list_period, load_period, events_period : float
         Seconds, of ``[directory]``.
     subset : int
-        Endpoints that one gateway watches, of ``[routing]``.
+        Endpoints that one gateway polls, of ``[routing]``.
     round_period, ask_period : float
-        Seconds between rounds, and between questions for one replica's load, of
+        Seconds between rounds, and between polls of one replica's load, of
         ``[controller]``.
     config_poll_s : float
-        Seconds between one process's looks at the configuration's head; 50 of
-        all a second, of ``[config]``.
+        Seconds between one process's polls of the configuration's head; all
+        processes together make 50 a second, of ``[config]``.
     """
 
     gateways: int = 264
@@ -34,7 +34,7 @@
     events_period: float = 120.0
     subset: int = 64
     round_period: float = 5.0
-    ask_period: float = 60.0
+    load_poll_period: float = 60.0
     config_poll_s: float = 7.0
 
 
--- a/src/ebonydeal/_internal/benchmarks/capacity/report.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/report.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, from measured slopes."""
+"""Builds the tables of docs/CAPACITY.md from measured slopes."""
 
 from collections.abc import Sequence
 
@@ -23,7 +23,7 @@
 
 
 def slopes_table(slopes: Sequence[Slope]) -> str:
-    """Return every slope with its range and fit."""
+    """Return a table of all slopes with their measured ranges and fits."""
     lines = [
         "| key | what | slope | per | intercept | r2 | measured at |",
         "|---|---|---|---|---|---|---|",
@@ -42,7 +42,7 @@
 
 
 def roles_table(roles: Sequence[Role]) -> str:
-    """Return control of one process of each role against the limits."""
+    """Return the control overhead of one process of each role, against the limits."""
     lines = [
         "| role | processes | processor, % of a core | memory, MB | bytes/s "
         "| table reads/s, all | table writes/s, all |",
@@ -62,7 +62,7 @@
 
 
 def items_table(role: Role) -> str:
-    """Return the parts of one role."""
+    """Return a table of one role's items."""
     lines = [
         "| state or work | mechanism | bytes/s | processor, us/s | memory, MB |",
         "|---|---|---|---|---|",
@@ -88,7 +88,7 @@
 
 def tables(slopes: Sequence[Slope], plan: RolePlan) -> str:
     """Return all measured tables as one Markdown text."""
-    known = Slopes({item.key: item for item in slopes})
+    slopes_by_key = Slopes({item.key: item for item in slopes})
     double = plan._replace(
         gateways=plan.gateways * 2,
         journals=plan.journals * 2,
@@ -97,15 +97,15 @@
         config_poll_s=plan.config_poll_s * 2,
     )
     parts = ["### Slopes", slopes_table(slopes)]
-    parts += _size_part("Full size", known, FULL_SIZE, plan)
-    for role in all_roles(known, FULL_SIZE, plan):
+    parts += _size_part("Full size", slopes_by_key, FULL_SIZE, plan)
+    for role in all_roles(slopes_by_key, FULL_SIZE, plan):
         parts += [f"#### One {role.name}", items_table(role)]
-    parts += _size_part("Twice the size", known, FULL_SIZE.doubled(), double)
+    parts += _size_part("Twice the size", slopes_by_key, FULL_SIZE.doubled(), double)
     return "\n\n".join([BEGIN, *parts, END])
 
 
-def put_into(page: str, text: str) -> str:
-    """Return ``page`` with its measured tables replaced; raises ValueError."""
+def replace_tables(page: str, text: str) -> str:
+    """Return ``page`` with its tables replaced; ValueError if it has no markers."""
     head, begin, rest = page.partition(BEGIN)
     _old, end, tail = rest.partition(END)
     if not begin or not end:
--- a/src/ebonydeal/_internal/benchmarks/capacity/roles.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/roles.py
@@ -1,4 +1,4 @@
-"""From measured slopes to what one process of each role needs at a size; pure."""
+"""Computes what one process of each role needs at a size, from measured slopes."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -7,26 +7,26 @@
 from ebonydeal._internal.benchmarks.capacity.plan import RolePlan
 from ebonydeal._internal.benchmarks.capacity.size import Size
 
-_US = 1_000_000.0
-_MB = 1_000_000.0
-# Bytes that are no slope: one HTTP exchange of a small message with headers, one
-# fact of the instance list on the wire, one remembered prefix block.
+_US_PER_S = 1_000_000.0
+_BYTES_PER_MB = 1_000_000.0
+# Sizes that don't come from a slope: one HTTP call with a small message and headers,
+# one instance list entry on the wire, one prefix block in memory.
 CALL_BYTES = 500.0
-FACT_BYTES = 180.0
-BLOCK_BYTES = 150.0
+LIST_ENTRY_BYTES = 180.0
+PREFIX_BLOCK_BYTES = 150.0
 PREFIX_BLOCKS = 200_000.0
-LIVE_SECONDS = 60.0
+LIVE_REQUEST_S = 60.0
 
 
 class Item(NamedTuple):
-    """One part of what a process needs.
+    """One component of what a process needs.
 
     Attributes
     ----------
     what : str
         The work or state.
     mechanism : str
-        What keeps it small.
+        What keeps its cost low.
     bytes_s : float
         Bytes that the process sends and reads a second.
     cpu_us : float
@@ -43,7 +43,7 @@
 
 
 class Role(NamedTuple):
-    """All control of one process of a role, and its table operations a second."""
+    """Control overhead and table operations a second of one process of a role."""
 
     name: str
     processes: int
@@ -58,12 +58,12 @@
 
     @property
     def cpu_share(self) -> float:
-        """Share of one core that control takes."""
-        return sum(item.cpu_us for item in self.items) / _US
+        """Share of one core used for control."""
+        return sum(item.cpu_us for item in self.items) / _US_PER_S
 
     @property
     def memory_mb(self) -> float:
-        """Megabytes of one process."""
+        """Memory of one process in MB."""
         return sum(item.memory_mb for item in self.items)
 
 
@@ -78,7 +78,7 @@
         return self._slopes[key].at(size)
 
     def step(self, key: str) -> float:
-        """Return the slope alone."""
+        """Return the slope's increase per unit of size."""
         return self._slopes[key].slope
 
 
@@ -91,20 +91,20 @@
         rounds_s * slopes.at(key, size.nodes),
         rounds_s
         * (slopes.at("peers.cpu", size.nodes) + slopes.at("members.tick", size.nodes)),
-        slopes.at("members.memory", size.nodes) / _MB,
+        slopes.at("members.memory", size.nodes) / _BYTES_PER_MB,
     )
 
 
-def _list(slopes: Slopes, size: Size, plan: RolePlan) -> Item:
+def _instance_list(slopes: Slopes, size: Size, plan: RolePlan) -> Item:
     readers = plan.gateways + plan.journals
     reads_s = 1.0 / (plan.list_period * readers)
-    facts_s = size.endpoint_changes_per_s
+    entries_s = size.endpoint_changes_per_s
     return Item(
         "instance list",
         "one reading in turn, differences in the rounds",
-        reads_s * slopes.at("list.bytes", size.replicas) + facts_s * FACT_BYTES,
+        reads_s * slopes.at("list.bytes", size.replicas) + entries_s * LIST_ENTRY_BYTES,
         reads_s * slopes.at("list.cpu", size.replicas),
-        2 * slopes.at("list.memory", size.replicas) / _MB,
+        2 * slopes.at("list.memory", size.replicas) / _BYTES_PER_MB,
     )
 
 
@@ -119,36 +119,36 @@
     )
 
 
-def _watch(slopes: Slopes, plan: RolePlan) -> Item:
+def _endpoint_polls(slopes: Slopes, plan: RolePlan) -> Item:
     polls_s = plan.subset / plan.load_period + plan.subset / plan.events_period
     return Item(
         "load and cache events of idle endpoints",
         "subset of endpoints; loads ride on answers",
         polls_s * CALL_BYTES,
         polls_s * slopes.step("call.cpu"),
-        PREFIX_BLOCKS * BLOCK_BYTES / _MB,
+        PREFIX_BLOCKS * PREFIX_BLOCK_BYTES / _BYTES_PER_MB,
     )
 
 
-def _process(slopes: Slopes) -> Item:
+def _interpreter(slopes: Slopes) -> Item:
     return Item("interpreter and libraries", "", 0.0, 0.0, slopes.at("rss", 0))
 
 
 def gateway(slopes: Slopes, size: Size, plan: RolePlan) -> Role:
     """Return what one gateway needs."""
     items = (
-        _process(slopes),
+        _interpreter(slopes),
         _peers(slopes, size, plan, demand=True),
-        _list(slopes, size, plan),
+        _instance_list(slopes, size, plan),
         _config(slopes, size, plan),
-        _watch(slopes, plan),
+        _endpoint_polls(slopes, plan),
     )
     reads = 2.0 / plan.config_poll_s
     return Role("gateway", plan.gateways, items, reads, 0.0)
 
 
 def journal(slopes: Slopes, size: Size, plan: RolePlan) -> Role:
-    """Return what one journal needs beside the records themselves."""
+    """Return what one journal needs besides the records themselves."""
     reads = slopes.step("journal.reads")
     writes = slopes.step("journal.writes")
     leases = Item(
@@ -158,37 +158,37 @@
         (reads + writes) * slopes.step("call.cpu"),
         0.0,
     )
-    live = size.durable_per_s * LIVE_SECONDS / plan.journals
-    state = Item(
-        f"requests that are not final ({LIVE_SECONDS:.0f} s of them)",
+    live = size.durable_per_s * LIVE_REQUEST_S / plan.journals
+    request_state = Item(
+        f"requests that are not final ({LIVE_REQUEST_S:.0f} s of them)",
         "folded state, bodies dropped at the end",
         0.0,
         0.0,
-        slopes.at("journal.memory", live) / _MB,
+        slopes.at("journal.memory", live) / _BYTES_PER_MB,
     )
     items = (
-        _process(slopes),
+        _interpreter(slopes),
         _peers(slopes, size, plan, demand=False),
-        _list(slopes, size, plan),
+        _instance_list(slopes, size, plan),
         _config(slopes, size, plan),
         leases,
-        state,
+        request_state,
     )
     polls = 2.0 / plan.config_poll_s
     return Role("journal", plan.journals, items, reads + polls, writes)
 
 
 def controller(slopes: Slopes, size: Size, plan: RolePlan) -> Role:
-    """Return what one controller needs; deployments are spread over them."""
+    """Return what one controller needs; controllers share the deployments."""
     replicas = size.replicas / plan.controllers
     churn = size.endpoint_changes_per_s / plan.controllers
     rounds = Item(
         "rounds of its deployments",
         "one lease a deployment, each replica asked once a period",
-        replicas / plan.ask_period * CALL_BYTES,
+        replicas / plan.load_poll_period * CALL_BYTES,
         slopes.step("round.cpu") * replicas / plan.round_period
-        + replicas / plan.ask_period * slopes.step("call.cpu"),
-        slopes.at("plan.memory", replicas) / _MB,
+        + replicas / plan.load_poll_period * slopes.step("call.cpu"),
+        slopes.at("plan.memory", replicas) / _BYTES_PER_MB,
     )
     changes = Item(
         "starts, orders, releases",
@@ -198,43 +198,45 @@
         0.0,
     )
     items = (
-        _process(slopes),
+        _interpreter(slopes),
         _peers(slopes, size, plan, demand=False),
         _config(slopes, size, plan),
         rounds,
         changes,
     )
-    tables = slopes.at("round.tables", 0) / plan.round_period
+    table_reads = slopes.at("round.tables", 0) / plan.round_period
     polls = 2.0 / plan.config_poll_s
-    return Role("controller", plan.controllers, items, tables + polls, churn * 4)
+    return Role("controller", plan.controllers, items, table_reads + polls, churn * 4)
 
 
 def console(slopes: Slopes, size: Size, plan: RolePlan) -> Role:
-    """Return what one console needs at the rate of changes."""
+    """Return what one console needs."""
     changes = size.changes_per_s / plan.consoles
-    work = Item(
+    document_work = Item(
         "accepting documents",
         "one transaction a change, only changed items",
         changes * 4 * slopes.at("change.bytes", 1),
         changes * 20_000.0,
         20.0,
     )
-    items = (_process(slopes), _config(slopes, size, plan), work)
+    items = (_interpreter(slopes), _config(slopes, size, plan), document_work)
     polls = 2.0 / plan.config_poll_s
     return Role("console", plan.consoles, items, changes * 2 + polls, changes)
 
 
 def all_roles(slopes: Slopes, size: Size, plan: RolePlan) -> tuple[Role, ...]:
-    """Return every role at a size."""
+    """Return all roles at a size."""
     return tuple(
-        build(slopes, size, plan) for build in (gateway, journal, controller, console)
+        role_of(slopes, size, plan)
+        for role_of in (gateway, journal, controller, console)
     )
 
 
 class DataPath(NamedTuple):
-    """The work of serving itself, which isn't control; one gateway.
+    """Work of one gateway to serve requests, without control.
 
-    ``cores`` of processor time at the peak, spread evenly over all gateways.
+    ``cores`` is its processor time at the peak, which all gateways share evenly;
+    ``decision_share`` is the part of a core for routing decisions.
     """
 
     requests_s: float
@@ -244,15 +246,15 @@
 
 
 def data_path(slopes: Slopes, size: Size, plan: RolePlan) -> DataPath:
-    """Return what the peak load takes of one gateway."""
+    """Return what one gateway needs to serve its share of the peak load."""
     requests = size.requests_per_s / plan.gateways
     tokens = size.tokens_per_s / plan.gateways
-    fixed = slopes.at("relay.cpu", 0)
-    each = slopes.step("relay.cpu")
-    decide = slopes.at("route.cpu", plan.subset)
+    per_request_us = slopes.at("relay.cpu", 0)
+    per_token_us = slopes.step("relay.cpu")
+    decision_us = slopes.at("route.cpu", plan.subset)
     return DataPath(
         requests,
         tokens,
-        (requests * fixed + tokens * each) / _US,
-        requests * decide / _US,
+        (requests * per_request_us + tokens * per_token_us) / _US_PER_S,
+        requests * decision_us / _US_PER_S,
     )
--- a/src/ebonydeal/_internal/benchmarks/capacity/samples.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/samples.py
@@ -1,4 +1,4 @@
-"""Made-up values of realistic shape, for measuring."""
+"""Sample values of realistic shape for measurements."""
 
 from ebonydeal._internal.controller.values import InstanceRow, InstanceState
 from ebonydeal._internal.models.endpoints import (
@@ -15,9 +15,9 @@
 
 ZONES = 21
 REGIONS = 6
-_PER_DEPLOYMENT = 100
+_REPLICAS_PER_DEPLOYMENT = 100
 _BODY_BYTES = 1500
-_AT = 1_800_000_000.0
+_NOW = 1_800_000_000.0
 
 
 def place(number: int) -> Place:
@@ -28,15 +28,15 @@
 
 def endpoint_message(number: int) -> EndpointMessage:
     """Return one entry of the instance list."""
-    where = place(number)
+    at_place = place(number)
     return EndpointMessage(
         endpoint_id=f"i-{number:012x}",
         incarnation=1,
         kind="engine",
         address=f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8000",
-        region=where.region,
-        zone=where.zone,
-        deployment=f"deployment-{number // _PER_DEPLOYMENT}",
+        region=at_place.region,
+        zone=at_place.zone,
+        deployment=f"deployment-{number // _REPLICAS_PER_DEPLOYMENT}",
         models=["covers-7b", "covers-7b-welsh"],
         state="ready",
         reclaimable=number % 2 == 0,
@@ -59,27 +59,27 @@
         reclaimable=number % 2 == 0,
         evict_per_hour=0.05,
         price_per_hour=1.25,
-        load=LoadReport(number % 16, 0, 16, 0.5, 40.0, _AT),
+        load=LoadReport(number % 16, 0, 16, 0.5, 40.0, _NOW),
     )
 
 
 def member(number: int) -> Member:
     """Return one process of the system."""
-    where = place(number)
+    at_place = place(number)
     return Member(
         id=f"node-{number}",
-        incarnation=int(_AT * 1000) + number,
+        incarnation=int(_NOW * 1000) + number,
         heartbeat=0,
         status=MemberStatus.ALIVE,
         address=f"10.1.{number >> 8 & 255}.{number & 255}:9200",
-        region=where.region,
-        zone=where.zone,
+        region=at_place.region,
+        zone=at_place.zone,
         roles=("gateway", "journal"),
     )
 
 
 def request(number: int) -> Request:
-    """Return one accepted request with a body of common size."""
+    """Return one accepted request with a body of typical size."""
     return Request(
         request_id=f"r-{number % 1024:04x}-{number:016x}",
         account="harbour",
@@ -94,8 +94,8 @@
         key=f"key-{number}",
         idempotent=True,
         priority=Priority.STANDARD,
-        accepted_at=_AT,
-        deadline=_AT + 3600.0,
+        accepted_at=_NOW,
+        deadline=_NOW + 3600.0,
         prompt_tokens=300,
         max_tokens=200,
     )
@@ -113,13 +113,13 @@
         price_per_hour=1.25,
         instance_id=f"i-{number:012x}",
         epoch=1,
-        at=_AT,
+        at=_NOW,
         why="demand",
     )
 
 
 def cloud_instance(number: int) -> CloudInstance:
-    """Return what the cloud tells of one instance."""
+    """Return the cloud's description of one instance."""
     return CloudInstance(
         instance_id=f"i-{number:012x}",
         token=f"covers:{number:08x}",
@@ -128,6 +128,6 @@
         reclaimable=number % 2 == 0,
         state="running",
         address=f"10.0.{number >> 8 & 255}.{number & 255}:8000",
-        started_at=_AT,
+        started_at=_NOW,
         tags={"deployment": "covers"},
     )
--- a/src/ebonydeal/_internal/benchmarks/capacity/size.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/size.py
@@ -11,7 +11,7 @@
     Attributes
     ----------
     nodes, replicas, regions, zones : int
-        Own instances, endpoints behind them, regions, availability zones.
+        The system's own processes, endpoints, regions, availability zones.
     requests_per_s, tokens_per_s : float
         At the peak, over all nodes.
     changes_per_day : float
@@ -19,9 +19,9 @@
     failures_per_day, replaced_per_day : float
         Instances that fail, and that are restarted or replaced.
     durable_share : float
-        Share of requests that need a durable record (an assumption).
+        Share of requests that need a durable record (assumed).
     prompt_tokens : float
-        Mean prompt length (an assumption).
+        Mean prompt length (assumed).
     """
 
     nodes: int
@@ -43,7 +43,7 @@
 
     @property
     def endpoint_changes_per_s(self) -> float:
-        """Changes of the instance list a second: a leaving and a coming each."""
+        """Instance list changes a second: a removal and an addition per replacement."""
         return 2 * (self.failures_per_day + self.replaced_per_day) / _DAY_S
 
     @property
@@ -52,7 +52,7 @@
         return self.requests_per_s * self.durable_share
 
     def doubled(self) -> "Size":
-        """Return twice this size, in the same places."""
+        """Return twice this size in the same regions and zones."""
         return self._replace(
             nodes=self.nodes * 2,
             replicas=self.replicas * 2,
--- a/src/ebonydeal/_internal/benchmarks/capacity/timing.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/timing.py
@@ -6,35 +6,35 @@
 from collections.abc import Callable
 from typing import Any
 
-_TRIES = 5
-_US = 1_000_000
+_REPEATS = 5
+_US_PER_S = 1_000_000
 
 
 def cpu_us(work: Callable[[], Any], times: int) -> float:
-    """Return processor microseconds of one call: the least of several tries.
+    """Return processor microseconds of one call: the minimum of several repeats.
 
-    The least is the figure that other load on the machine disturbs least.
+    Other load on the machine affects the minimum least.
     """
     best = float("inf")
-    for _ in range(_TRIES):
+    for _ in range(_REPEATS):
         gc.collect()
         start = time.process_time()
         for _ in range(times):
             work()
         best = min(best, time.process_time() - start)
-    return best / times * _US
+    return best / times * _US_PER_S
 
 
 def memory_bytes(build: Callable[[], Any]) -> float:
-    """Return the bytes that what ``build`` returns keeps allocated."""
+    """Return the bytes that the result of ``build`` keeps allocated."""
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        kept = build()
+        retained = build()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del kept
+    del retained
     return float(after - before)
--- a/src/ebonydeal/_internal/commands/bench_capacity.py
+++ b/src/ebonydeal/_internal/commands/bench_capacity.py
@@ -4,10 +4,12 @@
 
 import click
 
-from ebonydeal._internal.benchmarks.capacity.exchanges import measure_exchanges
+from ebonydeal._internal.benchmarks.capacity.component_measures import (
+    measure_components,
+)
 from ebonydeal._internal.benchmarks.capacity.measures import measure_in_process
 from ebonydeal._internal.benchmarks.capacity.plan import FULL_PLAN
-from ebonydeal._internal.benchmarks.capacity.report import put_into, tables
+from ebonydeal._internal.benchmarks.capacity.report import replace_tables, tables
 from ebonydeal._internal.observe.logs import configure_logs
 from ebonydeal._internal.settings.sections import LogSettings
 
@@ -25,8 +27,8 @@
     Takes some minutes; uses loopback and under a gigabyte of memory.
     """
     configure_logs(LogSettings(level="error"))
-    slopes = [*measure_in_process(), *measure_exchanges(seed)]
+    slopes = [*measure_in_process(), *measure_components(seed)]
     text = tables(slopes, FULL_PLAN)
     click.echo(text)
     if page is not None:
-        page.write_text(put_into(page.read_text(), text))
+        page.write_text(replace_tables(page.read_text(), text))
--- a/tests/unit/capacity/test_capacity.py
+++ b/tests/unit/capacity/test_capacity.py
@@ -7,7 +7,7 @@
 from ebonydeal._internal.benchmarks.capacity.report import (
     BEGIN,
     END,
-    put_into,
+    replace_tables,
     tables,
 )
 from ebonydeal._internal.benchmarks.capacity.roles import Slopes, all_roles
@@ -23,11 +23,11 @@
 ).split()
 
 
-def made_up(value: float = 2.0) -> list[Slope]:
+def sample_slopes(value: float = 2.0) -> list[Slope]:
     return [Slope(key, "what", "per", value, 1.0, 1.0, 1.0, 2.0) for key in KEYS]
 
 
-def shape(text: str) -> list[str]:
+def table_layout(text: str) -> list[str]:
     """Return headings and table headers, without figures."""
     lines = text.splitlines()
     rules = [n for n, line in enumerate(lines) if line.startswith("|---")]
@@ -54,11 +54,11 @@
         assert used == FULL_SIZE.nodes
 
     def test_dearer_slopes_never_make_a_role_cheaper(self):
-        cheap = Slopes({item.key: item for item in made_up(1.0)})
-        dear = Slopes({item.key: item for item in made_up(3.0)})
+        cheap_slopes = Slopes({item.key: item for item in sample_slopes(1.0)})
+        costly_slopes = Slopes({item.key: item for item in sample_slopes(3.0)})
         pairs = zip(
-            all_roles(cheap, FULL_SIZE, FULL_PLAN),
-            all_roles(dear, FULL_SIZE, FULL_PLAN),
+            all_roles(cheap_slopes, FULL_SIZE, FULL_PLAN),
+            all_roles(costly_slopes, FULL_SIZE, FULL_PLAN),
             strict=True,
         )
         for low, high in pairs:
@@ -72,16 +72,19 @@
         text = PAGE.read_text()
         start = text.index(BEGIN)
         measured = text[start : text.index(END) + len(END)]
-        assert shape(measured) == shape(tables(made_up(), FULL_PLAN))
+        assert table_layout(measured) == table_layout(
+            tables(sample_slopes(), FULL_PLAN)
+        )
         for key in KEYS:
             assert f"| `{key}` |" in measured
 
     def test_page_without_a_place_is_refused(self):
         with pytest.raises(ValueError, match="no place"):
-            put_into("# page", "x")
+            replace_tables("# page", "x")
 
     def test_tables_replace_the_old_ones(self):
         page = f"head\n{BEGIN}\nold\n{END}\ntail"
         assert (
-            put_into(page, f"{BEGIN}\nnew\n{END}") == f"head\n{BEGIN}\nnew\n{END}\ntail"
+            replace_tables(page, f"{BEGIN}\nnew\n{END}")
+            == f"head\n{BEGIN}\nnew\n{END}\ntail"
         )
