--- a/src/ebonydeal/_internal/benchmarks/capacity/size.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/size.py
@@ -11,7 +11,7 @@
     Attributes
     ----------
     nodes, replicas, regions, zones : int
-        The system's own processes, endpoints, regions, availability zones.
+        The system's own instances, endpoints behind them, regions, availability zones.
     requests_per_s, tokens_per_s : float
         At the peak, over all nodes.
     changes_per_day : float
@@ -43,7 +43,7 @@
 
     @property
     def endpoint_changes_per_s(self) -> float:
-        """Instance list changes a second: a removal and an addition per replacement."""
+        """Changes of the instance list a second, two per failed or replaced instance."""
         return 2 * (self.failures_per_day + self.replaced_per_day) / _DAY_S
 
     @property
