--- a/src/ebonydeal/_internal/benchmarks/capacity/size.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/size.py
@@ -43,7 +43,7 @@
 
     @property
     def endpoint_changes_per_s(self) -> float:
-        """Changes of the instance list a second, two per failed or replaced instance."""
+        """Instance list changes a second, two for each instance failed or replaced."""
         return 2 * (self.failures_per_day + self.replaced_per_day) / _DAY_S
 
     @property
--- a/src/ebonydeal/_internal/benchmarks/rollouts/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Modelled roll-outs through the real decision: exposure, wrong verdicts, lateness."""
+"""Simulated roll-outs with the real decisions: exposure, wrong and late verdicts."""
--- a/src/ebonydeal/_internal/benchmarks/rollouts/plot.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/plot.py
@@ -1,15 +1,15 @@
-"""Exposure of bad versions as a picture; needs the extra ``bench``."""
+"""Plot of the exposure of bad versions; needs the extra ``bench``."""
 
 from pathlib import Path
 
-from ebonydeal._internal.benchmarks.rollouts.suite import Came
-from ebonydeal._internal.benchmarks.rollouts.world import Fault
+from ebonydeal._internal.benchmarks.rollouts.service_model import Fault
+from ebonydeal._internal.benchmarks.rollouts.suite import RolloutResult
 
 
-def save_plot(came: dict[str, list[Came]], path: Path) -> bool:
+def save_plot(results: dict[str, list[RolloutResult]], path: Path) -> bool:
     """Write a PNG; return False where matplotlib is not installed.
 
-    For each way, how many bad versions got up to which part of their bound.
+    Shows for each variant the distribution of exposure over the bad versions.
     """
     try:
         import matplotlib
@@ -19,10 +19,14 @@
     from matplotlib import pyplot
 
     fig, axis = pyplot.subplots(figsize=(7, 4))
-    for name, all_of in came.items():
-        parts = sorted(c.exposed for c in all_of if c.case.fault is not Fault.NONE)
-        shares = [(place + 1) / len(parts) for place in range(len(parts))]
-        axis.plot(parts, shares, label=name)
+    for name, of_variant in results.items():
+        exposures = sorted(
+            result.exposed
+            for result in of_variant
+            if result.case.fault is not Fault.NONE
+        )
+        shares = [(place + 1) / len(exposures) for place in range(len(exposures))]
+        axis.plot(exposures, shares, label=name)
     axis.axvline(1.0, color="black", linestyle="--")
     axis.set_xlabel("requests that a bad version got, of its bound")
     axis.set_ylabel("part of the roll-outs")
--- a/src/ebonydeal/_internal/commands/bench_rollouts.py
+++ b/src/ebonydeal/_internal/commands/bench_rollouts.py
@@ -6,9 +6,9 @@
 
 from ebonydeal._internal.benchmarks.rollouts.plot import save_plot
 from ebonydeal._internal.benchmarks.rollouts.suite import (
-    Ways,
-    lines,
-    play_all,
+    Variant,
+    simulate_all,
+    summarize,
     table,
 )
 
@@ -49,17 +49,17 @@
     """
     first = seed + JUDGING_FROM if judging else seed
     text = [f"seeds {first} to {first + count - 1}"]
-    came = {}
+    results = {}
     for chosen in _TESTS if test == "all" else (test,):
         for how in _PLANS if plan == "all" else (plan,):
             name = f"{chosen}, {how}"
-            ways = Ways(chosen, how)
-            came[name] = play_all(range(first, first + count), ways, jobs)
-            text.append(f"{name}\n{table(lines(came[name]))}")
+            variant = Variant(chosen, how)
+            results[name] = simulate_all(range(first, first + count), variant, jobs)
+            text.append(f"{name}\n{table(summarize(results[name]))}")
     click.echo("\n\n".join(text))
     if output is None:
         return
     output.mkdir(parents=True, exist_ok=True)
     (output / "rollouts.txt").write_text("\n\n".join(text) + "\n")
-    if not save_plot(came, output / "rollouts.png"):
+    if not save_plot(results, output / "rollouts.png"):
         click.echo("no plot: matplotlib is not installed", err=True)
--- a/tests/unit/routing/rollout/test_rollout_state.py
+++ b/tests/unit/routing/rollout/test_rollout_state.py
@@ -2,8 +2,12 @@
 
 import pytest
 
-from ebonydeal._internal.benchmarks.rollouts.suite import BOUND, Ways, play
-from ebonydeal._internal.benchmarks.rollouts.world import Case, Fault, When
+from ebonydeal._internal.benchmarks.rollouts.service_model import Case, Fault, When
+from ebonydeal._internal.benchmarks.rollouts.suite import (
+    EXPOSURE_BOUND,
+    Variant,
+    simulate,
+)
 from ebonydeal._internal.models.rollouts import Phase, RolloutOrder
 from ebonydeal._internal.routing.rollout.rollout_state import (
     Complete,
@@ -14,7 +18,7 @@
 )
 from ebonydeal._internal.routing.rollout.tally import FAILED, category_of, empty_counts
 
-WAYS = [Ways("mixture", "steady"), Ways("mixture", "loaded")]
+VARIANTS = [Variant("mixture", "steady"), Variant("mixture", "loaded")]
 SEEDS = range(4)
 
 
@@ -28,37 +32,37 @@
         "boot": 1.5,
         "old": 6,
         "new": 6,
-        "storm": False,
+        "disturbed": False,
         **more,
     }
     return Case(fault, when, seed=seed, **terms)
 
 
 class TestSimulated:
-    @pytest.mark.parametrize("ways", WAYS)
+    @pytest.mark.parametrize("variant", VARIANTS)
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_a_good_version_is_completed_in_time(self, ways, seed):
-        result = play(case(seed=seed), ways)
+    def test_a_good_version_is_completed_in_time(self, variant, seed):
+        result = simulate(case(seed=seed), variant)
         assert result.phase is Phase.COMPLETED and result.decided <= 20.0
 
-    @pytest.mark.parametrize("ways", WAYS)
+    @pytest.mark.parametrize("variant", VARIANTS)
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("when", list(When))
     @pytest.mark.parametrize("fault", [Fault.FAILS, Fault.SLOW])
     def test_a_bad_version_is_rolled_back_within_its_bound(
-        self, ways, seed, when, fault
+        self, variant, seed, when, fault
     ):
-        result = play(case(fault, when, seed), ways)
+        result = simulate(case(fault, when, seed), variant)
         assert result.phase is Phase.ROLLED_BACK
         assert result.exposed <= 1.0 and result.late <= 0.0
 
     @pytest.mark.parametrize("relays", [9, 195])
     def test_a_bad_version_is_rolled_back_at_any_number_of_relays(self, relays):
-        result = play(case(Fault.FAILS, relays=relays), WAYS[1])
+        result = simulate(case(Fault.FAILS, relays=relays), VARIANTS[1])
         assert result.phase is Phase.ROLLED_BACK and result.exposed <= 1.0
 
     def test_the_bound_is_the_default_of_relays(self):
-        assert tuple(BOUND) == (0.1, 50.0)
+        assert tuple(EXPOSURE_BOUND) == (0.1, 50.0)
 
 
 def rollout(duration=20.0, deadline=20.0):
