--- a/src/ebonydeal/_internal/benchmarks/reclaim/engines.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/engines.py
@@ -1,4 +1,4 @@
-"""A small model of engines: slots, prefix cache, prefill, decode and export."""
+"""Simple engine model: slots, prefix cache, prefill, decode and export."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
@@ -10,22 +10,22 @@
 
 
 class EngineSpec(NamedTuple):
-    """What every engine of a run can do.
+    """Performance of the engines of a run.
 
     Attributes
     ----------
     decode_per_s : float
         Tokens a second of one stream.
     prefill_per_s : float
-        Prompt tokens a second, one prompt after the other.
+        Prompt tokens a second; prompts are prefilled one after the other.
     cache_tokens : int
         Limit of the prefix cache.
     gb_per_token : float
         Size of the KV cache.
     export_gb_per_s : float
-        Rate of exports, one after the other.
+        Rate of exports, which run one after the other.
     import_share : float
-        Time of the import over that of the export.
+        Time of an import relative to that of its export.
     """
 
     decode_per_s: float = 45.0
@@ -38,19 +38,19 @@
 
 @dataclass(eq=False)
 class Stream:
-    """A request on its way; ``turn`` makes events of an earlier place void."""
+    """A request; events scheduled for an earlier ``generation`` are ignored."""
 
     job: Job
     delivered: int = 0
     engine: "EngineModel | None" = None
-    turn: int = 0
+    generation: int = 0
     imported: bool = False
     cause: str = ""
     decoding_since: float | None = None
-    base: int = 0
+    delivered_before: int = 0
     last_token_at: float = 0.0
     done: bool = False
-    gaps: list[float] = field(default_factory=list)
+    token_gaps: list[float] = field(default_factory=list)
 
     @property
     def context_tokens(self) -> int:
@@ -74,7 +74,7 @@
         self.slots = slots
         self.spec = spec
         self.alive = True
-        self.dies_at = float("inf")
+        self.stops_at = float("inf")
         self.export_free_at = 0.0
         self.running: dict[str, Stream] = {}
         self.waiting: deque[Stream] = deque()
@@ -86,7 +86,7 @@
 
     @property
     def outstanding(self) -> int:
-        """Streams that run or wait here."""
+        """Number of running and waiting streams."""
         return len(self.running) + len(self.waiting)
 
     @property
@@ -97,49 +97,53 @@
     def submit(
         self, stream: Stream, *, imported: bool = False, cause: str = ""
     ) -> None:
-        """Take a stream; ``cause`` says why its tokens are computed again."""
+        """Enqueue a stream; ``cause`` says why its tokens are recomputed."""
         stream.engine = self
-        stream.turn += 1
+        stream.generation += 1
         stream.imported = imported
         stream.cause = cause
         self.waiting.append(stream)
-        self._fill()
+        self._start_waiting()
 
-    def progress(self, stream: Stream) -> None:
-        """Bring a stream's delivered tokens up to now."""
+    def update_progress(self, stream: Stream) -> None:
+        """Update a stream's delivered tokens to the current time."""
         if stream.decoding_since is None:
             return
-        passed = self._scheduler.now - stream.decoding_since
-        made = int(passed * self.spec.decode_per_s + 1e-9)
-        stream.delivered = min(stream.job.output_tokens, stream.base + made)
-        if stream.delivered > stream.base:
-            made = stream.delivered - stream.base
-            stream.last_token_at = stream.decoding_since + made / self.spec.decode_per_s
-
-    def stop(self, stream: Stream) -> None:
-        """Take a stream away."""
-        self.progress(stream)
+        elapsed = self._scheduler.now - stream.decoding_since
+        generated = int(elapsed * self.spec.decode_per_s + 1e-9)
+        stream.delivered = min(
+            stream.job.output_tokens, stream.delivered_before + generated
+        )
+        if stream.delivered > stream.delivered_before:
+            generated = stream.delivered - stream.delivered_before
+            stream.last_token_at = (
+                stream.decoding_since + generated / self.spec.decode_per_s
+            )
+
+    def remove(self, stream: Stream) -> None:
+        """Remove a stream from this engine."""
+        self.update_progress(stream)
         stream.decoding_since = None
-        stream.turn += 1
+        stream.generation += 1
         stream.engine = None
         self.running.pop(stream.job.job_id, None)
-        for line in (self.waiting, self._prefills):
-            if stream in line:
-                line.remove(stream)
+        for queue in (self.waiting, self._prefills):
+            if stream in queue:
+                queue.remove(stream)
         if self._prefilling is stream:
             self._prefilling = None
-            self._next_prefill()
-        self._fill()
+            self._start_prefill()
+        self._start_waiting()
 
     def kill(self) -> list[Stream]:
-        """Die; return the streams that were here."""
+        """Stop this engine; return the streams that it had."""
         self.alive = False
         streams = [*self.running.values(), *self.waiting]
         for stream in streams:
-            self.stop(stream)
+            self.remove(stream)
         return streams
 
-    def _fill(self) -> None:
+    def _start_waiting(self) -> None:
         while self.alive and self.waiting and len(self.running) < self.slots:
             stream = self.waiting.popleft()
             self.running[stream.job.job_id] = stream
@@ -147,46 +151,50 @@
                 self._decode(stream)
             else:
                 self._prefills.append(stream)
-        self._next_prefill()
+        self._start_prefill()
 
-    def _next_prefill(self) -> None:
+    def _start_prefill(self) -> None:
         if self._prefilling is not None or not self._prefills or not self.alive:
             return
         stream = self._prefills.popleft()
         self._prefilling = stream
-        needed = max(0, stream.context_tokens - self._hit(stream.job.prefix))
+        to_prefill = max(
+            0, stream.context_tokens - self._count_cached_tokens(stream.job.prefix)
+        )
         if stream.cause:
-            total = self.recomputed.get(stream.cause, 0) + needed
+            total = self.recomputed.get(stream.cause, 0) + to_prefill
             self.recomputed[stream.cause] = total
-        end = self._scheduler.now + needed / self.spec.prefill_per_s
-        self._scheduler.at(end, self._prefilled, stream, stream.turn)
+        end = self._scheduler.now + to_prefill / self.spec.prefill_per_s
+        self._scheduler.at(end, self._on_prefill_end, stream, stream.generation)
 
-    def _prefilled(self, stream: Stream, turn: int) -> None:
-        if stream.turn != turn:
+    def _on_prefill_end(self, stream: Stream, generation: int) -> None:
+        if stream.generation != generation:
             return
         self._prefilling = None
-        self._remember(stream.job.prefix)
+        self._cache_prefix(stream.job.prefix)
         self._decode(stream)
-        self._next_prefill()
+        self._start_prefill()
 
     def _decode(self, stream: Stream) -> None:
         now = self._scheduler.now
         if stream.last_token_at:
-            stream.gaps.append(now + 1 / self.spec.decode_per_s - stream.last_token_at)
+            stream.token_gaps.append(
+                now + 1 / self.spec.decode_per_s - stream.last_token_at
+            )
         stream.decoding_since = now
-        stream.base = stream.delivered
-        left = stream.job.output_tokens - stream.delivered
-        end = now + left / self.spec.decode_per_s
-        self._scheduler.at(end, self._finished, stream, stream.turn)
+        stream.delivered_before = stream.delivered
+        remaining = stream.job.output_tokens - stream.delivered
+        end = now + remaining / self.spec.decode_per_s
+        self._scheduler.at(end, self._on_finished, stream, stream.generation)
 
-    def _finished(self, stream: Stream, turn: int) -> None:
-        if stream.turn != turn:
+    def _on_finished(self, stream: Stream, generation: int) -> None:
+        if stream.generation != generation:
             return
-        self.stop(stream)
+        self.remove(stream)
         stream.delivered = stream.job.output_tokens
         stream.done = True
 
-    def _hit(self, prefix: tuple[str, ...]) -> int:
+    def _count_cached_tokens(self, prefix: tuple[str, ...]) -> int:
         count = 0
         for block in prefix:
             if block not in self._cache:
@@ -195,7 +203,7 @@
             count += 1
         return count * BLOCK_TOKENS
 
-    def _remember(self, prefix: tuple[str, ...]) -> None:
+    def _cache_prefix(self, prefix: tuple[str, ...]) -> None:
         for block in reversed(prefix):
             self._cache[block] = None
             self._cache.move_to_end(block)
--- a/src/ebonydeal/_internal/benchmarks/reclaim/mixes.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/mixes.py
@@ -1,4 +1,4 @@
-"""Seeded mixes of streams shaped like both users' traffic."""
+"""Seeded mixes of streams modelled on both users' traffic."""
 
 import random
 from collections.abc import Iterator
@@ -15,11 +15,11 @@
     job_id : str
         Unique.
     arrives : float
-        Seconds from the start.
+        Arrival time, seconds from the start.
     group : str
-        What shares a prompt prefix: a session, or an inn's manifest.
+        Requests that share a prompt prefix: a session, or an inn's manifest.
     prefix : tuple of str
-        Whole prompt blocks.
+        The full blocks of the prompt.
     prompt_tokens, output_tokens : int
         True lengths.
     """
@@ -42,21 +42,21 @@
     zones : tuple of int
         Replicas in each of three availability zones.
     slots : int
-        Streams that a replica runs at once.
+        Streams that a replica runs concurrently.
     bursts_per_s : float
-        Arrivals of bursts.
+        Rate at which bursts arrive.
     burst : tuple of int
-        Least and most requests of a burst; they share a group.
+        Minimum and maximum requests of a burst; they share a group.
     groups : int
-        Groups that are active.
+        Number of active groups.
     common_tokens : int
-        Instructions that every prompt starts with.
+        Tokens of the instructions that every prompt starts with.
     group_tokens : tuple of int
-        Least and most tokens that a group's prompts share beyond that.
+        Minimum and maximum tokens that a group's prompts share beyond that.
     own_tokens : tuple of int
-        Least and most tokens of the request itself.
+        Minimum and maximum tokens of the request itself.
     output_mu, output_sigma : float
-        Log-normal output length.
+        Parameters of the log-normal output length.
     """
 
     name: str
@@ -67,7 +67,7 @@
     groups: int
     common_tokens: int
     group_tokens: tuple[int, int]
-    own_tokens: tuple[int, int]
+    request_tokens: tuple[int, int]
     output_mu: float
     output_sigma: float
 
@@ -81,7 +81,7 @@
     groups=400,
     common_tokens=320,
     group_tokens=(800, 2400),
-    own_tokens=(40, 160),
+    request_tokens=(40, 160),
     output_mu=5.9,
     output_sigma=0.5,
 )
@@ -94,21 +94,21 @@
     groups=150,
     common_tokens=240,
     group_tokens=(400, 2000),
-    own_tokens=(20, 120),
+    request_tokens=(20, 120),
     output_mu=5.1,
     output_sigma=0.6,
 )
 LONG = PALERMO._replace(name="long", bursts_per_s=1.6, output_mu=7.3)
-"""Palermo's pool with answers of half a minute, which outlast most notices."""
+"""Palermo's pool with answers of half a minute, longer than most notices."""
 MIXES = (CADWALADR, PALERMO, LONG)
 
 
 def _blocks(name: str, tokens: int) -> tuple[str, ...]:
-    """Return the names of the whole blocks of ``tokens`` tokens."""
+    """Return the names of the full blocks in ``tokens`` tokens."""
     return tuple(f"{name}.{number}" for number in range(tokens // BLOCK_TOKENS))
 
 
-def jobs_of(mix: Mix, seconds: float, rng: random.Random) -> Iterator[Job]:
+def generate_jobs(mix: Mix, seconds: float, rng: random.Random) -> Iterator[Job]:
     """Yield the requests of a mix that arrive within ``seconds``, in order."""
     common = _blocks("common", mix.common_tokens)
     sizes = [rng.randint(*mix.group_tokens) for _ in range(mix.groups)]
@@ -116,15 +116,15 @@
     number = 0
     while now < seconds:
         group = rng.randrange(mix.groups)
-        shared = _blocks(f"group{group}", sizes[group])
+        group_blocks = _blocks(f"group{group}", sizes[group])
         for _ in range(rng.randint(*mix.burst)):
-            own = rng.randint(*mix.own_tokens)
+            request_length = rng.randint(*mix.request_tokens)
             yield Job(
                 job_id=f"r{number}",
                 arrives=now,
                 group=f"group{group}",
-                prefix=common + shared,
-                prompt_tokens=mix.common_tokens + sizes[group] + own,
+                prefix=common + group_blocks,
+                prompt_tokens=mix.common_tokens + sizes[group] + request_length,
                 output_tokens=1
                 + int(rng.lognormvariate(mix.output_mu, mix.output_sigma)),
             )
--- a/src/ebonydeal/_internal/benchmarks/reclaim/strategies.py
+++ b/src/ebonydeal/_internal/benchmarks/reclaim/strategies.py
@@ -1,4 +1,4 @@
-"""What is compared: the planner, and three baselines."""
+"""The compared strategies: the migration planner and four baselines."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -36,15 +36,15 @@
 
 
 class RetryFromStart:
-    """Does nothing before the end; callers send their requests again.
+    """Does nothing on a notice; callers send their requests again.
 
     Parameters
     ----------
     pool : Pool
-        What it acts on.
+        Pool that it acts on.
     by_load : bool
-        Route what is sent again to the least outstanding engine; else by the
-        same router as everything else, which keeps to prefixes.
+        Send retries to the engine with the fewest outstanding streams; otherwise to
+        the engine that the pool's prefix router chooses.
     """
 
     def __init__(self, pool: Pool, by_load: bool) -> None:
@@ -52,11 +52,11 @@
         self._by_load = by_load
 
     def on_notice(self, zone: str, deadline: float) -> None:
-        """Let everything run on."""
+        """Let all streams run on."""
 
-    def on_cut(self, cut: list[Stream]) -> None:
-        """Start everything anew."""
-        for stream in cut:
+    def on_interrupted(self, interrupted: list[Stream]) -> None:
+        """Restart all streams from the beginning."""
+        for stream in interrupted:
             if stream.delivered:
                 self._pool.broken += 1
                 self._pool.tally["generated again"] += stream.delivered
@@ -70,51 +70,51 @@
 
 
 class ResumeByPrefill:
-    """Goes on elsewhere by prefill once a stream is cut."""
+    """Resumes interrupted streams on other engines by prefill."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
 
     def on_notice(self, zone: str, deadline: float) -> None:
-        """Let everything run on."""
+        """Let all streams run on."""
 
-    def on_cut(self, cut: list[Stream]) -> None:
-        """Resume where the router says."""
-        for stream in cut:
+    def on_interrupted(self, interrupted: list[Stream]) -> None:
+        """Resume each stream on the engine that the router chooses."""
+        for stream in interrupted:
             self._pool.resume(stream, self._pool.route(stream.job), "cut")
 
 
 class ExportByArrival(ResumeByPrefill):
-    """Exports in the order of arrival until the time is over."""
+    """Exports streams in order of arrival until the deadline."""
 
     def on_notice(self, zone: str, deadline: float) -> None:
-        """Export one after the other at each engine."""
-        for stream in self._pool.on_zone(zone):
+        """Resume undecoded streams elsewhere; export the others one by one."""
+        for stream in self._pool.streams_in_zone(zone):
             if stream.decoding_since is None:
                 target = self._pool.route(stream.job)
                 self._pool.resume(stream, target, "cut")
         self._export_next(zone, deadline)
 
     def _export_next(self, zone: str, deadline: float) -> None:
-        """Start an export wherever none runs; look again when one ends."""
+        """Start an export on each engine without one; repeat when it ends."""
         pool = self._pool
         now = pool.scheduler.now
-        streams = pool.on_zone(zone)
+        streams = pool.streams_in_zone(zone)
         for engine in pool.engines:
-            mine = [it for it in streams if it.engine is engine]
-            if mine and engine.export_free_at <= now < deadline:
+            on_engine = [it for it in streams if it.engine is engine]
+            if on_engine and engine.export_free_at <= now < deadline:
                 target = min(pool.usable(), key=lambda it: it.outstanding)
-                pool.export(mine[0], target, self._failed)
+                pool.export(on_engine[0], target, self._on_export_failed)
                 pool.scheduler.at(
                     engine.export_free_at, self._export_next, zone, deadline
                 )
 
-    def _failed(self, stream: Stream, handle_left: bool) -> None:
+    def _on_export_failed(self, stream: Stream, handle_usable: bool) -> None:
         self._pool.resume(stream, self._pool.route(stream.job), "export broke")
 
 
-class Planned:
-    """`plan_migrations` and `replan_failed_exports`, carried out."""
+class PlannedMigration:
+    """Executes the plans of `plan_migrations` and `replan_failed_exports`."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
@@ -122,139 +122,148 @@
             import_share=pool.spec.import_share,
             prefill_tokens_per_s=pool.spec.prefill_per_s,
         )
-        self._versions: dict[str, int] = {}
-        self._moving: set[Stream] = set()
-        self._planned_ends: dict[str, float] = {}
+        self._plan_versions: dict[str, int] = {}
+        self._migrating: set[Stream] = set()
+        self._planned_export_ends: dict[str, float] = {}
 
     def on_notice(self, zone: str, deadline: float) -> None:
-        """Plan for everything that runs there; what waits is only sent elsewhere."""
-        streams = self._pool.on_zone(zone)
+        """Plan for all streams with delivered tokens; resubmit the others elsewhere."""
+        streams = self._pool.streams_in_zone(zone)
         for stream in streams:
             if stream.delivered == 0:
                 self._pool.resume(stream, self._pool.route(stream.job), "")
         self._plan([it for it in streams if it.delivered], deadline)
 
-    def on_cut(self, cut: list[Stream]) -> None:
-        """Go on by prefill at planned places."""
-        self._carry_out(cut, self._moves(cut, self._pool.scheduler.now), 0.0, "cut")
+    def on_interrupted(self, interrupted: list[Stream]) -> None:
+        """Resume by prefill on the planned engines."""
+        self._schedule_actions(
+            interrupted,
+            self._plan_actions(interrupted, self._pool.scheduler.now),
+            0.0,
+            "cut",
+        )
 
     def _plan(self, streams: list[Stream], deadline: float) -> None:
-        moves = self._moves(streams, deadline)
-        self._carry_out(streams, moves, deadline, "planned")
+        actions = self._plan_actions(streams, deadline)
+        self._schedule_actions(streams, actions, deadline, "planned")
 
-    def _moves(self, streams: list[Stream], deadline: float) -> list[StreamAction]:
+    def _plan_actions(
+        self, streams: list[Stream], deadline: float
+    ) -> list[StreamAction]:
         now = self._pool.scheduler.now
         return plan_migrations(
-            [self._running(stream) for stream in streams],
+            [self._running_stream(stream) for stream in streams],
             deadline - now,
             self._pool.spec.export_gb_per_s,
             self._targets(),
             now,
-            source_busy=self._busy(),
+            source_busy=self._export_seconds_left(),
             assumptions=self._assumptions,
         )
 
-    def _carry_out(
+    def _schedule_actions(
         self,
         streams: list[Stream],
-        moves: list[StreamAction],
+        actions: list[StreamAction],
         deadline: float,
         cause: str,
     ) -> None:
         by_id = {stream.job.job_id: stream for stream in streams}
         for stream in streams:
-            version = self._versions.get(stream.job.job_id, 0)
-            self._versions[stream.job.job_id] = version + 1
-        for move in moves:
-            stream = by_id[move.request_id]
-            step: Callable[[], None] = self._step(stream, move, deadline, cause)
-            match move:
+            plan_version = self._plan_versions.get(stream.job.job_id, 0)
+            self._plan_versions[stream.job.job_id] = plan_version + 1
+        for action in actions:
+            stream = by_id[action.request_id]
+            step: Callable[[], None] = self._make_step(stream, action, deadline, cause)
+            match action:
                 case KeepRunning(review_at=time):
-                    self._moving.discard(stream)
+                    self._migrating.discard(stream)
                     self._pool.scheduler.at(time, step)
                 case ExportTo(start_at=time, seconds=seconds):
-                    self._moving.add(stream)
+                    self._migrating.add(stream)
                     if stream.engine is not None:
                         source = stream.engine.engine_id
-                        self._planned_ends[source] = time + seconds
+                        self._planned_export_ends[source] = time + seconds
                     self._pool.scheduler.at(time, step)
                 case Recompute(start_at=time):
-                    self._moving.add(stream)
+                    self._migrating.add(stream)
                     self._pool.scheduler.at(time, step)
 
-    def _step(
-        self, stream: Stream, move: StreamAction, deadline: float, cause: str
+    def _make_step(
+        self, stream: Stream, action: StreamAction, deadline: float, cause: str
     ) -> Callable[[], None]:
-        """Return what is to be done at the move's time, unless things changed."""
-        turn = stream.turn
-        version = self._versions[stream.job.job_id]
+        """Return the call that executes an action unless the stream or plan changed."""
+        generation = stream.generation
+        plan_version = self._plan_versions[stream.job.job_id]
 
         def step() -> None:
-            planned_anew = self._versions[stream.job.job_id] != version
-            if stream.turn != turn or planned_anew:
+            replanned = self._plan_versions[stream.job.job_id] != plan_version
+            if stream.generation != generation or replanned:
                 return
-            match move:
+            match action:
                 case KeepRunning():
                     self._review(stream, deadline)
                 case ExportTo(target=view):
-                    self._pool.export(stream, self._engine(view, stream), self._failed)
-                case Recompute(target=maybe):
-                    self._pool.resume(stream, self._engine(maybe, stream), cause)
+                    self._pool.export(
+                        stream, self._engine(view, stream), self._on_export_failed
+                    )
+                case Recompute(target=view):
+                    self._pool.resume(stream, self._engine(view, stream), cause)
 
         return step
 
     def _review(self, reviewed: Stream, deadline: float) -> None:
-        """Plan anew for all that may still be moved off the stream's engine."""
+        """Plan anew for all streams that can still migrate off the stream's engine."""
         source = reviewed.engine
         if source is None or deadline <= self._pool.scheduler.now:
             return
         streams = [
             stream
             for stream in source.running.values()
-            if stream.decoding_since is not None and stream not in self._moving
+            if stream.decoding_since is not None and stream not in self._migrating
         ]
         for stream in streams:
-            source.progress(stream)
+            source.update_progress(stream)
         self._plan(streams, deadline)
 
-    def _failed(self, stream: Stream, handle_left: bool) -> None:
-        """Plan anew; a handle that is left is not modelled as fetched again."""
+    def _on_export_failed(self, stream: Stream, handle_usable: bool) -> None:
+        """Plan anew; the model doesn't retry the import of a usable handle."""
         now = self._pool.scheduler.now
-        fault = ExportFailure(stream.job.job_id, False)
-        moves = replan_failed_exports(
-            [self._running(stream)],
-            [fault],
+        failure = ExportFailure(stream.job.job_id, False)
+        actions = replan_failed_exports(
+            [self._running_stream(stream)],
+            [failure],
             0.0,
             self._pool.spec.export_gb_per_s,
             self._targets(),
             now,
             assumptions=self._assumptions,
         )
-        cause = "target left" if handle_left else "export broke"
-        self._carry_out([stream], moves, 0.0, cause)
+        cause = "target left" if handle_usable else "export broke"
+        self._schedule_actions([stream], actions, 0.0, cause)
 
     def _engine(self, view: EndpointView | None, stream: Stream) -> EngineModel:
-        """Return the planned engine, or the router's if it is gone."""
+        """Return the planned engine, or the router's choice if it isn't usable."""
         for engine in self._pool.usable():
             if view is not None and engine.engine_id == view.endpoint_id:
                 return engine
         return self._pool.route(stream.job)
 
-    def _busy(self) -> dict[str, float]:
-        """Return the seconds that exports, begun and planned, still take."""
+    def _export_seconds_left(self) -> dict[str, float]:
+        """Return each engine's remaining seconds of running and planned exports."""
         now = self._pool.scheduler.now
         ends = {it.engine_id: it.export_free_at for it in self._pool.engines}
-        for engine_id, end in self._planned_ends.items():
+        for engine_id, end in self._planned_export_ends.items():
             ends[engine_id] = max(ends[engine_id], end)
         return {engine_id: max(0.0, end - now) for engine_id, end in ends.items()}
 
-    def _running(self, stream: Stream) -> RunningStream:
+    def _running_stream(self, stream: Stream) -> RunningStream:
         spec = self._pool.spec
         return RunningStream(
             request_id=stream.job.job_id,
             endpoint_id=stream.engine.engine_id if stream.engine else "",
             context_tokens=stream.context_tokens,
-            remaining_tokens_estimate=self._pool.estimate(stream),
+            remaining_tokens_estimate=self._pool.estimate_remaining_tokens(stream),
             tokens_per_s=spec.decode_per_s,
             kv_gb=stream.context_tokens * spec.gb_per_token,
             prefix=stream.job.prefix,
@@ -265,7 +274,7 @@
             MigrationTarget(
                 _view(engine),
                 max(0, engine.slots - engine.outstanding),
-                self._pool.seen_cache(engine),
+                self._pool.known_cache(engine),
             )
             for engine in self._pool.usable()
         ]
@@ -288,11 +297,11 @@
     )
 
 
-Acting = RetryFromStart | ResumeByPrefill | Planned
+ActiveStrategy = RetryFromStart | ResumeByPrefill | PlannedMigration
 
 
-def build(strategy: Strategy, pool: Pool) -> Acting:
-    """Return a strategy that acts on ``pool``."""
+def build(strategy: Strategy, pool: Pool) -> ActiveStrategy:
+    """Return an instance of the strategy for ``pool``."""
     match strategy:
         case Strategy.RETRY_LOAD:
             return RetryFromStart(pool, by_load=True)
@@ -303,4 +312,4 @@
         case Strategy.ARRIVAL:
             return ExportByArrival(pool)
         case Strategy.PLANNED:
-            return Planned(pool)
+            return PlannedMigration(pool)
