--- a/src/ebonydeal/_internal/benchmarks/spend/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/__init__.py
@@ -1,1 +1,1 @@
-"""Spend, deadlines and repair: ``ebonydeal bench spend``."""
+"""Benchmark of spend, deadlines and recovery: ``ebonydeal bench spend``."""
--- a/src/ebonydeal/_internal/benchmarks/spend/fleet_run.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/fleet_run.py
@@ -1,14 +1,14 @@
-"""The real controller on an in-memory world, stepped without waiting."""
+"""Runs the real controller on a simulated platform, without real waiting."""
 
 import random
 
-from ebonydeal._internal.benchmarks.spend.world import (
-    World,
-    WorldCloud,
-    WorldEngines,
-    WorldList,
-    WorldTimes,
-    WorldWeights,
+from ebonydeal._internal.benchmarks.spend.simulated_platform import (
+    SimulatedCloud,
+    SimulatedDurations,
+    SimulatedEngines,
+    SimulatedInstanceList,
+    SimulatedPlatform,
+    SimulatedWeightStore,
 )
 from ebonydeal._internal.controller.lease import Holder
 from ebonydeal._internal.controller.service import Controller
@@ -26,21 +26,21 @@
 
 
 class SteppedClock:
-    """Time that moves when told; nobody sleeps on it."""
+    """A clock that advances only by `sleep`, without waiting."""
 
     def __init__(self) -> None:
         self._now = 1_000_000.0
 
     def now(self) -> float:
-        """Return seconds."""
+        """Return the current time in seconds."""
         return self._now
 
     def wall(self) -> float:
-        """Return the same seconds."""
+        """Return the same time as `now`."""
         return self._now
 
     async def sleep(self, seconds: float) -> None:
-        """Move time on."""
+        """Advance the time."""
         self._now += seconds
 
 
@@ -50,14 +50,16 @@
     Parameters
     ----------
     target : int
-        Replicas that must stand through a zone's loss.
+        Replicas that must remain after the loss of a zone.
     seed : int
-        For tokens and jitter.
+        Seed of tokens and jitter.
     times : WorldTimes
-        Durations in the world.
+        Durations on the simulated platform.
     """
 
-    def __init__(self, target: int, seed: int, times: WorldTimes | None = None) -> None:
+    def __init__(
+        self, target: int, seed: int, times: SimulatedDurations | None = None
+    ) -> None:
         self.clock = SteppedClock()
         self.target = target
         offers = []
@@ -65,17 +67,17 @@
             price = 3.0 + 0.1 * number
             offers.append(Offer(zone, "large", True, price, 0.05, 8))
             offers.append(Offer(zone, "large", False, 10.0, 0.0, 8))
-        self.world = World(self.clock, offers, times=times)
+        self.platform = SimulatedPlatform(self.clock, offers, times=times)
         self.tables = MemoryTables(self.clock)
         document = Document(1, {}, {"fleet": _deployment(target)}, {})
         self.controller = Controller(
             ControllerSettings(),
             Holder("bench/1", "127.0.0.1:0"),
             self.tables,
-            WorldCloud(self.world),
-            WorldList(self.world),
-            WorldEngines(self.world),
-            WorldWeights(self.world),
+            SimulatedCloud(self.platform),
+            SimulatedInstanceList(self.platform),
+            SimulatedEngines(self.platform),
+            SimulatedWeightStore(self.platform),
             lambda: document,
             lambda _mark: None,
             Metrics(),
@@ -85,39 +87,41 @@
 
     @property
     def table_operations(self) -> int:
-        """Reads and writes of the table service so far."""
+        """Number of table reads and writes so far."""
         return self.tables.reads + self.tables.writes
 
-    async def rounds(self, number: int, gap: float = ROUND_S) -> None:
-        """Do some rounds, ``gap`` seconds apart."""
+    async def rounds(self, number: int, interval: float = ROUND_S) -> None:
+        """Run ``number`` rounds, ``interval`` seconds apart."""
         for _ in range(number):
             await self.controller.notices.poll()
             await self.controller.round()
-            await self.clock.sleep(gap)
+            await self.clock.sleep(interval)
 
-    def serving(self) -> int:
-        """Return the replicas whose models are loaded."""
-        return sum(self.world.ready(item) for item in self.world.live())
+    def ready_replicas(self) -> int:
+        """Return the number of replicas whose models are loaded."""
+        return sum(self.platform.ready(item) for item in self.platform.live())
 
-    def standing(self) -> int:
-        """Return the replicas that would remain after the worst zone's loss."""
+    def zone_loss_capacity(self) -> int:
+        """Return the ready replicas that remain after the loss of the fullest zone."""
         zones = {
             zone: sum(
-                self.world.ready(item)
-                for item in self.world.live()
+                self.platform.ready(item)
+                for item in self.platform.live()
                 if item.offer.zone == zone
             )
             for zone in ZONES
         }
         return sum(zones.values()) - max(zones.values())
 
-    async def fill(self, most_rounds: int = 2000) -> None:
-        """Do rounds until the fleet is at strength; raise if it never is."""
-        for _ in range(most_rounds):
-            if self.standing() >= self.target:
+    async def fill_to_target(self, max_rounds: int = 2000) -> None:
+        """Run rounds until the target would survive a zone's loss, or raise."""
+        for _ in range(max_rounds):
+            if self.zone_loss_capacity() >= self.target:
                 return
             await self.rounds(1, _FILL_ROUND_S)
-        raise RuntimeError(f"{self.standing()} of {self.target} replicas stand")
+        raise RuntimeError(
+            f"{self.zone_loss_capacity()} of {self.target} replicas survive a zone loss"
+        )
 
 
 def _deployment(target: int) -> Deployment:
--- a/src/ebonydeal/_internal/benchmarks/spend/hindsight.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/hindsight.py
@@ -1,7 +1,7 @@
-"""The cheapest schedule that knows the whole trace, by linear programming.
+"""Cost of the cheapest schedule that knows the whole trace, by linear programming.
 
-A lower bound: instances may be split, start at once and cost nothing to start.
-It keeps the same promises: strength through the loss of any one zone, every
+This is a lower bound: instances may be fractional, and start at once without cost.
+It meets the same constraints: enough replicas after the loss of any one zone, every
 deadline, and the ceiling.
 """
 
@@ -30,7 +30,7 @@
 
 
 def hindsight_cost(trace: Trace, ceiling: float) -> float:
-    """Return the least cost of any schedule on ``trace``, or infinity."""
+    """Return the minimum cost of a schedule for ``trace``; infinity if none exists."""
     keys = sorted(trace.offers[0])
     width = len(keys)
     columns = trace.steps * width
@@ -40,42 +40,44 @@
             shares[step].append((index, columns))
             columns += 1
     cost = np.zeros(columns)
-    upper: list[float | None] = [None] * columns
+    upper_bounds: list[float | None] = [None] * columns
     rows = _Rows()
     for step in range(trace.steps):
         base = step * width
         need = needed_replicas(trace.in_flight[step])
         prices = [trace.offers[step][key].price_per_hour for key in keys]
-        for place, key in enumerate(keys):
-            cost[base + place] = prices[place] * STEP_S / _HOUR
-            if key.reclaimable and key.zone in trace.closed[step]:
-                upper[base + place] = 0.0
+        for position, key in enumerate(keys):
+            cost[base + position] = prices[position] * STEP_S / _HOUR
+            if key.reclaimable and key.zone in trace.refusing[step]:
+                upper_bounds[base + position] = 0.0
         for zone in ZONES:
-            rest = [
-                (base + place, -1.0)
-                for place, key in enumerate(keys)
+            other_zones = [
+                (base + position, -1.0)
+                for position, key in enumerate(keys)
                 if key.zone != zone
             ]
-            rows.add(rest, -float(need))
-        rows.add([(base + place, prices[place]) for place in range(width)], ceiling)
-        used = [(column, 1.0) for _index, column in shares[step]]
-        have = [(base + place, -1.0) for place in range(width)]
-        rows.add(used + have, -float(need))
+            rows.add(other_zones, -float(need))
+        rows.add(
+            [(base + position, prices[position]) for position in range(width)], ceiling
+        )
+        deadline_work = [(column, 1.0) for _index, column in shares[step]]
+        capacity = [(base + position, -1.0) for position in range(width)]
+        rows.add(deadline_work + capacity, -float(need))
     for index, job in enumerate(trace.jobs):
-        done = [
+        work = [
             (column, -1.0)
             for step in range(job.arrival, job.deadline)
             for owner, column in shares[step]
             if owner == index
         ]
-        rows.add(done, -job.work_s / STEP_S)
+        rows.add(work, -job.work_s / STEP_S)
     row, column, value = zip(*rows.cells, strict=True)
     matrix = coo_matrix((value, (row, column)), shape=(len(rows.bounds), columns))
     result = linprog(
         cost,
         A_ub=matrix.tocsr(),
         b_ub=rows.bounds,
-        bounds=[(0.0, top) for top in upper],
+        bounds=[(0.0, limit) for limit in upper_bounds],
         method="highs",
     )
     return float(result.fun) if result.status == 0 else float("inf")
--- a/src/ebonydeal/_internal/benchmarks/spend/policies.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/policies.py
@@ -1,4 +1,4 @@
-"""Ways to buy instances: ebonydeal's own decisions, and simpler ones."""
+"""Policies for buying instances: the controller's decisions, and baselines."""
 
 import math
 from collections import Counter
@@ -23,26 +23,26 @@
 from ebonydeal._internal.outside.interfaces import Offer
 
 FIRST_TOKEN_S = 0.8
-LOW, HIGH = 3, 120
-_KEPT = 288
+MIN_REPLICAS, MAX_REPLICAS = 3, 120
+_PRICE_HISTORY_STEPS = 288
 Counts = Mapping[OfferKey, int]
 
 
-class Scene(NamedTuple):
+class Observation(NamedTuple):
     """What a policy sees at the start of a step.
 
     Attributes
     ----------
     offers : mapping of OfferKey to Offer
-        Present prices.
+        Current prices.
     in_flight : float
-        Requests in engines during the last step.
+        Mean requests in engines during the previous step.
     current : Counter of OfferKey
-        What runs.
+        Running instances.
     blocked : set of OfferKey
-        What refuses starts.
+        Offers whose starts are refused.
     backlog : sequence of Backlog
-        Deadline work that waits.
+        Pending deadline work.
     now : float
         Seconds since the start.
     """
@@ -56,48 +56,48 @@
 
 
 class Policy(Protocol):
-    """Chooses what should run during a step."""
+    """Chooses the instances that should run during a step."""
 
     name: str
 
-    def decide(self, scene: Scene) -> Counts:
+    def decide(self, observation: Observation) -> Counts:
         """Return instances by (zone, class, market)."""
 
 
 class _Demand:
-    """The same desired replicas for every policy."""
+    """Computes the desired replicas, in the same way for every policy."""
 
     def __init__(self) -> None:
         self._state = DemandState()
-        self._policy = DemandConfig()
+        self._config = DemandConfig()
 
-    def target(self, scene: Scene) -> int:
-        """Return the replicas that serve."""
+    def target(self, observation: Observation) -> int:
+        """Return the desired number of replicas for serving."""
         target, self._state = desired_replicas(
             self._state,
-            Load(scene.in_flight, SLOTS),
+            Load(observation.in_flight, SLOTS),
             FIRST_TOKEN_S,
-            LOW,
-            HIGH,
-            self._policy,
-            scene.now,
+            MIN_REPLICAS,
+            MAX_REPLICAS,
+            self._config,
+            observation.now,
         )
         return target
 
 
-class Ebonydeal:
+class ControllerPolicy:
     """The controller's own decisions.
 
     Parameters
     ----------
     rule : PriceRule
-        For deadline work.
+        Price rule for deadline work.
     ceiling : float
-        Most an hour.
+        Maximum price per hour.
     on_demand_only : bool
-        Buy no reclaimable instance: the dear way to keep the same promises.
+        Buy no reclaimable instances: meets the same constraints at a higher price.
     one_zone : bool
-        Buy in the cheapest zone only, so that its loss is not survived.
+        Buy in the cheapest zone only, which doesn't survive the loss of that zone.
     """
 
     def __init__(
@@ -109,9 +109,9 @@
     ) -> None:
         self.name = f"ebonydeal, {rule}"
         self._demand = _Demand()
-        self._terms = CapacityConfig(frozenset(), ceiling, HIGH, True, 1.0)
-        self._deadline = DeadlineConfig(rule=rule)
-        self._only = on_demand_only
+        self._config = CapacityConfig(frozenset(), ceiling, MAX_REPLICAS, True, 1.0)
+        self._deadline_config = DeadlineConfig(rule=rule)
+        self._on_demand_only = on_demand_only
         if on_demand_only:
             self.name = "on-demand only"
         self._one_zone = one_zone
@@ -119,57 +119,59 @@
             self.name = "on-demand only, one zone"
         self._prices: list[float] = []
 
-    def decide(self, scene: Scene) -> Counts:
+    def decide(self, observation: Observation) -> Counts:
         """Return the placement."""
-        offers = dict(scene.offers)
-        if self._only:
+        offers = dict(observation.offers)
+        if self._on_demand_only:
             offers = {k: v for k, v in offers.items() if not k.reclaimable}
         if self._one_zone:
             offers = {k: v for k, v in offers.items() if k.zone == ZONES[0]}
         price = cheapest_price(offers, reclaimable=True)
-        self._prices = [*self._prices, price or 0.0][-_KEPT:]
+        self._prices = [*self._prices, price or 0.0][-_PRICE_HISTORY_STEPS:]
         return decide_placement(
-            self._demand.target(scene),
-            self._terms,
+            self._demand.target(observation),
+            self._config,
             offers,
-            scene.current,
-            scene.blocked,
-            scene.backlog,
+            observation.current,
+            observation.blocked,
+            observation.backlog,
             tuple(self._prices),
             PlacementConfig(),
-            self._deadline,
-            scene.now,
+            self._deadline_config,
+            observation.now,
         ).counts
 
 
 class CheapestFirst:
-    """All replicas on the cheapest reclaimable offer; deadline work at once."""
+    """Buys the cheapest reclaimable offer for all replicas; runs jobs at once."""
 
     name = "cheapest reclaimable first"
 
     def __init__(self) -> None:
         self._demand = _Demand()
 
-    def decide(self, scene: Scene) -> Counts:
-        """Return everything on one offer."""
-        number = self._demand.target(scene) + _at_once(scene.backlog)
+    def decide(self, observation: Observation) -> Counts:
+        """Return all replicas on one offer."""
+        number = self._demand.target(observation) + _hourly_replicas(
+            observation.backlog
+        )
         free = [
             (offer.price_per_hour, key)
-            for key, offer in scene.offers.items()
-            if key.reclaimable and key not in scene.blocked
+            for key, offer in observation.offers.items()
+            if key.reclaimable and key not in observation.blocked
         ]
         if not free:
-            return scene.current
+            return observation.current
         return {min(free)[1]: number}
 
 
 class StaticSpread:
-    """A fixed number, evenly over the zones, always reclaimable.
+    """Keeps a fixed number of reclaimable replicas, evenly over the zones.
 
     Parameters
     ----------
     number : int
-        Enough for the peak of the trace.
+        Number of replicas, enough for the peak of the trace.
     """
 
     name = "static spread"
@@ -177,21 +179,21 @@
     def __init__(self, number: int) -> None:
         self._number = number
 
-    def decide(self, scene: Scene) -> Counts:
+    def decide(self, observation: Observation) -> Counts:
         """Return the same number in each zone."""
-        zones = sorted({key.zone for key in scene.offers})
+        zones = sorted({key.zone for key in observation.offers})
         counts: Counter[OfferKey] = Counter()
         for zone in zones:
             key = min(
                 (offer.price_per_hour, key)
-                for key, offer in scene.offers.items()
+                for key, offer in observation.offers.items()
                 if key.zone == zone and key.reclaimable
             )[1]
-            kept = [k for k in scene.current if k.zone == zone and k.reclaimable]
+            kept = [k for k in observation.current if k.zone == zone and k.reclaimable]
             counts[kept[0] if kept else key] = math.ceil(self._number / len(zones))
         return counts
 
 
-def _at_once(backlog: Sequence[Backlog]) -> int:
-    """Return the replicas that do all waiting work within an hour."""
+def _hourly_replicas(backlog: Sequence[Backlog]) -> int:
+    """Return the replicas that complete all pending work within an hour."""
     return math.ceil(sum(item.work_s for item in backlog) / 3600.0)
--- a/src/ebonydeal/_internal/benchmarks/spend/repair.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/repair.py
@@ -1,67 +1,70 @@
-"""Time from a zone's loss to strength back, by the real controller."""
+"""Measures how long the real controller takes to recover from a zone's loss."""
 
 from typing import NamedTuple
 
 from ebonydeal._internal.benchmarks.spend.fleet_run import ROUND_S, FleetRun
-from ebonydeal._internal.benchmarks.spend.world import WorldTimes
+from ebonydeal._internal.benchmarks.spend.simulated_platform import SimulatedDurations
 
 NOTICE_S = 30.0
-_MOST_S = 3600.0
+_TIMEOUT_S = 3600.0
 
 
 class Repair(NamedTuple):
-    """One zone's loss, in simulated seconds from the notice.
+    """Recovery from one zone's loss, in simulated seconds from the notice.
 
     Attributes
     ----------
     target, lost : int
-        Replicas needed, and instances taken.
+        Replicas needed, and instances lost.
     below_s : float
-        Time with fewer replicas than the target.
+        Time with fewer ready replicas than the target.
     back_s : float
-        Until the loss of a further zone could be borne again.
+        Time until the fleet can survive the loss of another zone.
     floor_s : float
-        What no controller can save: boot and load.
+        Minimum for any controller: boot time plus load time.
     operations : float
-        Table operations for each instance taken.
+        Table operations for each instance lost.
     """
 
     target: int
     lost: int
-    below_s: float
-    back_s: float
-    floor_s: float
+    shortfall_s: float
+    recovery_s: float
+    min_recovery_s: float
     operations: float
 
 
-async def lose_a_zone(
-    target: int, seed: int, notice_s: float = NOTICE_S, times: WorldTimes | None = None
+async def measure_zone_loss(
+    target: int,
+    seed: int,
+    notice_s: float = NOTICE_S,
+    times: SimulatedDurations | None = None,
 ) -> Repair:
-    """Fill a fleet, take a zone from it, and time the way back."""
+    """Fill a fleet, reclaim one of its zones, and measure the recovery."""
     run = FleetRun(target, seed, times)
-    await run.fill()
+    await run.fill_to_target()
     await run.rounds(10)
-    zone = run.world.live()[0].offer.zone
+    zone = run.platform.live()[0].offer.zone
     before = run.table_operations
-    held = [item for item in run.world.live() if item.offer.zone == zone]
-    began = run.clock.now()
+    lost = [item for item in run.platform.live() if item.offer.zone == zone]
+    noticed_at = run.clock.now()
     if notice_s > 0:
-        run.world.reclaim_zone(zone, notice_s)
-    run.world.full.add((zone, True))
-    taken = False
-    below = 0.0
+        run.platform.announce_reclaim(zone, notice_s)
+    run.platform.refused_markets.add((zone, True))
+    stopped = False
+    shortfall = 0.0
     while True:
-        if not taken and run.clock.now() - began >= notice_s:
-            run.world.take_zone(zone)
-            taken = True
+        if not stopped and run.clock.now() - noticed_at >= notice_s:
+            run.platform.stop_zone(zone)
+            stopped = True
         await run.rounds(1)
-        below += ROUND_S * (run.serving() < target)
-        passed = run.clock.now() - began
-        if taken and run.standing() >= target or passed > _MOST_S:
+        shortfall += ROUND_S * (run.ready_replicas() < target)
+        elapsed = run.clock.now() - noticed_at
+        if stopped and run.zone_loss_capacity() >= target or elapsed > _TIMEOUT_S:
             break
-    floor = run.world.times.boot + run.world.times.load
-    used = (run.table_operations - before) / max(1, len(held))
-    return Repair(target, len(held), below, passed, floor, used)
+    minimum = run.platform.times.boot + run.platform.times.load
+    operations = (run.table_operations - before) / max(1, len(lost))
+    return Repair(target, len(lost), shortfall, elapsed, minimum, operations)
 
 
 def repair_table(repairs: list[Repair]) -> str:
@@ -71,8 +74,8 @@
         f"{'boot+load s':>12} {'table ops/lost':>15}"
     ]
     lines.extend(
-        f"{item.target:7d} {item.lost:5d} {item.below_s:8.0f} {item.back_s:7.0f} "
-        f"{item.floor_s:12.0f} {item.operations:15.1f}"
+        f"{item.target:7d} {item.lost:5d} {item.shortfall_s:8.0f} "
+        f"{item.recovery_s:7.0f} {item.min_recovery_s:12.0f} {item.operations:15.1f}"
         for item in repairs
     )
     return "\n".join(lines)
--- a/src/ebonydeal/_internal/benchmarks/spend/simulate.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/simulate.py
@@ -1,4 +1,4 @@
-"""Runs a policy over a trace and measures what it cost and what it kept."""
+"""Runs a policy over a trace; measures cost, shortfall and deadlines met."""
 
 import math
 import random
@@ -8,38 +8,38 @@
 from ebonydeal._internal.benchmarks.spend.policies import (
     FIRST_TOKEN_S,
     Counts,
+    Observation,
     Policy,
-    Scene,
 )
 from ebonydeal._internal.benchmarks.spend.traces import SLOTS, STEP_S, Trace
 from ebonydeal._internal.controller.deadline import Backlog
 from ebonydeal._internal.controller.demand import DemandConfig, slots_needed
 from ebonydeal._internal.controller.values import OfferKey
 
-WARM_S = 120.0
+WARM_UP_S = 120.0
 _HOUR = 3600.0
-_EPS = 1e-6
+_EPSILON = 1e-6
 
 
 class Outcome(NamedTuple):
-    """What a policy did on one trace.
+    """Results of a policy on one trace.
 
     Attributes
     ----------
     cost : float
-        Spent altogether.
+        Total cost.
     below_share : float
-        Share of the time below the replicas that the latency target needs.
+        Share of the time with fewer replicas than the latency target needs.
     met, jobs : int
-        Deadlines met, and all.
+        Deadlines met, and all deadlines.
     over_ceiling : int
         Steps in which the instances cost more than the ceiling.
     reclaimed, started : int
-        Instances taken back, and started.
+        Instances reclaimed, and started.
     """
 
     cost: float
-    below_share: float
+    shortfall_share: float
     met: int
     jobs: int
     over_ceiling: int
@@ -48,74 +48,74 @@
 
 
 def needed_replicas(in_flight: float) -> int:
-    """Return the replicas that hold the latency target at this load."""
-    policy = DemandConfig()
-    wait = FIRST_TOKEN_S * policy.wait_share
-    return math.ceil(slots_needed(in_flight, policy.service_s, wait) / SLOTS)
+    """Return the replicas that meet the latency target at this load."""
+    config = DemandConfig()
+    wait = FIRST_TOKEN_S * config.wait_share
+    return math.ceil(slots_needed(in_flight, config.service_s, wait) / SLOTS)
 
 
 class _Run:
-    """One policy on one trace."""
+    """State of one policy's run over one trace."""
 
     def __init__(self, trace: Trace, ceiling: float) -> None:
         self.trace = trace
         self.ceiling = ceiling
         self.rng = random.Random(trace.seed + 1)
         self.running: Counter[OfferKey] = Counter()
-        self.left = {index: job.work_s for index, job in enumerate(trace.jobs)}
-        self.done_at: dict[int, int] = {}
+        self.remaining = {index: job.work_s for index, job in enumerate(trace.jobs)}
+        self.completed_at: dict[int, int] = {}
         self.cost = 0.0
-        self.below_s = 0.0
-        self.over = self.reclaimed = self.started = 0
+        self.shortfall_s = 0.0
+        self.over_ceiling = self.reclaimed = self.started = 0
 
     def step(self, step: int, policy: Policy) -> None:
-        """Lose what is reclaimed, decide, pay, serve, and work."""
+        """Reclaim instances, apply the policy, add costs, serve, and run jobs."""
         lost = self._reclaim(step)
-        scene = self._scene(step)
-        counts = policy.decide(scene)
-        kept, new = self._apply(counts, scene)
-        per_hour = self._price(step, kept + new)
-        old = self._overlap(step, kept, new, self.ceiling - per_hour)
-        both = self._price(step, old)
+        observation = self._observe(step)
+        counts = policy.decide(observation)
+        kept, new = self._apply(counts, observation)
+        per_hour = self._hourly_cost(step, kept + new)
+        overlapping = self._overlap(step, kept, new, self.ceiling - per_hour)
+        overlap_per_hour = self._hourly_cost(step, overlapping)
         self.running = kept + new
-        self.cost += (per_hour * STEP_S + both * WARM_S) / _HOUR
-        self.over += per_hour + both > self.ceiling + _EPS
+        self.cost += (per_hour * STEP_S + overlap_per_hour * WARM_UP_S) / _HOUR
+        self.over_ceiling += per_hour + overlap_per_hour > self.ceiling + _EPSILON
         need = needed_replicas(self.trace.in_flight[step])
-        early = kept.total() + old.total()
-        self._serve(need, early, self.running.total())
-        self._work(step, need, early, self.running.total(), lost)
+        before_warm = kept.total() + overlapping.total()
+        self._serve(need, before_warm, self.running.total())
+        self._run_jobs(step, need, before_warm, self.running.total(), lost)
 
-    def _price(self, step: int, counts: Counter[OfferKey]) -> float:
-        """Return what instances cost an hour at present prices."""
+    def _hourly_cost(self, step: int, counts: Counter[OfferKey]) -> float:
+        """Return the hourly cost of instances at the prices of a step."""
         offers = self.trace.offers[step]
         return sum(
             number * offers[key].price_per_hour for key, number in counts.items()
         )
 
     def _overlap(
-        self, step: int, kept: Counter[OfferKey], new: Counter[OfferKey], money: float
+        self, step: int, kept: Counter[OfferKey], new: Counter[OfferKey], budget: float
     ) -> Counter[OfferKey]:
-        """Return what is released but serves, and is paid, until ``new`` is warm.
+        """Return the released instances that serve until ``new`` is warm.
 
-        As in the controller, make before break: one old for each new one, as
-        far as the ceiling leaves ``money`` an hour.
+        As in the controller, one old instance is kept and paid for each new one, as
+        far as ``budget`` an hour, the rest of the ceiling, allows.
         """
-        left = new.total()
-        old: Counter[OfferKey] = Counter()
+        remaining = new.total()
+        overlapping: Counter[OfferKey] = Counter()
         for key, number in sorted((self.running - kept).items()):
             price = self.trace.offers[step][key].price_per_hour
-            old[key] = max(0, min(number, left, int(money // price)))
-            left -= old[key]
-            money -= old[key] * price
-        return +old
+            overlapping[key] = max(0, min(number, remaining, int(budget // price)))
+            remaining -= overlapping[key]
+            budget -= overlapping[key] * price
+        return +overlapping
 
     def _reclaim(self, step: int) -> int:
-        """Take back whole zones in waves, and single instances at their rate."""
+        """Reclaim whole zones in bursts, and single instances at their rate."""
         lost = 0
         for key in list(self.running):
             if not key.reclaimable:
                 continue
-            if key.zone in self.trace.waves[step]:
+            if key.zone in self.trace.reclaims[step]:
                 taken = self.running[key]
             else:
                 rate = self.trace.offers[step][key].evict_per_hour * STEP_S / _HOUR
@@ -126,23 +126,23 @@
         self.reclaimed += lost
         return lost
 
-    def _scene(self, step: int) -> Scene:
-        """Return what the policy sees."""
+    def _observe(self, step: int) -> Observation:
+        """Return what the policy observes at a step."""
         trace = self.trace
         blocked = {
             key
             for key in trace.offers[step]
-            if key.reclaimable and key.zone in trace.closed[step]
+            if key.reclaimable and key.zone in trace.refusing[step]
         }
         backlog = [
-            Backlog(job.deadline * STEP_S, self.left[index])
+            Backlog(job.deadline * STEP_S, self.remaining[index])
             for index, job in enumerate(trace.jobs)
-            if job.arrival <= step < job.deadline and self.left[index] > 0
+            if job.arrival <= step < job.deadline and self.remaining[index] > 0
         ]
-        seen = trace.in_flight[max(0, step - 1)]
-        return Scene(
+        in_flight = trace.in_flight[max(0, step - 1)]
+        return Observation(
             trace.offers[step],
-            seen,
+            in_flight,
             Counter(self.running),
             blocked,
             backlog,
@@ -150,55 +150,59 @@
         )
 
     def _apply(
-        self, counts: Counts, scene: Scene
+        self, counts: Counts, observation: Observation
     ) -> tuple[Counter[OfferKey], Counter[OfferKey]]:
-        """Return what is kept and what is started."""
+        """Return the instances that are kept and those that are started."""
         kept: Counter[OfferKey] = Counter()
         new: Counter[OfferKey] = Counter()
         for key, number in counts.items():
             kept[key] = min(number, self.running[key])
-            if key not in scene.blocked:
+            if key not in observation.blocked:
                 new[key] = number - kept[key]
         self.started += new.total()
         return +kept, +new
 
-    def _serve(self, need: int, early: int, late: int) -> None:
-        """Count the time below strength, before and after the new are warm."""
-        self.below_s += WARM_S * (early < need)
-        self.below_s += (STEP_S - WARM_S) * (late < need)
+    def _serve(self, need: int, before_warm: int, after_warm: int) -> None:
+        """Add the time with a shortfall, before and after new instances are warm."""
+        self.shortfall_s += WARM_UP_S * (before_warm < need)
+        self.shortfall_s += (STEP_S - WARM_UP_S) * (after_warm < need)
 
-    def _work(self, step: int, need: int, early: int, late: int, lost: int) -> None:
-        """Do deadline work with what serving leaves, earliest deadline first.
+    def _run_jobs(
+        self, step: int, need: int, before_warm: int, after_warm: int, lost: int
+    ) -> None:
+        """Run jobs on replicas that serving doesn't need, earliest deadline first.
 
-        Each lost instance takes half a step of its work with it.
+        Each lost instance loses half a step of work.
         """
-        before = max(0, early - need) * WARM_S
-        after = max(0, late - need) * (STEP_S - WARM_S)
+        before = max(0, before_warm - need) * WARM_UP_S
+        after = max(0, after_warm - need) * (STEP_S - WARM_UP_S)
         time = max(0.0, before + after - lost * STEP_S / 2)
-        order = sorted(self.left, key=lambda index: self.trace.jobs[index].deadline)
+        order = sorted(
+            self.remaining, key=lambda index: self.trace.jobs[index].deadline
+        )
         for index in order:
             job = self.trace.jobs[index]
-            if not job.arrival <= step < job.deadline or self.left[index] <= 0:
+            if not job.arrival <= step < job.deadline or self.remaining[index] <= 0:
                 continue
-            spent = min(time, self.left[index])
-            self.left[index] -= spent
-            time -= spent
-            if self.left[index] <= _EPS:
-                self.left[index] = 0.0
-                self.done_at[index] = step
+            used = min(time, self.remaining[index])
+            self.remaining[index] -= used
+            time -= used
+            if self.remaining[index] <= _EPSILON:
+                self.remaining[index] = 0.0
+                self.completed_at[index] = step
 
 
 def simulate(trace: Trace, policy: Policy, ceiling: float) -> Outcome:
-    """Return what ``policy`` does on ``trace``."""
+    """Return the outcome of ``policy`` on ``trace``."""
     run = _Run(trace, ceiling)
     for step in range(trace.steps):
         run.step(step, policy)
     return Outcome(
         cost=run.cost,
-        below_share=run.below_s / (trace.steps * STEP_S),
-        met=len(run.done_at),
+        shortfall_share=run.shortfall_s / (trace.steps * STEP_S),
+        met=len(run.completed_at),
         jobs=len(trace.jobs),
-        over_ceiling=run.over,
+        over_ceiling=run.over_ceiling,
         reclaimed=run.reclaimed,
         started=run.started,
     )
--- a/src/ebonydeal/_internal/benchmarks/spend/slopes.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/slopes.py
@@ -1,4 +1,4 @@
-"""Processor time and table operations of a controller against its replicas."""
+"""Processor time and table operations of a controller by number of replicas."""
 
 import time
 from statistics import linear_regression
@@ -11,12 +11,12 @@
 
 
 class Point(NamedTuple):
-    """One size, in a steady state.
+    """Cost of one round at one size in a steady state.
 
     Attributes
     ----------
     replicas : int
-        Instances that run.
+        Running instances.
     cpu_ms : float
         Processor milliseconds of one round.
     operations : float
@@ -32,33 +32,35 @@
 
 
 async def measure(replicas: int, seed: int) -> Point:
-    """Fill a fleet of about ``replicas`` instances, then time quiet rounds."""
+    """Fill a fleet of about ``replicas`` instances, then measure idle rounds."""
     run = FleetRun(max(1, replicas * 2 // 3), seed)
-    await run.fill()
+    await run.fill_to_target()
     await run.rounds(10)
     operations = run.table_operations
-    calls = run.world.calls.get("load", 0) + run.world.calls.get("order_state", 0)
-    began = time.process_time()
+    calls = run.platform.calls.get("load", 0) + run.platform.calls.get("order_state", 0)
+    cpu_before = time.process_time()
     await run.rounds(_ROUNDS)
-    spent = time.process_time() - began
-    after = run.world.calls.get("load", 0) + run.world.calls.get("order_state", 0)
+    cpu_s = time.process_time() - cpu_before
+    calls_after = run.platform.calls.get("load", 0) + run.platform.calls.get(
+        "order_state", 0
+    )
     return Point(
-        len(run.world.live()),
-        1000 * spent / _ROUNDS,
+        len(run.platform.live()),
+        1000 * cpu_s / _ROUNDS,
         (run.table_operations - operations) / _ROUNDS,
-        (after - calls) / _ROUNDS,
+        (calls_after - calls) / _ROUNDS,
     )
 
 
 def slope(points: list[Point], field: str) -> float:
-    """Return the least squares slope of ``field`` against replicas."""
+    """Return the least-squares slope of ``field`` by number of replicas."""
     xs = [float(point.replicas) for point in points]
     ys = [float(getattr(point, field)) for point in points]
     return linear_regression(xs, ys).slope
 
 
 def slopes_table(points: list[Point]) -> str:
-    """Return the table and its slopes as text."""
+    """Return the table and the slopes as text."""
     lines = [f"{'replicas':>9} {'cpu ms/round':>13} {'table ops':>10} {'calls':>7}"]
     lines.extend(
         f"{item.replicas:9d} {item.cpu_ms:13.2f} {item.operations:10.2f} "
--- a/src/ebonydeal/_internal/benchmarks/spend/traces.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/traces.py
@@ -19,57 +19,57 @@
 
 
 class Job(NamedTuple):
-    """Deadline work: steps of arrival and deadline, and replica seconds."""
+    """Deadline work: arrival and deadline as steps, and work in replica seconds."""
 
     arrival: int
     deadline: int
     work_s: float
 
 
-class Weather(NamedTuple):
-    """A kind of trace.
+class TraceKind(NamedTuple):
+    """Parameters of a kind of trace.
 
     Attributes
     ----------
     name : str
-        For the tables.
+        Name in the tables.
     daily : float
-        Share by which prices swing over the day.
+        Amplitude of the daily price cycle, as a share of the price.
     drift : float
-        Share by which prices rise over the whole trace.
+        Relative price rise over the whole trace.
     wave_hours : float
-        Mean hours between two waves in a zone.
+        Mean hours between two reclaim bursts in a zone.
     """
 
     name: str
     daily: float
     drift: float
-    wave_hours: float
+    reclaim_hours: float
 
 
-WEATHERS = (
-    Weather("usual", 0.35, 0.0, 16.0),
-    Weather("flat", 0.0, 0.0, 48.0),
-    Weather("rising", 0.2, 1.0, 16.0),
-    Weather("stormy", 0.35, 0.0, 5.0),
+TRACE_KINDS = (
+    TraceKind("usual", 0.35, 0.0, 16.0),
+    TraceKind("flat", 0.0, 0.0, 48.0),
+    TraceKind("rising", 0.2, 1.0, 16.0),
+    TraceKind("stormy", 0.35, 0.0, 5.0),
 )
 
 
 class Trace(NamedTuple):
-    """What happens to a fleet, step by step.
+    """Prices, demand, reclaims and jobs at each step.
 
     Attributes
     ----------
     seed : int
-        That made it.
+        Seed that the trace was drawn from.
     offers : tuple of dict of OfferKey to Offer
         Prices at each step.
     in_flight : tuple of float
         Mean requests in engines during each step.
     waves : tuple of frozenset of str
-        Zones whose reclaimable instances are taken at each step.
+        Zones whose reclaimable instances are reclaimed at each step.
     closed : tuple of frozenset of str
-        Zones that refuse reclaimable starts at each step.
+        Zones that refuse starts of reclaimable instances at each step.
     jobs : tuple of Job
         Deadline work.
     """
@@ -77,8 +77,8 @@
     seed: int
     offers: tuple[dict[OfferKey, Offer], ...]
     in_flight: tuple[float, ...]
-    waves: tuple[frozenset[str], ...]
-    closed: tuple[frozenset[str], ...]
+    reclaims: tuple[frozenset[str], ...]
+    refusing: tuple[frozenset[str], ...]
     jobs: tuple[Job, ...]
 
     @property
@@ -87,17 +87,17 @@
         return len(self.in_flight)
 
 
-def make_trace(seed: int, weather: Weather = WEATHERS[0], days: int = 3) -> Trace:
+def make_trace(seed: int, kind: TraceKind = TRACE_KINDS[0], days: int = 3) -> Trace:
     """Return a trace of ``days`` days."""
     rng = random.Random(seed)
     steps = days * STEPS_A_DAY
-    waves, closed, stress = _waves(steps, weather, rng)
+    reclaims, refusing, price_stress = _reclaim_bursts(steps, kind, rng)
     return Trace(
         seed=seed,
-        offers=_offers(steps, weather, stress, rng),
+        offers=_offers(steps, kind, price_stress, rng),
         in_flight=tuple(_in_flight(step, rng) for step in range(steps)),
-        waves=waves,
-        closed=closed,
+        reclaims=reclaims,
+        refusing=refusing,
         jobs=_jobs(days, steps, rng),
     )
 
@@ -110,84 +110,87 @@
     return (40.0 + morning + evening) * rng.uniform(0.92, 1.08)
 
 
-def _waves(
-    steps: int, weather: Weather, rng: random.Random
+def _reclaim_bursts(
+    steps: int, kind: TraceKind, rng: random.Random
 ) -> tuple[
     tuple[frozenset[str], ...], tuple[frozenset[str], ...], dict[str, list[float]]
 ]:
-    """Return waves, refusing zones, and the price stress that goes with them.
+    """Return reclaimed zones, refusing zones, and the relative price increases.
 
-    One wave in five takes a second zone a few steps later.
+    One reclaim burst in five reclaims a second zone a few steps later.
     """
-    gap = weather.wave_hours * _HOUR / STEP_S
-    waves: list[set[str]] = [set() for _ in range(steps)]
-    closed: list[set[str]] = [set() for _ in range(steps)]
-    stress = {zone: [0.0] * steps for zone in ZONES}
+    mean_interval = kind.reclaim_hours * _HOUR / STEP_S
+    reclaims: list[set[str]] = [set() for _ in range(steps)]
+    refusing: list[set[str]] = [set() for _ in range(steps)]
+    price_stress = {zone: [0.0] * steps for zone in ZONES}
     for zone in ZONES:
-        at = int(rng.expovariate(1.0 / gap))
+        at = int(rng.expovariate(1.0 / mean_interval))
         while at < steps:
-            _add_wave(zone, at, waves, closed, stress, rng)
+            _add_reclaim_burst(zone, at, reclaims, refusing, price_stress, rng)
             if rng.random() < 0.2:
                 other = rng.choice([name for name in ZONES if name != zone])
                 later = at + rng.randint(1, 3)
-                _add_wave(other, later, waves, closed, stress, rng)
-            at += 1 + int(rng.expovariate(1.0 / gap))
+                _add_reclaim_burst(other, later, reclaims, refusing, price_stress, rng)
+            at += 1 + int(rng.expovariate(1.0 / mean_interval))
     return (
-        tuple(frozenset(item) for item in waves),
-        tuple(frozenset(item) for item in closed),
-        stress,
+        tuple(frozenset(item) for item in reclaims),
+        tuple(frozenset(item) for item in refusing),
+        price_stress,
     )
 
 
-def _add_wave(
+def _add_reclaim_burst(
     zone: str,
     at: int,
-    waves: list[set[str]],
-    closed: list[set[str]],
-    stress: dict[str, list[float]],
+    reclaims: list[set[str]],
+    refusing: list[set[str]],
+    price_stress: dict[str, list[float]],
     rng: random.Random,
 ) -> None:
-    """Add one wave: prices rise before it, starts are refused after it."""
-    if at >= len(waves):
+    """Add one reclaim: prices rise before it, and starts are refused after it."""
+    if at >= len(reclaims):
         return
-    waves[at].add(zone)
-    for step in range(at, min(len(waves), at + rng.randint(3, 18))):
-        closed[step].add(zone)
-    height = rng.uniform(0.5, 2.5)
-    for step in range(max(0, at - 6), min(len(waves), at + 24)):
-        stress[zone][step] = max(stress[zone][step], height)
+    reclaims[at].add(zone)
+    for step in range(at, min(len(reclaims), at + rng.randint(3, 18))):
+        refusing[step].add(zone)
+    peak = rng.uniform(0.5, 2.5)
+    for step in range(max(0, at - 6), min(len(reclaims), at + 24)):
+        price_stress[zone][step] = max(price_stress[zone][step], peak)
 
 
 def _offers(
-    steps: int, weather: Weather, stress: dict[str, list[float]], rng: random.Random
+    steps: int,
+    kind: TraceKind,
+    price_stress: dict[str, list[float]],
+    rng: random.Random,
 ) -> tuple[dict[OfferKey, Offer], ...]:
-    """Return prices: cheap nights, slow noise by zone and class, stress."""
+    """Return prices with a daily cycle, slow noise by zone and class, and stress."""
     noise = {(zone, name): 0.0 for zone in ZONES for name in _CLASSES}
     offers = []
     for step in range(steps):
         hour = step * STEP_S / _HOUR % 24.0
-        level_now = 1.0 + weather.drift * step / steps
-        swing = weather.daily * math.sin((hour - 8.0) / 24.0 * 2.0 * math.pi)
-        daily = level_now * (1.0 + swing)
-        at: dict[OfferKey, Offer] = {}
+        drifted = 1.0 + kind.drift * step / steps
+        daily_swing = kind.daily * math.sin((hour - 8.0) / 24.0 * 2.0 * math.pi)
+        daily = drifted * (1.0 + daily_swing)
+        step_offers: dict[OfferKey, Offer] = {}
         for (zone, name), level in noise.items():
             noise[(zone, name)] = 0.97 * level + rng.gauss(0.0, 0.05)
             base = _ON_DEMAND * _ZONE_FACTOR[zone] * _CLASSES[name]
             share = 0.3 * daily * math.exp(noise[(zone, name)])
-            price = base * min(1.1, share * (1.0 + stress[zone][step]))
-            evict = _EVICT_PER_HOUR * (1.0 + 4.0 * stress[zone][step])
-            _put(at, Offer(zone, name, True, price, evict, SLOTS))
-            _put(at, Offer(zone, name, False, base, 0.0, SLOTS))
-        offers.append(at)
+            price = base * min(1.1, share * (1.0 + price_stress[zone][step]))
+            evict = _EVICT_PER_HOUR * (1.0 + 4.0 * price_stress[zone][step])
+            _add_offer(step_offers, Offer(zone, name, True, price, evict, SLOTS))
+            _add_offer(step_offers, Offer(zone, name, False, base, 0.0, SLOTS))
+        offers.append(step_offers)
     return tuple(offers)
 
 
-def _put(offers: dict[OfferKey, Offer], offer: Offer) -> None:
+def _add_offer(offers: dict[OfferKey, Offer], offer: Offer) -> None:
     offers[OfferKey.of(offer)] = offer
 
 
 def _jobs(days: int, steps: int, rng: random.Random) -> tuple[Job, ...]:
-    """Return a nightly batch, and smaller work that may wait half a day."""
+    """Return a nightly batch job, and smaller jobs due within about half a day."""
     jobs = []
     for day in range(days):
         evening = day * STEPS_A_DAY + 20 * 12
--- a/src/ebonydeal/_internal/commands/bench_spend.py
+++ b/src/ebonydeal/_internal/commands/bench_spend.py
@@ -36,16 +36,16 @@
         targets,
         tight_ceiling,
     )
-    from ebonydeal._internal.benchmarks.spend.traces import WEATHERS
+    from ebonydeal._internal.benchmarks.spend.traces import TRACE_KINDS
 
     configure_logs(LogSettings(level="error"))
     seeds = range(seed, seed + traces)
     click.echo(f"Spend over traces {seeds[0]} to {seeds[-1]}, three days each")
     checks = []
-    for weather in WEATHERS:
-        result = compare(seeds, weather)
-        click.echo(f"\n{weather.name} prices and waves\n{table(result)}")
-        checks += [(f"{weather.name}: {words}", ok) for words, ok in targets(result)]
+    for kind in TRACE_KINDS:
+        result = compare(seeds, kind)
+        click.echo(f"\n{kind.name} prices and waves\n{table(result)}")
+        checks += [(f"{kind.name}: {words}", ok) for words, ok in targets(result)]
     click.echo("\nUnder a price ceiling that binds")
     click.echo(tight_ceiling(seeds, 0.25))
     click.echo("\nThe loss of a zone, simulated seconds (notice of 30 s, then none)")
@@ -60,10 +60,13 @@
 
 async def _repairs(seed: int) -> None:
     """Print the table of zone losses."""
-    from ebonydeal._internal.benchmarks.spend.repair import lose_a_zone, repair_table
+    from ebonydeal._internal.benchmarks.spend.repair import (
+        measure_zone_loss,
+        repair_table,
+    )
 
     repairs = [
-        await lose_a_zone(target, seed, notice)
+        await measure_zone_loss(target, seed, notice)
         for target in _REPAIRED
         for notice in _NOTICES
     ]
--- a/tests/functional/controller/test_replicas.py
+++ b/tests/functional/controller/test_replicas.py
@@ -1,4 +1,4 @@
-from ebonydeal._internal.benchmarks.spend.world import WorldCloud
+from ebonydeal._internal.benchmarks.spend.simulated_platform import SimulatedCloud
 from ebonydeal._internal.controller.values import MANAGER
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from tests.lib.controller_fakes import (
@@ -22,10 +22,10 @@
         cluster = ControllerCluster()
         leader = cluster.controller("n1")
         await cluster.rounds(leader, 40)
-        cluster.world.reclaim_zone("z1", 30.0)
-        cluster.world.full.add(("z1", True))
+        cluster.world.announce_reclaim("z1", 30.0)
+        cluster.world.refused_markets.add(("z1", True))
         await cluster.rounds(leader, 6)
-        assert cluster.world.take_zone("z1") == 0
+        assert cluster.world.stop_zone("z1") == 0
         await cluster.rounds(leader, 40)
         zones = sorted(item.offer.zone for item in cluster.world.live())
         assert zones == ["z2", "z2", "z2", "z2", "z3", "z3", "z3", "z3"]
@@ -46,7 +46,7 @@
         leader = cluster.controller("n1")
         await cluster.rounds(leader, 40)
         tags = {"managed_by": MANAGER, "deployment": "kitchen", "fence": "0"}
-        late = await WorldCloud(cluster.world).start(
+        late = await SimulatedCloud(cluster.world).start(
             "kitchen:0-x", make_offers()[0], tags
         )
         await cluster.rounds(leader, 3)
@@ -56,13 +56,13 @@
     async def test_untagged_instance_is_not_released(self):
         cluster = ControllerCluster()
         offer = make_offers()[0]
-        other = await WorldCloud(cluster.world).start("theirs", offer, {})
+        other = await SimulatedCloud(cluster.world).start("theirs", offer, {})
         await cluster.rounds(cluster.controller("n1"), 10)
         assert cluster.world.find(other.instance_id).stopped_at is None
 
     async def test_unmanaged_instances_of_the_deployment_are_taken_over(self):
         cluster = ControllerCluster()
-        cloud = WorldCloud(cluster.world)
+        cloud = SimulatedCloud(cluster.world)
         for number in range(6):
             offer = make_offers()[2 * (number % 3)]
             await cloud.start(f"first-{number}", offer, {"deployment": "kitchen"})
@@ -133,7 +133,7 @@
 
     async def test_taken_over_instances_stay_until_their_load_is_known(self):
         cluster = ControllerCluster()
-        cloud = WorldCloud(cluster.world)
+        cloud = SimulatedCloud(cluster.world)
         for number in range(18):
             offer = make_offers()[2 * (number % 3)]
             await cloud.start(f"first-{number}", offer, {"deployment": "kitchen"})
--- a/tests/functional/controller/test_takeover.py
+++ b/tests/functional/controller/test_takeover.py
@@ -3,7 +3,10 @@
 
 import pytest
 
-from ebonydeal._internal.benchmarks.spend.world import AFTER, WorldTimes
+from ebonydeal._internal.benchmarks.spend.simulated_platform import (
+    AFTER,
+    SimulatedDurations,
+)
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from tests.lib.clock import settle
 from tests.lib.controller_fakes import ControllerCluster, make_deployment, make_document
@@ -11,7 +14,7 @@
 # Operations of the old leader at which a fault is injected while it replaces a
 # zone, both before and after the operation takes effect.
 OPERATIONS = ("transact", "get", "scan", "start", "stop", "order", "order_state")
-SHORT_TIMES = WorldTimes(boot=5.0, load=5.0, list_lag=0.0)
+SHORT_TIMES = SimulatedDurations(boot=5.0, load=5.0, list_lag=0.0)
 
 
 class Fault:
@@ -61,12 +64,12 @@
         new = cluster.controller("n2")
         await cluster.rounds(old, 6)
         assert cluster.ready() == 3
-        cluster.world.reclaim_zone("z1", 30.0)
-        cluster.world.full.add(("z1", True))
+        cluster.world.announce_reclaim("z1", 30.0)
+        cluster.world.refused_markets.add(("z1", True))
         fault.armed = True
         hanging = await self.run_until_triggered(old)
         fault.armed = False
-        cluster.world.take_zone("z1")
+        cluster.world.stop_zone("z1")
         if hanging is None:
             await cluster.rounds(old, 12)
             return
--- a/tests/lib/controller_fakes.py
+++ b/tests/lib/controller_fakes.py
@@ -4,15 +4,15 @@
 import random
 from collections.abc import Sequence
 
-from ebonydeal._internal.benchmarks.spend.world import (
+from ebonydeal._internal.benchmarks.spend.simulated_platform import (
     AFTER,
     BEFORE,
     Hook,
-    World,
-    WorldCloud,
-    WorldEngines,
-    WorldList,
-    WorldWeights,
+    SimulatedCloud,
+    SimulatedEngines,
+    SimulatedInstanceList,
+    SimulatedPlatform,
+    SimulatedWeightStore,
     no_hook,
 )
 from ebonydeal._internal.controller.lease import Holder
@@ -140,7 +140,7 @@
 
     def __init__(self, seed: int = 1, **world: object) -> None:
         self.clock = ManualClock()
-        self.world = World(self.clock, make_offers(), **world)
+        self.world = SimulatedPlatform(self.clock, make_offers(), **world)
         self.table = TableData()
         self.document = make_document(
             make_deployment(checks_fence=self.world.checks_fence)
@@ -158,10 +158,10 @@
             self.cfg,
             Holder(f"{node}/{rng.random()}", f"{node}:1"),
             HookedTables(self.table, hook),
-            WorldCloud(self.world, hook),
-            WorldList(self.world, hook),
-            WorldEngines(self.world, hook),
-            WorldWeights(self.world, hook),
+            SimulatedCloud(self.world, hook),
+            SimulatedInstanceList(self.world, hook),
+            SimulatedEngines(self.world, hook),
+            SimulatedWeightStore(self.world, hook),
             lambda: document or self.document,
             self.marks.append,
             Metrics(),
--- a/tests/lib/matrix_orders.py
+++ b/tests/lib/matrix_orders.py
@@ -7,14 +7,18 @@
 import asyncio
 from typing import Any
 
-from ebonydeal._internal.benchmarks.spend.world import AFTER, BEFORE, WorldTimes
+from ebonydeal._internal.benchmarks.spend.simulated_platform import (
+    AFTER,
+    BEFORE,
+    SimulatedDurations,
+)
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import EngineOrder
 from tests.lib.clock import settle
 from tests.lib.controller_fakes import ControllerCluster, make_deployment, make_document
 from tests.lib.matrix import Row, Strike, When, spawn
 
-TIMES = WorldTimes(boot=5.0, load=5.0, list_lag=0.0)
+TIMES = SimulatedDurations(boot=5.0, load=5.0, list_lag=0.0)
 ROUND_S = 5.0
 ROUNDS = 14
 OUTAGE_ROUNDS = 6
@@ -92,12 +96,14 @@
                 self.stopped = asyncio.Event()
                 await self.stopped.wait()
             case Row.NOTICE:
-                world.reclaim_zone("z2", NOTICE_S)
+                world.announce_reclaim("z2", NOTICE_S)
             case Row.ZONE_WAVE:
-                world.reclaim_zone("z2", 0.0)
-                world.take_zone("z2")
+                world.announce_reclaim("z2", 0.0)
+                world.stop_zone("z2")
             case Row.START_REFUSED:
-                world.full.update({("z1", True), ("z1", False), ("z2", True)})
+                world.refused_markets.update(
+                    {("z1", True), ("z1", False), ("z2", True)}
+                )
             case Row.TABLE_DOWN:
                 self._lasts("down")
             case Row.TABLE_SLOW:
--- a/tests/unit/controller/test_lease.py
+++ b/tests/unit/controller/test_lease.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ebonydeal._internal.benchmarks.spend.world import AFTER
+from ebonydeal._internal.benchmarks.spend.simulated_platform import AFTER
 from ebonydeal._internal.controller.lease import Holder, LeaseKeeper
 from ebonydeal._internal.errors import EbonydealError, ErrorKind
 from ebonydeal._internal.outside.interfaces import Put
