--- a/src/ebonydeal/_internal/benchmarks/capacity/component_measures.py
+++ b/src/ebonydeal/_internal/benchmarks/capacity/component_measures.py
@@ -6,7 +6,7 @@
 
 from ebonydeal._internal.benchmarks.capacity.fit import Point, Slope, fit
 from ebonydeal._internal.benchmarks.gateway.cost import CostSpec, measure
-from ebonydeal._internal.benchmarks.journal.rounds import idle
+from ebonydeal._internal.benchmarks.journal.rounds import measure_idle
 from ebonydeal._internal.benchmarks.peers.loopback import measure_loopback
 from ebonydeal._internal.benchmarks.peers.suite import measure_traffic
 from ebonydeal._internal.benchmarks.spend.slopes import measure as measure_rounds
@@ -91,7 +91,7 @@
 def _journals(seed: int) -> list[Slope]:
     cfg = JournalSettings()
     rows = [
-        asyncio.run(idle(cfg, n, _JOURNAL_DURATION_S, _JOURNAL_LATENCY_S, seed))
+        asyncio.run(measure_idle(cfg, n, _JOURNAL_DURATION_S, _JOURNAL_LATENCY_S, seed))
         for n in _JOURNAL_SIZES
     ]
     return [
@@ -132,10 +132,10 @@
     """Fit processor time to answer length, for the cost of a request and a token."""
     points = []
     for tokens in (20, 100, 200):
-        spec = CostSpec(rounds=3, requests=40, tokens=tokens, at_once=20, seed=seed)
+        spec = CostSpec(rounds=3, requests=40, tokens=tokens, concurrency=20, seed=seed)
         cost = next(item for item in measure(spec) if item.name == "gateway")
-        per_request_us = median(cost.per_request)
-        per_token_us = median(cost.per_token)
+        per_request_us = median(cost.per_request_us)
+        per_token_us = median(cost.per_token_us)
         points.append(Point(tokens, per_request_us + per_token_us * (tokens - 1)))
     return [
         fit("relay.cpu", "us of processor time of one stream", "token", points),
--- a/src/ebonydeal/_internal/benchmarks/gateway/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Processor time of the gateway against a plain relay."""
+"""Benchmark of the gateway's processor time against a plain HTTP proxy."""
--- a/src/ebonydeal/_internal/benchmarks/gateway/sides.py
+++ b/src/ebonydeal/_internal/benchmarks/gateway/components.py
@@ -1,4 +1,4 @@
-"""The sides of the measurement: engine, plain relay, gateway, caller."""
+"""Components of the measurement: engine, plain proxy, gateway, caller."""
 
 import asyncio
 import json
@@ -48,7 +48,7 @@
 MODEL = "measured"
 KEY = "sk-measured"
 _PLACE = Place("local", "local-1")
-_TOKEN_PERIOD_S = 0.02
+_TOKEN_INTERVAL_S = 0.02
 _SLOTS = 10_000
 _PROMPT_WORDS = 200
 
@@ -71,32 +71,32 @@
 
 
 async def _generate(req: web.Request) -> web.StreamResponse:
-    """Answer as an engine does: one write a token, evenly paced."""
+    """Answer as an engine does, with one write per token at equal intervals."""
     count = (await req.json())["max_tokens"]
     resp = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
     await resp.prepare(req)
     for position in range(count):
         await resp.write(_chunk(position, position + 1 == count))
-        await asyncio.sleep(_TOKEN_PERIOD_S)
+        await asyncio.sleep(_TOKEN_INTERVAL_S)
     await resp.write(b"data: [DONE]\n\n")
     return resp
 
 
 def engine_server() -> HttpServer:
-    """Return an engine that costs little itself."""
+    """Return an engine with little processor time of its own."""
     app = web.Application()
     app.router.add_post(PATH, _generate)
     return HttpServer(app, "127.0.0.1", 0, drain_seconds=1.0)
 
 
-class PlainRelay(Service):
-    """A relay that does nothing but relay: the limit of what can be reached."""
+class PlainProxy(Service):
+    """A proxy that only forwards bytes: the lower bound of the gateway's cost."""
 
     def __init__(self, engine: str) -> None:
         super().__init__()
         self._engine = engine
         app = web.Application()
-        app.router.add_post(PATH, self._relay)
+        app.router.add_post(PATH, self._forward)
         self._server = HttpServer(app, "127.0.0.1", 0, drain_seconds=1.0)
 
     @property
@@ -113,7 +113,7 @@
         """Close the session."""
         await self._session.close()
 
-    async def _relay(self, req: web.Request) -> web.StreamResponse:
+    async def _forward(self, req: web.Request) -> web.StreamResponse:
         body = await req.read()
         url = f"http://{self._engine}{PATH}"
         async with self._session.post(url, data=body) as answer:
@@ -125,7 +125,7 @@
 
 
 class _Directory:
-    """A directory of one endpoint that never leaves."""
+    """A directory with one endpoint that never leaves."""
 
     def __init__(self, address: str) -> None:
         load = LoadReport(0, 0, _SLOTS, 0.0, 50.0, 0.0)
@@ -186,7 +186,7 @@
 
 
 class _NoPeers:
-    """A gateway alone."""
+    """Peers of a gateway that has none."""
 
     address = "127.0.0.1:0"
 
@@ -200,7 +200,7 @@
 
 
 class _NoJournal:
-    """No journal is asked in this measurement."""
+    """A journal that is never available; the measurement doesn't use it."""
 
     async def accept(self, request: Request) -> JournalStatus:
         raise EbonydealError(ErrorKind.JOURNAL_UNAVAILABLE)
@@ -216,7 +216,7 @@
 
 
 def gateway(engine: str, seed: int) -> GatewayProgram:
-    """Return a whole gateway with the real decisions before one engine."""
+    """Return a complete gateway with the real decisions and one engine."""
     rng, clock, metrics = random.Random(seed), SystemClock(), Metrics()
     cfg = GatewaySettings(port=0, settle_seconds=0.0)
     directory, config = _Directory(engine), _Config()
@@ -224,7 +224,7 @@
     admission = Admission.from_config(AdmissionSettings(), "gateway-1", rng)
     router = Router.from_config(RoutingSettings(), rng)
     routes = RouterAdapter(router, directory, _PLACE)
-    desk = AdmissionQueue(
+    admission_queue = AdmissionQueue(
         admission, routes.capacity, config, metrics, trails, clock, rng
     )
     ports = GatewayPorts(
@@ -232,20 +232,22 @@
         services=HttpPlainServices(2.0),
         routes=routes,
         retries=RetryBudget(RetryPolicy.from_config(RetrySettings(), rng)),
-        admission=desk,
+        admission=admission_queue,
         directory=directory,
         config=config,
         journal=_NoJournal(),
         peers=_NoPeers(),
         trails=trails,
-        children=(desk,),
+        children=(admission_queue,),
     )
-    own = GatewayConfig(NodeSettings(), cfg, "credential", 16)
-    return GatewayProgram(own, ports, metrics, clock, rng)
+    gateway_config = GatewayConfig(NodeSettings(), cfg, "credential", 16)
+    return GatewayProgram(gateway_config, ports, metrics, clock, rng)
 
 
-async def send(address: str, requests: int, tokens: int, at_once: int) -> None:
-    """Send requests, ``at_once`` at a time, and read every answer whole."""
+async def send_requests(
+    address: str, requests: int, tokens: int, concurrency: int
+) -> None:
+    """Send requests, ``concurrency`` at a time, and read every answer completely."""
     words = " ".join(f"word{n}" for n in range(_PROMPT_WORDS))
     body = {
         "model": MODEL,
@@ -254,14 +256,14 @@
         "stream": True,
     }
     headers = {"Authorization": f"Bearer {KEY}"}
-    room = asyncio.Semaphore(at_once)
+    semaphore = asyncio.Semaphore(concurrency)
 
-    async def one(http: ClientSession) -> None:
-        async with room, http.post(f"http://{address}{PATH}", json=body) as resp:
+    async def send_one(http: ClientSession) -> None:
+        async with semaphore, http.post(f"http://{address}{PATH}", json=body) as resp:
             raw = await resp.read()
         if raw.count(b"token ") != tokens or b"[DONE]" not in raw:
-            raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, "an answer is not whole")
+            raise EbonydealError(ErrorKind.ENDPOINT_GARBAGE, "incomplete answer")
 
     connector = TCPConnector(limit=0)
     async with ClientSession(headers=headers, connector=connector) as http:
-        await asyncio.gather(*(one(http) for _ in range(requests)))
+        await asyncio.gather(*(send_one(http) for _ in range(requests)))
--- a/src/ebonydeal/_internal/benchmarks/gateway/threads.py
+++ b/src/ebonydeal/_internal/benchmarks/gateway/threads.py
@@ -1,4 +1,4 @@
-"""An event loop in a thread of its own, whose processor time can be read."""
+"""An event loop in its own thread, whose processor time can be read."""
 
 import asyncio
 import threading
@@ -12,15 +12,15 @@
 class LoopThread:
     """Runs coroutines on an event loop in its own thread.
 
-    The processor time of one side of a measurement is then that of its thread,
-    though all sides run in one process.
+    Measures the processor time of one component by its thread, though all components
+    run in one process.
 
     Parameters
     ----------
     name : str
-        Of the thread.
+        Name of the thread.
     new_loop : callable
-        Makes the event loop.
+        Creates the event loop.
     """
 
     def __init__(
@@ -36,17 +36,17 @@
         asyncio.set_event_loop(self._loop)
         self._loop.run_forever()
 
-    def call(self, work: Coroutine[Any, Any, T]) -> T:
-        """Run ``work`` in the thread and return its result."""
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result()
+    def call(self, coroutine: Coroutine[Any, Any, T]) -> T:
+        """Run ``coroutine`` in the thread and return its result."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result()
 
     def cpu_seconds(self) -> float:
         """Return the processor time that the thread has used."""
 
-        async def read() -> float:
+        async def read_thread_time() -> float:
             return time.thread_time()
 
-        return self.call(read())
+        return self.call(read_thread_time())
 
     def close(self) -> None:
         """Stop the loop and end the thread."""
--- a/src/ebonydeal/_internal/benchmarks/journal/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Rounds that measure the journal, in one process against stores in memory."""
+"""Benchmark of the journal, in one process with in-memory stores."""
--- a/src/ebonydeal/_internal/benchmarks/journal/rounds.py
+++ b/src/ebonydeal/_internal/benchmarks/journal/rounds.py
@@ -1,10 +1,10 @@
-"""The rounds: durable accepts, replay, takeover, and idle table load."""
+"""Measurements of durable accepts, replay, takeover, and idle table load."""
 
 import asyncio
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ebonydeal._internal.benchmarks.journal.rig import Rig, bench_request
+from ebonydeal._internal.benchmarks.journal.testbed import Testbed, bench_request
 from ebonydeal._internal.errors import EbonydealError
 from ebonydeal._internal.journal.claims import Claim
 from ebonydeal._internal.journal.node import JournalNode
@@ -22,25 +22,25 @@
 
 PROCESSES = 9
 RECORDS_PER_ROW = 20
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 UNBOUNDED = 1e9
 
 
 class Accepts(NamedTuple):
-    """One round of accepts.
+    """Result of one measurement of accepts.
 
     Attributes
     ----------
     name : str
-        Which way of writing.
+        Name of the way of writing.
     accepted, refused : int
-        Requests that were acknowledged as durable, and others.
+        Requests that were acknowledged as durable, and those that failed.
     rows_put, transactions : int
-        What they cost at the table.
+        Rows put into the table, and its write transactions.
     seconds : float
-        Length of the round.
+        Duration of the measurement.
     p50, p99 : float
-        Seconds from asking to the acknowledgement.
+        Seconds from the request to its acknowledgement.
     """
 
     name: str
@@ -54,18 +54,18 @@
 
     @property
     def per_write(self) -> float:
-        """Durable accepts for each row that was put."""
+        """Durable accepts per row put into the table."""
         return self.accepted / max(1, self.rows_put)
 
 
-def one_a_request(cfg: JournalSettings) -> JournalSettings:
-    """Return settings that write each request on its own, as fast as they come."""
+def one_request_per_write(cfg: JournalSettings) -> JournalSettings:
+    """Return settings that write each request on its own, without a rate limit."""
     return cfg._replace(
         max_batch=1, writes_per_s=UNBOUNDED, urgent_writes_per_s=UNBOUNDED
     )
 
 
-async def accepts(
+async def measure_accepts(
     name: str,
     cfg: JournalSettings,
     rate: float,
@@ -74,34 +74,36 @@
     seed: int,
     urgent: bool = False,
 ) -> Accepts:
-    """Offer ``rate`` accepts a second, spread over all shards."""
-    rig = Rig(cfg, latency, seed)
-    owners = await rig.owners(PROCESSES)
-    before = rig.counts()
+    """Send ``rate`` requests a second to random shards, and measure accepts."""
+    testbed = Testbed(cfg, latency, seed)
+    owners = await testbed.owners(PROCESSES)
+    before = testbed.counts()
     waits: list[float] = []
     refused = 0
 
-    async def one(owner: ShardOwner, request_id: str) -> None:
+    async def accept_one(owner: ShardOwner, request_id: str) -> None:
         nonlocal refused
-        asked = rig.clock.now()
+        asked_at = testbed.clock.now()
         try:
             await owner.accept(bench_request(request_id), urgent)
         except EbonydealError:
             refused += 1
         else:
-            waits.append(rig.clock.now() - asked)
+            waits.append(testbed.clock.now() - asked_at)
 
-    started = rig.clock.now()
+    started = testbed.clock.now()
     tasks = []
     for number in range(int(rate * seconds)):
-        await rig.clock.sleep(max(0.0, started + number / rate - rig.clock.now()))
-        shard = rig.rng.randrange(cfg.shards)
+        await testbed.clock.sleep(
+            max(0.0, started + number / rate - testbed.clock.now())
+        )
+        shard = testbed.rng.randrange(cfg.shards)
         request_id = f"r-{shard:04x}-{number}"
-        tasks.append(asyncio.ensure_future(one(owners[shard], request_id)))
+        tasks.append(asyncio.ensure_future(accept_one(owners[shard], request_id)))
     await asyncio.gather(*tasks)
-    took = rig.clock.now() - started
-    after = rig.counts()
-    await rig.close()
+    elapsed = testbed.clock.now() - started
+    after = testbed.counts()
+    await testbed.close()
     waits.sort()
     return Accepts(
         name,
@@ -109,14 +111,14 @@
         refused,
         after.rows_put - before.rows_put,
         after.transactions - before.transactions,
-        took,
+        elapsed,
         waits[len(waits) // 2],
         waits[int(len(waits) * 0.99)],
     )
 
 
 class Replay(NamedTuple):
-    """One replay: rows since the shard began, and how long it took."""
+    """Result of one replay; ``rows`` counts those since the shard began."""
 
     rows: int
     snapshot: bool
@@ -124,23 +126,23 @@
     seconds: float
 
 
-async def replays(
+async def measure_replays(
     cfg: JournalSettings, lengths: tuple[int, ...], latency: float, seed: int
 ) -> list[Replay]:
     """Replay shards of each length, without and with snapshots."""
     results = []
     for length in lengths:
-        rig = Rig(cfg, 0.0, seed)
+        testbed = Testbed(cfg, 0.0, seed)
         claim = Claim(0, 1, "c")
-        await rig.tables.transact([], [Put(shard_key(0), {"epoch": 1})])
+        await testbed.tables.transact([], [Put(shard_key(0), {"epoch": 1})])
         for seq in range(length):
-            await rig.tables.transact([], [Put(journal_key(0, seq), _row(seq))])
-        rig.tables.faults.delay = rig.objects.faults.delay = latency
-        results.append(await _timed(rig, length, snapshot=False))
-        kept = length - length % cfg.snapshot_rows
-        if kept:
-            await _snapshot_at(rig, claim, kept)
-            results.append(await _timed(rig, length, snapshot=True))
+            await testbed.tables.transact([], [Put(journal_key(0, seq), _row(seq))])
+        testbed.tables.faults.delay = testbed.objects.faults.delay = latency
+        results.append(await _time_replay(testbed, length, snapshot=False))
+        snapshot_seq = length - length % cfg.snapshot_rows
+        if snapshot_seq:
+            await _snapshot_at(testbed, claim, snapshot_seq)
+            results.append(await _time_replay(testbed, length, snapshot=True))
     return results
 
 
@@ -152,64 +154,64 @@
     return {"batch": f"b-{seq}", "epoch": 1, "records": records}
 
 
-async def _snapshot_at(rig: Rig, claim: Claim, seq: int) -> None:
-    """Snapshot the rows below ``seq``, as an owner would have."""
-    found = await replay(rig.tables, rig.objects, 0)
-    early = {
+async def _snapshot_at(testbed: Testbed, claim: Claim, seq: int) -> None:
+    """Snapshot the rows below ``seq`` and trim them, as an owner would."""
+    replayed = await replay(testbed.tables, testbed.objects, 0)
+    earlier_states = {
         request_id: state
-        for request_id, state in found.states.items()
+        for request_id, state in replayed.states.items()
         if int(request_id.split("-")[2]) < seq
     }
-    data = encode_states(early.values())
-    await save_snapshot(rig.tables, rig.objects, claim, seq, data)
-    await trim(rig.tables, claim, seq)
+    data = encode_states(earlier_states.values())
+    await save_snapshot(testbed.tables, testbed.objects, claim, seq, data)
+    await trim(testbed.tables, claim, seq)
 
 
-async def _timed(rig: Rig, length: int, snapshot: bool) -> Replay:
-    started = rig.clock.now()
-    found = await replay(rig.tables, rig.objects, 0)
-    return Replay(length, snapshot, found.rows, rig.clock.now() - started)
+async def _time_replay(testbed: Testbed, length: int, snapshot: bool) -> Replay:
+    started = testbed.clock.now()
+    replayed = await replay(testbed.tables, testbed.objects, 0)
+    return Replay(length, snapshot, replayed.rows, testbed.clock.now() - started)
 
 
 class Takeover(NamedTuple):
-    """Seconds until another node served all shards of one that ended."""
+    """Seconds until another node served all shards of a stopped one."""
 
     how: str
     shards: int
     seconds: float
 
 
-async def takeover(
+async def measure_takeover(
     cfg: JournalSettings, graceful: bool, latency: float, seed: int
 ) -> Takeover:
-    """End one of two nodes and wait for the other to serve everything."""
-    rig = Rig(cfg, latency, seed)
-    first = await rig.node("n-1")
-    await _until(rig, lambda: _serving(first) == cfg.shards)
-    second = await rig.node("n-2")
-    # The second node's own lease must be settled before it may judge others.
-    await rig.clock.sleep(cfg.lease_seconds + cfg.renew_seconds)
-    left = _serving(first)
-    started = rig.clock.now()
+    """Stop one of two nodes and wait until the other serves all shards."""
+    testbed = Testbed(cfg, latency, seed)
+    first = await testbed.node("n-1")
+    await _wait_until(testbed, lambda: _serving(first) == cfg.shards)
+    second = await testbed.node("n-2")
+    # The second node must hold its own lease before it may judge others.
+    await testbed.clock.sleep(cfg.lease_seconds + cfg.renew_seconds)
+    shard_count = _serving(first)
+    started = testbed.clock.now()
     if graceful:
         await first.leave()
     else:
         first._leaving = True
         for owner in list(first.owners.values()):
             owner.stop_serving()
-    await _until(rig, lambda: _serving(second) == cfg.shards)
-    took = rig.clock.now() - started
-    await rig.close()
-    return Takeover("planned stop" if graceful else "death", left, took)
+    await _wait_until(testbed, lambda: _serving(second) == cfg.shards)
+    elapsed = testbed.clock.now() - started
+    await testbed.close()
+    return Takeover("planned stop" if graceful else "death", shard_count, elapsed)
 
 
 def _serving(node: JournalNode) -> int:
     return sum(owner.serving for owner in node.owners.values())
 
 
-async def _until(rig: Rig, done: Callable[[], bool]) -> None:
-    while not done():
-        await rig.clock.sleep(POLL_S)
+async def _wait_until(testbed: Testbed, condition: Callable[[], bool]) -> None:
+    while not condition():
+        await testbed.clock.sleep(POLL_INTERVAL_S)
 
 
 class Idle(NamedTuple):
@@ -221,17 +223,17 @@
     writes_per_s: float
 
 
-async def idle(
+async def measure_idle(
     cfg: JournalSettings, nodes: int, seconds: float, latency: float, seed: int
 ) -> Idle:
-    """Let nodes settle, then count their table calls."""
-    rig = Rig(cfg, latency, seed)
-    started = [await rig.node(f"n-{number}") for number in range(nodes)]
-    await _until(rig, lambda: sum(map(_serving, started)) == cfg.shards)
-    before = rig.counts()
-    await rig.clock.sleep(seconds)
-    after = rig.counts()
-    await rig.close()
+    """Wait until the nodes serve all shards, then count their table calls."""
+    testbed = Testbed(cfg, latency, seed)
+    started = [await testbed.node(f"n-{number}") for number in range(nodes)]
+    await _wait_until(testbed, lambda: sum(map(_serving, started)) == cfg.shards)
+    before = testbed.counts()
+    await testbed.clock.sleep(seconds)
+    after = testbed.counts()
+    await testbed.close()
     return Idle(
         nodes,
         cfg.shards,
--- a/src/ebonydeal/_internal/benchmarks/journal/rig.py
+++ b/src/ebonydeal/_internal/benchmarks/journal/testbed.py
@@ -1,4 +1,4 @@
-"""Stores in memory with a fixed latency, and owners on them."""
+"""In-memory stores with a fixed latency, and shard owners that use them."""
 
 import random
 from typing import NamedTuple
@@ -27,7 +27,7 @@
 
 
 class RowCounts(NamedTuple):
-    """What was written to the table so far."""
+    """Table operations so far."""
 
     transactions: int
     rows_put: int
@@ -35,7 +35,7 @@
 
 
 class NoEndpoints:
-    """A picker without endpoints: accepted work stays where it is."""
+    """A picker without endpoints, so that accepted requests stay in the journal."""
 
     def pick(self, request: Request, exclude: frozenset[str]) -> EndpointView | None:
         """Return None."""
@@ -77,8 +77,8 @@
     )
 
 
-class Rig:
-    """One table service and the processes of one round."""
+class Testbed:
+    """One table service and the processes of one measurement."""
 
     def __init__(self, cfg: JournalSettings, latency: float, seed: int) -> None:
         self.cfg = cfg
@@ -88,22 +88,22 @@
         self.objects = MemoryObjects(self.clock)
         self.tables.faults.delay = latency
         self.objects.faults.delay = latency
-        self.tables.faults.after = self._count
+        self.tables.faults.after = self._count_rows
         self._rows_put = 0
         self._nodes: dict[str, JournalNode] = {}
         self._started: list[Dispatcher | ShardOwner | JournalNode] = []
 
-    async def _count(self, operation: Operation) -> None:
+    async def _count_rows(self, operation: Operation) -> None:
         if operation.detail is not None:
             writes = operation.detail[1]
             self._rows_put += sum(isinstance(item, Put) for item in writes)
 
     def counts(self) -> RowCounts:
-        """Return what was written and read so far."""
+        """Return the table operations so far."""
         return RowCounts(self.tables.writes, self._rows_put, self.tables.reads)
 
     async def parts(self, owners: int) -> OwnerParts:
-        """Return one process's shared parts; its dispatcher is started."""
+        """Return one process's shared parts, with a started dispatcher."""
         metrics = Metrics()
         dispatcher = Dispatcher(
             NoEndpoints(),
@@ -128,7 +128,7 @@
         )
 
     async def owners(self, processes: int) -> dict[int, ShardOwner]:
-        """Return serving owners of all shards, dealt over processes."""
+        """Return serving owners of all shards, spread evenly over processes."""
         parts = [await self.parts(processes) for _ in range(processes)]
         owners = {}
         for shard in range(self.cfg.shards):
@@ -140,9 +140,9 @@
         return owners
 
     async def _own(self, shard: int, number: int, parts: OwnerParts) -> ShardOwner:
-        me = Identity(f"n-{number}", f"127.0.0.1:{number}", 1)
+        identity = Identity(f"n-{number}", f"127.0.0.1:{number}", 1)
         claim = await claim_shard(
-            self.tables, shard, None, me, clock=self.clock, rng=self.rng
+            self.tables, shard, None, identity, clock=self.clock, rng=self.rng
         )
         assert claim is not None
         owner = ShardOwner(claim, parts, lambda _shard: None)
@@ -151,21 +151,21 @@
         return owner
 
     async def node(self, name: str) -> JournalNode:
-        """Return a started node, which looks for shards itself."""
-        me = Identity(name, f"{name}:1", 1)
+        """Return a started node, which claims shards itself."""
+        identity = Identity(name, f"{name}:1", 1)
         parts = await self.parts(1)
-        node = JournalNode(me, Place("r", "r-1"), parts, 10.0, self._offer)
-        self._nodes[me.address] = node
+        node = JournalNode(identity, Place("r", "r-1"), parts, 10.0, self._offer)
+        self._nodes[identity.address] = node
         await node.start()
         self._started.append(node)
         return node
 
     async def _offer(self, address: str, shard: int) -> None:
-        """Offer a shard as the listener would, without the way over the net."""
+        """Offer a shard as the listener would, without the network."""
         await self._nodes[address].accept_offer(shard)
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         self.tables.faults.delay = 0.0
         for item in self._started:
             if isinstance(item, ShardOwner):
--- a/src/ebonydeal/_internal/benchmarks/peers/__init__.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes, processor time and spread of peer rounds against the size."""
+"""Benchmark of gossip: bytes, processor time and spread by number of nodes."""
--- a/src/ebonydeal/_internal/benchmarks/peers/loopback.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/loopback.py
@@ -1,4 +1,4 @@
-"""A few real peer services on loopback: the same with sockets and HTTP."""
+"""Measures a few real peer services on loopback, with sockets and HTTP."""
 
 import asyncio
 import random
@@ -14,8 +14,8 @@
 from ebonydeal._internal.utils.clock import SystemClock
 
 _CREDENTIAL = "bench-only"
-_LONGEST_S = 30.0
-_LOOK_S = 0.001
+_TIMEOUT_S = 30.0
+_POLL_INTERVAL_S = 0.001
 
 
 class _NoInstances:
@@ -29,18 +29,18 @@
 
 
 class Loopback(NamedTuple):
-    """What real services do.
+    """Measurements of real services.
 
     Attributes
     ----------
     nodes : int
         Number of services, all in this process.
     bytes_per_s : float
-        Counted bytes that a node sends a second.
+        Bytes that a node sends a second, by its own counter.
     cpu_us : float
-        Processor microseconds a node and second, with HTTP.
+        Processor microseconds per node and second, with HTTP.
     spread_s : float
-        Seconds until a mark is known to all.
+        Seconds until all nodes know a mark.
     """
 
     nodes: int
@@ -55,8 +55,8 @@
         rng = random.Random(number)
         self.metrics = Metrics()
         cfg = DirectorySettings()
-        listed = _NoInstances()
-        self.directory = Directory(cfg, listed, self.metrics, clock, rng)
+        instance_list = _NoInstances()
+        self.directory = Directory(cfg, instance_list, self.metrics, clock, rng)
         self.peers = PeerService.from_config(
             NodeSettings(id=f"node-{number}", drain_seconds=0.5),
             PeerSettings(port=0, seeds=seeds, credential=_CREDENTIAL),
@@ -66,40 +66,42 @@
             directory=self.directory,
         )
 
-    def sent(self) -> float:
+    def bytes_sent(self) -> float:
         return self.metrics.value("events", str(Event.PEER_BYTES_OUT))
 
 
 async def measure_loopback(count: int, seconds: float) -> Loopback:
-    """Start ``count`` services, let them run, mark one zone at one of them."""
+    """Start ``count`` services, measure them, then mark a zone at one of them."""
     nodes = [_Node(0, "")]
     await nodes[0].peers.start()
     try:
         for number in range(1, count):
             nodes.append(_Node(number, nodes[0].peers.address))
             await nodes[-1].peers.start()
-        async with asyncio.timeout(_LONGEST_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             while any(len(node.peers.members()) < count - 1 for node in nodes):
                 await asyncio.sleep(0.1)
-        sent = sum(node.sent() for node in nodes)
-        used = time.process_time()
+        bytes_sent = sum(node.bytes_sent() for node in nodes)
+        cpu_s = time.process_time()
         await asyncio.sleep(seconds)
-        sent = sum(node.sent() for node in nodes) - sent
-        used = time.process_time() - used
+        bytes_sent = sum(node.bytes_sent() for node in nodes) - bytes_sent
+        cpu_s = time.process_time() - cpu_s
         spread = await _spread(nodes)
     finally:
         for node in nodes:
             await node.peers.stop()
-    share = count * seconds
-    return Loopback(count, sent / share, used * 1e6 / share, spread)
+    node_seconds = count * seconds
+    return Loopback(
+        count, bytes_sent / node_seconds, cpu_s * 1e6 / node_seconds, spread
+    )
 
 
 async def _spread(nodes: list[_Node]) -> float:
-    """Return the seconds until a mark of one node is known to all."""
+    """Return the seconds until all nodes know a mark set at one of them."""
     now = time.time()
     started = time.perf_counter()
     nodes[-1].directory.mark(LeavingMark("", 0, "zone-9", now + 30.0, "cloud", now))
-    async with asyncio.timeout(_LONGEST_S):
+    async with asyncio.timeout(_TIMEOUT_S):
         while any(len(node.directory.marks) == 0 for node in nodes):
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
     return time.perf_counter() - started
--- a/src/ebonydeal/_internal/benchmarks/peers/net.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/network.py
@@ -1,4 +1,4 @@
-"""Many nodes in one process: the real messages, without sockets."""
+"""Simulates many nodes in one process, with the real messages, without sockets."""
 
 import json
 import random
@@ -36,7 +36,7 @@
 
 
 class _ModelClock:
-    """Shows the model's time to topics."""
+    """Clock of the simulated time, for topics."""
 
     def __init__(self, scheduler: EventScheduler) -> None:
         self._scheduler = scheduler
@@ -52,7 +52,7 @@
 
 
 def _member(number: int) -> Member:
-    """Return a member like those of a real fleet."""
+    """Return a member with realistic values."""
     return Member(
         id=f"node-{number:04d}",
         incarnation=1_700_000_000_000 + number,
@@ -65,101 +65,107 @@
     )
 
 
-class Node:
-    """One process's knowledge, and what it has sent."""
+class SimulatedNode:
+    """Gossip state of one process, and the bytes that it has sent."""
 
-    def __init__(self, number: int, net: "Net") -> None:
-        self.net = net
-        self.rng = random.Random(f"{net.seed}-{number}")
+    def __init__(self, number: int, network: "SimulatedNetwork") -> None:
+        self.network = network
+        self.rng = random.Random(f"{network.seed}-{number}")
         self.bytes_out = 0
-        own = net.members[number]
-        others = (member for member in net.members if member is not own)
-        times = MembershipTimeouts(period=PERIOD_S)
-        self.membership = Membership(own, times, known=others)
+        own = network.members[number]
+        others = (member for member in network.members if member is not own)
+        timeouts = MembershipTimeouts(period=PERIOD_S)
+        self.membership = Membership(own, timeouts, known=others)
         self.targets = PeerSelector("10.0.0.0:9200", 9200)
         self.marks = MarkSet()
         self.marked_at: dict[str, float] = {}
         self.exchange = GossipExchange(self.membership)
         self.exchange.register(
-            MembersTopic(self.membership, _ModelClock(net.scheduler))
+            MembersTopic(self.membership, _ModelClock(network.scheduler))
         )
         self.exchange.register(MarksTopic(self.marks, self.mark))
         self.exchange.register(EndpointsTopic(SharedInstanceList(), lambda _: None))
-        if net.with_demand:
+        if network.with_demand:
             self.exchange.register(DemandTopic(self._report, lambda _: None))
 
     def mark(self, mark: LeavingMark) -> bool:
-        """Take in a mark; push it on if it is news."""
-        news = self.marks.merge(mark, self.net.scheduler.now)
-        if news:
-            self.marked_at[mark.endpoint_id or mark.zone] = self.net.scheduler.now
-            self.net.scheduler.at(
-                self.net.scheduler.now + PUSH_BATCH_INTERVAL_S, self._push, mark
+        """Merge a mark; push it to other nodes if it is new."""
+        is_new = self.marks.merge(mark, self.network.scheduler.now)
+        if is_new:
+            self.marked_at[mark.endpoint_id or mark.zone] = self.network.scheduler.now
+            self.network.scheduler.at(
+                self.network.scheduler.now + PUSH_BATCH_INTERVAL_S, self._push, mark
             )
-        return news
+        return is_new
 
     def round(self) -> None:
-        """Hold one round, and plan the next one."""
-        net = self.net
-        net.scheduler.at(
-            net.scheduler.now + PERIOD_S * self.rng.uniform(*_JITTER), self.round
+        """Run one gossip round, and schedule the next one."""
+        network = self.network
+        network.scheduler.at(
+            network.scheduler.now + PERIOD_S * self.rng.uniform(*_JITTER), self.round
         )
-        self.membership.tick(net.scheduler.now)
+        self.membership.tick(network.scheduler.now)
         target = self.targets.choose(self.membership, self.rng)
         if target is None:
             return
-        peer = net.by_address[target.address]
+        peer = network.by_address[target.address]
         answer = self._call(peer, self.exchange.build_request(), opening=True)
         if answer is None:
-            self.membership.record_unreachable(target.member_id, net.scheduler.now)
+            self.membership.record_unreachable(target.member_id, network.scheduler.now)
             return
         closing = self.exchange.handle_response(
-            answer, target.member_id, net.scheduler.now
+            answer, target.member_id, network.scheduler.now
         )
         if closing is not None:
             self.exchange.apply_payloads(self._call(peer, closing, opening=False) or {})
 
     def _call(
-        self, peer: "Node", message: dict[str, Any], *, opening: bool
+        self, peer: "SimulatedNode", message: dict[str, Any], *, opening: bool
     ) -> dict[str, Any] | None:
         """Send a message and return the answer; None if either is lost."""
         self.bytes_out += len(json.dumps(message)) + REQUEST_HEADER_BYTES
-        if self.net.is_lost():
+        if self.network.is_lost():
             return None
-        now = self.net.scheduler.now
-        take = peer.exchange.handle_request if opening else peer.exchange.handle_push
-        reply = take(json.loads(json.dumps(message)), now)
+        now = self.network.scheduler.now
+        handle = peer.exchange.handle_request if opening else peer.exchange.handle_push
+        reply = handle(json.loads(json.dumps(message)), now)
         peer.bytes_out += len(json.dumps(reply)) + RESPONSE_HEADER_BYTES
-        return None if self.net.is_lost() else reply
+        return None if self.network.is_lost() else reply
 
     def _push(self, mark: LeavingMark) -> None:
         live = self.membership.live()
         self.rng.shuffle(live)
-        width = push_target_count(len(live))
-        for member in live[:width]:
-            self._push_to(member, live[width:], mark, MAX_PUSH_ATTEMPTS)
+        target_count = push_target_count(len(live))
+        for member in live[:target_count]:
+            self._push_to(member, live[target_count:], mark, MAX_PUSH_ATTEMPTS)
 
     def _push_to(
-        self, member: Member, spare: list[Member], mark: LeavingMark, tries: int
+        self, member: Member, spare: list[Member], mark: LeavingMark, attempts_left: int
     ) -> None:
-        """Push to one peer; after a timeout, to another in its place."""
+        """Push to one peer; if that fails, push to another after a timeout."""
         message = self.exchange.build_push({"marks": [mark_to_wire(mark)]})
-        peer = self.net.by_address[member.address]
-        if self._call(peer, message, opening=False) is None and spare and tries > 1:
+        peer = self.network.by_address[member.address]
+        if (
+            self._call(peer, message, opening=False) is None
+            and spare
+            and attempts_left > 1
+        ):
             other = self.rng.choice(spare)
-            later = self.net.scheduler.now + CALL_TIMEOUT_S
-            self.net.scheduler.at(later, self._push_to, other, spare, mark, tries - 1)
+            later = self.network.scheduler.now + CALL_TIMEOUT_S
+            self.network.scheduler.at(
+                later, self._push_to, other, spare, mark, attempts_left - 1
+            )
 
     def _report(self) -> DemandReport:
-        now = self.net.scheduler.now
+        now = self.network.scheduler.now
         demand = Demand(123.4 + now % 7, 45_678.0, 321.0, 300.0)
         names = [f"account-{n}" for n in range(ACCOUNTS)]
         seq = int(now * 1000)
         return DemandReport(self.membership.own.id, seq, dict.fromkeys(names, demand))
 
 
-class Net:
-    """All nodes; a message takes `HOP_S` only where a push is timed."""
+class SimulatedNetwork:
+    """All nodes; messages are delivered without delay."""
 
     def __init__(
         self, count: int, seed: int, *, loss: float = 0.0, with_demand: bool = True
@@ -168,10 +174,10 @@
         self.scheduler = EventScheduler()
         self.loss = 0.0
         self.with_demand = with_demand
-        self.wanted_loss = loss
+        self.settled_loss = loss
         self.rng = random.Random(seed)
         self.members = [_member(number) for number in range(count)]
-        self.nodes = [Node(number, self) for number in range(count)]
+        self.nodes = [SimulatedNode(number, self) for number in range(count)]
         self.by_address = {node.membership.own.address: node for node in self.nodes}
         for node in self.nodes:
             self.scheduler.at(self.rng.uniform(0.0, PERIOD_S), node.round)
@@ -181,12 +187,12 @@
         return self.loss > 0.0 and self.rng.random() < self.loss
 
     def settle(self, seconds: float) -> None:
-        """Run until the first exchanges are over; then start to lose and count."""
+        """Run the first rounds; then start to lose messages and to count bytes."""
         self.scheduler.run(until=seconds)
-        self.loss = self.wanted_loss
+        self.loss = self.settled_loss
         for node in self.nodes:
             node.bytes_out = 0
 
     def bytes_per_s(self, seconds: float) -> list[float]:
-        """Return what each node sent a second over the last ``seconds``."""
+        """Return each node's bytes sent a second, over the last ``seconds``."""
         return [node.bytes_out / seconds for node in self.nodes]
--- a/src/ebonydeal/_internal/benchmarks/peers/suite.py
+++ b/src/ebonydeal/_internal/benchmarks/peers/suite.py
@@ -1,11 +1,11 @@
-"""Measures peer rounds against the number of nodes and lost messages."""
+"""Measures gossip rounds by number of nodes and share of lost messages."""
 
 import statistics
 import time
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from ebonydeal._internal.benchmarks.peers.net import Net
+from ebonydeal._internal.benchmarks.peers.network import SimulatedNetwork
 from ebonydeal._internal.models.endpoints import LeavingMark
 
 SIZES = (9, 18, 45, 90, 180, 350)
@@ -17,17 +17,17 @@
 
 
 class Traffic(NamedTuple):
-    """Steady traffic at one size.
+    """Steady-state traffic at one number of nodes.
 
     Attributes
     ----------
     nodes : int
         Number of nodes.
     mean, worst : float
-        Bytes a second that a node sends; all of `MEASURE_S` seconds.
+        Bytes a second that a node sends, over `MEASURE_S` seconds.
     cpu_us : float
-        Processor microseconds a node and second, both ends of rounds, with the
-        JSON coding but without HTTP.
+        Processor microseconds per node and second, both ends of rounds, with JSON
+        encoding but without HTTP.
     """
 
     nodes: int
@@ -37,20 +37,20 @@
 
 
 class Spread(NamedTuple):
-    """How a mark reaches all nodes.
+    """Spread of a mark to all nodes.
 
     Attributes
     ----------
     nodes : int
         Number of nodes.
     loss : float
-        Share of lost messages, each way.
+        Share of lost messages, in each direction.
     median_s, last_s : float
-        Seconds until half of the nodes and until all know; the worst over seeds.
+        Seconds until half of the nodes and until all know; maximum over seeds.
     unreached : int
-        Nodes that didn't know after `SPREAD_S`, over seeds.
+        Nodes that didn't know after `SPREAD_S`, summed over seeds.
     bytes_per_node : float
-        Bytes that the push cost a node in the first 3 s, rounds included.
+        Mean bytes that a node sent in the first 3 s, rounds included.
     """
 
     nodes: int
@@ -62,40 +62,40 @@
 
 
 def measure_traffic(nodes: int, seed: int, *, with_demand: bool) -> Traffic:
-    """Run rounds with nothing new but demand."""
-    net = Net(nodes, seed, with_demand=with_demand)
-    net.settle(SETTLE_S)
+    """Measure rounds in which at most demand changes."""
+    network = SimulatedNetwork(nodes, seed, with_demand=with_demand)
+    network.settle(SETTLE_S)
     started = time.process_time()
-    net.scheduler.run(until=SETTLE_S + MEASURE_S)
-    used = time.process_time() - started
-    sent = net.bytes_per_s(MEASURE_S)
-    cpu_us = used * 1e6 / nodes / MEASURE_S
-    return Traffic(nodes, statistics.fmean(sent), max(sent), cpu_us)
+    network.scheduler.run(until=SETTLE_S + MEASURE_S)
+    cpu_s = time.process_time() - started
+    bytes_per_s = network.bytes_per_s(MEASURE_S)
+    cpu_us = cpu_s * 1e6 / nodes / MEASURE_S
+    return Traffic(nodes, statistics.fmean(bytes_per_s), max(bytes_per_s), cpu_us)
 
 
 def measure_spread(nodes: int, loss: float, seeds: Sequence[int]) -> Spread:
-    """Mark one zone at one node; see when the others know."""
-    medians, lasts, costs = [], [], []
+    """Mark a zone at one node, and measure when the others know."""
+    medians, last_times, costs = [], [], []
     unreached = 0
     for seed in seeds:
-        net = Net(nodes, seed, loss=loss, with_demand=False)
-        net.settle(SETTLE_S)
-        net.nodes[seed % nodes].mark(
+        network = SimulatedNetwork(nodes, seed, loss=loss, with_demand=False)
+        network.settle(SETTLE_S)
+        network.nodes[seed % nodes].mark(
             LeavingMark("", 0, "zone-9", SETTLE_S + 30.0, "cloud", SETTLE_S)
         )
-        net.scheduler.run(until=SETTLE_S + 3.0)
-        costs.append(statistics.fmean(node.bytes_out for node in net.nodes))
-        net.scheduler.run(until=SETTLE_S + SPREAD_S)
+        network.scheduler.run(until=SETTLE_S + 3.0)
+        costs.append(statistics.fmean(node.bytes_out for node in network.nodes))
+        network.scheduler.run(until=SETTLE_S + SPREAD_S)
         times = sorted(
             node.marked_at["zone-9"] - SETTLE_S
-            for node in net.nodes
+            for node in network.nodes
             if "zone-9" in node.marked_at
         )
         unreached += nodes - len(times)
         medians.append(statistics.median(times))
-        lasts.append(times[-1])
+        last_times.append(times[-1])
     cost = statistics.fmean(costs)
-    return Spread(nodes, loss, max(medians), max(lasts), unreached, cost)
+    return Spread(nodes, loss, max(medians), max(last_times), unreached, cost)
 
 
 def slope(points: Sequence[tuple[float, float]]) -> tuple[float, float]:
