--- a/src/ebonydeal/_internal/benchmarks/rollouts/service_model.py
+++ b/src/ebonydeal/_internal/benchmarks/rollouts/service_model.py
@@ -55,7 +55,7 @@
         Seconds until the new endpoints are available.
     old, new : int
         Endpoints of each version.
-    storm : bool
+    disturbed : bool
         Whether temporary slowdowns and failures affect both versions.
     """
 
--- a/src/ebonydeal/_internal/benchmarks/spend/compare.py
+++ b/src/ebonydeal/_internal/benchmarks/spend/compare.py
@@ -112,10 +112,9 @@
 def targets(result: Comparison) -> list[tuple[str, bool]]:
     """Return a description of each target and whether it is met."""
     controller = result.line(controller_policy_name())
-    on_demand = result.line("on-demand only")
-    hindsight = sum(result.bounds)
-    to_on_demand = controller.cost / on_demand.cost
-    to_hindsight = controller.cost / hindsight
+    baseline = result.line("on-demand only")
+    bound = sum(result.bounds)
+    to_on_demand, to_bound = controller.cost / baseline.cost, controller.cost / bound
     return [
         (
             f"every deadline met: {controller.met} of {controller.jobs}",
@@ -126,8 +125,8 @@
             to_on_demand <= MAX_OF_ON_DEMAND,
         ),
         (
-            f"spend {to_hindsight:.3f}x of hindsight (at most {MAX_OF_HINDSIGHT})",
-            to_hindsight <= MAX_OF_HINDSIGHT,
+            f"spend {to_bound:.3f}x of hindsight (at most {MAX_OF_HINDSIGHT})",
+            to_bound <= MAX_OF_HINDSIGHT,
         ),
         (f"steps over the price ceiling: {controller.over}", controller.over == 0),
     ]
