--- a/src/ebonydeal/_internal/commands/bench_rollouts.py
+++ b/src/ebonydeal/_internal/commands/bench_rollouts.py
@@ -6,9 +6,9 @@
 
 from ebonydeal._internal.benchmarks.rollouts.plot import save_plot
 from ebonydeal._internal.benchmarks.rollouts.suite import (
-    Ways,
-    lines,
-    play_all,
+    Variant,
+    simulate_all,
+    summarize,
     table,
 )
 
@@ -55,9 +55,9 @@
     for chosen in _TESTS if test == "all" else (test,):
         for how in _PLANS if plan == "all" else (plan,):
             name = f"{chosen}, {how}"
-            ways = Ways(chosen, how)
-            results[name] = play_all(range(first, first + count), ways, jobs)
-            text.append(f"{name}\n{table(lines(results[name]))}")
+            variant = Variant(chosen, how)
+            results[name] = simulate_all(range(first, first + count), variant, jobs)
+            text.append(f"{name}\n{table(summarize(results[name]))}")
     click.echo("\n\n".join(text))
     if output is None:
         return
