--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -146,10 +146,10 @@
     bounds : QuotaBounds
         By how much limits may be exceeded.
     checks_fence : bool
-        Whether the platform refuses calls with an old fencing number.
-    terms : QuotaConfig, optional
+        Whether the platform refuses calls with an old fencing token.
+    config : QuotaConfig, optional
         Which requests are granted first near an account's limit.
-    capacity : CoordinatorSize, optional
+    capacity : CoordinatorCapacity, optional
         What this instance can do as coordinator.
     """
 
@@ -160,7 +160,7 @@
         ledger: UsageLedger,
         bounds: QuotaBounds,
         checks_fence: bool,
-        terms: QuotaConfig | None = None,
+        config: QuotaConfig | None = None,
         capacity: CoordinatorCapacity | None = None,
     ) -> None:
         super().__init__()
@@ -182,7 +182,7 @@
         self._refused_fence = 0
         self._reports = RelayReports(parts.clock, capacity.exchange_s, capacity.cores)
         self.granter = Granter(
-            lease, lambda: self._keeper.holds, parts.clock, bounds, terms
+            lease, lambda: self._keeper.holds, parts.clock, bounds, config
         )
         self.granter.accounts = self._accounts
         self.granter.min_report_interval = capacity.exchange_s
@@ -281,9 +281,9 @@
     def may_order(self) -> bool:
         """Whether endpoints may be ordered.
 
-        Where the platform checks fencing numbers, the last holder continues
+        Where the platform checks fencing tokens, the last holder continues
         during an outage of the store, when no lease can be renewed: if there is a
-        newer holder, its number makes the platform refuse the older one.
+        newer holder, its token makes the platform refuse the older one.
         """
         # Nothing was ordered before the first holder, so it waits for no reports.
         ready = self.warmed_up or self.lease.fence == 1
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -87,7 +87,7 @@
         Returns whether this relay may act as lease holder now.
     clock : Clock
         Time.
-    bounds, policy : QuotaBounds, QuotaConfig
+    bounds, config : QuotaBounds, QuotaConfig
         How far limits may be exceeded; which requests are preferred near a limit.
     """
 
@@ -97,7 +97,7 @@
         holds: Callable[[], bool],
         clock: Clock,
         bounds: QuotaBounds,
-        policy: QuotaConfig | None = None,
+        config: QuotaConfig | None = None,
     ) -> None:
         self._lease = lease
         self._holds = holds
@@ -106,7 +106,7 @@
         self.own_share = ShareLease()
         self.delegations = Delegations(lease.incarnation)
         self.registry = ShareRegistry()
-        self.broker = QuotaBroker(bounds, policy, self._current_share)
+        self.broker = QuotaBroker(bounds, config, self._current_share)
         # The last computed share and its time, so that hundreds of relays' shares
         # aren't summed again for each account.
         self._cached_share: tuple[float, float] | None = None
--- a/src/ebonydeal/_internal/relay/peers/long_prompts.py
+++ b/src/ebonydeal/_internal/relay/peers/long_prompts.py
@@ -41,15 +41,15 @@
 class LongPromptReceiver:
     """Passes other relays' notices to the choice of endpoints."""
 
-    def __init__(self, choice: EndpointSelector, clock: Clock) -> None:
-        self._choice = choice
+    def __init__(self, selector: EndpointSelector, clock: Clock) -> None:
+        self._selector = selector
         self._clock = clock
 
     def receive(self, message: LongPromptMessage) -> dict[str, Any]:
         """Take one notice."""
         seconds = min(_MAX_PREFILL_S, max(0.0, float(message["seconds"])))
         until = self._clock.now() + seconds
-        self._choice.mark_prefilling(str(message["endpoint"]), until)
+        self._selector.mark_prefilling(str(message["endpoint"]), until)
         return {}
 
 
--- a/src/ebonydeal/_internal/relay/peers/relay_reporter.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reporter.py
@@ -28,10 +28,10 @@
     node: str
     incarnation: str
     usage: UsageMeter
-    choice: EndpointSelector
+    selector: EndpointSelector
     quota: QuotaLimiter
     limits: LimitsClient
-    failing: FailureRates
+    failure_rates: FailureRates
     suspects: Suspects
     split: TrafficSplit
     rollouts: RolloutReceiver
@@ -72,15 +72,15 @@
             windows=parts.usage.to_message(self._reported + 1),
             loads={
                 endpoint_id: [load.running, round(load.pending_prefill_tokens)]
-                for endpoint_id, load in parts.choice.own_loads().items()
+                for endpoint_id, load in parts.selector.own_loads().items()
             },
             demand=parts.quota.demand(now),
             work={
                 name: round(value, 4)
-                for name, value in parts.choice.work_rates(now).items()
+                for name, value in parts.selector.work_rates(now).items()
                 if value >= _MIN_WORK
             },
-            answers=parts.failing.own_counts(now),
+            answers=parts.failure_rates.own_counts(now),
             leaving=self.leaving,
             seen=list(parts.deltas.last_mark),
             crashes_mark=parts.suspects.fingerprint,
@@ -101,13 +101,13 @@
         if reply["news"] is not None:
             parts.deltas.receive(reply["news"])
         self._reported = max(self._reported, reply["reported"])
-        parts.choice.update_reported_loads(
+        parts.selector.update_reported_loads(
             {
                 endpoint_id: ReportedLoad(int(load[0]), float(load[1]), now)
                 for endpoint_id, load in reply["loads"].items()
             }
         )
-        parts.failing.update_reported_counts(reply.get("answers", {}), now)
+        parts.failure_rates.update_reported_counts(reply.get("answers", {}), now)
         # A coordinator of the previous release sends no shares and no crashes.
         if "limits" in reply:
             parts.limits.on_reply(reply["limits"], asked_at)
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -114,7 +114,7 @@
         self.ports = ports
         self.view = RelayView(self._cfg.drain_ms / 1000.0)
         self._pools = EndpointPools(clock, self._cfg.connect_ms / 1000.0)
-        self._choice = EndpointSelector(
+        self._selector = EndpointSelector(
             self._cfg.reuse_window_s, SelectionConfig.from_config(self._policy)
         )
         self.usage = UsageMeter(self._cfg.usage_window_s)
@@ -123,7 +123,7 @@
             rng,
             lambda: initial_retries(self._cfg, self._exchange.relay_count),
         )
-        self._failing = FailureRates(self._policy.avoid_failing)
+        self._failure_rates = FailureRates(self._policy.avoid_failing)
         outliers = OutlierDetector(
             outlier_settings(settings["routing"], self._policy), rng
         )
@@ -132,10 +132,10 @@
         self._notices = EndpointNotices()
         self._notices.on_leaving = self.view.process_leaving
         self.view.own_leaving_since = self._notices.leaving_since
-        self._moves = StreamMigrator(
+        self._migrator = StreamMigrator(
             MigratorParts(
                 view=self.view,
-                choice=self._choice,
+                selector=self._selector,
                 outliers=outliers,
                 retries=self._retries,
                 notices=self._notices,
@@ -168,7 +168,7 @@
             self._node.id, ReportPacing(self._policy.exchange_s).isolation_timeout
         )
         self.view.on_orders = self._split.set_orders
-        self._rollout_hearer = RolloutReceiver(self._split, self.view, clock)
+        self._rollout_receiver = RolloutReceiver(self._split, self.view, clock)
         bounds = QuotaBounds(
             self._cfg.quota_window_s,
             self._cfg.quota_overshoot,
@@ -189,14 +189,14 @@
         parts = SendParts(
             wire=ports.wire,
             view=self.view,
-            choice=self._choice,
+            selector=self._selector,
             outliers=outliers,
-            failing=self._failing,
+            failure_rates=self._failure_rates,
             refusal=EarlyRefusal(self._policy.refuse_limit),
             retries=self._retries,
             pools=self._pools,
             usage=self.usage,
-            migrator=self._moves,
+            migrator=self._migrator,
             long_prompts=self._long_prompts,
             crashes=self._crashes,
             suspects=self._suspects,
@@ -226,13 +226,13 @@
                 self._node.id,
                 incarnation,
                 self.usage,
-                self._choice,
+                self._selector,
                 self._quota,
                 self._limits,
-                self._failing,
+                self._failure_rates,
                 self._suspects,
                 self._split,
-                self._rollout_hearer,
+                self._rollout_receiver,
                 self._notices,
                 deltas,
                 self.view,
@@ -245,7 +245,7 @@
             self.coordinator,
             self.view,
             deltas,
-            LongPromptReceiver(self._choice, clock),
+            LongPromptReceiver(self._selector, clock),
             self._suspects,
             self._split,
             metrics,
@@ -267,8 +267,8 @@
             seeds,
         )
         handler.serve(HOLDER, self._exchange.receive_lease_holder)
-        handler.serve(ROLLOUTS, self._rollout_hearer.receive)
-        self._rollout_hearer.report_now = self._exchange.report_now
+        handler.serve(ROLLOUTS, self._rollout_receiver.receive)
+        self._rollout_receiver.report_now = self._exchange.report_now
         self.coordinator.on_lease_gained = self._announce
         self._limits.coordinator = self._exchange
         self._limits.address = lambda: self._reporter.address
@@ -300,7 +300,7 @@
             ports.wire,
             self.view,
             self._suspects,
-            self._rollout_hearer,
+            self._rollout_receiver,
             self._followers,
             clock,
             rng,
@@ -354,7 +354,7 @@
             ),
         )
         rollouts.write_soon = self.coordinator.write_soon
-        rollouts.on_gates = self._rollout_hearer.receive
+        rollouts.on_gates = self._rollout_receiver.receive
         self.coordinator.rollouts = rollouts.message
         self.coordinator.persist_with_lease(rollouts.store)
         return rollouts
@@ -374,9 +374,9 @@
             self._view_sync,
             self._leaving_times,
             self._rollouts,
-            self._rollout_hearer,
+            self._rollout_receiver,
             self._fleet,
-            self._moves,
+            self._migrator,
             self._ready,
             self.clients,
         ]
@@ -440,8 +440,8 @@
 
     def _forget_endpoint(self, endpoint_id: str) -> None:
         """Drop all that was learned of an endpoint before it restarted."""
-        self._choice.forget(endpoint_id)
-        self._failing.forget(endpoint_id)
+        self._selector.forget(endpoint_id)
+        self._failure_rates.forget(endpoint_id)
         self._outliers.forget(endpoint_id)
         self._pools.drop(endpoint_id)
 
@@ -451,7 +451,7 @@
         while not self.should_stop:
             await self._clock.sleep(_SWEEP_INTERVAL_S)
             self._pools.retain_only(self.view.members)
-            self._choice.retain_only(self.view.members)
+            self._selector.retain_only(self.view.members)
 
     async def drain(self) -> None:
         """Let the load balancer remove this relay, and finish requests in flight.
--- a/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -45,7 +45,9 @@
         service = None if index is None else index.table.services.get(self._job.service)
         return None if service is None else service.engine
 
-    def ask(self, connected: frozenset[str] = frozenset()) -> SelectionRequest:
+    def selection_request(
+        self, connected: frozenset[str] = frozenset()
+    ) -> SelectionRequest:
         """Return the input of a choice; ``connected`` ones have an idle connection."""
         req, engine = self._job.req, self.engine
         can_fetch = engine is not None and engine.can_migrate_runs
@@ -73,7 +75,7 @@
         if found is None and part.is_new:
             # No endpoint of the new version can take the request now.
             part = parts.split.choose_version(
-                job.service, job.route.name, listed, now, again=True, first=False
+                job.service, job.route.name, listed, now, resend=True, first=False
             )
             found = self._best(part.members, now)
         return found
@@ -107,15 +109,15 @@
         allowed = parts.outliers.allowed(listed, now)
         if parts.suspects.status(job.digest) is QuarantineStatus.SUSPECT:
             return self._isolate(allowed)
-        failing = parts.failing.failing_endpoints(now)
+        failing = parts.failure_rates.failing_endpoints(now)
         if job.req.prompt_tokens is None:
-            member = parts.choice.select_plain(parts.zone, allowed, failing)
+            member = parts.selector.select_plain(parts.zone, allowed, failing)
             return None if member is None else EndpointChoice(member, 0.0, None)
-        ask = self.ask(parts.pools.connected_endpoints())
-        score = parts.choice.select_engine(ask, allowed, now, failing)
+        request = self.selection_request(parts.pools.connected_endpoints())
+        score = parts.selector.select_engine(request, allowed, now, failing)
         if score is None:
             return None
-        speed = parts.choice.speed
+        speed = parts.selector.speed
         expected = (
             speed.base_latency_s
             + score.wait
@@ -141,7 +143,7 @@
             endpoint_id = member.endpoint_id
             return (
                 parts.suspects.suspects_at(endpoint_id),
-                parts.choice.running_requests(endpoint_id),
+                parts.selector.running_requests(endpoint_id),
                 member.zone != parts.zone,
                 endpoint_id,
             )
@@ -172,6 +174,6 @@
         job = self._job
         if job.req.prompt_tokens is None:
             return job.route.objective
-        return self._parts.choice.speed.answer_seconds(
+        return self._parts.selector.speed.answer_seconds(
             job.req.length_hint or job.req.output_tokens
         )
--- a/src/ebonydeal/_internal/relay/requests/first_event_wait.py
+++ b/src/ebonydeal/_internal/relay/requests/first_event_wait.py
@@ -58,7 +58,7 @@
             job.route.objective * config.first_objectives,
             (sends.expected or 0.0) * config.first_spread,
         )
-        active_timeout = job.route.objective * config.first_longest
+        active_timeout = job.route.objective * config.first_max_objectives
         return cls(
             parts, sends, min(time_left, timeout), min(time_left, active_timeout)
         )
@@ -70,7 +70,7 @@
         if self._sends.is_last:
             # Checked again, since the retry budget may permit a resend by then.
             return max(now, min(self._sends.job.deadline, now + _ALIVE_TIMEOUT_S))
-        silent = self._parts.choice.seconds_since_activity(self._endpoint_id, now)
+        silent = self._parts.selector.seconds_since_activity(self._endpoint_id, now)
         if silent >= _ALIVE_TIMEOUT_S:
             return now
         return min(self._active_until, now + _ALIVE_TIMEOUT_S - silent)
--- a/src/ebonydeal/_internal/relay/requests/job.py
+++ b/src/ebonydeal/_internal/relay/requests/job.py
@@ -70,7 +70,7 @@
 
     first_objectives: float = 1.0
     first_spread: float = 2.0
-    first_longest: float = 3.5
+    first_max_objectives: float = 3.5
     gap: float = 1.5
     plain: float = 0.6
     use_leaving: bool = True
@@ -95,9 +95,9 @@
 
     wire: Wire
     view: RelayView
-    choice: EndpointSelector
+    selector: EndpointSelector
     outliers: OutlierDetector
-    failing: FailureRates
+    failure_rates: FailureRates
     refusal: EarlyRefusal
     retries: RetryPolicy
     pools: EndpointPools
--- a/src/ebonydeal/_internal/relay/requests/migrations.py
+++ b/src/ebonydeal/_internal/relay/requests/migrations.py
@@ -95,7 +95,7 @@
     """Collaborators that migrations use."""
 
     view: RelayView
-    choice: EndpointSelector
+    selector: EndpointSelector
     outliers: OutlierDetector
     retries: RetryPolicy
     notices: EndpointNotices
@@ -219,10 +219,10 @@
             member
             for member in parts.view.of_service(run.service)
             if member.version == run.member.version
-            and parts.notices.accepts_moved_streams(member.process, now)
+            and parts.notices.accepts_migrated_streams(member.process, now)
         ]
         allowed = parts.outliers.allowed(listed, now)
-        score = parts.choice.select_engine(
+        score = parts.selector.select_engine(
             SelectionRequest((), 0, parts.zone), allowed, now
         )
         return None if score is None else parts.view.members[score.endpoint_id]
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -162,13 +162,13 @@
         self._source = found.source
         self._sends += 1
         now = parts.clock.now()
-        self.sent = parts.choice.record_sent(
-            self.chooser.ask(), member, found.uncached_tokens, now
+        self.sent = parts.selector.record_sent(
+            self.chooser.selection_request(), member, found.uncached_tokens, now
         )
         self._record_version(member, now)
         expected = self.expected = found.expected
         if expected is not None:
-            reading = parts.choice.speed.prefill_seconds(found.uncached_tokens)
+            reading = parts.selector.speed.prefill_seconds(found.uncached_tokens)
             parts.long_prompts.note_sent(member.endpoint_id, reading, expected)
         logger.info(
             "Sent.",
@@ -182,8 +182,8 @@
             to_read=round(found.uncached_tokens),
             fetches=bool(found.source),
             carried=self._kv_cache is not None,
-            running=parts.choice.running_requests(member.endpoint_id),
-            told_age_s=parts.choice.report_age(member.endpoint_id, now),
+            running=parts.selector.running_requests(member.endpoint_id),
+            told_age_s=parts.selector.report_age(member.endpoint_id, now),
             config=parts.view.version,
             send=self._sends,
             waited_s=round(now - job.started, 4),
@@ -321,7 +321,7 @@
         parts, endpoint_id = self._parts, self.member.endpoint_id
         now = parts.clock.now()
         parts.outliers.record_success(endpoint_id, now)
-        parts.failing.record_success(endpoint_id, now)
+        parts.failure_rates.record_success(endpoint_id, now)
         if status >= 500:
             self._record_version_failure(self.member)
         else:
@@ -343,7 +343,7 @@
         """Record the first event or the answer."""
         self._record_version_answer()
         if self.sent is not None:
-            self.sent = self._parts.choice.record_first_event(
+            self.sent = self._parts.selector.record_first_event(
                 self.sent, self._parts.clock.now()
             )
 
@@ -352,7 +352,7 @@
         if self._expected_answer:
             self._parts.split.record_end(self._expected_answer, self._parts.clock.now())
         if self.sent is not None:
-            self._parts.choice.record_end(self.sent)
+            self._parts.selector.record_end(self.sent)
             self.sent = None
 
     def check_resend(self, outcome: Outcome, delivered: bool = False) -> None:
@@ -378,7 +378,7 @@
                 self._cancel_expected_answer()
         if self._still_listed(self.member):
             parts.outliers.record_failure(endpoint, error.kind, now)
-            parts.failing.record_failure(endpoint, error.kind, now)
+            parts.failure_rates.record_failure(endpoint, error.kind, now)
         self._reset_avoided()
         final_error = self._resend_error(outcome, error, delivered, now)
         logger.info(
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -207,7 +207,7 @@
         now = parts.clock.now()
         if run.events > 1:
             tokens = (run.events - 1) * run.event_tokens
-            parts.choice.speed.record_stream(tokens, now - run.first_event_at)
+            parts.selector.speed.record_stream(tokens, now - run.first_event_at)
         return None
 
     def _event_timeout(self, job: Job) -> asyncio.Timeout:
@@ -249,7 +249,7 @@
             events = client.splitter.feed(data)
             if not events:
                 continue
-            parts.choice.record_activity(run.member.endpoint_id, parts.clock.now())
+            parts.selector.record_activity(run.member.endpoint_id, parts.clock.now())
             sends.record_activity()
             run.record_events(client.splitter.count - before, parts.clock.now())
             if not has_events:
--- a/src/ebonydeal/_internal/routing/admission/early_refusal.py
+++ b/src/ebonydeal/_internal/routing/admission/early_refusal.py
@@ -38,7 +38,7 @@
         route: str,
         allowed: float,
         objective: float,
-        urgency: int,
+        priority: int,
         expected: float,
     ) -> float | None:
         """Return None to serve, or the seconds until the client should retry.
@@ -60,7 +60,7 @@
         self._max_allowed[route] = longest
         if objective <= 0.0 or not self._limit or allowed < longest * _RETRY_FRACTION:
             return None
-        limit = max(_MIN_LIMIT, self._limit - _LIMIT_STEP * urgency) * objective
+        limit = max(_MIN_LIMIT, self._limit - _LIMIT_STEP * priority) * objective
         if expected <= limit:
             return None
         excess = expected - objective / 2.0
--- a/src/ebonydeal/_internal/routing/limits/quota_broker.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_broker.py
@@ -90,7 +90,7 @@
     ----------
     bounds : QuotaBounds
         How far limits may be exceeded.
-    policy : QuotaConfig, optional
+    config : QuotaConfig, optional
         Which requests are preferred near the limit.
     share : callable, optional
         Returns the fraction of all relays' shares that this granter holds at a time.
@@ -99,11 +99,11 @@
     def __init__(
         self,
         bounds: QuotaBounds,
-        policy: QuotaConfig | None = None,
+        config: QuotaConfig | None = None,
         share: Callable[[float], float] = lambda _now: 1.0,
     ) -> None:
         self.bounds = bounds
-        self._policy = policy or QuotaConfig()
+        self._config = config or QuotaConfig()
         self._share = share
         self._buckets: dict[str, _Bucket] = {}
         # Whether new buckets are full, as no relay can have granted anything before.
@@ -131,12 +131,12 @@
         bucket = self._filled(account, now)
         bucket.mean_size = bucket.mean_size or need
         bucket.mean_size += _MEAN_WEIGHT * (need - bucket.mean_size)
-        debt = self.bounds.debt(account) * bucket.share * self._policy.overdraft
+        debt = self.bounds.debt(account) * bucket.share * self._config.overdraft
         min_level = max(0.0, need - debt * (1.0 - _SMALL_DEBT_FRACTION))
         if bucket.share > 0.0 and bucket.level >= min_level:
             bucket.level -= need
             return Grant(need, 0.0)
-        is_small = need < bucket.mean_size * self._policy.small
+        is_small = need < bucket.mean_size * self._config.small
         if is_small and bucket.small_level >= need and bucket.level - need >= -debt:
             bucket.level -= need
             bucket.small_level -= need
--- a/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -190,7 +190,7 @@
         """Whether any process may have a limit or a backoff."""
         return bool(self._limits or self._backoff_until)
 
-    def accepts_moved_streams(self, process: EndpointProcess, now: float) -> bool:
+    def accepts_migrated_streams(self, process: EndpointProcess, now: float) -> bool:
         """Return whether streams may be moved to a process without a permit."""
         return self.limit(process, now) is None and not self.backoff_remaining(
             process, now
--- a/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
@@ -59,7 +59,7 @@
 
     home_trust: float = 0.8
     fetch_tokens: int = 400
-    reread_weight: float = 1.5
+    prefill_weight: float = 1.5
     long_prompts: bool = True
     others_loads: bool = True
     others_age: bool = True
@@ -288,7 +288,7 @@
             batch += _SLOT_WAIT_S * (1.0 + (running - slots) / slots)
         wait = load.prefill_wait(self.speed.prefill_rate, now, self._config.others_age)
         prefill = (
-            self.speed.prefill_seconds(uncached_tokens) * self._config.reread_weight
+            self.speed.prefill_seconds(uncached_tokens) * self._config.prefill_weight
         )
         fetch = (
             _FETCH_S + fetched * _FETCH_WEIGHT / self.speed.prefill_rate
--- a/src/ebonydeal/_internal/routing/rollout/traffic_split.py
+++ b/src/ebonydeal/_internal/routing/rollout/traffic_split.py
@@ -227,12 +227,12 @@
         route: str,
         members: Sequence[Member],
         now: float,
-        again: bool = False,
+        resend: bool = False,
         first: bool = True,
     ) -> VersionChoice:
         """Return the endpoints of one version that a request may go to.
 
-        ``again`` says that it was sent before: a retry goes to the old version.
+        ``resend`` says that it was sent before: a retry goes to the old version.
         ``first`` says that this is the request's first choice, which adds the route's
         share to the new version's credit.
         """
@@ -256,7 +256,7 @@
         if first:
             credit = self._credit(rollout, route) + gate.shares.get(route, 0.0)
             rollout.credit[route] = min(_MAX_CREDIT, credit)
-        if (again and old) or self._credit(rollout, route) < 1.0:
+        if (resend and old) or self._credit(rollout, route) < 1.0:
             return VersionChoice(old)
         canaries = [m for m in new if m.endpoint_id in gate.canaries]
         return VersionChoice(canaries, True) if canaries else VersionChoice(old)
--- a/tests/unit/relay/crashes/test_suspects.py
+++ b/tests/unit/relay/crashes/test_suspects.py
@@ -149,8 +149,8 @@
         sends = self.sends(relay)
         for member, count in zip(MEMBERS, (3, 2, 0, 1), strict=True):
             for _ in range(count):
-                ask = sends.chooser.ask()
-                sends._parts.choice.record_sent(ask, member, 0.0, 100.0)
+                request = sends.chooser.selection_request()
+                sends._parts.selector.record_sent(request, member, 0.0, 100.0)
         assert (await sends.choose()).endpoint_id == MEMBERS[2].endpoint_id
 
     async def test_a_suspect_avoids_endpoints_with_another_suspect(self):
--- a/tests/unit/relay/peers/test_long_prompts.py
+++ b/tests/unit/relay/peers/test_long_prompts.py
@@ -81,37 +81,37 @@
 
 
 class TestReceiving:
-    def chosen(self, choice, now):
-        return choice.select_engine(ASK, MEMBERS, now).endpoint_id
+    def chosen(self, selector, now):
+        return selector.select_engine(ASK, MEMBERS, now).endpoint_id
 
     def choice_after_notice(self, seconds):
         """Return a choice that preferred i1, after a notice for i1 at 10 s."""
         clock = ManualClock(10.0)
-        choice = EndpointSelector(8.0)
-        choice.update_reported_loads({"i2": ReportedLoad(running=1, at=10.0)})
-        assert self.chosen(choice, 10.0) == "i1"
+        selector = EndpointSelector(8.0)
+        selector.update_reported_loads({"i2": ReportedLoad(running=1, at=10.0)})
+        assert self.chosen(selector, 10.0) == "i1"
         message = {"endpoint": "i1", "seconds": seconds}
-        assert LongPromptReceiver(choice, clock).receive(message) == {}
-        return choice
+        assert LongPromptReceiver(selector, clock).receive(message) == {}
+        return selector
 
     def test_the_endpoint_is_avoided_until_the_prefill_ends(self):
-        choice = self.choice_after_notice(0.8)
-        assert self.chosen(choice, 10.1) == "i2"
-        assert self.chosen(choice, 10.9) == "i1"
+        selector = self.choice_after_notice(0.8)
+        assert self.chosen(selector, 10.1) == "i2"
+        assert self.chosen(selector, 10.9) == "i1"
 
     def test_the_next_reply_does_not_count_the_prompt_twice(self):
-        choice = self.choice_after_notice(0.8)
-        before = choice.select_engine(ASK, MEMBERS[:1], 10.0).wait
-        pending_prefill_tokens = 0.5 * choice.speed.prefill_rate
-        choice.update_reported_loads(
+        selector = self.choice_after_notice(0.8)
+        before = selector.select_engine(ASK, MEMBERS[:1], 10.0).wait
+        pending_prefill_tokens = 0.5 * selector.speed.prefill_rate
+        selector.update_reported_loads(
             {
                 "i1": ReportedLoad(
                     running=1, pending_prefill_tokens=pending_prefill_tokens, at=10.0
                 )
             }
         )
-        assert choice.select_engine(ASK, MEMBERS[:1], 10.0).wait == before
+        assert selector.select_engine(ASK, MEMBERS[:1], 10.0).wait == before
 
     def test_an_impossible_prefill_time_is_limited(self):
-        choice = self.choice_after_notice(1e9)
-        assert self.chosen(choice, 16.0) == "i1"
+        selector = self.choice_after_notice(1e9)
+        assert self.chosen(selector, 16.0) == "i1"
--- a/tests/unit/relay/requests/test_first_event_wait.py
+++ b/tests/unit/relay/requests/test_first_event_wait.py
@@ -17,7 +17,7 @@
     """Return the wait of a request with an objective of 1 s, and its collaborators."""
     parts = SimpleNamespace(
         clock=ManualClock(100.0),
-        choice=EndpointSelector(8.0),
+        selector=EndpointSelector(8.0),
         config=config or SendConfig(),
     )
     task = job(
@@ -39,7 +39,9 @@
         assert wait.until(100.0) == pytest.approx(101.8)
 
     def test_is_the_objective_if_switched_off(self):
-        wait, _parts = wait_of(0.9, SendConfig(first_spread=0.0, first_longest=0.0))
+        wait, _parts = wait_of(
+            0.9, SendConfig(first_spread=0.0, first_max_objectives=0.0)
+        )
         assert wait.until(100.0) == 101.0
 
     def test_at_most_once_request_waits_until_its_deadline(self):
@@ -60,13 +62,13 @@
 
     def test_events_on_other_streams_extend_the_wait(self):
         wait, parts = wait_of(0.1)
-        parts.choice.record_activity("i0", 100.9)
+        parts.selector.record_activity("i0", 100.9)
         assert wait.until(101.0) == pytest.approx(101.2)
         assert wait.until(101.2) == 101.2
 
     def test_extension_is_bounded(self):
         wait, parts = wait_of(0.1)
-        parts.choice.record_activity("i0", 103.45)
+        parts.selector.record_activity("i0", 103.45)
         assert wait.until(103.49) == 103.5
         assert wait.until(103.5) == 103.5
 
--- a/tests/unit/relay/requests/test_job_sends.py
+++ b/tests/unit/relay/requests/test_job_sends.py
@@ -59,9 +59,9 @@
         retries.record_first_send("s", 100.0)
     return SimpleNamespace(
         view=view,
-        choice=EndpointSelector(8.0),
+        selector=EndpointSelector(8.0),
         outliers=OutlierDetector(RoutingSettings(), Random(1)),
-        failing=FailureRates(0.15),
+        failure_rates=FailureRates(0.15),
         split=TrafficSplit("n1", 2.0),
         permits=EndpointPermits(EndpointNotices(), None, clock, Metrics()),
         retries=retries,
--- a/tests/unit/routing/limits/test_quota_broker.py
+++ b/tests/unit/routing/limits/test_quota_broker.py
@@ -45,9 +45,9 @@
         return self.now
 
 
-def first_broker(policy=None, share=None):
+def first_broker(config=None, share=None):
     """Return the broker of the very first lease holder, whose buckets are full."""
-    broker = QuotaBroker(BOUNDS, policy, share or FakeShare())
+    broker = QuotaBroker(BOUNDS, config, share or FakeShare())
     broker.starts_full = True
     return broker
 
@@ -168,8 +168,8 @@
 
 
 class TestNearTheLimit:
-    def broker(self, **policy):
-        broker = first_broker(QuotaConfig(**policy))
+    def broker(self, **config):
+        broker = first_broker(QuotaConfig(**config))
         broker.grant(ACCOUNT, ACCOUNT.burst - 1000.0, 1.0)
         return broker
 
@@ -201,7 +201,7 @@
         )
         assert admitted <= ACCOUNT.burst + DEBT
 
-    def test_policy_comes_from_settings(self):
+    def test_config_comes_from_settings(self):
         cfg = PolicySettings(quota_overdraft=0.25, quota_small=0.0)
         assert QuotaConfig.from_config(cfg).overdraft == 0.25
         assert QuotaConfig.from_config(cfg).small == 0.0
--- a/tests/unit/routing/notices/test_endpoint_notices.py
+++ b/tests/unit/routing/notices/test_endpoint_notices.py
@@ -128,7 +128,7 @@
         assert notices.backoff_remaining(AGAIN, 101.0) == 2.0
 
     def test_no_streams_are_moved_to_a_process_with_backoff_or_limit(self, notices):
-        assert not notices.accepts_moved_streams(ONE, 101.0)
-        assert notices.accepts_moved_streams(AGAIN, 101.0)
+        assert not notices.accepts_migrated_streams(ONE, 101.0)
+        assert notices.accepts_migrated_streams(AGAIN, 101.0)
         notices.note_backoff(AGAIN, 3.0, 100.0)
-        assert not notices.accepts_moved_streams(AGAIN, 101.0)
+        assert not notices.accepts_migrated_streams(AGAIN, 101.0)
--- a/tests/unit/routing/rollout/test_traffic_split.py
+++ b/tests/unit/routing/rollout/test_traffic_split.py
@@ -59,7 +59,7 @@
 
     def test_a_retry_goes_to_the_old_version(self):
         found = split(gates=[gate(1.0)])
-        assert versions(found.choose_version("s", "r", BOTH, 100.0, again=True)) == {
+        assert versions(found.choose_version("s", "r", BOTH, 100.0, resend=True)) == {
             "v1"
         }
 
