--- a/src/ebonydeal/_internal/relay/crashes/suspects.py
+++ b/src/ebonydeal/_internal/relay/crashes/suspects.py
@@ -41,7 +41,7 @@
 # next exchange, half a second later.
 _CALL_TIMEOUT_S = 0.4
 _EXPIRY_INTERVAL_S = 1.0
-# For so long after a crash, data from endpoints is recorded: a stream lasts no longer.
+# Data from endpoints is recorded for this long after a crash: no stream lasts longer.
 _ACTIVITY_WINDOW_S = 60.0
 
 
--- a/src/ebonydeal/_internal/relay/duties/coordinator.py
+++ b/src/ebonydeal/_internal/relay/duties/coordinator.py
@@ -2,8 +2,8 @@
 
 Every relay reports to it several times a second. It replies with the load that the
 other relays put on the endpoints, grants parts of client accounts' limits, reports
-usage and orders endpoints. When it fails, another relay takes the lease, and the
-relays report the same again to that one.
+usage and orders endpoints. When it fails, another relay takes the lease, and all
+relays report to that one.
 """
 
 from collections.abc import Callable, Iterable
@@ -268,7 +268,7 @@
 
     @property
     def pushes_config(self) -> bool:
-        """Whether they do; not while this relay's own polls of it fail."""
+        """Whether they get it only from here: not while this relay's own polls fail."""
         return self.should_push_config and self.config_is_fresh()
 
     @property
@@ -308,7 +308,7 @@
 
     # --- exchange with relays ----------------------------------------------------
     def exchange(self, message: ExchangeMessage) -> ExchangeReply:
-        """Take a relay's report and return the reply."""
+        """Process a relay's report and return the reply."""
         parts = self._parts
         node = message["node"]
         self._reports.record(message)
@@ -383,7 +383,7 @@
         return node == self.lease.node
 
     def delta_targets(self) -> tuple[dict[str, list[int]], int] | None:
-        """Return the relays to push deltas to, with their marks, and our fence."""
+        """Return the relays to push deltas to, their marks, and our fencing token."""
         if not self.holds or not self.fresh:
             return None
         others = [
@@ -400,9 +400,9 @@
         return self.lease.fence, round(self.granter.share(self._parts.clock.now()), 3)
 
     def _handle_share_report(self, message: ExchangeMessage) -> ShareReply | None:
-        """Take a relay's report on its share, and grant it amounts in advance.
+        """Process a relay's report on its share, and grant it amounts in advance.
 
-        A relay that doesn't hold the lease, as after its own restart, takes none.
+        A relay that doesn't hold the lease, as after its own restart, ignores reports.
         """
         node = message["node"]
         # A relay of the previous release doesn't know shares.
@@ -442,7 +442,7 @@
         ]
 
     def delegate(self, message: DelegateMessage) -> ShareReply:
-        """Take the share of a relay that can't reach the coordinator."""
+        """Accept the share of a relay that can't reach the coordinator."""
         return self.granter.handle_report(
             message["node"], message["incarnation"], message["limits"]
         )
@@ -493,17 +493,17 @@
         counts = await self._usage.store_once(due)
         if counts is None or not self.holds:
             return
-        answer = await self._parts.duties.report_usage(due.window, counts, fence)
+        reply = await self._parts.duties.report_usage(due.window, counts, fence)
         logger.info(
             "Usage reported.",
             window=due.window,
-            accepted=answer.accepted,
+            accepted=reply.accepted,
             counts=counts,
             relays=len(self._reports.alive()),
             told_by=self._ledger.totals_by_relay(due.window),
-            detail="" if answer.accepted else answer.detail,
+            detail="" if reply.accepted else reply.detail,
         )
-        if answer.conflict:
+        if reply.conflict:
             self.lease.on_write_in_doubt()
             return
         self._ledger.reported = due.window
--- a/src/ebonydeal/_internal/relay/duties/fleet.py
+++ b/src/ebonydeal/_internal/relay/duties/fleet.py
@@ -24,14 +24,14 @@
 
 logger = get_logger("relay.fleet")
 
-_STEP_S = 0.2
+_STEP_INTERVAL_S = 0.2
 # If an ordered endpoint isn't listed this long after its boot time, the order is sent
 # again, which changes nothing if the endpoint is only late.
 _BOOT_SLACK_S = 1.0
 # Minimum time between an order for more endpoints and one for fewer.
-_MIN_HOLD_S = 5.0
-# Plans made in one step, each after an order of the last one was refused.
-_MAX_ROUNDS = 4
+_MIN_DECREASE_DELAY_S = 5.0
+# Plans made in one step, each after an order of the previous plan was refused.
+_MAX_PLANS_PER_STEP = 4
 
 
 class _Pool(NamedTuple):
@@ -70,6 +70,8 @@
         Services and endpoints.
     metrics, clock
         Observation, time.
+    config : FleetConfig, optional
+        Settings of the planner.
     """
 
     def __init__(
@@ -96,13 +98,13 @@
         self._probe_count: dict[str, int] = {}
         self._initial_endpoints: dict[str, set[str]] = {}
         self._forecasts: dict[str, LoadForecast] = {}
-        # Returns the target version of a service's current rollout, or None.
+        # Returns the target version of a service's current roll-out, or None.
         self.target_version: Callable[[str], str | None] = lambda _service: None
 
     @Service.task
     async def _run(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep(_STEP_S)
+            await self._clock.sleep(_STEP_INTERVAL_S)
             index = self._view.index
             if index is None or not self._view.members_known:
                 continue
@@ -124,7 +126,7 @@
         self._detect_lost_zones(service.name, scaling, now)
         load = self._update_forecast(service, now)
         await self._probe_spot(service, scaling, load)
-        for _round in range(_MAX_ROUNDS):
+        for _plan_number in range(_MAX_PLANS_PER_STEP):
             state = self._state(service, scaling, load)
             plan = plan_fleet(scaling, state, self._config)
             refused = False
@@ -154,7 +156,7 @@
         )
 
     def _detect_lost_zones(self, service: str, scaling: Scaling, now: float) -> None:
-        """Detect zones whose reclaimable endpoints have all gone at once."""
+        """Detect zones whose reclaimable endpoints were all lost at once."""
         zones = self._zone_fleets(service, scaling, now)
         for zone in set(scaling.zone_prices) | set(zones):
             have = zones.get(zone, ZoneFleet()).spot
@@ -177,8 +179,8 @@
         Until load has been measured, the size with which operators started is the best
         estimate of the load to come.
         """
-        # At the start endpoints are listed one after the other, and some may be gone
-        # before all are listed.
+        # At the start endpoints are listed one after the other, and some may have been
+        # reclaimed before all are listed.
         initial = self._initial_endpoints.setdefault(service, set())
         forecast = self._forecast_of(service)
         if not forecast.has_load:
@@ -197,7 +199,7 @@
     async def _probe_spot(
         self, service: ForwardService, scaling: Scaling, load: float
     ) -> None:
-        """Order one reclaimable endpoint in one zone to see if that works again."""
+        """Order one reclaimable endpoint to learn whether any is available again."""
         now = self._clock.now()
         retry_at = self._spot_retry_at.get(service.name)
         if retry_at is None or now < retry_at:
@@ -304,8 +306,8 @@
                 return False
         increased_at = self._increased_at.get(pool)
         if count < have and increased_at is not None:
-            # Endpoints that still boot are kept, since the plan may want them again.
-            if self._clock.now() - increased_at < _MIN_HOLD_S:
+            # Endpoints that still boot aren't released: the plan may need them again.
+            if self._clock.now() - increased_at < _MIN_DECREASE_DELAY_S:
                 return False
         if count < have and self.target_version(pool.service) is not None:
             # All old endpoints are needed until the new version proves good.
@@ -316,7 +318,7 @@
             return False
         if not self._coordinator.may_order:
             return False
-        answer = await self._duties.order(
+        reply = await self._duties.order(
             pool.service, pool.zone, count, pool.spot, self._coordinator.lease.fence
         )
         now = self._clock.now()
@@ -328,10 +330,10 @@
             count=count,
             have=have,
             load=round(load, 3),
-            accepted=answer.accepted,
-            detail=answer.detail,
+            accepted=reply.accepted,
+            detail=reply.detail,
         )
-        if answer.accepted:
+        if reply.accepted:
             self._metrics.count(Event.ORDERS_SENT)
             expected_until = now + scaling.boot_s + _BOOT_SLACK_S
             self._orders[pool] = _Order(count, expected_until)
@@ -339,7 +341,7 @@
                 self._increased_at[pool] = now
             return False
         self._metrics.count(Event.STARTS_REFUSED)
-        if answer.conflict:
+        if reply.conflict:
             self._coordinator.order_refused()
         if pool.spot and count > have:
             self._spot_retry_at[pool.service] = now + self._config.spot_retry_interval_s
--- a/src/ebonydeal/_internal/relay/duties/lease_keeper.py
+++ b/src/ebonydeal/_internal/relay/duties/lease_keeper.py
@@ -99,8 +99,8 @@
         # Written with each renewal.
         self.persisted_rows: list[PersistedRow] = []
         self._takeover_delay_s = takeover_delay_s
-        # Whether this relay takes a free lease without delay, like the last holder: the
-        # relays that lost the holder have delegated their shares to it.
+        # Whether this relay takes a free lease without delay, as the last holder does:
+        # relays that lost the holder have delegated their shares to this one.
         self.takes_precedence: Callable[[], bool] = lambda: False
         # Whether another relay takes precedence, so that this one waits longer.
         self.yields_to_standby: Callable[[], bool] = lambda: False
@@ -134,7 +134,7 @@
         """Take one step of the lease's protocol."""
         lease = self.lease
         if self._stopping:
-            # It takes no lease, but still has to report its counts to the holder.
+            # It must not take the lease, but still reports its counts to the holder.
             if lease.wanted:
                 await self._read()
             await self._clock.sleep(_READ_INTERVAL_S * self._rng.uniform(0.6, 1.4))
--- a/src/ebonydeal/_internal/relay/duties/rollouts.py
+++ b/src/ebonydeal/_internal/relay/duties/rollouts.py
@@ -48,8 +48,8 @@
 # The requests counted so far are persisted at this interval.
 _PERSIST_INTERVAL_S = 1.0
 # Endpoints that are slow after their start get no requests until they are warm, except
-# in this last part of the order's time.
-_IGNORE_WARMING_PART = 0.3
+# in this last fraction of the order's time.
+_IGNORE_WARMING_FRACTION = 0.3
 
 
 class RolloutParts(NamedTuple):
@@ -243,7 +243,7 @@
         listed = self._parts.view.of_service(order.service)
         others = [m for m in listed if m.version != order.target_version]
         old = tuple(m.endpoint_id for m in others if m.version not in barred)
-        late = state.deadline - now < order.duration * _IGNORE_WARMING_PART
+        late = state.deadline - now < order.duration * _IGNORE_WARMING_FRACTION
         new = tuple(
             m.endpoint_id
             for m in listed
@@ -262,7 +262,7 @@
     def _continue(
         self, run: RolloutRun, verdict: Continue, endpoints: ServiceEndpoints
     ) -> None:
-        """Set new shares; log where the last stage begins or is taken back."""
+        """Set new shares; log when the last stage begins or is cancelled."""
         was_full = isinstance(run.verdict, Continue) and run.verdict.full
         run.verdict = verdict
         if verdict.full == was_full:
--- a/src/ebonydeal/_internal/relay/duties/usage_store.py
+++ b/src/ebonydeal/_internal/relay/duties/usage_store.py
@@ -23,7 +23,7 @@
 
 USAGE_TABLE = "ebonydeal-usage"
 _OPEN_KEY = "open"
-# Windows whose rows are kept: more than may still be reported.
+# Windows whose rows are retained: more than may still be reported.
 _MAX_STORED_WINDOWS = 6
 
 
--- a/src/ebonydeal/_internal/relay/limits/client.py
+++ b/src/ebonydeal/_internal/relay/limits/client.py
@@ -36,13 +36,13 @@
 
 logger = get_logger("relay.limits")
 
-_STEP_S = 0.25
-_MIN_STEP_S = 0.01
+_CHECK_INTERVAL_S = 0.25
+_MIN_CHECK_INTERVAL_S = 0.01
 _CALL_TIMEOUT_S = 0.25
 # A relay that didn't answer isn't asked again for this long: each request would wait.
 _AVOID_TIMEOUT_S = 0.6
-# Time to retry for a client whose relay reaches no granter.
-_UNREACHABLE_WAIT_S = 0.5
+# Retry-After for a client whose relay reaches no granter.
+_UNREACHABLE_RETRY_AFTER_S = 0.5
 # For this long after its start a relay without a share reports without waiting.
 _STARTUP_PERIOD_S = 4.0
 # A standby without spare amounts isn't asked for them again for this long.
@@ -131,7 +131,7 @@
         self._no_spare_until: dict[str, float] = {}
         # Amounts that were granted in advance.
         self.balances = Balances()
-        # Returns the address at which others reach this relay.
+        # Returns the address at which other relays reach this one.
         self.address: Callable[[], str] = str
         self.coordinator: CoordinatorPort | None = None
 
@@ -159,7 +159,7 @@
         own, balances = self._granter.own_share, self._granter.standby_balances
         offer = own.accepted_offer(now) or DelegationOffer("", 0.0, 0.0)
         if self._transfer and offer.granter:
-            # Only one granter gets them: the next can't know whether this one did.
+            # Only one granter gets them: another can't know whether the first did.
             self._transfer_granter = self._transfer_granter or offer.granter
             if self._transfer_granter != offer.granter:
                 self._transfer = {}
@@ -233,7 +233,7 @@
     async def _keep_delegated(self) -> None:
         """Delegate to a standby while the coordinator is lost."""
         while not self.should_stop:
-            await self._clock.sleep(self._step())
+            await self._clock.sleep(self._check_interval())
             self._granter.refresh()
             coordinator = self.coordinator
             if coordinator is None:
@@ -247,14 +247,18 @@
             if address is not None:
                 await self._delegate_to_standby(address)
 
-    def _step(self) -> float:
+    def _check_interval(self) -> float:
         """Return the seconds until the delegation is checked again.
 
         The coordinator counts the share of a restarted relay only after the previous
         process's delegation to a standby has expired.
         """
         until = STANDBY_DELEGATION_S - (self._clock.now() - self._started_at)
-        return min(_STEP_S, until + _MIN_STEP_S) if until > 0.0 else _STEP_S
+        return (
+            min(_CHECK_INTERVAL_S, until + _MIN_CHECK_INTERVAL_S)
+            if until > 0.0
+            else _CHECK_INTERVAL_S
+        )
 
     async def _reclaim_share(self) -> None:
         """Get the share back from its granter, now that the coordinator is found."""
@@ -306,7 +310,7 @@
         return None
 
     async def _delegate_to_standby(self, address: str) -> None:
-        """Delegate the share, or keep it delegated."""
+        """Delegate the share to a standby, or renew its delegation."""
         own = self._granter.own_share
         offer = own.accepted_offer(self._clock.now())
         for _ in range(2):
@@ -370,7 +374,7 @@
         except EbonydealError:
             wait = (
                 self._granter.own_share.free_in(self._clock.now())
-                or _UNREACHABLE_WAIT_S
+                or _UNREACHABLE_RETRY_AFTER_S
             )
             raise EbonydealError(
                 ErrorKind.LIMIT_UNAVAILABLE,
@@ -396,14 +400,16 @@
             return refused
         if shortfall >= amount:
             return got
-        # Kept for the next request if the coordinator refuses the rest.
+        # Available to the next request if the coordinator refuses the remainder.
         self.balances.add(account.name, shortfall, now)
         try:
-            rest = _grant(await coordinator.grant(account.name, amount - shortfall))
+            remainder = _grant(
+                await coordinator.grant(account.name, amount - shortfall)
+            )
         except EbonydealError as exc:
             logger.info("Grant request failed.", account=account.name, reason=str(exc))
             return refused
-        if rest.amount < amount - shortfall:
+        if remainder.amount < amount - shortfall:
             return refused
         self.balances.take(account.name, shortfall, self._clock.now())
         return self._counted(Grant(amount, 0.0), Event.ADMITTED_BY_GRANT)
--- a/src/ebonydeal/_internal/relay/limits/granter.py
+++ b/src/ebonydeal/_internal/relay/limits/granter.py
@@ -1,4 +1,4 @@
-"""Grants from the shares that one relay holds: its own, or others' as well.
+"""Grants from the shares that one relay holds: its own, and those delegated to it.
 
 Each relay is a granter. The lease holder has the shares that relays delegate to it, and
 those that have expired. A standby has the shares of relays that don't reach the lease
@@ -56,7 +56,7 @@
 _MAX_STANDBYS = 4
 # A lease holder with less than this fraction of all shares needs a startup grant.
 _MIN_HOLDER_SHARE = 0.5
-# The longest time for which a relay is told to ask for no permit, seconds.
+# Maximum wait that a relay gets before it may ask for a permit again.
 _MAX_PERMIT_WAIT_S = 10.0
 # Cores of the smallest expected coordinator, to which relays report least often.
 _MIN_COORDINATOR_CORES = 0.5
@@ -114,7 +114,7 @@
         # Limits that endpoints announced, granted from the same shares.
         self.notices = EndpointNotices()
         self.permits = QuotaBroker(ENDPOINT_BOUNDS, None, self._current_share)
-        # By process, when the relay that was told to wait longest may ask again.
+        # By process, when the relay with the longest wait may ask again.
         self._next_permit_at: dict[EndpointProcess, float] = {}
         # What this relay may grant as a new lease holder, before it has shares.
         self.startup = StartupGrant(bounds)
@@ -127,7 +127,7 @@
         self._standby_until = 0.0
         # By relay, its process and the number of the last transfer with its share.
         self._last_transfer: dict[str, tuple[str, int]] = {}
-        # Limits in force, and the shortest time between reports: set by the owner.
+        # Limits in force, and the minimum time between reports: set by the owner.
         self.accounts: Callable[[], Iterable[ForwardAccount]] = tuple
         self.min_report_interval = 0.5
 
@@ -189,7 +189,7 @@
         weight = 0.0
         if node in delegated:
             self.registry.record_delegation(node, now)
-            # A relay to which all shares are delegated knows that no other assigns any.
+            # If all shares are delegated here, no other relay assigns any.
             if self.manages_shares or self._has_all(delegated):
                 weight = self.registry.weight(node)
         if self.share(now) != before:
@@ -247,24 +247,24 @@
                 self.broker.deposit(account, amount, now)
 
     def release(self, node: str, incarnation: str) -> dict[str, float]:
-        """Release a relay's share; return its part of what is left, by account."""
+        """Release a relay's share; return its part of unused amounts, by account."""
         now = self._clock.now()
         self.refresh(now)
         weight = self.delegations.share_of(node, incarnation, now)
-        along = {
+        amounts = {
             account.name: self.broker.withdraw_share(account, weight, now)
             for account in self.accounts()
             if account.rate > 0.0 and weight > 0.0
         }
         self.delegations.release(node, incarnation)
         self.refresh(now)
-        return along
+        return amounts
 
     def _previous_delegation_s(self) -> float:
         """Return how long a relay's previous process may have delegated its share."""
         previous = self._lease.previous_row
         if previous is None or previous.holder in ("", self._lease.node):
-            # The previous lease holder is certainly gone: only standbys had shares.
+            # The previous lease holder has certainly ended: only standbys had shares.
             return STANDBY_DELEGATION_S
         shares = max(self.registry.row.shares, 1)
         return ReportPacing.of(
--- a/src/ebonydeal/_internal/relay/listener.py
+++ b/src/ebonydeal/_internal/relay/listener.py
@@ -10,8 +10,8 @@
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-# Far above the idle time that operators allow clients, so that always the client closes
-# a connection, and no request arrives while this side closes it.
+# Far above the idle time that operators allow clients, so that the client always closes
+# the connection, and no request arrives while this side closes it.
 _KEEPALIVE_TIMEOUT_S = 300.0
 _MAX_FIELD_BYTES = 32768
 _LINGER_TIMEOUT_S = 2.0
@@ -81,7 +81,7 @@
     def close_gracefully(self) -> None:
         """Accept no more connections, and read no more requests.
 
-        Requests already read are answered. Idle connections stay open, but unread,
+        Requests already read are answered. Idle connections stay open, but aren't read,
         until the stop, which must follow at once.
         """
         if self._socket is not None:
--- a/src/ebonydeal/_internal/relay/peers/exchange.py
+++ b/src/ebonydeal/_internal/relay/peers/exchange.py
@@ -1,4 +1,4 @@
-"""Sends this relay's reports to the coordinator, and takes the replies."""
+"""Sends this relay's reports to the coordinator, and handles the replies."""
 
 import asyncio
 from collections.abc import Callable
@@ -40,8 +40,8 @@
 
 logger = get_logger("relay.exchange")
 
-# Retries of a relay whose reports got no reply since its start: the interval between
-# its own, and the rate of all such relays together.
+# Retries of relays that got no reply since their start: the interval between those of
+# one relay, and the rate of all relays together.
 _MIN_STARTUP_RETRY_INTERVAL_S = 0.1
 _MAX_STARTUP_RETRIES_PER_S = 80.0
 
@@ -56,7 +56,7 @@
     """The dependencies of `Exchange`.
 
     ``build_report`` gets the addresses of the known relays; ``on_reply`` gets the
-    reply, and the time at which the report was sent. ``period`` is the shortest time
+    reply, and the time at which the report was sent. ``period`` is the minimum time
     between two reports, seconds.
     """
 
@@ -70,7 +70,7 @@
 
 
 class Exchange(Service):
-    """Reports to the coordinator several times a second, and takes its replies."""
+    """Reports to the coordinator several times a second, and handles its replies."""
 
     def __init__(self, parts: ExchangeParts, seeds: tuple[str, ...]) -> None:
         super().__init__()
@@ -79,7 +79,7 @@
         self._deltas_pushed = False
         self.relays: list[str] = list(seeds)
         self._count = max(INITIAL_RELAY_COUNT, len(seeds))
-        # Whether a coordinator's reply told how many relays there are.
+        # Whether a coordinator's reply gave the number of relays.
         self.count_known = False
         self._pace = ReportPacing(parts.period)
         self._config_pushed = False
@@ -227,9 +227,9 @@
         return True
 
     async def announce(self) -> None:
-        """Tell all known relays that this one holds the lease now.
+        """Notify all known relays that this one holds the lease now.
 
-        Otherwise each would read the lease's row: hundreds of calls to the store.
+        Without this, each would read the lease's row: hundreds of calls to the store.
         """
         lease = self.lease
         if not lease.is_mine or lease.row is None:
@@ -247,12 +247,12 @@
         try:
             await self._parts.client.call(address, HOLDER, message, _CALL_TIMEOUT_S)
         except EbonydealError:
-            # It will find the holder by reading the lease, or is gone.
+            # It will find the holder by reading the lease, or has stopped.
             return False
         return True
 
     def receive_lease_holder(self, message: HolderMessage) -> dict[str, Any]:
-        """Take another relay's announcement that it holds the lease."""
+        """Apply another relay's announcement that it holds the lease."""
         self.lease.learn_holder(LeaseRow(*message["row"]), int(message["version"]))
         if not self.coordinator_alive or not self.count_known:
             self.report_now()
--- a/src/ebonydeal/_internal/relay/peers/long_prompts.py
+++ b/src/ebonydeal/_internal/relay/peers/long_prompts.py
@@ -39,14 +39,14 @@
 
 
 class LongPromptReceiver:
-    """Passes other relays' notices to the choice of endpoints."""
+    """Passes other relays' notices to the endpoint selector."""
 
     def __init__(self, selector: EndpointSelector, clock: Clock) -> None:
         self._selector = selector
         self._clock = clock
 
     def receive(self, message: LongPromptMessage) -> dict[str, Any]:
-        """Take one notice."""
+        """Apply one notice."""
         seconds = min(_MAX_PREFILL_S, max(0.0, float(message["seconds"])))
         until = self._clock.now() + seconds
         self._selector.mark_prefilling(str(message["endpoint"]), until)
@@ -65,7 +65,7 @@
     others : callable
         Returns the addresses of the other relays.
     min_prefill_s : float
-        Shortest prefill time for which relays are notified, seconds; 0 switches it off.
+        Minimum prefill time for which relays are notified, seconds; 0 switches it off.
     """
 
     def __init__(
--- a/src/ebonydeal/_internal/relay/peers/messages.py
+++ b/src/ebonydeal/_internal/relay/peers/messages.py
@@ -32,11 +32,11 @@
     endpoints' time that its requests take, seconds per second. ``answers`` by endpoint:
     how many came recently, and how many of them failed. ``seen`` is the mark of the
     last delta. ``known`` is the hash of the relay addresses that it knows. ``crashes``
-    is its crash evidence, None where the coordinator's last fingerprint was its own,
-    ``crashes_mark``. ``rollouts`` by service: its counts for each roll-out. ``limits``
-    is about its share of client accounts' limits. ``notices`` are the limits that
-    endpoints reported to it, as `LimitReport`s, ``said_leaving`` the endpoints that
-    reported that they leave: id, incarnation, seconds since then.
+    is its crash evidence, None where the coordinator's last fingerprint equals its own,
+    which is ``crashes_mark``. ``rollouts`` by service: its counts for each roll-out.
+    ``limits`` is about its share of client accounts' limits. ``notices`` are the limits
+    that endpoints announced to it, as `LimitReport`s, ``said_leaving`` the endpoints
+    that announced that they are leaving: id, incarnation, seconds since then.
     """
 
     node: str
@@ -64,11 +64,11 @@
 
     ``config`` is the version of the coordinator's configuration; -1 for none.
 
-    ``mark`` is the coordinator's fence and its count of changes, which the relay
-    reports back; ``version`` is the store version of the list. ``put`` are added or
-    changed endpoints, ``gone`` pairs of id and version. ``whole`` says that this is a
-    snapshot: all other endpoints are gone. ``ages`` are the seconds since leaving
-    endpoints reported that, by id.
+    ``mark`` is the coordinator's fencing token and its count of changes, which the
+    relay reports back; ``version`` is the store version of the list. ``put`` are added
+    or changed endpoints, ``gone`` pairs of id and version of removed ones. ``whole``
+    says that this is a snapshot: all other endpoints were removed. ``ages`` are the
+    seconds since leaving endpoints reported that they leave, by id.
     """
 
     config: int
@@ -124,7 +124,7 @@
 
 
 class CrashesMessage(TypedDict):
-    """A relay's evidence of crashes, or that clears requests in flight in them."""
+    """A relay's evidence: crashes, and successes of requests in flight there."""
 
     node: str
     crashes: EvidenceMessage
@@ -164,8 +164,8 @@
     """A relay's request for what it can't get from the store.
 
     ``config`` and ``members`` are its versions of the configuration and of the list of
-    endpoints, which isn't wanted if None; ``crashes_mark`` is the fingerprint of its
-    crash evidence.
+    endpoints, None if the list isn't requested; ``crashes_mark`` is the fingerprint of
+    its crash evidence.
     """
 
     config: int
--- a/src/ebonydeal/_internal/relay/peers/relay_reports.py
+++ b/src/ebonydeal/_internal/relay/peers/relay_reports.py
@@ -15,7 +15,7 @@
 from ebonydeal._internal.routing.duties.report_pacing import ReportPacing
 from ebonydeal._internal.utils.clock import Clock
 
-# A relay without reports may be cut off and still serving for this long.
+# A relay that stopped reporting may be partitioned and still serve for this long.
 _MAX_SERVING_WITHOUT_REPORT_S = 15.0
 # Validity of a sum, for each relay: with more relays, more replies share one sum.
 _SUM_TTL_PER_RELAY_S = 0.001
@@ -58,8 +58,8 @@
         self._table_of = table_of
         self._is_relevant = is_relevant
         self._total: Table = {}
-        # Each relay's part of the total, by its name.
-        self._parts: dict[str, Table] = {}
+        # Each relay's summand, by its name.
+        self._summands: dict[str, Table] = {}
         self._valid_until = 0.0
 
     def without(
@@ -70,18 +70,18 @@
             relays = alive()
             self._add_up(relays)
             self._valid_until = now + _SUM_TTL_PER_RELAY_S * len(relays)
-        own = self._parts.get(node, {})
+        own = self._summands.get(node, {})
         remainders = {}
         for name, (first, second) in self._total.items():
-            mine = own.get(name, (0.0, 0.0))
-            rest = [first - mine[0], second - mine[1]]
-            if max(rest) > _MIN_REMAINDER:
-                remainders[name] = [round(value, 2) for value in rest]
+            subtracted = own.get(name, (0.0, 0.0))
+            remainder = [first - subtracted[0], second - subtracted[1]]
+            if max(remainder) > _MIN_REMAINDER:
+                remainders[name] = [round(value, 2) for value in remainder]
         return remainders
 
     def _add_up(self, relays: list[ReportedRelay]) -> None:
         tables = {r.message["node"]: self._table_of(r.message) for r in relays}
-        self._parts = tables
+        self._summands = tables
         self._total = {}
         for table in tables.values():
             for name, (first, second) in table.items():
@@ -101,7 +101,7 @@
     clock : Clock
         Time.
     min_interval : float
-        Shortest time between two reports of a relay, seconds.
+        Minimum time between two reports of a relay, seconds.
     cores : float
         CPU cores that this instance may use.
     """
--- a/src/ebonydeal/_internal/relay/peers/rollouts.py
+++ b/src/ebonydeal/_internal/relay/peers/rollouts.py
@@ -14,7 +14,7 @@
 
 logger = get_logger("relay.rollout")
 
-# Shortest time between two extra reports of bad answers.
+# Minimum time between two extra reports of bad answers.
 _MIN_REPORT_INTERVAL_S = 0.2
 
 
--- a/src/ebonydeal/_internal/relay/ports.py
+++ b/src/ebonydeal/_internal/relay/ports.py
@@ -118,7 +118,7 @@
         """
 
     async def leaves_in(self, address: str) -> float | None:
-        """Return the seconds until an endpoint is gone; None if it doesn't say.
+        """Return the seconds until an endpoint leaves; None if it doesn't report it.
 
         Raises ENDPOINT_FAILED without a readable answer.
         """
--- a/src/ebonydeal/_internal/relay/program.py
+++ b/src/ebonydeal/_internal/relay/program.py
@@ -402,7 +402,7 @@
         self._exchange.add_seeds(seed_addresses(settings["peers"].seeds))
 
     def _announce(self) -> None:
-        """Tell all known relays that this one is the coordinator now."""
+        """Notify all known relays that this one is the coordinator now."""
         self.add_future(self._exchange.announce())
 
     def _request_config(self) -> None:
@@ -421,11 +421,11 @@
             self._view_sync.behind = True
         self._split.gate_ttl_s = self._exchange.isolation_timeout
         self._retries.configure(retry_share(self._cfg, self._exchange.relay_count))
-        mine = self.coordinator.lease.is_mine
+        on_coordinator = self.coordinator.lease.is_mine
         config = self._followers[0]
         for follower in self._followers:
-            follower.on_coordinator = mine
-        if mine:
+            follower.on_coordinator = on_coordinator
+        if on_coordinator:
             # The current poll may have begun when no other relay depended on it.
             config.restart_poll()
 
@@ -458,7 +458,7 @@
 
         The listener stays open: until the balancer notices, new connections
         still arrive, and each is served. Every answer closes its connection,
-        so kept-alive ones end with their next request.
+        so keep-alive connections end with their next request.
         """
         self._reporter.leaving = True
         started_at = self._clock.now()
--- a/src/ebonydeal/_internal/relay/requests/connections.py
+++ b/src/ebonydeal/_internal/relay/requests/connections.py
@@ -32,13 +32,13 @@
 # An at-most-once request is lost if the endpoint has silently closed its connection,
 # so it is sent only on connections that were idle for less than this, or less than
 # observed closes suggest. A new connection costs about a fiftieth of a request.
-_MAX_ONCE_IDLE_S = 2.0
-_MIN_ONCE_IDLE_S = 0.3
+_MAX_AT_MOST_ONCE_IDLE_S = 2.0
+_MIN_AT_MOST_ONCE_IDLE_S = 0.3
 # After a connection was found closed, the limit falls to this share of its idle time;
 # it grows by the factor with each connection that was good near the limit.
-_CLOSED_SHARE = 0.5
-_GROWTH_FACTOR = 1.02
-# Errors which show that the other end was gone before the request arrived.
+_IDLE_SHARE_AFTER_CLOSE = 0.5
+_IDLE_GROWTH_FACTOR = 1.02
+# Errors that show that the endpoint closed the connection before the request arrived.
 _CLOSED_ERRORS = (ServerDisconnectedError, ConnectionResetError, ClientOSError)
 _SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 _UNLIMITED_IDLE_S = 3600.0
@@ -92,23 +92,27 @@
 
 
 class IdleLimit:
-    """Longest idle time of a connection that an at-most-once request may use.
+    """Maximum idle time of a connection that an at-most-once request may use.
 
     It falls when endpoints close connections sooner than they state, and rises again
     while none does.
     """
 
     def __init__(self) -> None:
-        self.seconds = _MAX_ONCE_IDLE_S
+        self.seconds = _MAX_AT_MOST_ONCE_IDLE_S
 
     def record_closed(self, idle: float) -> None:
         """Record a connection that was found closed when it was reused."""
-        self.seconds = max(_MIN_ONCE_IDLE_S, min(self.seconds, idle * _CLOSED_SHARE))
+        self.seconds = max(
+            _MIN_AT_MOST_ONCE_IDLE_S, min(self.seconds, idle * _IDLE_SHARE_AFTER_CLOSE)
+        )
 
     def record_reused(self, idle: float) -> None:
         """Record a connection that was reused and brought an answer."""
-        if idle >= self.seconds * _CLOSED_SHARE:
-            self.seconds = min(_MAX_ONCE_IDLE_S, self.seconds * _GROWTH_FACTOR)
+        if idle >= self.seconds * _IDLE_SHARE_AFTER_CLOSE:
+            self.seconds = min(
+                _MAX_AT_MOST_ONCE_IDLE_S, self.seconds * _IDLE_GROWTH_FACTOR
+            )
 
 
 class HttpExchange:
@@ -129,7 +133,7 @@
         return self._pooled.connector.was_reset
 
     def release(self, keepalive_s: float | None) -> None:
-        """Return the connection to the pool: the whole answer was read and is valid."""
+        """Return the connection to the pool: the answer was read and is valid."""
         if self._finished:
             return
         self._finished = True
@@ -213,7 +217,7 @@
         return bool(self._idle) and self._idle[-1].usable(now, self._limit.seconds)
 
     def give_back(self, pooled: _PooledConnection, keepalive_s: float | None) -> None:
-        """Keep a connection for the next request."""
+        """Return a connection to the pool for the next request."""
         pooled.idle_since = self._clock.now()
         if keepalive_s is not None:
             pooled.keepalive_s = keepalive_s
@@ -231,10 +235,10 @@
     def sweep(self) -> None:
         """Close connections that were idle for too long."""
         now = self._clock.now()
-        kept = [p for p in self._idle if p.usable(now, _UNLIMITED_IDLE_S)]
-        for pooled in set(self._idle) - set(kept):
+        usable = [p for p in self._idle if p.usable(now, _UNLIMITED_IDLE_S)]
+        for pooled in set(self._idle) - set(usable):
             self.discard(pooled)
-        self._idle = kept
+        self._idle = usable
 
     def close(self) -> None:
         """Close all idle connections, and those in use after their answer."""
--- a/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -48,7 +48,7 @@
     def selection_request(
         self, connected: frozenset[str] = frozenset()
     ) -> SelectionRequest:
-        """Return the input of a choice; ``connected`` ones have an idle connection."""
+        """Return the selector's input; ``connected`` ones have an idle connection."""
         req, engine = self._job.req, self.engine
         can_fetch = engine is not None and engine.can_migrate_runs
         tokens = req.prompt_tokens or 0
@@ -68,16 +68,16 @@
         if not parts.split.has_rollout(job.service):
             return self._best(listed, now)
         first, self._split_done = not self._split_done, True
-        part = parts.split.choose_version(
+        version = parts.split.choose_version(
             job.service, job.route.name, listed, now, resend, first
         )
-        found = self._best(part.members, now)
-        if found is None and part.is_new:
+        found = self._best(version.members, now)
+        if found is None and version.is_new:
             # No endpoint of the new version can take the request now.
-            part = parts.split.choose_version(
+            version = parts.split.choose_version(
                 job.service, job.route.name, listed, now, resend=True, first=False
             )
-            found = self._best(part.members, now)
+            found = self._best(version.members, now)
         return found
 
     def _available(self, avoid: Set[str], now: float) -> list[Member]:
@@ -132,7 +132,7 @@
     def _isolate(self, allowed: Sequence[Member]) -> EndpointChoice | None:
         """Return the endpoint where a request suspected of crashes does least harm.
 
-        That is one without another suspect, so that a crash tells them apart, and
+        That is one without another suspect, so that a crash distinguishes them, and
         with the fewest requests in flight, which a crash would break off.
         """
         if not allowed:
@@ -155,7 +155,7 @@
     def _listed(self, now: float) -> list[Member]:
         """Return the endpoints that may get the request.
 
-        One that leaves gets requests that likely end in time, since capacity is
+        A leaving one gets requests that will probably end in time, since capacity is
         scarcest in the last seconds of a zone that is reclaimed. If no other endpoint
         is left, it gets all requests.
         """
--- a/src/ebonydeal/_internal/relay/requests/first_event_wait.py
+++ b/src/ebonydeal/_internal/relay/requests/first_event_wait.py
@@ -8,8 +8,8 @@
 from ebonydeal._internal.relay.requests.sends import JobSends
 from ebonydeal._internal.utils.clock import Clock
 
-# Shorter pauses are common: prefill of a chunk of another prompt takes some tens of
-# milliseconds, and busy relays add to it.
+# Shorter gaps between events are common: prefill of a chunk of another prompt takes
+# some tens of milliseconds, and busy relays add to it.
 MIN_EVENT_TIMEOUT_S = 0.4
 # An endpoint that sent an event on any stream within this time is alive: engines send
 # one every few milliseconds, and prefill of another prompt delays it by some tens.
@@ -70,10 +70,10 @@
         if self._sends.is_last:
             # Checked again, since the retry budget may permit a resend by then.
             return max(now, min(self._sends.job.deadline, now + _ALIVE_TIMEOUT_S))
-        silent = self._parts.selector.seconds_since_activity(self._endpoint_id, now)
-        if silent >= _ALIVE_TIMEOUT_S:
+        silent_s = self._parts.selector.seconds_since_activity(self._endpoint_id, now)
+        if silent_s >= _ALIVE_TIMEOUT_S:
             return now
-        return min(self._active_until, now + _ALIVE_TIMEOUT_S - silent)
+        return min(self._active_until, now + _ALIVE_TIMEOUT_S - silent_s)
 
     @asynccontextmanager
     async def limit(self) -> AsyncIterator[None]:
--- a/src/ebonydeal/_internal/relay/requests/migrations.py
+++ b/src/ebonydeal/_internal/relay/requests/migrations.py
@@ -55,7 +55,7 @@
 class StreamRun:
     """The run of one stream at one endpoint.
 
-    ``expected_tokens`` is the expected length of the whole answer, ``event_tokens``
+    ``expected_tokens`` is the expected length of the complete answer, ``event_tokens``
     the tokens in one event.
     """
 
@@ -143,7 +143,7 @@
                 run.migration = asyncio.ensure_future(self._migrate(run))
 
     def _note_leaving(self, now: float) -> None:
-        """Record since when endpoints with runs are known to leave, or to be gone."""
+        """Record since when endpoints with runs are known to leave or to have left."""
         members = self._parts.view.members
         since = {}
         for run in self._runs:
@@ -156,7 +156,7 @@
     def _is_due(self, run: StreamRun, now: float) -> bool:
         """Return whether a run must be migrated now.
 
-        One that will likely end in time stays; one that surely won't is migrated at
+        A run that will probably end in time stays; one that surely won't is migrated at
         once. The others wait, since those that end meanwhile need no migration.
         """
         since = self._leaving_since.get(run.member.endpoint_id)
--- a/src/ebonydeal/_internal/relay/requests/notices.py
+++ b/src/ebonydeal/_internal/relay/requests/notices.py
@@ -53,7 +53,7 @@
             )
 
     def _note_leaving(self, member: Member) -> None:
-        """Record that an endpoint reports that it leaves."""
+        """Record that an endpoint announced that it is leaving."""
         if self.notices.note_leaving(member.process, self._clock.now()):
             self._metrics.count(Event.ENDPOINTS_SAID_LEAVING)
             logger.info(
--- a/src/ebonydeal/_internal/relay/requests/outcomes.py
+++ b/src/ebonydeal/_internal/relay/requests/outcomes.py
@@ -1,6 +1,6 @@
 """The possible outcomes of one send of a request, and what may follow them.
 
-At-most-once execution rests on this type alone. Only `NotSent` and `ProvedNotRun`
+At-most-once execution depends on this type alone. Only `NotSent` and `ProvedNotRun`
 prove that the endpoint did not run the request and never will; after any other
 outcome an at-most-once request is neither sent again nor reported as "not run".
 """
--- a/src/ebonydeal/_internal/relay/requests/plain.py
+++ b/src/ebonydeal/_internal/relay/requests/plain.py
@@ -1,4 +1,4 @@
-"""Requests of plain services: the whole answer is read, then forwarded."""
+"""Requests of plain services: the complete answer is read, then forwarded."""
 
 from aiohttp import ClientError, ClientResponse, web
 from multidict import CIMultiDict
@@ -43,7 +43,7 @@
 async def read_body(exchange: HttpExchange, head: AnswerHead) -> Outcome:
     """Return the outcome of reading the body; an incomplete one is no answer.
 
-    After a complete one the connection is kept.
+    After a complete one the connection returns to the pool.
     """
     try:
         body = await exchange.resp.read()
--- a/src/ebonydeal/_internal/relay/requests/sends.py
+++ b/src/ebonydeal/_internal/relay/requests/sends.py
@@ -33,15 +33,15 @@
 
 logger = get_logger("relay.job")
 
-# Sends of which no byte left this process cost no endpoint anything, but are bounded.
-_MAX_UNSENT = 6
+# Sends of which no byte left this process use no endpoint's time, but are bounded.
+_MAX_UNSENT_SENDS = 6
 _POLL_INTERVAL_S = 0.02
 # Engines serve priorities from 0, the first, to this.
 _LOWEST_PRIORITY = 9
 # Endpoints in one log line.
-_MAX_LOGGED = 4
-# Share of the latency objective that a request waits for an endpoint to appear.
-_WAIT_SHARE = 0.2
+_MAX_LOGGED_ENDPOINTS = 4
+# Share of the latency objective for which a request waits for an available endpoint.
+_MAX_WAIT_SHARE = 0.2
 
 
 _REASONS = {
@@ -84,7 +84,7 @@
         parts, job = self._parts, self.job
         if self.member is not None:
             await parts.crashes.wait_until_checked(self.member)
-        wait_until = parts.clock.now() + job.route.objective * _WAIT_SHARE
+        wait_until = parts.clock.now() + job.route.objective * _MAX_WAIT_SHARE
         while True:
             self._check_quarantine()
             if self.time_left <= 0.0:
@@ -168,8 +168,8 @@
         self._record_version(member, now)
         expected = self.expected = found.expected
         if expected is not None:
-            reading = parts.selector.speed.prefill_seconds(found.uncached_tokens)
-            parts.long_prompts.note_sent(member.endpoint_id, reading, expected)
+            prefill_s = parts.selector.speed.prefill_seconds(found.uncached_tokens)
+            parts.long_prompts.note_sent(member.endpoint_id, prefill_s, expected)
         logger.info(
             "Sent.",
             request=job.req.request_id,
@@ -187,7 +187,7 @@
             config=parts.view.version,
             send=self._sends,
             waited_s=round(now - job.started, 4),
-            without_room=self.chooser.unavailable[:_MAX_LOGGED],
+            without_room=self.chooser.unavailable[:_MAX_LOGGED_ENDPOINTS],
         )
         return member
 
@@ -284,8 +284,8 @@
         """Return the priority that is sent to an engine.
 
         A request that will be late wherever it runs loses nothing by being served a
-        little later, and a long prompt delays all requests queued behind it: so such
-        a request gets the lowest priority.
+        little later, and a long prompt delays all requests queued behind it. Such a
+        request gets the lowest priority.
         """
         job = self.job
         waited = self._parts.clock.now() - job.started
@@ -423,7 +423,7 @@
         match outcome:
             case NotSent():
                 self._unsent += 1
-                return error if self._unsent >= _MAX_UNSENT else None
+                return error if self._unsent >= _MAX_UNSENT_SENDS else None
             case ProvedNotRun():
                 pass
             case MayHaveRun() | Answered():
--- a/src/ebonydeal/_internal/relay/requests/stream.py
+++ b/src/ebonydeal/_internal/relay/requests/stream.py
@@ -37,30 +37,30 @@
     """Splits a stream of bytes at the ends of events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
         self.last_id = ""
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return the events that ``data`` completes."""
-        data = self._rest + data
+        data = self._remainder + data
         end = 0
         for match in _EVENT_END.finditer(data):
             end = match.end()
             self.count += 1
-        whole, self._rest = data[:end], data[end:]
-        ids = _EVENT_ID.findall(whole)
+        complete, self._remainder = data[:end], data[end:]
+        ids = _EVENT_ID.findall(complete)
         if ids:
             self.last_id = ids[-1].decode("latin-1").strip()
-        return whole
+        return complete
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes after the last complete event."""
-        return self._rest
+        return self._remainder
 
-    def drop_rest(self) -> None:
+    def drop_remainder(self) -> None:
         """Discard an incomplete event."""
-        self._rest = b""
+        self._remainder = b""
 
 
 @dataclass
@@ -115,13 +115,13 @@
                     return client.resp
                 migrated = await self._parts.migrator.result(run)
                 if migrated is not None:
-                    splitter.drop_rest()
+                    splitter.drop_remainder()
                     continue
                 self._count_failed(sends, outcome)
                 if isinstance(outcome, Answered) and client.resp is None:
                     if outcome.head.status < 500 or job.at_most_once:
                         return client_response(outcome)
-                splitter.drop_rest()
+                splitter.drop_remainder()
                 sends.check_resend(outcome, delivered=client.resp is not None)
             except Exception as exc:
                 if client.resp is None:
@@ -260,8 +260,8 @@
         if await exchange.was_reset():
             return MayHaveRun(ErrorKind.ENDPOINT_FAILED, "stream: connection reset")
         resp = client.resp or await client.begin(head)
-        if client.splitter.rest():
-            await resp.write(client.splitter.rest())
+        if client.splitter.remainder():
+            await resp.write(client.splitter.remainder())
         await resp.write_eof()
         return None
 
--- a/src/ebonydeal/_internal/relay/view/deltas.py
+++ b/src/ebonydeal/_internal/relay/view/deltas.py
@@ -26,24 +26,24 @@
 _CALL_TIMEOUT_S = 0.4
 # Changes come in bursts: those within this interval are pushed together. It grows with
 # the relays, since each batch is a call to all: with 87 of them and batches of 0.05 s,
-# the calls of a reclaim burst filled the coordinator's link of 5 Mbit/s. The longest
-# interval is a tenth of the shortest time after which a leaving endpoint must get no
+# the calls of a reclaim burst filled the coordinator's link of 5 Mbit/s. The maximum
+# interval is a tenth of the minimum time after which a leaving endpoint must get no
 # new requests.
 _MIN_BATCH_INTERVAL_S = 0.05
 _BATCH_INTERVAL_S_PER_RELAY = 0.0025
 _MAX_BATCH_INTERVAL_S = 0.2
-# The mark before the first delta: no coordinator has this fence.
+# The mark before the first delta: no coordinator has this fencing token.
 NO_MARK = (0, 0)
 
 
 def delta_since(
-    view: RelayView, seen: list[int], fence: int, now: float
+    view: RelayView, mark: list[int], fence: int, now: float
 ) -> ViewDelta | None:
-    """Return the changes since the mark ``seen``, if any; a snapshot if unknown."""
-    changed = view.changed_since(seen[1]) if seen[0] == fence else None
+    """Return the changes since ``mark``, if any; a snapshot if they are unknown."""
+    changed = view.changed_since(mark[1]) if mark[0] == fence else None
     if changed == []:
         return None
-    whole = changed is None
+    is_snapshot = changed is None
     ids = list(view.members) if changed is None else changed
     ages = {i: view.leaving_age(i, now) for i in ids}
     return ViewDelta(
@@ -52,16 +52,16 @@
         version=view.members_version,
         put=[list(m) for i in ids if (m := view.listing_for_peers(i, now)) is not None],
         gone=[[i, view.removed_at(i)] for i in ids if i not in view.members],
-        whole=whole,
+        whole=is_snapshot,
         ages={i: round(age, 3) for i, age in ages.items() if age is not None},
     )
 
 
-def _config_only_delta(view: RelayView, seen: list[int]) -> ViewDelta:
-    """Return a delta without endpoints, for a relay with the mark ``seen``."""
+def _config_only_delta(view: RelayView, mark: list[int]) -> ViewDelta:
+    """Return a delta without endpoints, for a relay with the mark ``mark``."""
     return ViewDelta(
         config=view.version,
-        mark=list(seen),
+        mark=list(mark),
         version=0,
         put=[],
         gone=[],
@@ -102,8 +102,8 @@
         view, now = self._view, self._clock.now()
         members = [Member(*item) for item in delta["put"]]
         for member in members:
-            # The time at which the coordinator learned it, since a delay on the way
-            # here makes the endpoint's report no younger.
+            # The time at which the coordinator learned of it: the report's age counts
+            # from then, even if the delta comes late.
             age = delta["ages"].get(member.endpoint_id)
             view.put(member, None if age is None else now - age)
             if member.leaves_in is not None:
@@ -137,7 +137,7 @@
     clock : Clock
         Time.
     targets : callable
-        Returns the relays' addresses with their last marks, and our fence; None
+        Returns the relays' addresses with their last marks, and our fencing token; None
         where this relay isn't the coordinator.
     """
 
--- a/src/ebonydeal/_internal/relay/view/follower.py
+++ b/src/ebonydeal/_internal/relay/view/follower.py
@@ -48,7 +48,7 @@
     view : RelayView
         The view to update.
     clock, rng
-        Time; jitter of back-off.
+        Time; jitter of backoff.
     metrics : Metrics
         Counts entries that can't be read.
     """
@@ -102,7 +102,7 @@
     async def apply_snapshot(
         self, rows: list[SharedRow], version: int, after_outage: bool
     ) -> None:
-        """Apply the whole table; ``after_outage`` if the store failed just before."""
+        """Apply the entire table; ``after_outage`` if the store failed just before."""
         raise NotImplementedError
 
     async def apply_changes(
@@ -169,7 +169,7 @@
         else:
             self.note_version(changes.version)
             if poll_timeout == 0.0:
-                # That poll returned at once, so the next one needs a pause.
+                # That poll returned at once, so the next one must be delayed.
                 await self._clock.sleep(_BATCH_INTERVAL_S)
         return max(after, changes.version)
 
@@ -186,7 +186,7 @@
         """Note that a coordinator that is up to date with the store pushes changes.
 
         Earlier failures of this relay's polls don't matter any more: an entry that is
-        removed from now on has left, and isn't kept as if it had only expired.
+        removed from now on has left, and isn't retained as if it had only expired.
         """
         self.failing_since = None
 
@@ -291,7 +291,7 @@
 
 
 class MembersFollower(TableFollower):
-    """Keeps the list of endpoints."""
+    """Follows the list of endpoints."""
 
     @property
     def poll_timeout(self) -> float:
@@ -315,10 +315,10 @@
     async def apply_snapshot(
         self, rows: list[SharedRow], version: int, after_outage: bool
     ) -> None:
-        """Apply the whole list."""
+        """Apply the complete list."""
         read = [self._read(row) for row in rows]
         members = [member for member in read if member is not None]
-        # An unreadable entry doesn't mean that its endpoint is gone.
+        # An unreadable entry doesn't mean that its endpoint has left.
         unreadable = [
             row for row, member in zip(rows, read, strict=True) if member is None
         ]
--- a/src/ebonydeal/_internal/relay/view/leaving.py
+++ b/src/ebonydeal/_internal/relay/view/leaving.py
@@ -1,6 +1,6 @@
-"""Asks leaving reclaimable endpoints when they will be gone.
+"""Asks leaving reclaimable endpoints when they will have left.
 
-The list says that an endpoint leaves, only the endpoint itself says how soon. The
+The list shows that an endpoint leaves; only the endpoint itself reports how soon. The
 coordinator asks for all relays, and pushes the time with the other changes of the list.
 """
 
@@ -30,7 +30,7 @@
 
 
 class LeavingTimes(Service):
-    """Learns when endpoints will be gone, while this relay is the coordinator."""
+    """Learns when endpoints will have left, while this relay is the coordinator."""
 
     def __init__(
         self, coordinator: Coordinator, engines: Engines, view: RelayView, clock: Clock
@@ -62,7 +62,7 @@
             del self._attempts[key]
 
     def _due(self) -> list[Member]:
-        """Return leaving reclaimable endpoints that may still say when they go."""
+        """Return leaving reclaimable endpoints whose leave time is to be requested."""
         return [
             member
             for member in self._view.members.values()
--- a/src/ebonydeal/_internal/relay/view/versions.py
+++ b/src/ebonydeal/_internal/relay/view/versions.py
@@ -72,7 +72,7 @@
                 member.endpoint_id, member.revision
             )
         self._first_listed_at = present
-        held: set[str] = set()
+        withheld: set[str] = set()
         for service, listed in by_service.items():
             known = self._admitted.setdefault(service, set())
             if not known:
@@ -85,5 +85,5 @@
                 if present[member.endpoint_id] <= self.read_to:
                     known.add(member.version)
                 else:
-                    held.add(member.endpoint_id)
-        return frozenset(held)
+                    withheld.add(member.endpoint_id)
+        return frozenset(withheld)
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -17,9 +17,9 @@
 # reach the endpoint, on busy instances a third of a second each.
 _LAST_RESORT_MARGIN_S = 0.7
 # An endpoint whose leave time is known gets no new work in its last moments.
-_GONE_MARGIN_S = 0.1
+_LEAVE_TIME_MARGIN_S = 0.1
 # Entries that expired during an outage of the store are back within about two seconds
-# after it, as the platform promises; one that is still missing then is gone.
+# after it, as the platform promises; one that is still missing then has left.
 MISSING_GRACE_S = 1.9
 # Changes that can be pushed as a delta: some minutes of a busy day.
 _MAX_CHANGES = 1000
@@ -29,10 +29,10 @@
 
 
 class _Removal(NamedTuple):
-    """The store version at which an endpoint was removed, and its start time."""
+    """The store version at which an endpoint was removed, and its incarnation."""
 
     version: int
-    born: int
+    incarnation: int
 
 
 _NEVER_REMOVED = _Removal(-1, 0)
@@ -88,7 +88,7 @@
         self.changes = 0
         self._changed: deque[str] = deque(maxlen=_MAX_CHANGES)
         self._leaving_since: dict[str, float] = {}
-        # Returns since when a process leaves by its own report, or None.
+        # Returns since when a process leaves according to its own report, or None.
         self.own_leaving_since: Callable[[EndpointProcess], float | None] = lambda _: (
             None
         )
@@ -184,19 +184,19 @@
             if member.unreadable or endpoint_id in self._awaiting_orders:
                 continue
             left = self._last_resort_s - (now - since)
-            gone = self._leave_times.get(endpoint_id)
-            if gone is not None:
-                left = min(left, gone - now - _GONE_MARGIN_S)
+            leave_time = self._leave_times.get(endpoint_id)
+            if leave_time is not None:
+                left = min(left, leave_time - now - _LEAVE_TIME_MARGIN_S)
             if member.service == service and left > 0.0:
                 found.append((member, left))
         return found
 
     def leaves_at(self, endpoint_id: str) -> float | None:
-        """Return when an endpoint will be gone, or None if unknown."""
+        """Return when an endpoint will have left, or None if unknown."""
         return self._leave_times.get(endpoint_id)
 
     def set_leave_time(self, endpoint_id: str, at: float) -> None:
-        """Set the time at which an endpoint will be gone."""
+        """Set the time at which an endpoint will have left."""
         if endpoint_id in self.members:
             self._leave_times[endpoint_id] = at
             self._record_change(endpoint_id)
@@ -233,7 +233,7 @@
         if removal.version >= member.revision:
             return
         if member.incarnation < max(
-            removal.born, 0 if known is None else known.incarnation
+            removal.incarnation, 0 if known is None else known.incarnation
         ):
             # A late entry of an endpoint that has restarted since.
             return
@@ -315,8 +315,12 @@
         """Drop an endpoint that is no longer listed."""
         known = self.members.get(endpoint_id)
         before = self._removed.pop(endpoint_id, _NEVER_REMOVED)
-        born = before.born if known is None else max(before.born, known.incarnation)
-        self._removed[endpoint_id] = _Removal(max(version, before.version), born)
+        incarnation = (
+            before.incarnation
+            if known is None
+            else max(before.incarnation, known.incarnation)
+        )
+        self._removed[endpoint_id] = _Removal(max(version, before.version), incarnation)
         if known is None or known.revision > version:
             return
         del self.members[endpoint_id]
@@ -331,7 +335,7 @@
     def replace(
         self, members: Iterable[Member], version: int, now: float, grace: bool
     ) -> None:
-        """Apply a whole list; with ``grace``, missing endpoints may come back."""
+        """Apply a complete list; with ``grace``, missing endpoints may come back."""
         listed = list(members)
         for member in listed:
             self.put(member)
--- a/src/ebonydeal/_internal/relay/view/view_sync.py
+++ b/src/ebonydeal/_internal/relay/view/view_sync.py
@@ -27,7 +27,7 @@
 
 _CALL_TIMEOUT_S = 0.5
 _CHECK_INTERVAL_S = 0.4
-# After an outage of the store of this length, other relays are addresses instead.
+# After an outage of the store of this length, other relays are asked instead.
 _STORE_OUTAGE_TIMEOUT_S = 0.6
 _DECODE_ERRORS = (EbonydealError, KeyError, TypeError, ValueError, BadCompression)
 
--- a/src/ebonydeal/_internal/routing/admission/early_refusal.py
+++ b/src/ebonydeal/_internal/routing/admission/early_refusal.py
@@ -2,15 +2,15 @@
 
 While endpoints are overloaded, a growing queue makes every answer late. A request
 whose first event is expected well after its objective is refused at once, with a
-time to retry. A retry is served whatever the wait. Less urgent requests are
-refused first.
+time to retry. A retry is served whatever the wait. Requests of lower
+priority are refused first.
 """
 
-# Each step of urgency lowers the limit by this much, down to `_MIN_LIMIT`.
+# Each step of priority lowers the limit by this much, down to `_MIN_LIMIT`.
 _LIMIT_STEP = 0.15
 _MIN_LIMIT = 1.0
-# A request that allows less than this fraction of the longest time that clients of
-# its route allow has most likely been refused before.
+# A request that allows less than this fraction of the maximum time that clients of
+# its route allow has probably been refused before.
 _RETRY_FRACTION = 0.97
 # Fraction of the excess that a client waits: other requests end meanwhile.
 _WAIT_FRACTION = 1.0
@@ -25,7 +25,7 @@
     ----------
     limit : float
         Expected time to the first event, as a multiple of the objective, beyond
-        which a request of the most urgent kind is refused. The expectation is
+        which a request of the highest priority is refused. The expectation is
         accurate to about half of its value. 0 refuses none.
     """
 
@@ -52,13 +52,17 @@
         objective : float
             Time to the first event that earns full credit, seconds.
         urgency : int
-            0 is the most urgent.
+            0 is the highest.
         expected : float
             Expected time to the first event, seconds.
         """
-        longest = max(allowed, self._max_allowed.get(route, 0.0))
-        self._max_allowed[route] = longest
-        if objective <= 0.0 or not self._limit or allowed < longest * _RETRY_FRACTION:
+        max_allowed = max(allowed, self._max_allowed.get(route, 0.0))
+        self._max_allowed[route] = max_allowed
+        if (
+            objective <= 0.0
+            or not self._limit
+            or allowed < max_allowed * _RETRY_FRACTION
+        ):
             return None
         limit = max(_MIN_LIMIT, self._limit - _LIMIT_STEP * priority) * objective
         if expected <= limit:
--- a/src/ebonydeal/_internal/routing/crashes/crash_attribution.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_attribution.py
@@ -5,8 +5,8 @@
 
 * crashes up to some seconds after a success of an equal request;
 * crashes that are attributed to another request already;
-* of crashes in one zone at one moment all but two, as a zone outage takes down every
-  endpoint of the zone;
+* all but two of the crashes in one zone at one moment, as a zone outage takes down
+  every endpoint of the zone;
 * crashes of endpoints that were active afterwards.
 
 Where two requests were in flight in the same three crashes, one more crash, or a
@@ -34,11 +34,11 @@
 
 
 class CrashKey(NamedTuple):
-    """Identifies a crash by the endpoint's start, and by its number within that start.
+    """Identifies a crash by the endpoint's incarnation (``born``), and by its number.
 
-    Endpoints that don't report when they started keep the same ``born``, so only the
-    number distinguishes their crashes. The names of class and fields are part of the
-    fingerprint that relays compare.
+    Endpoints that don't report when they started always have the same ``born``, so only
+    the number distinguishes their crashes. The names of the class and its fields are
+    part of the fingerprint that relays compare.
     """
 
     endpoint_id: str
@@ -142,18 +142,18 @@
         """Return crashes, given in order of zone and time, without zone outages."""
         if len(keys) <= _MAX_CRASHES_PER_ZONE_OUTAGE:
             return frozenset(keys)
-        kept: list[CrashKey] = []
+        counted: list[CrashKey] = []
         for key in keys:
             crash = self._crashes[key]
             near = [
                 before
-                for before in kept
+                for before in counted
                 if self._crashes[before].zone == crash.zone
                 and crash.at - self._crashes[before].at <= _ZONE_OUTAGE_WINDOW_S
             ]
             if len(near) < _MAX_CRASHES_PER_ZONE_OUTAGE:
-                kept.append(key)
-        return frozenset(kept)
+                counted.append(key)
+        return frozenset(counted)
 
     def _is_cleared(self, digest: str, crash: Crash) -> bool:
         """Return whether an equal request succeeded since shortly before a crash."""
@@ -167,11 +167,11 @@
         those of the other.
         """
         threshold = self._threshold
-        most = max((len(keys) for keys in candidates.values()), default=0)
-        if not threshold or most < threshold:
+        max_crashes = max((len(keys) for keys in candidates.values()), default=0)
+        if not threshold or max_crashes < threshold:
             return []
-        top = [d for d, keys in candidates.items() if len(keys) == most]
-        if most >= max(_MAX_CRASHES_TO_DISTINGUISH, threshold + 1):
+        top = [d for d, keys in candidates.items() if len(keys) == max_crashes]
+        if max_crashes >= max(_MAX_CRASHES_TO_DISTINGUISH, threshold + 1):
             return top
         return [
             digest
--- a/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_evidence.py
@@ -81,7 +81,7 @@
 
 
 class CrashEvidence:
-    """Remembers crashes, and keeps their attribution up to date.
+    """Remembers crashes, and updates their attribution.
 
     Parameters
     ----------
@@ -144,7 +144,7 @@
         """Return the key of a crash; relays that see it at about one time share it."""
         number = 0
         while True:
-            key = CrashKey(observed.endpoint_id, observed.born, number)
+            key = CrashKey(observed.endpoint_id, observed.incarnation, number)
             crash = self._crashes.get(key)
             if crash is None or abs(crash.at - observed.at) <= _SAME_CRASH_WINDOW_S:
                 return key
@@ -165,7 +165,7 @@
         return True
 
     def record_activity(
-        self, endpoint_id: str, born: int, sent_at: float, now: float
+        self, endpoint_id: str, incarnation: int, sent_at: float, now: float
     ) -> bool:
         """Record data from an endpoint; return whether it disproves a crash.
 
@@ -176,7 +176,7 @@
         disproved = [
             key
             for key, crash in self._crashes.items()
-            if key[:2] == (endpoint_id, born)
+            if key[:2] == (endpoint_id, incarnation)
             and sent_at < crash.at - _SAME_CRASH_WINDOW_S
             and now > crash.at + _MAX_READ_DELAY_S
             and not crash.alive
@@ -199,9 +199,9 @@
     def expire(self, now: float) -> None:
         """Forget crashes older than the retention time."""
         oldest = now - self._config.retention_s
-        kept = {k: c for k, c in self._crashes.items() if c.at >= oldest}
-        if len(kept) < len(self._crashes):
-            self._crashes = kept
+        retained = {k: c for k, c in self._crashes.items() if c.at >= oldest}
+        if len(retained) < len(self._crashes):
+            self._crashes = retained
             self._drop_unused()
             self._update_attribution()
 
--- a/src/ebonydeal/_internal/routing/crashes/crash_messages.py
+++ b/src/ebonydeal/_internal/routing/crashes/crash_messages.py
@@ -7,9 +7,9 @@
 
 
 class CrashMessage(TypedDict):
-    """One crash: the endpoint, its age in seconds, and the requests in flight.
+    """One crash: the endpoint, the crash's age in seconds, and the requests in flight.
 
-    ``born`` identifies the endpoint's start. ``alive`` says that the endpoint was
+    ``born`` is the endpoint's incarnation. ``alive`` says that the endpoint was
     active afterwards, so that it didn't crash.
     """
 
@@ -35,7 +35,7 @@
     """A crash as one relay saw it; ``at`` is in monotonic seconds."""
 
     endpoint_id: str
-    born: int
+    incarnation: int
     zone: str
     at: float
 
--- a/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
+++ b/src/ebonydeal/_internal/routing/duties/coordinator_lease.py
@@ -1,11 +1,11 @@
-"""The lease of the coordinator role, which one relay at a time holds: pure protocol.
+"""The lease of the coordinator role, held by one relay at a time: protocol without I/O.
 
 The lease is one row of the platform's store, written only on condition that its
 version is still the one that was read. Nothing expires in the store: a relay
 that wants the lease must have seen the row unchanged for the whole TTL, measured
 by its own monotonic clock. The holder measures the TTL from before it sent a
 renewal, so its lease ends before another relay can take it. Safety doesn't
-depend on these clocks but on the fencing token: the same condition makes it
+depend on these clocks but on the fencing token: the condition of the write makes it
 different for each holder and each incarnation.
 """
 
@@ -114,10 +114,10 @@
         return self._version
 
     def learn_holder(self, row: LeaseRow, version: int) -> None:
-        """Take a newer holder's row from another relay.
+        """Apply a newer holder's row from another relay.
 
-        It serves only to find the holder: it doesn't entitle to act, and a relay that
-        wants the lease reads the row before it writes.
+        It serves only to find the holder: it doesn't permit this relay to act, and a
+        relay that wants the lease reads the row before it writes.
         """
         if row.fence > self.fence and version > self._version:
             self._row, self._version = row, version
@@ -161,7 +161,7 @@
         """Return what to do next."""
         if not self._known:
             if self._is_learned and not self.wanted:
-                # Hundreds of relays are notified of a new holder: none has to read.
+                # A new holder notifies all relays, so hundreds needn't read the row.
                 return Sleep(self._ttl / _RENEWALS_PER_TTL)
             return Read()
         if self.is_mine:
@@ -189,7 +189,7 @@
         )
 
     def on_read(self, row: LeaseRow | None, version: int, now: float) -> None:
-        """Take the row that was read; version 0 if there is none."""
+        """Apply the row that was read; version 0 if there is none."""
         changed = not self._known or version != self._version
         was_holder = self.is_mine
         previous_row = self._row
@@ -206,7 +206,7 @@
             self._renew_at = self._sent_at + self._ttl / _RENEWALS_PER_TTL
 
     def on_written(self, row: LeaseRow, version: int) -> None:
-        """Take the row of a write that took effect."""
+        """Apply the row of a write that took effect."""
         if not self.is_mine:
             self.previous_row = self._row
         self._row, self._version = row, version
--- a/src/ebonydeal/_internal/routing/duties/report_pacing.py
+++ b/src/ebonydeal/_internal/routing/duties/report_pacing.py
@@ -3,28 +3,28 @@
 Load pattern: hundreds of relays, each with a few requests a second, report to one that
 may have half a core. The more relays there are, the less often each reports, so that
 the coordinator's share of a core stays bounded. All timeouts are derived from the same
-period. With fixed timeouts, healthy ones of 195 relays counted as gone between two of
+period. With fixed timeouts, some of 195 healthy relays counted as lost between two of
 their reports, a part of the limits was reserved for them, and usage windows were closed
 before they had reported.
 """
 
 from typing import NamedTuple
 
-# Reports a second that a whole core handles; each takes about 2 ms there.
-_MAX_REPORTS_PER_CORE_S = 116.0
-# More of them fill the links without making the state of relays usefully fresher.
+# Reports a second that one core handles; each takes about 2 ms there.
+_MAX_REPORTS_PER_S_PER_CORE = 116.0
+# A higher rate fills the links without making the coordinator's data usefully fresher.
 _MAX_REPORTS_PER_S = 130.0
 # Each period is multiplied by a random factor in this range, to avoid synchronization.
 MIN_JITTER = 0.8
 MAX_JITTER = 1.2
-# Added to the longest period: silence of the coordinator after which a relay wants
-# another one, and after which the relay counts itself as isolated.
+# Added to the longest interval between reports: if the coordinator is silent for so
+# long, a relay wants another one, and then counts itself as isolated.
 _COORDINATOR_GRACE_S = 0.2
 _ISOLATION_GRACE_S = 0.8
-# A report without an answer is repeated after this long at most.
+# A report without a reply is repeated after this long at most.
 _MAX_RETRY_INTERVAL_S = 0.5
-# A silent relay may be isolated and grant itself a part of the limits after this long
-# at least: a report that was lost and repeated at once arrives sooner.
+# A silent relay may be isolated, and grant itself a part of the limits, after at least
+# this long: a report that was lost and repeated at once arrives sooner.
 _MIN_RELAY_ISOLATION_S = 2.0
 # A relay that is silent for longer is left out of the sums.
 _MIN_RELAY_TIMEOUT_S = 3.0
@@ -49,7 +49,7 @@
         cores : float
             CPU cores that the coordinator has, possibly a fraction of one.
         """
-        per_s = min(_MAX_REPORTS_PER_S, max(1.0, _MAX_REPORTS_PER_CORE_S * cores))
+        per_s = min(_MAX_REPORTS_PER_S, max(1.0, _MAX_REPORTS_PER_S_PER_CORE * cores))
         return cls(max(min_period, relays / per_s))
 
     @property
@@ -59,7 +59,7 @@
 
     @property
     def retry_interval(self) -> float:
-        """Time until a report without an answer is repeated, seconds."""
+        """Time until a report without a reply is repeated, seconds."""
         return min(self.period, _MAX_RETRY_INTERVAL_S)
 
     @property
@@ -79,5 +79,5 @@
 
     @property
     def relay_timeout(self) -> float:
-        """Silence of a relay after which it counts as gone, seconds."""
+        """Silence of a relay after which it counts as lost, seconds."""
         return max(_MIN_RELAY_TIMEOUT_S, self.max_interval + _RELAY_GRACE_S)
--- a/src/ebonydeal/_internal/routing/duties/usage_ledger.py
+++ b/src/ebonydeal/_internal/routing/duties/usage_ledger.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 # A window is closed when every relay has reported after its end, or this long after the
-# end: a relay that is gone must not hold back the usage report.
-_MAX_WAIT_S = 3.0
+# end: a lost relay must not delay the usage report.
+_MAX_REPORT_WAIT_S = 3.0
 # Time for counts of the window's last moments to be reported.
 _SETTLE_TIME_S = 0.3
 _MAX_WINDOWS = 10
@@ -46,7 +46,7 @@
         self.add_totals(relay, windows)
 
     def add_totals(self, relay: str, windows: dict[int, dict[str, int]]) -> None:
-        """Add totals of a relay that may be gone."""
+        """Add totals of a relay that may be lost."""
         for window, counts in windows.items():
             totals = self._totals.setdefault(window, {})
             known = totals.get(relay, {})
@@ -77,7 +77,7 @@
         self._last_report_at.pop(relay, None)
 
     def due(
-        self, wall: float, accounts: list[str], wait: float = _MAX_WAIT_S
+        self, wall: float, accounts: list[str], wait: float = _MAX_REPORT_WAIT_S
     ) -> DueWindow | None:
         """Return the oldest window that can be reported now.
 
--- a/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
+++ b/src/ebonydeal/_internal/routing/fleet/fleet_plan.py
@@ -1,13 +1,13 @@
 """Plans how many endpoints of each kind a service should have in each zone.
 
-The plan is the cheapest one that carries the forecast load even while the zone with
+The plan is the cheapest one that can serve the forecast load even while the zone with
 the most reclaimable endpoints is reclaimed. Reclaimable endpoints are preferred;
-on-demand ones replace those that can't be had at the moment.
+on-demand ones replace those that are unavailable at the moment.
 
 Zones are reclaimed in bursts, a few seconds apart, with less notice than an endpoint
 needs to boot. So when the first zone is reclaimed, enough on-demand endpoints are
-ordered to carry the load alone, and kept until no further zone has been reclaimed for
-some time.
+ordered to serve the load alone, and retained until no further zone has been reclaimed
+for some time.
 """
 
 from math import ceil
@@ -167,13 +167,13 @@
         two_zones_lost=_endpoints_for(state.load, config.utilization_two_zones_lost),
     )
     spot_offered = scaling.spot_price is not None and scaling.spot_price < 1.0
-    kept = _kept_on_demand(
+    retained = _retained_on_demand(
         zones, current, max(required.one_zone_lost, state.min_endpoints)
     )
     spot = dict.fromkeys(zones, 0)
     if spot_offered:
         spot = _spread_spot(
-            scaling, zones, current, state.zones_without_spot, required, kept
+            scaling, zones, current, state.zones_without_spot, required, retained
         )
     total = sum(spot.values())
     lost = max(spot.values(), default=0) if config.cover_zone_loss else 0
@@ -183,32 +183,34 @@
     minimum = dict.fromkeys(zones, scaling.min_endpoints)
     if not config.fill_min_on_demand:
         minimum.update(dict.fromkeys(state.zones_without_spot, 0))
-    on_demand = _fill_on_demand(scaling, zones, current, spot, wanted, kept, minimum)
+    on_demand = _fill_on_demand(
+        scaling, zones, current, spot, wanted, retained, minimum
+    )
     plan = {zone: ZoneTarget(spot[zone], on_demand[zone]) for zone in zones}
     return FleetPlan(plan, required.total)
 
 
 def _endpoints_for(load: float, utilization: float) -> int:
-    """Return the endpoints that carry a load at a utilization; 1 if that is 0."""
+    """Return the endpoints that serve a load at a utilization; 1 if that is 0."""
     return max(1, ceil(load / utilization)) if utilization else 1
 
 
-def _kept_on_demand(
+def _retained_on_demand(
     zones: list[str], current: dict[str, ZoneFleet], required: int
 ) -> dict[str, int]:
     """Return the on-demand endpoints that stay until reclaimable ones serve."""
     serving = sum(current[zone].spot for zone in zones)
-    kept = {
+    retained = {
         zone: current[zone].on_demand + current[zone].on_demand_pending
         for zone in zones
     }
-    spare = sum(kept.values()) - max(0, required - serving)
-    while spare > 0 and any(kept.values()):
-        # Take them from the zone with the most, which makes room there.
-        zone = max(zones, key=lambda z: (kept[z], z))
-        kept[zone] -= 1
+    spare = sum(retained.values()) - max(0, required - serving)
+    while spare > 0 and any(retained.values()):
+        # Remove one in the zone with the most, which makes room there.
+        zone = max(zones, key=lambda z: (retained[z], z))
+        retained[zone] -= 1
         spare -= 1
-    return kept
+    return retained
 
 
 def _spread_spot(
@@ -217,11 +219,11 @@
     current: dict[str, ZoneFleet],
     zones_without_spot: frozenset[str],
     required: _Requirement,
-    kept: dict[str, int],
+    retained: dict[str, int],
 ) -> dict[str, int]:
     """Spread reclaimable endpoints so that the loss of zones leaves enough."""
     # The upper bound applies to both kinds together.
-    room = {zone: max(0, scaling.max_endpoints - kept[zone]) for zone in zones}
+    room = {zone: max(0, scaling.max_endpoints - retained[zone]) for zone in zones}
     # A zone where no more are available keeps those it has.
     spot = {
         zone: min(
@@ -248,13 +250,13 @@
     current: dict[str, ZoneFleet],
     spot: dict[str, int],
     wanted: int,
-    kept: dict[str, int],
+    retained: dict[str, int],
     minimum: dict[str, int],
 ) -> dict[str, int]:
-    """Return on-demand endpoints: ``wanted``, and those kept until others serve."""
+    """Return on-demand endpoints: ``wanted``, and those retained until others serve."""
     on_demand = {
         zone: min(
-            max(kept[zone], minimum[zone] - spot[zone]),
+            max(retained[zone], minimum[zone] - spot[zone]),
             scaling.max_endpoints - spot[zone],
         )
         for zone in zones
--- a/src/ebonydeal/_internal/routing/fleet/load_forecast.py
+++ b/src/ebonydeal/_internal/routing/fleet/load_forecast.py
@@ -3,8 +3,8 @@
 Zones are reclaimed in bursts. Requests that wait during a burst, and prompts that are
 prefilled again, look like load, so the forecast may exceed the baseline before the
 burst only by a factor. The baseline must have been measured: when a zone was reclaimed
-one second after traffic had begun, that second's load was taken for all the load, and
-1.7 endpoints were planned for where some 30 were busy.
+one second after traffic had begun, that second's load was taken for the baseline, and
+the plan was for 1.7 endpoints while some 30 were busy.
 """
 
 from ebonydeal._internal.routing.fleet.fleet_plan import FleetConfig
--- a/src/ebonydeal/_internal/routing/limits/quota_bounds.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_bounds.py
@@ -1,4 +1,4 @@
-"""The most that a client account may use in a window, and the terms of that bound.
+"""The maximum that a client account may use in a window, and the terms of that bound.
 
 The sum over all relays is bounded. Each relay has one equal share of every limit, and
 at any moment at most one relay grants from a share. Whichever relays are lost,
@@ -15,8 +15,8 @@
 _IN_ADVANCE_FRACTION = 0.1
 _STANDBY_FRACTION = 0.42
 _STARTUP_FRACTION = 0.17
-# Fraction of a burst that the standby holds: with the lease holder only the rest is
-# lost.
+# Fraction of a burst that the standby holds: if the lease holder fails, only the other
+# part is lost.
 _STANDBY_BURST_FRACTION = 0.45
 _LATE_FRACTION = 0.1
 # A new granter starts with the debt that its predecessor may have left, and grants
--- a/src/ebonydeal/_internal/routing/limits/quota_broker.py
+++ b/src/ebonydeal/_internal/routing/limits/quota_broker.py
@@ -67,7 +67,7 @@
         # Amounts granted in advance: when each expires, and how much.
         self.advances: deque[tuple[float, float]] = deque()
         self.advanced_total = 0.0
-        # The most that the standby holds, and when that expires.
+        # The maximum that the standby holds, and when that expires.
         self.standby_amount = 0.0
         self.standby_until = at
         # What small requests may still take while the level is too low.
@@ -108,7 +108,7 @@
         self._buckets: dict[str, _Bucket] = {}
         # Whether new buckets are full, as no relay can have granted anything before.
         self.starts_full = False
-        # Whether a standby may hold a part of each burst that this granter didn't give.
+        # Whether a standby may hold a part of each burst that another granter gave it.
         self.has_unknown_standby: Callable[[float], bool] = lambda _now: False
 
     def refresh(self, accounts: Iterable[ForwardAccount], now: float) -> None:
@@ -124,9 +124,9 @@
         """Grant ``need`` of an account, or say when to ask again.
 
         A request that the level doesn't cover may be granted on debt, up to a bound.
-        Otherwise small requests keep the level low, and large requests, which are worth
-        most, are refused. Requests much smaller than the account's mean size are
-        granted while others wait for the debt to be earned.
+        Without debt, small requests would keep the level low, and large requests, the
+        most valuable ones, would be refused. Requests much smaller than the account's
+        mean size are granted while others wait for the debt to be earned.
         """
         bucket = self._filled(account, now)
         bucket.mean_size = bucket.mean_size or need
@@ -186,8 +186,8 @@
     ) -> float:
         """Return what a standby gets beside its ``balance``; 0 near the limit."""
         bucket = self._filled(account, now)
-        most = self.bounds.standby(account) + self.bounds.standby_burst(account)
-        room = most * bucket.share - balance
+        max_amount = self.bounds.standby(account) + self.bounds.standby_burst(account)
+        room = max_amount * bucket.share - balance
         amount = max(0.0, min(room, self._spare(account, bucket)))
         bucket.level -= amount
         bucket.standby_amount = balance + amount
@@ -233,13 +233,13 @@
         bucket = self._buckets.get(account.name)
         if bucket is None:
             level = account.burst if self.starts_full else 0.0
-            held = share if self.starts_full else 0.0
-            bucket = self._buckets[account.name] = _Bucket(level, held, now)
+            initial_share = share if self.starts_full else 0.0
+            bucket = self._buckets[account.name] = _Bucket(level, initial_share, now)
         bucket.expire_advances(now)
         earned = (
             account.rate * min(share, bucket.share) * max(0.0, now - bucket.filled_at)
         )
-        # A gained share may carry debt that the granter before it has left.
+        # The previous granter of a gained share may have left debt.
         owed = self.bounds.debt(account) * max(0.0, share - bucket.share)
         bucket.share = share
         bucket.filled_at = max(bucket.filled_at, now)
--- a/src/ebonydeal/_internal/routing/limits/share_delegation.py
+++ b/src/ebonydeal/_internal/routing/limits/share_delegation.py
@@ -4,9 +4,9 @@
 nothing from the share until that time has passed on its own clock, counted from when it
 received the granter's offer. The granter counts the share from when the relay sends the
 offer back, until the same time has passed on its own clock, counted from when it made
-the offer. So the granter's time ends first, whatever calls take, whichever process is
-suspended, and without synchronized clocks. A restarted relay has delegated nothing, and
-has no share until the coordinator assigns one.
+the offer. So the granter's time ends first, however long calls take, whichever process
+is suspended, and without synchronized clocks. A restarted relay has delegated nothing,
+and has no share until the coordinator assigns one.
 """
 
 from typing import NamedTuple
--- a/src/ebonydeal/_internal/routing/limits/share_registry.py
+++ b/src/ebonydeal/_internal/routing/limits/share_registry.py
@@ -1,9 +1,9 @@
 """Which relays have a share of all limits, as decided by the lease holder.
 
-The names of these relays are stored before any of them is told about its share. A relay
+The names of these relays are stored before any of them learns its share. A relay
 that takes over the lease therefore knows which relays may admit on their own, and
 grants only from the remaining shares. All shares add up to at most one, whatever share
-counts relays were told:
+counts relays know:
 
 - a share is one of ``shares``, of which there are never fewer than names;
 - a name is added only after all shares announced with a smaller count have expired.
@@ -43,7 +43,7 @@
 
 
 class ShareRegistry:
-    """The relays with shares, as one lease holder keeps them."""
+    """The relays with shares, as one lease holder knows them."""
 
     def __init__(self) -> None:
         self.row = EMPTY_ROW
@@ -52,7 +52,7 @@
         self._count_raised_at = _NEVER
         self._delegated_at: dict[str, float] = {}
         self._first_delegated_at = _NEVER
-        # How many relays are alive, and since when there are so many.
+        # How many relays are alive, and since when that number is unchanged.
         self._alive_count: tuple[int, float] = (0, _NEVER)
 
     def load(self, row: RegistryRow, now: float) -> None:
@@ -65,8 +65,8 @@
         """Note that a relay delegated its share to this holder."""
         self._delegated_at[node] = now
         if node in self.row.names and self._first_delegated_at == _NEVER:
-            # Until then another granter may hold the shares of all names and renew
-            # them.
+            # Before the first delegation, another granter may hold and renew the shares
+            # of all names.
             self._first_delegated_at = now
 
     def _is_expired(self, name: str, now: float) -> bool:
@@ -83,19 +83,19 @@
         self._delegated_at = {
             n: at for n, at in self._delegated_at.items() if n in known
         }
-        kept = {name for name in row.names if not self._is_expired(name, now)}
-        new = set(alive) - kept
+        unexpired = {name for name in row.names if not self._is_expired(name, now)}
+        new = set(alive) - unexpired
         if not row.names:
             if self._alive_count[0] != len(alive):
                 self._alive_count = (len(alive), now)
             if not alive or now - self._alive_count[1] < _SETTLE_TIME_S:
                 return row
             return RegistryRow(len(alive), frozenset(alive))
-        count = len(kept) + len(new)
+        count = len(unexpired) + len(new)
         ready = row.shares >= count and now - self._count_raised_at >= SHARE_TTL_S
         if new and not ready:
-            return RegistryRow(max(count, row.shares), frozenset(kept))
-        return RegistryRow(count, frozenset(kept | new))
+            return RegistryRow(max(count, row.shares), frozenset(unexpired))
+        return RegistryRow(count, frozenset(unexpired | new))
 
     def begin_write(self, row: RegistryRow) -> None:
         """Note that a row is being written to the store."""
--- a/src/ebonydeal/_internal/routing/limits/startup_grant.py
+++ b/src/ebonydeal/_internal/routing/limits/startup_grant.py
@@ -2,8 +2,9 @@
 
 After a loss nobody has shares until the delegations by lost processes have expired. A
 part of the tolerance is reserved for that time, enough for two holders in a window,
-since losses come in series. The start times of the last grants are stored together with
-the lease, so the bound of a window holds however often relays start.
+since several losses may follow each other. The start times of the last grants are
+stored together with the lease, so the bound of a window holds however often relays
+start.
 """
 
 from collections.abc import Iterable
@@ -11,7 +12,7 @@
 from ebonydeal._internal.models.forwarding import ForwardAccount
 from ebonydeal._internal.routing.limits.quota_bounds import QuotaBounds
 
-# What is unused then expires: by then shares are delegated.
+# Unused amounts expire after this time: by then shares are delegated.
 STARTUP_GRANT_TTL_S = 2.0
 # This many startup grants may start in a window, each with its part of the tolerance.
 MAX_STARTUP_GRANTS = 2
--- a/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -1,4 +1,4 @@
-"""What each process of an endpoint announced about itself, as one relay knows it.
+"""Announcements of endpoints' processes about themselves, as one relay knows them.
 
 A limit holds from the answer that announces it until an answer without it. That answer
 must be to a request sent after the limit was last announced, as answers may arrive out
@@ -14,7 +14,7 @@
 
 # The lower limit stays in force for this long after a limit rose. The end of a limit is
 # reported to other relays for this long.
-_WINDOW_S = 4.0
+_LIMIT_CHANGE_HOLD_S = 4.0
 # Longest time that a report takes. The end of a limit that another relay reports counts
 # as that much older, so that a limit announced meanwhile has precedence.
 _MAX_REPORT_DELAY_S = 0.5
@@ -22,7 +22,7 @@
 # good.
 _MAX_BACKOFF_S = 3600.0
 # Relays report for this long that a process is leaving: after that the list of
-# endpoints says so, or the process is gone.
+# endpoints shows it, or the process has ended.
 _LEAVING_REPORT_TTL_S = 30.0
 # Processes that are remembered; the least recently updated are evicted first.
 _MAX_PROCESSES = 4000
@@ -47,9 +47,9 @@
     @classmethod
     def decode(cls, message: list) -> "LimitReport":
         """Build from another relay's JSON; raises ValueError or TypeError."""
-        endpoint_id, born, limit, age = message
+        endpoint_id, incarnation, limit, age = message
         return cls(
-            EndpointProcess(str(endpoint_id), int(born)),
+            EndpointProcess(str(endpoint_id), int(incarnation)),
             None if limit is None else max(0.0, float(limit)),
             max(0.0, float(age)),
         )
@@ -99,7 +99,7 @@
     def note_leaving(self, process: EndpointProcess, at: float) -> bool:
         """Note that a process is leaving; return whether that is new.
 
-        It can't be taken back: a process that stays after all must restart.
+        The announcement is final: a process that isn't stopped after all must restart.
         """
         if process in self._leaving:
             return False
@@ -114,7 +114,7 @@
         return self._leaving.get(process)
 
     def leaving_reports(self, now: float) -> list[list]:
-        """Return the reports for other relays: id, start and seconds since then."""
+        """Return reports for other relays: id, incarnation, seconds since then."""
         return [
             [*process, round(now - at, 3)]
             for process, at in self._leaving.items()
@@ -126,8 +126,8 @@
     ) -> list[EndpointProcess]:
         """Merge another relay's reports; return the processes that are new."""
         new = []
-        for endpoint_id, born, age in messages:
-            process = EndpointProcess(str(endpoint_id), int(born))
+        for endpoint_id, incarnation, age in messages:
+            process = EndpointProcess(str(endpoint_id), int(incarnation))
             if self.note_leaving(process, now - max(0.0, float(age))):
                 new.append(process)
         return new
@@ -177,7 +177,7 @@
         if known.limit is not None and limit is not None and limit > known.limit:
             lower = self.limit(process, now)
             known.lower = known.limit if lower is None else lower
-            known.lower_until = now + _WINDOW_S
+            known.lower_until = now + _LIMIT_CHANGE_HOLD_S
         known.limit, known.at, known.own = limit, at, own
         return changed
 
@@ -227,7 +227,7 @@
             LimitReport(process, known.limit, now - known.at)
             for process, known in self._limits.items()
             if (known.own or not own)
-            and (known.limit is not None or now - known.at <= _WINDOW_S)
+            and (known.limit is not None or now - known.at <= _LIMIT_CHANGE_HOLD_S)
         ]
 
     def merge_limits(self, messages: Iterable[list], now: float) -> list[LimitReport]:
--- a/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
+++ b/src/ebonydeal/_internal/routing/placement/endpoint_selector.py
@@ -33,7 +33,7 @@
 # Another zone costs a round trip and traffic between zones.
 _OTHER_ZONE_S = 0.003
 # A leaving endpoint breaks off requests that run longer than expected, or they must be
-# moved.
+# migrated.
 _LEAVING_S = 0.05
 # A fetch takes a few milliseconds whatever its size.
 _FETCH_S = 0.004
@@ -45,7 +45,7 @@
 _FAILURE_COST_S = 1.0
 _FAILURE_RATE_STEP = 0.1
 # Share of the batch that is used: other relays' sends that aren't reported yet may
-# fill the rest.
+# fill the remainder.
 _USABLE_BATCH_SHARE = 0.95
 # Time over which a service's demand for work is averaged.
 _WORK_WINDOW_S = 4.0
@@ -169,7 +169,7 @@
         }
 
     def work_rates(self, now: float) -> dict[str, float]:
-        """Return the prefill work asked per second, in endpoint seconds, by service."""
+        """Return the requested prefill work by service, endpoint seconds per second."""
         return {name: meter.rate(now) for name, meter in self._work_meters.items()}
 
     def running_requests(self, endpoint_id: str) -> int:
--- a/src/ebonydeal/_internal/routing/placement/engine_speed.py
+++ b/src/ebonydeal/_internal/routing/placement/engine_speed.py
@@ -97,6 +97,6 @@
         self.quadratic_s += weight * (sample - self.quadratic_s)
 
     def record_stream(self, tokens: int, seconds: float) -> None:
-        """Learn from the duration of a whole stream after its first event."""
+        """Learn from the duration of a complete stream after its first event."""
         if tokens > 0 and seconds > 0.0:
             self._token_s += _STREAM_WEIGHT * (seconds / tokens - self._token_s)
--- a/src/ebonydeal/_internal/routing/placement/outliers.py
+++ b/src/ebonydeal/_internal/routing/placement/outliers.py
@@ -88,7 +88,7 @@
             self._eject(health, now)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop the record of an endpoint that is gone or restarted."""
+        """Drop the record of an endpoint that was removed or has restarted."""
         self._health.pop(endpoint_id, None)
 
     def traffic_share(self, endpoint_id: str, now: float) -> float:
--- a/src/ebonydeal/_internal/routing/placement/prefix_cache_view.py
+++ b/src/ebonydeal/_internal/routing/placement/prefix_cache_view.py
@@ -83,11 +83,11 @@
         """Return the prompt tokens expected to be found in the cache.
 
         The last known block counts even if events of earlier blocks were lost: engines
-        keep no block without those before it. A block known to be evicted ends the
+        cache no block without those before it. A block known to be evicted ends the
         match.
         """
         used = self._last_used
-        # A set operation over the whole prompt is several times faster than a loop,
+        # A set operation over the entire prompt is several times faster than a loop,
         # and most endpoints have cached nothing of it.
         if used.keys().isdisjoint(blocks):
             return 0.0
--- a/src/ebonydeal/_internal/routing/placement/router.py
+++ b/src/ebonydeal/_internal/routing/placement/router.py
@@ -205,7 +205,7 @@
         self._cache(endpoint_id).apply_events(events, now)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop the state of an endpoint that is gone or has restarted."""
+        """Drop the state of an endpoint that was removed or has restarted."""
         self._caches.pop(endpoint_id, None)
         self._attempts.pop(endpoint_id, None)
         self._limits.pop(endpoint_id, None)
--- a/src/ebonydeal/_internal/routing/reclaim/migration_plan.py
+++ b/src/ebonydeal/_internal/routing/reclaim/migration_plan.py
@@ -209,11 +209,11 @@
     expected time, plus the time of the longest one, is left before the deadline.
     """
     expected: dict[str, float] = dict(queue.busy)
-    longest: dict[str, float] = {}
+    max_transfer_s: dict[str, float] = {}
     for stream in ordered:
         source = stream.endpoint_id
         seconds = transfer_seconds(stream, queue.source_rate, assumptions)
-        longest[source] = max(longest.get(source, 0.0), seconds)
+        max_transfer_s[source] = max(max_transfer_s.get(source, 0.0), seconds)
         chance = outlast_probability(stream, queue.usable, assumptions)
         if chance > 0.0:
             expected[source] = expected.get(source, 0.0) + chance * seconds
@@ -222,7 +222,8 @@
     for stream in ordered:
         source = stream.endpoint_id
         needed = (
-            assumptions.export_time_factor * expected.get(source, 0.0) + longest[source]
+            assumptions.export_time_factor * expected.get(source, 0.0)
+            + max_transfer_s[source]
         )
         slack = queue.usable - needed
         too_long = (
--- a/src/ebonydeal/_internal/routing/retries/retries.py
+++ b/src/ebonydeal/_internal/routing/retries/retries.py
@@ -1,7 +1,7 @@
 """Retry budgets: whether a failed attempt is followed by another, and when.
 
 Every first send adds a fraction of a retry to its deployment's budget, and a retry
-costs a whole one. So a deployment that fails completely gets at most ``1 + budget``
+costs a full one. So a deployment that fails completely gets at most ``1 + budget``
 sends per request, plus the few saved earlier, however many callers there are.
 """
 
--- a/src/ebonydeal/_internal/routing/rollout/evidence.py
+++ b/src/ebonydeal/_internal/routing/rollout/evidence.py
@@ -11,7 +11,7 @@
   nearly all of the old version's.
 
 One faulty endpoint looks like a bad version if it is the only canary. So evidence is
-kept by endpoint, and the total without the worst endpoint is returned, too.
+stored by endpoint, and the total without the worst endpoint is returned, too.
 """
 
 from collections.abc import Callable, Iterable
@@ -40,7 +40,7 @@
 _SLOW_SHARES = (0.1, 0.3, 1.0)
 # Delays in half octaves: 2.8 and 5.7 times slower.
 _SLOW_SHIFTS = (3, 5)
-# Upper limit of the log-likelihood ratio of one answer: one must not decide alone.
+# Upper limit of the log-likelihood ratio of one answer: no single answer may decide.
 _MAX_ANSWER_LOG_RATIO = 4.0
 _MIN_ANSWER_RATIO = 0.02
 # Answers of the old version that a baseline needs before it is used.
@@ -84,7 +84,7 @@
     spread[FAILED] = counts[FAILED] + _PRIOR_ANSWERS
     last = CATEGORIES - 1
     for category in range(1, CATEGORIES):
-        # The first and the last category keep what would go beyond them.
+        # What would go beyond the first or last category stays in it.
         below = category - 1 if category > 1 else category
         above = category + 1 if category < last else category
         spread[below] += counts[category] * _SPREAD
@@ -341,8 +341,8 @@
         nothing = [0.0] * self._test.size
         return {
             route: [
-                whole - own
-                for whole, own in zip(
+                total - own
+                for total, own in zip(
                     values,
                     self._log_ratios[route].get(endpoint_id, nothing),
                     strict=True,
--- a/src/ebonydeal/_internal/routing/rollout/exposure.py
+++ b/src/ebonydeal/_internal/routing/rollout/exposure.py
@@ -4,26 +4,27 @@
 Whether a version turns bad later, or under full load, is known only at the deadline. So
 the exposure stays within the bound even if the version is bad until then: during the
 canary stage it gets some requests all the time, as many on each route; it gets all
-requests only in a last stage, which is as long as the rest of the bound allows.
+requests only in a last stage, which is as long as the remaining bound allows.
 """
 
 from math import sqrt
 from typing import NamedTuple
 
-# Parts of the bound that are used in the canary stage; the rest is for the last stage.
-_CANARY_SHARE_PART = 0.25
-_CANARY_SLACK_PART = 0.4
-# The part of the share while there is doubt, which must be resolved by the deadline.
-_DOUBT_SHARE_PART = 0.6
-# Part of the bound that is never planned for, for requests that aren't reported yet.
-_RESERVED_PART = 0.05
-# Largest part of a route's requests in the canary stage.
+# Fractions of the bound that are used in the canary stage; the others are for the last
+# stage.
+_CANARY_SHARE_FRACTION = 0.25
+_CANARY_SLACK_FRACTION = 0.4
+# Fraction of the share while there is doubt, which must be resolved by the deadline.
+_DOUBT_SHARE_FRACTION = 0.6
+# Fraction of the bound that is reserved for requests that aren't reported yet.
+_RESERVED_FRACTION = 0.05
+# Maximum share of a route's requests in the canary stage.
 _MAX_ROUTE_SHARE = 0.5
-# Lowest rate that is assumed for a route, requests a second.
-_MIN_ROUTE_RATE = 0.05
-# The canary stage is planned for this part of the time to the deadline, so that a
+# Minimum rate that is assumed for a route, requests a second.
+_MIN_ROUTE_RATE_PER_S = 0.05
+# The canary stage is planned for this fraction of the time to the deadline, so that a
 # roll-out whose endpoints start late gets its requests, too.
-_CANARY_TIME_PART = 0.8
+_CANARY_TIME_FRACTION = 0.8
 
 
 class ExposureBound(NamedTuple):
@@ -38,7 +39,7 @@
 
     def max_exposed(self, requests: float) -> float:
         """Return the bound for so many requests, less the reserve."""
-        return (self.share * requests + self.slack) * (1.0 - _RESERVED_PART)
+        return (self.share * requests + self.slack) * (1.0 - _RESERVED_FRACTION)
 
 
 class Exposure(NamedTuple):
@@ -114,7 +115,7 @@
     """Gives the new endpoints, one after the other, the load of an old one.
 
     A version may be bad only under load. Where few endpoints carry much load, the bound
-    allows this only in short bursts; the pause between them follows from the bound.
+    allows this only in short bursts; the time between them follows from the bound.
     """
 
     _MAX_CANARIES = 3
@@ -152,12 +153,12 @@
 def _target_rate(bound: ExposureBound, exposure: Exposure) -> float:
     """Return the requests a second that use up the canary stage's part evenly."""
     total = exposure.requests + exposure.rate * max(0.0, exposure.time_left)
-    share_part = _DOUBT_SHARE_PART if exposure.in_doubt else _CANARY_SHARE_PART
-    budget = bound.share * total * share_part + bound.slack * _CANARY_SLACK_PART
+    share_part = _DOUBT_SHARE_FRACTION if exposure.in_doubt else _CANARY_SHARE_FRACTION
+    budget = bound.share * total * share_part + bound.slack * _CANARY_SLACK_FRACTION
     remaining = max(0.0, budget - exposure.exposed)
     return min(
-        remaining / max(0.5, exposure.time_left * _CANARY_TIME_PART),
-        budget / max(0.5, exposure.duration * _CANARY_TIME_PART) * 2.0,
+        remaining / max(0.5, exposure.time_left * _CANARY_TIME_FRACTION),
+        budget / max(0.5, exposure.duration * _CANARY_TIME_FRACTION) * 2.0,
     )
 
 
@@ -170,8 +171,8 @@
     Only the requests so far count, not those still expected, as traffic may end.
     """
     budget = (
-        bound.share * exposure.requests * _DOUBT_SHARE_PART
-        + bound.slack * _CANARY_SLACK_PART
+        bound.share * exposure.requests * _DOUBT_SHARE_FRACTION
+        + bound.slack * _CANARY_SLACK_FRACTION
     )
     return max(0.0, budget - exposure.exposed) / (2.0 * max(0.2, exposure.lag))
 
@@ -182,7 +183,7 @@
     left = target
     ranked = sorted(rates, key=lambda route: (rates[route], route))
     for index, route in enumerate(ranked):
-        rate = max(_MIN_ROUTE_RATE, rates[route])
+        rate = max(_MIN_ROUTE_RATE_PER_S, rates[route])
         part = left / (len(ranked) - index)
         shares[route] = min(_MAX_ROUTE_SHARE, part / rate)
         left -= shares[route] * rate
--- a/src/ebonydeal/_internal/routing/rollout/rollout_state.py
+++ b/src/ebonydeal/_internal/routing/rollout/rollout_state.py
@@ -19,7 +19,7 @@
     last_stage_s,
 )
 
-# Longest last stage: requests in flight on old endpoints end in it.
+# Maximum last stage: requests in flight on old endpoints end within it.
 _MAX_LAST_STAGE_S = 3.0
 # A last stage under way may be longer than the bound allows by this factor.
 _LAST_STAGE_TOLERANCE = 2.0
@@ -28,16 +28,16 @@
 _WRITE_RESERVE_S = 0.35
 # All requests go to the new version for at least this long before it is called good.
 _MIN_LAST_STAGE_S = 0.4
-# With fewer new endpoints than this part of the old ones the new version can't carry
-# all requests.
-_MIN_ENDPOINTS_PART = 0.6
+# With fewer new endpoints than this fraction of the old ones, the new version can't
+# serve all requests.
+_MIN_ENDPOINTS_FRACTION = 0.6
 # A doubt may last for this long after the deadline.
 _MAX_DOUBT_AFTER_DEADLINE_S = 4.0
 # Answers after which a version without evidence against it may get all requests; a
-# service with few requests is observed for this part of its order's time instead.
+# service with few requests is observed for this fraction of its order's time instead.
 _MIN_ANSWERS = 15
-_MIN_OBSERVED_PART = 0.5
-# As `_MIN_LAST_STAGE_S`, after the deadline: a longer observation then costs nothing.
+_MIN_OBSERVED_FRACTION = 0.5
+# The same after the deadline, where a longer observation costs nothing.
 _MIN_LATE_LAST_STAGE_S = 1.5
 # Time over which the rates of routes are averaged.
 _RATE_WINDOW_S = 2.0
@@ -52,7 +52,8 @@
     bad : float
         From here on a version is bad; one in some thousands of good ones gets there.
     others_bad : float
-        Minimum for the other endpoints, so that it isn't a single faulty one.
+        Minimum for the endpoints other than the worst, so that a single faulty endpoint
+        doesn't make its version bad.
     doubt : float
         From here on a version isn't called good yet.
     """
@@ -233,7 +234,7 @@
         return not others or evidence.total_without_worst >= self.config.others_bad
 
     def _stays_in_doubt(self, evidence: EvidenceSummary, now: float) -> bool:
-        """Return whether a doubt outlasts the deadline: then the old version stays."""
+        """Return whether a doubt lasts too long, so that the old version stays."""
         return now - self.deadline > _MAX_DOUBT_AFTER_DEADLINE_S and self._is_in_doubt(
             evidence
         )
@@ -241,7 +242,8 @@
     def _is_in_doubt(self, evidence: EvidenceSummary) -> bool:
         """Return whether there is some evidence against the version itself.
 
-        One faulty endpoint is none, once the others gave enough good answers.
+        A single faulty endpoint is no such evidence once the others gave enough good
+        answers.
         """
         if evidence.total < self.config.doubt:
             return False
@@ -252,7 +254,7 @@
 
     def _may_get_all(self, endpoints: ServiceEndpoints, exposure: Exposure) -> bool:
         """Return whether all requests go to the new version now."""
-        if len(endpoints.new) < _MIN_ENDPOINTS_PART * len(endpoints.old):
+        if len(endpoints.new) < _MIN_ENDPOINTS_FRACTION * len(endpoints.old):
             return False
         if exposure.in_doubt or not self._is_observed_enough(exposure):
             return False
@@ -261,7 +263,7 @@
         length = min(_MAX_LAST_STAGE_S, last_stage_s(self.config.bound, exposure))
         if self.full_since is not None:
             # More requests than expected shorten the length: a stage under way isn't
-            # taken back at once.
+            # cancelled at once.
             length *= _LAST_STAGE_TOLERANCE
         return exposure.time_left <= length
 
@@ -271,7 +273,7 @@
             return True
         assert self._new_since is not None
         observed = self.deadline - exposure.time_left - self._new_since
-        return observed >= _MIN_OBSERVED_PART * self.order.duration
+        return observed >= _MIN_OBSERVED_FRACTION * self.order.duration
 
     def _is_complete(self, endpoints: ServiceEndpoints, now: float) -> bool:
         """Return whether the old endpoints may stop."""
@@ -281,7 +283,7 @@
             _MIN_LAST_STAGE_S if time_left > 0.0 else _MIN_LATE_LAST_STAGE_S
         ):
             return False
-        # Requests after the verdict count as exposed, too: it comes no sooner than
+        # Requests after the verdict count as exposed, too, so it comes no sooner than
         # needed.
         return time_left <= _WRITE_RESERVE_S or (
             endpoints.old_in_flight == 0 and time_left <= 2.0 * _WRITE_RESERVE_S
--- a/src/ebonydeal/_internal/routing/rollout/traffic_split.py
+++ b/src/ebonydeal/_internal/routing/rollout/traffic_split.py
@@ -1,8 +1,8 @@
 """Chooses the version for each request at one relay, and counts requests and answers.
 
-Shares are kept by counting, not at random: with hundreds of relays that each see a few
-requests a second, random choices would exceed the bound. The initial count depends on
-the relay's name, so that the sum over all relays is even, too.
+Shares are enforced by counting, not at random: with hundreds of relays that each see a
+few requests a second, random choices would exceed the bound. The initial count depends
+on the relay's name, so that the sum over all relays is even, too.
 """
 
 from collections.abc import Sequence
@@ -23,7 +23,8 @@
 )
 
 _HASH_RANGE = float(2**64)
-# Requests that the new version may get later because its endpoints weren't available.
+# Requests not sent to the new version while its endpoints were unavailable, which it
+# may get later.
 _MAX_CREDIT = 2.0
 # Answers in this category and above are late.
 _FIRST_LATE_CATEGORY = category_of(4.0, 1.0)
@@ -34,8 +35,8 @@
 # Added to times before they are compared: a new connection and a busy instance lengthen
 # short answers, which says nothing of the version.
 _TIME_OFFSET_S = 0.01
-# Sends that ended without an answer, for example because the caller left, are kept for
-# this long.
+# Sends that ended without an answer, for example because the caller left, are
+# remembered for this long.
 _ENDED_TTL_S = 5.0
 
 
@@ -55,7 +56,7 @@
 
 
 class VersionChoice(NamedTuple):
-    """The endpoints that a request may go to, and if they are of the new version."""
+    """The endpoints that a request may go to, and whether their version is new."""
 
     members: Sequence[Member]
     is_new: bool = False
@@ -180,8 +181,8 @@
             if known is None or known.order.revision < order.revision:
                 self._rollouts[service] = _RolloutAtRelay(order, known)
         for service in self._rollouts.keys() - orders.keys():
-            # A withdrawn order keeps its last gate; without one the roll-out is
-            # dropped.
+            # The last gate of a withdrawn order stays in force; without a gate the
+            # roll-out is dropped.
             rollout = self._rollouts[service]
             if rollout.gate is None:
                 del self._rollouts[service]
@@ -232,7 +233,7 @@
     ) -> VersionChoice:
         """Return the endpoints of one version that a request may go to.
 
-        ``resend`` says that it was sent before: a retry goes to the old version.
+        ``resend`` says that it was sent before: a resend goes to the old version.
         ``first`` says that this is the request's first choice, which adds the route's
         share to the new version's credit.
         """
@@ -240,10 +241,10 @@
         if rollout is None:
             return VersionChoice(members)
         gate = rollout.gate
-        to = rollout.order.target_version
+        target = rollout.order.target_version
         barred = rollout.barred if gate is None else gate.barred
-        new = [m for m in members if m.version == to]
-        old = [m for m in members if m.version != to and m.version not in barred]
+        new = [m for m in members if m.version == target]
+        old = [m for m in members if m.version != target and m.version not in barred]
         phase = Phase.RUNNING if gate is None else gate.phase
         match phase:
             case Phase.COMPLETED:
