--- a/src/ebonydeal/_internal/relay/limits/client.py
+++ b/src/ebonydeal/_internal/relay/limits/client.py
@@ -362,7 +362,7 @@
             else:
                 if got.amount >= amount:
                     return self._counted(got, Event.ADMITTED_BY_GRANT)
-                return await self._ask_standby_to_spare(
+                return await self._ask_standby_for_spare(
                     coordinator, account, amount, got
                 )
         got = await self._ask_standby(account, amount, False)
@@ -382,7 +382,7 @@
                 retry_after=max(_MIN_RETRY_AFTER_S, wait),
             ) from None
 
-    async def _ask_standby_to_spare(
+    async def _ask_standby_for_spare(
         self,
         coordinator: CoordinatorPort,
         account: ForwardAccount,
--- a/src/ebonydeal/_internal/relay/peers/long_prompts.py
+++ b/src/ebonydeal/_internal/relay/peers/long_prompts.py
@@ -1,10 +1,10 @@
-"""Notices of long prompts, sent to all other relays at once.
+"""Notifications of long prompts, sent to all other relays at once.
 
 An endpoint prefills one prompt after the other, and one of 50,000 tokens takes more
 than a second. Other relays learn the endpoint's load up to half a second later; short
 prompts that they send there meanwhile wait too long behind the long one. So the relay
-that sends a long prompt notifies all others at once. The next exchange makes up for a
-notice that is lost.
+that sends a long prompt notifies all others at once. After a lost notification they
+learn the load from their next exchange.
 """
 
 import asyncio
@@ -25,9 +25,9 @@
 logger = get_logger("relay.long_reads")
 
 LONG_PROMPT = "/relay/v1/long-read"
-# A notice that arrives later than this is of little use.
+# A notification that arrives later than this is of little use.
 _CALL_TIMEOUT_S = 0.4
-# Longer prefill times in notices are taken for errors and cut to this.
+# Longer prefill times in notifications are considered errors and limited to this.
 _MAX_PREFILL_S = 5.0
 
 
@@ -39,14 +39,14 @@
 
 
 class LongPromptReceiver:
-    """Passes other relays' notices to the endpoint selector."""
+    """Passes other relays' notifications to the endpoint selector."""
 
     def __init__(self, selector: EndpointSelector, clock: Clock) -> None:
         self._selector = selector
         self._clock = clock
 
     def receive(self, message: LongPromptMessage) -> dict[str, Any]:
-        """Apply one notice."""
+        """Apply one notification."""
         seconds = min(_MAX_PREFILL_S, max(0.0, float(message["seconds"])))
         until = self._clock.now() + seconds
         self._selector.mark_prefilling(str(message["endpoint"]), until)
--- a/src/ebonydeal/_internal/relay/view/view.py
+++ b/src/ebonydeal/_internal/relay/view/view.py
@@ -12,9 +12,9 @@
 
 logger = get_logger("relay.view")
 
-# After an endpoint reports that it leaves, it may get new work for the time set by the
-# deployment, less this margin: the report takes time to reach a relay, and a request to
-# reach the endpoint, on busy instances a third of a second each.
+# After an endpoint announces that it leaves, it may get new work for the time set by
+# the deployment, less this margin: the announcement takes time to reach a relay, and a
+# request to reach the endpoint, on busy instances a third of a second each.
 _LAST_RESORT_MARGIN_S = 0.7
 # An endpoint whose leave time is known gets no new work in its last moments.
 _LEAVE_TIME_MARGIN_S = 0.1
@@ -88,7 +88,7 @@
         self.changes = 0
         self._changed: deque[str] = deque(maxlen=_MAX_CHANGES)
         self._leaving_since: dict[str, float] = {}
-        # Returns since when a process leaves according to its own report, or None.
+        # Returns when a process announced that it leaves, or None.
         self.own_leaving_since: Callable[[EndpointProcess], float | None] = lambda _: (
             None
         )
@@ -202,7 +202,7 @@
             self._record_change(endpoint_id)
 
     def leaving_age(self, endpoint_id: str, now: float) -> float | None:
-        """Return the seconds since an endpoint reported that it leaves, if known."""
+        """Return the seconds since an endpoint announced that it leaves, if known."""
         since = self._leaving_since.get(endpoint_id)
         return None if since is None else now - since
 
@@ -223,11 +223,11 @@
         if known is not None and known.revision >= member.revision:
             self._missing_until.pop(member.endpoint_id, None)
             return
-        # The process's own report that it leaves is often earlier than the list's.
-        own_report_at = (
+        # The process often announces that it leaves before the list shows it.
+        announced_at = (
             None if member.leaving else self.own_leaving_since(member.process)
         )
-        if own_report_at is not None:
+        if announced_at is not None:
             member = member._replace(leaving=True)
         removal = self._removed.get(member.endpoint_id, _NEVER_REMOVED)
         if removal.version >= member.revision:
@@ -244,8 +244,8 @@
         self.members[member.endpoint_id] = member
         self.last_change = max(self.last_change, member.revision)
         self._note_leaving(known, member, observed_at)
-        if own_report_at is not None:
-            self._leaving_since.setdefault(member.endpoint_id, own_report_at)
+        if announced_at is not None:
+            self._leaving_since.setdefault(member.endpoint_id, announced_at)
         self._missing_until.pop(member.endpoint_id, None)
         if known is None or _differs(known, member):
             self._log(
@@ -267,7 +267,7 @@
             logger.info(event, **values)
 
     def process_leaving(self, process: EndpointProcess) -> None:
-        """Apply a process's own report that it leaves; see `own_leaving_since`."""
+        """Apply a process's announcement that it leaves; see `own_leaving_since`."""
         known = self.members.get(process.endpoint_id)
         since = self.own_leaving_since(process)
         if known is None or known.process != process or since is None:
@@ -278,7 +278,7 @@
             self._leaving_since[process.endpoint_id] = since
             self._record_change(process.endpoint_id)
         elif before is not None:
-            # The earlier of the list's and its own report counts.
+            # The earlier of the list's entry and its announcement counts.
             self._leaving_since[process.endpoint_id] = min(before, since)
 
     def mark_unreadable(self, endpoint_id: str, version: int) -> None:
--- a/src/ebonydeal/_internal/routing/admission/admission.py
+++ b/src/ebonydeal/_internal/routing/admission/admission.py
@@ -2,7 +2,7 @@
 
 A request is refused as soon as it is known that it can't start in time: when it
 is offered, when capacity falls, or when its latest start passes. Each refusal
-says when a retry makes sense, and none is delayed.
+is immediate and contains the time after which a retry makes sense.
 """
 
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 _RUN_TIME_WEIGHT = 0.05
 _MIN_RETRY_AFTER_S = 0.5
 _MAX_RETRY_AFTER_S = 120.0
-_MAX_JITTER = 1.3
+_MAX_JITTER_FACTOR = 1.3
 _NO_CAPACITY_WAIT_S = 2.0
 
 
@@ -294,4 +294,4 @@
     def _jittered(self, wait: float) -> float:
         """Bound a retry time and add jitter, so that callers don't retry together."""
         bounded = min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, wait))
-        return bounded * self._rng.uniform(1.0, _MAX_JITTER)
+        return bounded * self._rng.uniform(1.0, _MAX_JITTER_FACTOR)
--- a/src/ebonydeal/_internal/routing/limits/startup_grant.py
+++ b/src/ebonydeal/_internal/routing/limits/startup_grant.py
@@ -62,13 +62,14 @@
         self.is_requested, self._allowed = self.is_requested or self._allowed, False
         return self.is_requested
 
-    def begin_write(self, now: float, ahead: float) -> list[float]:
+    def begin_write(self, now: float, clock_ahead_s: float) -> list[float]:
         """Return the start times to be stored, which include this grant's.
 
-        ``now`` is this process's time; the store's clock is ``ahead`` of it.
+        ``now`` is this process's time; the store's clock is ahead of it by
+        ``clock_ahead_s``.
         """
         self._pending_until = now + STARTUP_GRANT_TTL_S
-        return [*self._started_at, now + ahead][-MAX_STARTUP_GRANTS:]
+        return [*self._started_at, now + clock_ahead_s][-MAX_STARTUP_GRANTS:]
 
     def confirm_write(self) -> None:
         """Note that the start times are stored."""
--- a/src/ebonydeal/_internal/routing/placement/candidates.py
+++ b/src/ebonydeal/_internal/routing/placement/candidates.py
@@ -1,7 +1,7 @@
 """Limits the number of endpoints that are scored for one request.
 
-Scored are the endpoints that probably have the part of the prompt that is specific
-to the request in their cache, the prompt's home, and a random sample of the others.
+The scored endpoints are those that probably have cached the request-specific part of
+the prompt, the prompt's home, and a random sample of the others.
 This bounds the time of a decision, and a sample is enough to find a lightly loaded
 endpoint.
 """
--- a/src/ebonydeal/_internal/routing/placement/concurrency.py
+++ b/src/ebonydeal/_internal/routing/placement/concurrency.py
@@ -5,10 +5,10 @@
 long or the endpoint refuses one.
 """
 
-_LATE_FACTOR = 0.9
-_REFUSED_FACTOR = 0.7
+_LATE_DECREASE_FACTOR = 0.9
+_REFUSAL_DECREASE_FACTOR = 0.7
 _MIN_LIMIT = 1.0
-_IN_USE_SHARE = 0.5
+_MIN_IN_USE_SHARE = 0.5
 _MIN_DECREASE_INTERVAL_S = 0.1
 
 
@@ -43,13 +43,15 @@
             Seconds.
         """
         if queued_s > target_s:
-            self._decrease(_LATE_FACTOR, max(queued_s, _MIN_DECREASE_INTERVAL_S), now)
-        elif in_flight >= self.limit * _IN_USE_SHARE:
+            self._decrease(
+                _LATE_DECREASE_FACTOR, max(queued_s, _MIN_DECREASE_INTERVAL_S), now
+            )
+        elif in_flight >= self.limit * _MIN_IN_USE_SHARE:
             self.limit = min(self._max_limit, self.limit + 1.0 / self.limit)
 
     def record_refusal(self, now: float) -> None:
         """Decrease the limit after the endpoint refused a request."""
-        self._decrease(_REFUSED_FACTOR, _MIN_DECREASE_INTERVAL_S, now)
+        self._decrease(_REFUSAL_DECREASE_FACTOR, _MIN_DECREASE_INTERVAL_S, now)
 
     def _decrease(self, factor: float, interval: float, now: float) -> None:
         """Decrease the limit, at most once per ``interval``.
--- a/src/ebonydeal/_internal/routing/placement/score.py
+++ b/src/ebonydeal/_internal/routing/placement/score.py
@@ -13,7 +13,7 @@
 from ebonydeal._internal.models.places import Distance, distance
 from ebonydeal._internal.routing.placement.types import RouteRequest, Scored, ScoreTerms
 
-_HOUR = 3600.0
+_HOUR_S = 3600.0
 _ROUND_TRIP_S = {
     Distance.SAME_ZONE: 0.0005,
     Distance.SAME_REGION: 0.003,
@@ -58,8 +58,8 @@
     """Return the mean price per second of a replica; 1 per hour if all are free."""
     prices = [view.price_per_hour for view in views if view.price_per_hour > 0.0]
     if not prices:
-        return 1.0 / _HOUR
-    return sum(prices) / len(prices) / _HOUR
+        return 1.0 / _HOUR_S
+    return sum(prices) / len(prices) / _HOUR_S
 
 
 class DelayPrice(NamedTuple):
@@ -114,8 +114,8 @@
     delayed = max(0.0, expected.load + 1.0 - expected.slots)
     queue_delay = price.queue_factor * delayed / max(1.0, expected.slots)
     tokens_at_risk = request.prompt_tokens + request.max_tokens / 2.0
-    eviction_chance = view.evict_per_hour / _HOUR * expected.service_s
-    own_second = view.price_per_hour / _HOUR
+    eviction_chance = view.evict_per_hour / _HOUR_S * expected.service_s
+    own_second = view.price_per_hour / _HOUR_S
     used_s = prefill_s + expected.service_s / max(1.0, expected.slots)
     terms = ScoreTerms(
         wait=second * (delay + (price.late_factor - 1.0) * late),
--- a/src/ebonydeal/_internal/routing/rollout/evidence.py
+++ b/src/ebonydeal/_internal/routing/rollout/evidence.py
@@ -5,10 +5,10 @@
 one. There are two tests. Both add up log-likelihood ratios as answers come, so checking
 them often doesn't increase the error rate:
 
-* `MixtureTest` weighs many ways of being bad at once: versions that fail a part of the
+* `MixtureTest` weighs many alternatives at once: versions that fail a part of the
   answers, and versions that answer a part of the requests several times slower;
-* `SingleEffectTest` weighs one: some more answers than usual fail, or are slower than
-  nearly all of the old version's.
+* `SingleEffectTest` weighs one: more answers than usual fail, or are slower than nearly
+  all of the old version's.
 
 One faulty endpoint looks like a bad version if it is the only canary. So evidence is
 stored by endpoint, and the total without the worst endpoint is returned, too.
@@ -118,13 +118,13 @@
 class LikelihoodTest(Protocol):
     """Turns answers of the new version into log-likelihood ratios.
 
-    ``size`` is the number of ways of being bad that are tested.
+    ``size`` is the number of alternatives: ways in which a version may be bad.
     """
 
     size: int
 
     def log_ratios(self, baseline: list[float]) -> list[list[float]]:
-        """Return the log-likelihood ratio of one answer, by way of being bad.
+        """Return the log-likelihood ratio of one answer, by alternative.
 
         Each row has one for each category; ``baseline`` are the categories' usual
         probabilities.
@@ -132,7 +132,7 @@
 
 
 class MixtureTest:
-    """Weighs many ways of being bad."""
+    """Weighs many alternatives."""
 
     def __init__(self) -> None:
         self._alternatives: list[Callable[[list[float]], list[float]]] = [
@@ -147,7 +147,7 @@
         self.size = len(self._alternatives)
 
     def log_ratios(self, baseline: list[float]) -> list[list[float]]:
-        """Return the log-likelihood ratio of one answer, by way of being bad."""
+        """Return the log-likelihood ratio of one answer, by alternative."""
         return [
             [
                 _log_ratio(b, u)
@@ -158,23 +158,23 @@
 
 
 class SingleEffectTest:
-    """Weighs one way of being bad: a fifth more answers than usual are bad.
+    """Weighs one alternative: of the usually good answers, a fifth are bad.
 
     A bad answer is a failure, or takes more than twice the time within which nearly all
     of the old version's answers came.
     """
 
     size = 1
-    _MORE = 0.2
-    _NEARLY_ALL = 0.97
-    _SLOWER_CATEGORIES = 2
+    _ADDED_BAD_SHARE = 0.2
+    _NEARLY_ALL_SHARE = 0.97
+    _SLOW_CATEGORY_OFFSET = 2
 
     def log_ratios(self, baseline: list[float]) -> list[list[float]]:
         """Return the log-likelihood ratio of one answer of each category."""
         first = self._first_slow(baseline)
         usual = baseline[FAILED] + sum(baseline[first:])
         usual = min(0.75, max(_MIN_FAILURE_SHARE, usual))
-        more = usual + self._MORE * (1.0 - usual)
+        more = usual + self._ADDED_BAD_SHARE * (1.0 - usual)
         bad, good = log(more / usual), log((1.0 - more) / (1.0 - usual))
         slow = range(first, CATEGORIES)
         return [[bad if c == FAILED or c in slow else good for c in range(CATEGORIES)]]
@@ -185,13 +185,13 @@
         below = 0.0
         for category in range(1, CATEGORIES):
             below += baseline[category]
-            if below >= self._NEARLY_ALL * answered:
-                return min(CATEGORIES - 1, category + 1 + self._SLOWER_CATEGORIES)
+            if below >= self._NEARLY_ALL_SHARE * answered:
+                return min(CATEGORIES - 1, category + 1 + self._SLOW_CATEGORY_OFFSET)
         return CATEGORIES - 1
 
 
 def total_log_ratios(log_ratios: list[list[float]], counts: Counts) -> list[float]:
-    """Return the sum for all answers in ``counts``, by way of being bad."""
+    """Return the sum for all answers in ``counts``, by alternative."""
     seen = [(category, count) for category, count in enumerate(counts) if count]
     return [
         sum(count * row[category] for category, count in seen) for row in log_ratios
@@ -249,7 +249,7 @@
     def __init__(self, test: LikelihoodTest) -> None:
         self._test = test
         self._baselines: dict[str, Baseline] = {}
-        # By route and endpoint, one total for each way of being bad.
+        # By route and endpoint, one total for each alternative.
         self._log_ratios: dict[str, dict[str, list[float]]] = {}
         self._answers: dict[str, int] = {}
         self.failures = 0
@@ -331,7 +331,7 @@
         return EvidenceSummary(total, without_worst, worst, worst_route, others)
 
     def _sum(self, totals: dict[str, list[float]]) -> list[float]:
-        """Return the sum over all endpoints of a route, by way of being bad."""
+        """Return the sum over all endpoints of a route, by alternative."""
         return [sum(values) for values in zip(*totals.values(), strict=True)]
 
     def _without(
