--- a/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
+++ b/src/ebonydeal/_internal/relay/requests/endpoint_chooser.py
@@ -45,8 +45,10 @@
         service = None if index is None else index.table.services.get(self._job.service)
         return None if service is None else service.engine
 
-    def ask(self, connected: frozenset[str] = frozenset()) -> SelectionRequest:
-        """Return the input of a choice; ``connected`` ones have an idle connection."""
+    def selection_request(
+        self, connected: frozenset[str] = frozenset()
+    ) -> SelectionRequest:
+        """Return the selector's input; ``connected`` ones have an idle connection."""
         req, engine = self._job.req, self.engine
         can_fetch = engine is not None and engine.can_migrate_runs
         tokens = req.prompt_tokens or 0
@@ -66,16 +68,16 @@
         if not parts.split.has_rollout(job.service):
             return self._best(listed, now)
         first, self._split_done = not self._split_done, True
-        part = parts.split.choose_version(
+        version = parts.split.choose_version(
             job.service, job.route.name, listed, now, resend, first
         )
-        found = self._best(part.members, now)
-        if found is None and part.is_new:
+        found = self._best(version.members, now)
+        if found is None and version.is_new:
             # No endpoint of the new version can take the request now.
-            part = parts.split.choose_version(
-                job.service, job.route.name, listed, now, again=True, first=False
+            version = parts.split.choose_version(
+                job.service, job.route.name, listed, now, resend=True, first=False
             )
-            found = self._best(part.members, now)
+            found = self._best(version.members, now)
         return found
 
     def _available(self, avoid: Set[str], now: float) -> list[Member]:
@@ -107,15 +109,15 @@
         allowed = parts.outliers.allowed(listed, now)
         if parts.suspects.status(job.digest) is QuarantineStatus.SUSPECT:
             return self._isolate(allowed)
-        failing = parts.failing.failing_endpoints(now)
+        failing = parts.failure_rates.failing_endpoints(now)
         if job.req.prompt_tokens is None:
-            member = parts.choice.select_plain(parts.zone, allowed, failing)
+            member = parts.selector.select_plain(parts.zone, allowed, failing)
             return None if member is None else EndpointChoice(member, 0.0, None)
-        ask = self.ask(parts.pools.connected_endpoints())
-        score = parts.choice.select_engine(ask, allowed, now, failing)
+        request = self.selection_request(parts.pools.connected_endpoints())
+        score = parts.selector.select_engine(request, allowed, now, failing)
         if score is None:
             return None
-        speed = parts.choice.speed
+        speed = parts.selector.speed
         expected = (
             speed.base_latency_s
             + score.wait
@@ -130,7 +132,7 @@
     def _isolate(self, allowed: Sequence[Member]) -> EndpointChoice | None:
         """Return the endpoint where a request suspected of crashes does least harm.
 
-        That is one without another suspect, so that a crash tells them apart, and
+        That is one without another suspect, so that a crash distinguishes them, and
         with the fewest requests in flight, which a crash would break off.
         """
         if not allowed:
@@ -141,7 +143,7 @@
             endpoint_id = member.endpoint_id
             return (
                 parts.suspects.suspects_at(endpoint_id),
-                parts.choice.running_requests(endpoint_id),
+                parts.selector.running_requests(endpoint_id),
                 member.zone != parts.zone,
                 endpoint_id,
             )
@@ -153,7 +155,7 @@
     def _listed(self, now: float) -> list[Member]:
         """Return the endpoints that may get the request.
 
-        One that leaves gets requests that likely end in time, since capacity is
+        A leaving one gets requests that will probably end in time, since capacity is
         scarcest in the last seconds of a zone that is reclaimed. If no other endpoint
         is left, it gets all requests.
         """
@@ -172,6 +174,6 @@
         job = self._job
         if job.req.prompt_tokens is None:
             return job.route.objective
-        return self._parts.choice.speed.answer_seconds(
+        return self._parts.selector.speed.answer_seconds(
             job.req.length_hint or job.req.output_tokens
         )
