--- a/tests/lib/fakes_quickstart.py
+++ b/tests/lib/fakes_quickstart.py
@@ -23,7 +23,9 @@
 
 def is_busy(load):
     """Return whether an answer is being received, or more than three were received."""
-    receiving = any(record.received and not record.is_complete for record in load.records)
+    receiving = any(
+        record.received and not record.is_complete for record in load.records
+    )
     return receiving or sum(record.is_complete for record in load.records) > 3
 
 
