--- a/src/ebonydeal/_internal/utils/run.py
+++ b/src/ebonydeal/_internal/utils/run.py
@@ -47,7 +47,7 @@
         return
     settings = reread()
     if settings is None:
-        logger.error("Settings refused; the previous ones stay in force.")
+        logger.error("Settings refused; the last good ones stay.")
         return
     service.reload(settings)
     logger.info("Settings read again.", program=program)
