--- a/src/ebonydeal/_internal/routing/admission/early_refusal.py
+++ b/src/ebonydeal/_internal/routing/admission/early_refusal.py
@@ -6,7 +6,7 @@
 priority are refused first.
 """
 
-# Each step of priority lowers the limit by this much, down to `_MIN_LIMIT`.
+# Each step down in priority lowers the limit by this much, down to `_MIN_LIMIT`.
 _LIMIT_STEP = 0.15
 _MIN_LIMIT = 1.0
 # A request that allows less than this fraction of the maximum time that clients of
--- a/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
+++ b/src/ebonydeal/_internal/routing/notices/endpoint_notices.py
@@ -114,7 +114,7 @@
         return self._leaving.get(process)
 
     def leaving_reports(self, now: float) -> list[list]:
-        """Return reports for other relays: id, incarnation, seconds since then."""
+        """Return the reports for other relays: id, incarnation and age in seconds."""
         return [
             [*process, round(now - at, 3)]
             for process, at in self._leaving.items()
--- a/src/ebonydeal/_internal/routing/rollout/exposure.py
+++ b/src/ebonydeal/_internal/routing/rollout/exposure.py
@@ -153,8 +153,10 @@
 def _target_rate(bound: ExposureBound, exposure: Exposure) -> float:
     """Return the requests a second that use up the canary stage's part evenly."""
     total = exposure.requests + exposure.rate * max(0.0, exposure.time_left)
-    share_part = _DOUBT_SHARE_FRACTION if exposure.in_doubt else _CANARY_SHARE_FRACTION
-    budget = bound.share * total * share_part + bound.slack * _CANARY_SLACK_FRACTION
+    share_fraction = (
+        _DOUBT_SHARE_FRACTION if exposure.in_doubt else _CANARY_SHARE_FRACTION
+    )
+    budget = bound.share * total * share_fraction + bound.slack * _CANARY_SLACK_FRACTION
     remaining = max(0.0, budget - exposure.exposed)
     return min(
         remaining / max(0.5, exposure.time_left * _CANARY_TIME_FRACTION),
--- a/src/ebonydeal/_internal/routing/rollout/rollout_state.py
+++ b/src/ebonydeal/_internal/routing/rollout/rollout_state.py
@@ -37,7 +37,7 @@
 # service with few requests is observed for this fraction of its order's time instead.
 _MIN_ANSWERS = 15
 _MIN_OBSERVED_FRACTION = 0.5
-# The same after the deadline, where a longer observation costs nothing.
+# `_MIN_LAST_STAGE_S` after the deadline, where a longer observation costs nothing.
 _MIN_LATE_LAST_STAGE_S = 1.5
 # Time over which the rates of routes are averaged.
 _RATE_WINDOW_S = 2.0
