--- a/tests/functional/relay/test_deltas.py
+++ b/tests/functional/relay/test_deltas.py
@@ -137,7 +137,7 @@
             sender._long_prompts.note_sent("i1", 0.8, 900.0)
 
             def until_read(program):
-                return program._choice._load("i1").prefilling_until
+                return program._selector._load("i1").prefilling_until
 
             await until(lambda: until_read(receiver) > now(receiver))
             assert until_read(sender) == 0.0
--- a/tests/functional/relay/test_restart.py
+++ b/tests/functional/relay/test_restart.py
@@ -59,6 +59,6 @@
             await store.put("servers", "i1", one.row(born=2_000))
             await until(lambda: program.view.members["i1"].incarnation == 2_000)
             assert program._pools.connected_endpoints() == frozenset()
-            assert program._choice.own_loads() == {}
+            assert program._selector.own_loads() == {}
             assert (await ask(program, "/safe/", rid="r2"))[0] == 200
         assert one.connections == 2
